--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -16,10 +16,10 @@
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
+use rockwick::core::sched::owner_lease::FormerOrders;
 use rockwick::core::sched::place;
 use rockwick::core::sched::routing::Routing;
 use rockwick::core::sched::rows;
-use rockwick::core::sched::seat::FormerOrders;
 use rockwick::core::sched::state::{Ctx, Effect, PoolKey, Timers};
 use rockwick::core::sched::worker::ClockSample;
 use rockwick::port::fleet::{
--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -6,8 +6,8 @@
 use super::hosts::{self, HostDuty, PoolNeed};
 use super::keys::BookId;
 use super::load::Facts;
+use super::owner_lease;
 use super::quota::{self, QuotaDuty};
-use super::seat;
 use super::state::{Ctx, Effect, Pool, PoolKey, State, Tenure, Timer, WaveKnown};
 use super::wave::WaveDuty;
 use crate::clock::Now;
@@ -26,7 +26,7 @@
         pool: key,
         me: &state.me,
         cpu_milli: state.cpu_milli,
-        until_ms: pool.seat.until_ms(),
+        until_ms: pool.lease.until_ms(),
         timers: &mut state.timers,
         out,
     };
@@ -53,7 +53,7 @@
         };
         let Some(book) = &mut tenure.book else { return };
         if work(book, ctx) {
-            seat::lose(pool, "a worker has seen a later epoch", ctx);
+            owner_lease::lose(pool, "a worker has seen a later epoch", ctx);
         }
     });
 }
@@ -78,7 +78,7 @@
     let Some(pool) = pool.filter(|p| duty_pool == Some(p.name.as_str())) else {
         return false;
     };
-    let until_ms = pool.seat.until_ms();
+    let until_ms = pool.lease.until_ms();
     let Some(tenure) = &mut pool.tenure else {
         return true;
     };
@@ -181,7 +181,7 @@
         work(tenure.book.as_mut(), &mut tenure.quota, &with, ctx);
         // Others give back what they do not need once they hear of it.
         if tenure.quota.short != before {
-            seat::tell(pool, ctx);
+            owner_lease::tell(pool, ctx);
         }
     });
 }
@@ -190,9 +190,9 @@
 fn short_elsewhere(state: &State, key: PoolKey, now: Now) -> BTreeSet<String> {
     let pools = state.pools.iter().enumerate();
     let others = pools.filter(|(n, _)| *n != usize::from(key.0));
-    let heard = others.filter(|(_, p)| now.ms < p.seat.beat_seen_ms + hosts::NEED_KEPT_MS);
+    let heard = others.filter(|(_, p)| now.ms < p.lease.beat_seen_ms + hosts::NEED_KEPT_MS);
     heard
-        .flat_map(|(_, p)| p.seat.beat.short_accounts.iter().cloned())
+        .flat_map(|(_, p)| p.lease.beat.short_accounts.iter().cloned())
         .collect()
 }
 
@@ -202,13 +202,13 @@
         return *key;
     }
     let key = PoolKey(state.pools.len() as u16);
-    let seat = seat::Seat {
+    let lease = owner_lease::OwnerLease {
         beat_seen_ms: now.ms,
-        ..seat::Seat::default()
+        ..owner_lease::OwnerLease::default()
     };
     state.pools.push(Pool {
         name: name.to_string(),
-        seat,
+        lease,
         offers: Default::default(),
         tenure: None,
     });
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -1,14 +1,14 @@
 //! How an entry becomes a pool's owner: it claims the first shard, which settles who takes the pool, then all others.
 //!
 //! Claims are staggered, so that seldom two entries try at once and those with processor time to spare come first. See
-//! [`seat`](super::seat) for what a claim may rest on.
+//! [`owner_lease`](super::owner_lease) for what a claim may rest on.
 
 use super::limits::{
     CLAIM_OWNED_MS, CLAIM_SPREAD_MS, CLAIM_WEAK_MS, CPU_FULL_MILLI, OWNER_LEASE_MS, RENEW_MS,
     TX_RETRY_MS,
 };
+use super::owner_lease::{beat, guard, observe, send_release, write, Claim, OwnerLease};
 use super::rows::{self, shard_part, OwnerRow, BEAT_KEY, OWNER_KEY, SHARDS};
-use super::seat::{beat, guard, observe, send_release, write, Claim, Seat};
 use super::state::{Ctx, Effect, Pool, Tenure, Timer};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
@@ -67,25 +67,25 @@
     let Some(store_since_ms) = me.store_since_ms else {
         return;
     };
-    if pool.seat.claim.is_some() {
+    if pool.lease.claim.is_some() {
         claim_others(pool, me.nonce, ctx);
         return;
     }
-    if pool.seat.shards[0].is_claiming {
+    if pool.lease.shards[0].is_claiming {
         return;
     }
     let now_ms = ctx.now.ms;
-    if pool.seat.was_ours(ctx.me, me.nonce) {
+    if pool.lease.was_ours(ctx.me, me.nonce) {
         claim(pool, ctx, me.nonce);
         return;
     }
     let stagger_ms = me.stagger_ms(ctx.me, &pool.name);
-    let vacant_since_ms = pool.seat.vacant_since_ms(now_ms);
+    let vacant_since_ms = pool.lease.vacant_since_ms(now_ms);
     match vacant_since_ms.map(|since_ms| since_ms.max(store_since_ms)) {
         Some(since_ms) if now_ms >= since_ms + stagger_ms => claim(pool, ctx, me.nonce),
         Some(since_ms) => ctx.after(since_ms + stagger_ms - now_ms, Timer::Claim),
         None => {
-            let over_ms = pool.seat.beat_seen_ms + OWNER_LEASE_MS;
+            let over_ms = pool.lease.beat_seen_ms + OWNER_LEASE_MS;
             ctx.after(over_ms - now_ms + stagger_ms, Timer::Claim);
         }
     }
@@ -93,30 +93,30 @@
 
 /// Claims the first shard, which settles who takes the pool.
 fn claim(pool: &mut Pool, ctx: &mut Ctx<'_>, nonce: u64) {
-    pool.seat.claim_open_ms.get_or_insert(ctx.now.ms);
-    pool.seat.claim_after = pool.seat.owner.entry.clone();
-    pool.seat.claim_after_beat = pool.seat.shards[0].beat_entry.clone();
-    pool.seat.claim_from = pool.seat.shards[0].owner_revision;
-    pool.seat.claim_after_ms = pool.seat.beat_seen_ms;
-    pool.seat.former = pool.seat.former_orders();
+    pool.lease.claim_open_ms.get_or_insert(ctx.now.ms);
+    pool.lease.claim_after = pool.lease.owner.entry.clone();
+    pool.lease.claim_after_beat = pool.lease.shards[0].beat_entry.clone();
+    pool.lease.claim_from = pool.lease.shards[0].owner_revision;
+    pool.lease.claim_after_ms = pool.lease.beat_seen_ms;
+    pool.lease.former = pool.lease.former_orders();
     send_claim(pool, 0, 0, nonce, ctx);
 }
 
 /// Claims the shards that are not won yet, each once its heartbeat is a lease old: the owner before may have renewed
 /// there while the first shard was claimed.
 fn claim_others(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
-    let Some(claim) = pool.seat.claim.clone() else {
+    let Some(claim) = pool.lease.claim.clone() else {
         return;
     };
     for shard in 1..SHARDS {
-        let seat = &pool.seat.shards[shard];
-        if claim.fences[shard].is_some() || seat.is_claiming {
+        let lease = &pool.lease.shards[shard];
+        if claim.fences[shard].is_some() || lease.is_claiming {
             continue;
         }
-        let is_over = pool.seat.claim_after.is_empty() || pool.seat.claim_after == ctx.me;
+        let is_over = pool.lease.claim_after.is_empty() || pool.lease.claim_after == ctx.me;
         // One that had won the first shard only is not the owner before: that one may renew and send in the others.
-        let has_left = is_over && seat.beat_entry == pool.seat.claim_after_beat;
-        let over_ms = seat.beat_seen_ms + OWNER_LEASE_MS;
+        let has_left = is_over && lease.beat_entry == pool.lease.claim_after_beat;
+        let over_ms = lease.beat_seen_ms + OWNER_LEASE_MS;
         if !has_left && ctx.now.ms < over_ms {
             ctx.after(over_ms - ctx.now.ms, Timer::Claim);
             continue;
@@ -131,19 +131,19 @@
         nonce,
         epoch,
     };
-    let seat = &pool.seat.shards[shard];
+    let lease = &pool.lease.shards[shard];
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
         guards: vec![
-            guard(OWNER_KEY, seat.owner_revision),
-            guard(BEAT_KEY, seat.beat_revision),
+            guard(OWNER_KEY, lease.owner_revision),
+            guard(BEAT_KEY, lease.beat_revision),
         ],
         writes: vec![
             write(OWNER_KEY, rows::encode(&owner)),
             write(BEAT_KEY, rows::encode(&beat(pool, ctx))),
         ],
     };
-    pool.seat.shards[shard].is_claiming = true;
+    pool.lease.shards[shard].is_claiming = true;
     ctx.out.push(Effect::Claim(ctx.pool, shard, tx));
 }
 
@@ -156,12 +156,12 @@
     me: &Claimant,
     ctx: &mut Ctx<'_>,
 ) {
-    pool.seat.shards[shard].is_claiming = false;
+    pool.lease.shards[shard].is_claiming = false;
     let nonce = me.nonce;
     let mut pause_ms = TX_RETRY_MS;
     match outcome {
         TxOutcome::Committed(revision) if shard == 0 => win(pool, revision, sent_ms, nonce, ctx),
-        TxOutcome::Committed(revision) => win_other(&mut pool.seat, shard, revision),
+        TxOutcome::Committed(revision) => win_other(&mut pool.lease, shard, revision),
         TxOutcome::Conflict(found) => {
             for (_, row) in &found {
                 // An undecodable row was logged when the feed brought it.
@@ -170,7 +170,7 @@
             begin_if_claimed(pool, nonce, ctx);
             if shard == 0 {
                 // Whatever earlier claim was on its way, its condition holds no more.
-                pool.seat.claim_open_ms = None;
+                pool.lease.claim_open_ms = None;
             }
         }
         // In an outage the stagger since the pool became free is long over at every entry: the one with the most
@@ -191,49 +191,49 @@
 
 /// Goes on with a claim of ours that is seen in the store, its answer lost or still on its way.
 pub fn begin_if_claimed(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
-    let seat = &mut pool.seat;
-    let is_ours = seat.is_ours(ctx.me, nonce);
+    let lease = &mut pool.lease;
+    let is_ours = lease.is_ours(ctx.me, nonce);
     // Another entry has claimed the first shard since.
-    seat.claim = seat
+    lease.claim = lease
         .claim
         .take()
-        .filter(|claim| is_ours && claim.epoch == seat.epoch);
-    let is_begun = pool.tenure.is_some() || seat.epoch <= seat.held_epoch;
-    if let Some(sent_ms) = seat.claim_open_ms.filter(|_| is_ours && !is_begun) {
-        win(pool, pool.seat.epoch, sent_ms, nonce, ctx);
+        .filter(|claim| is_ours && claim.epoch == lease.epoch);
+    let is_begun = pool.tenure.is_some() || lease.epoch <= lease.held_epoch;
+    if let Some(sent_ms) = lease.claim_open_ms.filter(|_| is_ours && !is_begun) {
+        win(pool, pool.lease.epoch, sent_ms, nonce, ctx);
     }
     begin_if_won(pool, ctx);
 }
 
 /// The first shard is won: claims the others.
 fn win(pool: &mut Pool, epoch: Revision, sent_ms: Millis, nonce: u64, ctx: &mut Ctx<'_>) {
-    let seat = &mut pool.seat;
-    seat.claim_open_ms = None;
-    let is_ours = seat.is_ours(ctx.me, nonce);
-    if seat.epoch > seat.claim_from && !is_ours {
+    let lease = &mut pool.lease;
+    lease.claim_open_ms = None;
+    let is_ours = lease.is_ours(ctx.me, nonce);
+    if lease.epoch > lease.claim_from && !is_ours {
         // The claim's condition was the row before: whoever is seen behind that has replaced it since, whatever revision
         // the answer tells.
         return;
     }
-    let is_known = seat
+    let is_known = lease
         .claim
         .as_ref()
         .is_some_and(|claim| claim.epoch >= epoch);
-    if epoch <= seat.held_epoch || epoch < seat.epoch || is_known {
+    if epoch <= lease.held_epoch || epoch < lease.epoch || is_known {
         // The feed was faster than the answer.
         return;
     }
-    seat.owner = OwnerRow {
+    lease.owner = OwnerRow {
         entry: ctx.me.to_string(),
         nonce,
         epoch: 0,
     };
-    seat.epoch = epoch;
-    seat.shards[0].owner_revision = epoch;
-    seat.shards[0].beat_revision = epoch.max(seat.shards[0].beat_revision);
+    lease.epoch = epoch;
+    lease.shards[0].owner_revision = epoch;
+    lease.shards[0].beat_revision = epoch.max(lease.shards[0].beat_revision);
     let mut fences = [None; SHARDS];
     fences[0] = Some(epoch);
-    seat.claim = Some(Claim {
+    lease.claim = Some(Claim {
         epoch,
         sent_ms,
         fences,
@@ -242,21 +242,21 @@
 }
 
 /// Another shard than the first is won, unless a later claim is known: the feed may be faster than an answer.
-fn win_other(seat: &mut Seat, shard: usize, revision: Revision) {
-    let won = &mut seat.shards[shard];
+fn win_other(lease: &mut OwnerLease, shard: usize, revision: Revision) {
+    let won = &mut lease.shards[shard];
     if revision < won.owner_revision {
         return;
     }
     won.owner_revision = revision;
     won.beat_revision = won.beat_revision.max(revision);
-    if let Some(claim) = seat.claim.as_mut().filter(|c| revision > c.epoch) {
+    if let Some(claim) = lease.claim.as_mut().filter(|c| revision > c.epoch) {
         claim.fences[shard] = Some(revision);
     }
 }
 
 /// Begins the tenure once all shards are won.
 fn begin_if_won(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let Some(claim) = &pool.seat.claim else {
+    let Some(claim) = &pool.lease.claim else {
         return;
     };
     let won: Vec<Revision> = claim.fences.iter().flatten().copied().collect();
@@ -264,7 +264,7 @@
         return;
     };
     let (epoch, sent_ms) = (claim.epoch, claim.sent_ms);
-    pool.seat.claim = None;
+    pool.lease.claim = None;
     if pool.tenure.is_none() {
         begin(pool, epoch, fences, sent_ms, ctx);
     }
@@ -277,18 +277,18 @@
     sent_ms: Millis,
     ctx: &mut Ctx<'_>,
 ) {
-    pool.seat.held_epoch = epoch;
+    pool.lease.held_epoch = epoch;
     pool.offers.pending = None;
     pool.offers.unsure.clear();
-    let silent_ms = sent_ms.saturating_sub(pool.seat.claim_after_ms);
-    let why = format!("before: {:?}", pool.seat.claim_after);
+    let silent_ms = sent_ms.saturating_sub(pool.lease.claim_after_ms);
+    let why = format!("before: {:?}", pool.lease.claim_after);
     ctx.tell(
         Decision::new(Code::PoolOwned, Subject::Pool, &pool.name, why)
             .with("epoch", epoch)
             .with("silent_ms", silent_ms),
     );
-    pool.seat.renewed_ms = sent_ms;
-    for shard in &mut pool.seat.shards {
+    pool.lease.renewed_ms = sent_ms;
+    for shard in &mut pool.lease.shards {
         shard.is_renewing = false;
         shard.unanswered_ms = None;
     }
@@ -310,17 +310,17 @@
     });
     ctx.out
         .push(Effect::Load(ctx.pool, epoch, pool.name.clone()));
-    pool.seat.beat_due_ms = sent_ms + RENEW_MS;
+    pool.lease.beat_due_ms = sent_ms + RENEW_MS;
     ctx.after(
-        pool.seat.beat_due_ms.saturating_sub(ctx.now.ms),
+        pool.lease.beat_due_ms.saturating_sub(ctx.now.ms),
         Timer::Renew,
     );
 }
 
 /// Gives up a claim that won the first shard, by an entry that is to stop.
 fn give_up_claim(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    if let Some(claim) = pool.seat.claim.take() {
-        pool.seat.held_epoch = claim.epoch;
+    if let Some(claim) = pool.lease.claim.take() {
+        pool.lease.held_epoch = claim.epoch;
         send_release(&pool.name, claim.epoch, ctx);
     }
 }
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -6,10 +6,10 @@
 use super::holds;
 use super::keys::{JobKey, TaskKey, WorkerKey};
 use super::limits::{BATCH_JOBS, GATHER_MS, SHARD_BUSY_MS, TX_RETRY_MS};
+use super::owner_lease::{self, epoch_guard, OwnerLease};
 use super::remove;
 use super::rows::{self, shard_part, SHARDS};
 use super::runs;
-use super::seat::{self, epoch_guard, Seat};
 use super::state::{Batch, Ctx, Effect, Pool, Tenure, Timer};
 use super::told;
 use super::worker::HoldPhase;
@@ -46,7 +46,7 @@
         ctx.after(due_ms - ctx.now.ms, Timer::Flush);
         return;
     }
-    let for_new = shard_for_new(tenure, &pool.seat, ctx);
+    let for_new = shard_for_new(tenure, &pool.lease, ctx);
     for shard in 0..SHARDS {
         send(pool, shard, for_new == Some(shard), ctx);
     }
@@ -54,16 +54,16 @@
 
 /// The shard that takes jobs of which nothing is on record: the first one, as long as its answers come. Where they do
 /// not, the next one that is free; so a partition that is away holds up those jobs alone that have begun in it.
-fn shard_for_new(tenure: &Tenure, seat: &Seat, ctx: &mut Ctx<'_>) -> Option<usize> {
+fn shard_for_new(tenure: &Tenure, lease: &OwnerLease, ctx: &mut Ctx<'_>) -> Option<usize> {
     for (shard, batch) in tenure.batches.iter().enumerate() {
         let Some(batch) = batch else {
-            if seat.is_good(shard, ctx.now.ms) {
+            if lease.is_good(shard, ctx.now.ms) {
                 return Some(shard);
             }
             continue;
         };
         let busy_ms = batch.sent_ms + SHARD_BUSY_MS;
-        if ctx.now.ms < busy_ms && seat.is_good(shard, ctx.now.ms) {
+        if ctx.now.ms < busy_ms && lease.is_good(shard, ctx.now.ms) {
             ctx.after(busy_ms - ctx.now.ms, Timer::Flush);
             return None;
         }
@@ -94,8 +94,8 @@
     let mut batch = gather(book, jobs, tx, ctx.now.ms);
     batch.is_all = is_all;
     // One write less where writes of a part go in turn, 300 ms each on the users' slow days.
-    batch.tx.writes.push(seat::next_beat(pool, ctx));
-    pool.seat.note_sent(shard, ctx.now.ms);
+    batch.tx.writes.push(owner_lease::next_beat(pool, ctx));
+    pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out
         .push(Effect::Record(ctx.pool, id, shard, batch.tx.clone()));
     if let Some(tenure) = &mut pool.tenure {
@@ -179,22 +179,22 @@
 /// Settles the batch of a shard.
 pub fn recorded(
     tenure: &mut Tenure,
-    seat: &mut Seat,
+    lease: &mut OwnerLease,
     shard: usize,
     outcome: TxOutcome,
     ctx: &mut Ctx<'_>,
 ) -> Settled {
     let epoch = tenure.epoch;
-    seat.note_answer(shard, &outcome, ctx.now.ms);
+    lease.note_answer(shard, &outcome, ctx.now.ms);
     if tenure.batches[shard].is_none() {
         return Settled::Fine;
     }
     let revision = match outcome {
         TxOutcome::Committed(revision) => revision,
-        TxOutcome::Conflict(found) => match settle_conflict(tenure, seat, shard, &found, ctx) {
+        TxOutcome::Conflict(found) => match settle_conflict(tenure, lease, shard, &found, ctx) {
             Verdict::Done(revision) => revision,
             Verdict::Again => {
-                resend(tenure, seat, shard, ctx);
+                resend(tenure, lease, shard, ctx);
                 return Settled::Fine;
             }
             Verdict::PoolLost => return Settled::PoolLost,
@@ -211,7 +211,7 @@
     told::recorded(&batch, book, revision, epoch, ctx);
     // Sent again, it may have taken effect the first time: the lease counts from then.
     if batch.has_beat {
-        seat.note_renewed(batch.sent_ms, ctx.now.ms);
+        lease.note_renewed(batch.sent_ms, ctx.now.ms);
     }
     for ((key, change), write) in batch.jobs.iter().zip(&batch.tx.writes) {
         if let Some(job) = book.jobs.get_mut(*key) {
@@ -237,7 +237,7 @@
 /// What a conflict means for the batch of a shard; told unless it was only our own work.
 fn settle_conflict(
     tenure: &mut Tenure,
-    seat: &Seat,
+    lease: &OwnerLease,
     shard: usize,
     found: &[(Table, StoredRow)],
     ctx: &mut Ctx<'_>,
@@ -245,7 +245,7 @@
     let (Some(batch), Some(book)) = (&mut tenure.batches[shard], &mut tenure.book) else {
         return Verdict::Diverged;
     };
-    let is_ours = |row: &StoredRow| conflict::is_ours(seat, ctx.me, row);
+    let is_ours = |row: &StoredRow| conflict::is_ours(lease, ctx.me, row);
     let odd = conflict::unexpected(batch, found);
     let verdict = conflict::judge(batch, book, found, is_ours);
     let part = batch.tx.part.clone();
@@ -262,7 +262,7 @@
 }
 
 /// Sends the batch of a shard again.
-pub fn resend(tenure: &Tenure, seat: &mut Seat, shard: usize, ctx: &mut Ctx<'_>) {
+pub fn resend(tenure: &Tenure, lease: &mut OwnerLease, shard: usize, ctx: &mut Ctx<'_>) {
     let (Some(batch), Some(book)) = (&tenure.batches[shard], &tenure.book) else {
         return;
     };
@@ -270,7 +270,7 @@
         ctx.after(TX_RETRY_MS, Timer::Resend(shard));
         return;
     }
-    seat.note_sent(shard, ctx.now.ms);
+    lease.note_sent(shard, ctx.now.ms);
     ctx.out
         .push(Effect::Record(ctx.pool, book.id, shard, batch.tx.clone()));
 }
--- a/src/core/sched/conflict.rs
+++ b/src/core/sched/conflict.rs
@@ -6,8 +6,8 @@
 //! over, and the transaction goes again.
 
 use super::book::Book;
+use super::owner_lease::OwnerLease;
 use super::rows::{self, OwnerRow};
-use super::seat::Seat;
 use super::state::Batch;
 use crate::port::fleet::{Guard, Revision, StoredRow, Table};
 use crate::util::fnv1a;
@@ -31,10 +31,10 @@
 }
 
 /// Whether an owner's row was written by this process, which is also the owner that was seen last.
-pub fn is_ours(seat: &Seat, me: &str, row: &StoredRow) -> bool {
+pub fn is_ours(lease: &OwnerLease, me: &str, row: &StoredRow) -> bool {
     let owner = rows::decode::<OwnerRow>(row.value.as_deref().unwrap_or_default());
     // A row that can't be read is nobody's.
-    owner.is_ok_and(|o| o.entry == me && seat.owner.entry == me && o.nonce == seat.owner.nonce)
+    owner.is_ok_and(|o| o.entry == me && lease.owner.entry == me && o.nonce == lease.owner.nonce)
 }
 
 /// Judges a conflict, and corrects the batch where it goes again.
--- a/src/core/sched/handover.rs
+++ b/src/core/sched/handover.rs
@@ -3,7 +3,7 @@
 use super::access::{owned_pools, with_pool};
 use super::commit;
 use super::limits::STOP_RECORD_MS;
-use super::seat;
+use super::owner_lease;
 use super::state::{Effect, State, Tenure, Timer};
 use crate::clock::Now;
 
@@ -26,7 +26,7 @@
             commit::flush(pool, ctx);
             let is_done = pool.tenure.as_ref().is_some_and(has_nothing_left);
             if is_done || is_over {
-                seat::release(pool, ctx);
+                owner_lease::release(pool, ctx);
             }
         });
     }
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -9,8 +9,8 @@
 use super::listing::HostList;
 use super::moves;
 use super::offers::{Offers, OffersRow, Taken};
+use super::owner_lease::{epoch_guard, FormerOrders};
 use super::rows::{self, HostOrdersRow, WaveRow, HOST_ORDERS_KEY};
-use super::seat::{epoch_guard, FormerOrders};
 use super::state::{Ctx, Effect, Pool, Timer, WaveKnown};
 use super::wave;
 use crate::clock::Millis;
@@ -75,10 +75,10 @@
     pub fn of(pool: &'a Pool) -> Self {
         Self {
             pool: &pool.name,
-            wanted: pool.seat.beat.wanted,
-            needed: pool.seat.beat.needed,
+            wanted: pool.lease.beat.wanted,
+            needed: pool.lease.beat.needed,
             offers: &pool.offers,
-            heard_ms: pool.seat.beat_seen_ms,
+            heard_ms: pool.lease.beat_seen_ms,
         }
     }
 
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -8,8 +8,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::owner_lease::epoch_guard;
 use super::rows;
-use super::seat::epoch_guard;
 use crate::port::fleet::{Guard, Revision, RowTx, StoredRow, Table, Write};
 
 /// Key of a pool's row of offers.
--- a/src/core/sched/seat.rs
+++ b/src/core/sched/owner_lease.rs
@@ -37,7 +37,7 @@
 
 /// Who owns a pool, as this entry has seen.
 #[derive(Clone, Debug, Default)]
-pub struct Seat {
+pub struct OwnerLease {
     /// The owner's row in the first shard.
     pub owner: OwnerRow,
     /// Its revision: the epoch.
@@ -49,7 +49,7 @@
     /// When this entry saw the newest heartbeat.
     pub beat_seen_ms: Millis,
     /// The shards.
-    pub shards: [ShardSeat; SHARDS],
+    pub shards: [ShardLease; SHARDS],
     /// Our claim that won the first shard, until all others are won.
     pub claim: Option<Claim>,
     /// The owner before our claim; empty where it had left.
@@ -80,7 +80,7 @@
 
 /// One shard of a pool, as this entry has seen it.
 #[derive(Clone, Debug, Default)]
-pub struct ShardSeat {
+pub struct ShardLease {
     /// Revision of the owner's row.
     pub owner_revision: Revision,
     /// Revision of the heartbeat.
@@ -110,7 +110,7 @@
     pub fences: [Option<Revision>; SHARDS],
 }
 
-impl Seat {
+impl OwnerLease {
     /// Until when this entry may send orders, if it owns the pool.
     pub fn until_ms(&self) -> Millis {
         self.renewed_ms + OWNER_LEASE_MS - OWNER_MARGIN_MS
@@ -199,30 +199,30 @@
     row: &StoredRow,
     now_ms: Millis,
 ) -> Result<(), String> {
-    let seat = &mut pool.seat;
+    let lease = &mut pool.lease;
     let Some(value) = &row.value else {
         return Ok(());
     };
-    if row.key == OWNER_KEY && row.revision > seat.shards[shard].owner_revision {
+    if row.key == OWNER_KEY && row.revision > lease.shards[shard].owner_revision {
         let owner: OwnerRow = rows::decode(value)?;
-        seat.shards[shard].owner_revision = row.revision;
+        lease.shards[shard].owner_revision = row.revision;
         if shard == 0 {
-            seat.owner = owner;
-            seat.epoch = row.revision;
-            seat.beat_seen_ms = now_ms;
+            lease.owner = owner;
+            lease.epoch = row.revision;
+            lease.beat_seen_ms = now_ms;
         } else {
-            note_won(seat, shard, &owner, row.revision);
+            note_won(lease, shard, &owner, row.revision);
         }
     }
-    if row.key == BEAT_KEY && row.revision > seat.shards[shard].beat_revision {
+    if row.key == BEAT_KEY && row.revision > lease.shards[shard].beat_revision {
         let beat: BeatRow = rows::decode(value)?;
-        seat.shards[shard].beat_revision = row.revision;
-        seat.shards[shard].beat_entry.clone_from(&beat.entry);
-        seat.shards[shard].beat_seen_ms = now_ms;
-        if row.revision > seat.beat_revision {
-            seat.beat_revision = row.revision;
-            seat.beat = beat;
-            seat.beat_seen_ms = now_ms;
+        lease.shards[shard].beat_revision = row.revision;
+        lease.shards[shard].beat_entry.clone_from(&beat.entry);
+        lease.shards[shard].beat_seen_ms = now_ms;
+        if row.revision > lease.beat_revision {
+            lease.beat_revision = row.revision;
+            lease.beat = beat;
+            lease.beat_seen_ms = now_ms;
             note_own_beat(pool);
         }
     }
@@ -231,25 +231,25 @@
 
 /// The answer to our renewal may be lost: the feed tells that it was done, and the lease counts from its own sending.
 fn note_own_beat(pool: &mut Pool) {
-    let seat = &mut pool.seat;
-    let is_ours = pool.tenure.is_some() && seat.beat.entry == seat.owner.entry;
+    let lease = &mut pool.lease;
+    let is_ours = pool.tenure.is_some() && lease.beat.entry == lease.owner.entry;
     if !is_ours {
         return;
     }
-    while let Some((count, sent_ms)) = seat.unseen.front().copied() {
-        if count > seat.beat.count {
+    while let Some((count, sent_ms)) = lease.unseen.front().copied() {
+        if count > lease.beat.count {
             return;
         }
-        if count == seat.beat.count {
-            seat.renewed_ms = seat.renewed_ms.max(sent_ms);
+        if count == lease.beat.count {
+            lease.renewed_ms = lease.renewed_ms.max(sent_ms);
         }
-        seat.unseen.pop_front();
+        lease.unseen.pop_front();
     }
 }
 
 /// Takes note of a row of ours in a shard, if it is the claim's that won the first one.
-fn note_won(seat: &mut Seat, shard: usize, owner: &OwnerRow, revision: Revision) {
-    if let Some(claim) = seat.claim.as_mut().filter(|c| c.epoch == owner.epoch) {
+fn note_won(lease: &mut OwnerLease, shard: usize, owner: &OwnerRow, revision: Revision) {
+    if let Some(claim) = lease.claim.as_mut().filter(|c| c.epoch == owner.epoch) {
         claim.fences[shard] = Some(revision);
     }
 }
@@ -285,10 +285,10 @@
         serving: sizing.map_or(0, |s| s.serving),
         short_accounts: short_accounts(pool),
         ordered: ordered(pool, ctx.now.ms),
-        times: book.map_or_else(|| pool.seat.beat.times.clone(), |b| b.times.clone()),
+        times: book.map_or_else(|| pool.lease.beat.times.clone(), |b| b.times.clone()),
         entry: ctx.me.to_string(),
         cpu_milli: ctx.cpu_milli,
-        count: pool.seat.next_count(),
+        count: pool.lease.next_count(),
         waiting: book.map(|b| b.waiting.clone()),
     }
 }
@@ -302,7 +302,7 @@
 fn ordered(pool: &Pool, now_ms: Millis) -> BTreeMap<String, Millis> {
     let told_ms = match &pool.tenure {
         Some(tenure) => tenure.hosts.ordered_ms(now_ms),
-        None => pool.seat.former_orders().told_ms,
+        None => pool.lease.former_orders().told_ms,
     };
     let ages = told_ms.into_iter();
     ages.map(|(host, at_ms)| (host, now_ms.saturating_sub(at_ms)))
@@ -312,7 +312,7 @@
 
 /// Renews the lease, if no heartbeat was sent of late.
 pub fn renew(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let due_ms = pool.seat.beat_due_ms;
+    let due_ms = pool.lease.beat_due_ms;
     if ctx.now.ms < due_ms {
         ctx.after(due_ms - ctx.now.ms, Timer::Renew);
         return;
@@ -323,17 +323,17 @@
 /// Tells soon what changed in the pool's needs, unless the store is slow: then it comes with the next
 /// heartbeat, since each of its own would hold up changes of jobs.
 pub fn tell(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    if pool.seat.answer_ms >= SLOW_ANSWER_MS {
+    if pool.lease.answer_ms >= SLOW_ANSWER_MS {
         return;
     }
-    let due_ms = pool.seat.sent.1 + TOLD_APART_MS;
-    pool.seat.beat_due_ms = pool.seat.beat_due_ms.min(due_ms);
+    let due_ms = pool.lease.sent.1 + TOLD_APART_MS;
+    pool.lease.beat_due_ms = pool.lease.beat_due_ms.min(due_ms);
     ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
 fn send_beat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let Some(tenure) = &pool.tenure else { return };
-    let Some(shard) = pool.seat.shard_to_renew(ctx.now.ms) else {
+    let Some(shard) = pool.lease.shard_to_renew(ctx.now.ms) else {
         ctx.after(TX_RETRY_MS, Timer::Renew);
         return;
     };
@@ -343,25 +343,25 @@
         guards: vec![epoch_guard(tenure.fences[shard])],
         writes: vec![next_beat(pool, ctx)],
     };
-    pool.seat.shards[shard].is_renewing = true;
-    pool.seat.note_sent(shard, ctx.now.ms);
+    pool.lease.shards[shard].is_renewing = true;
+    pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out.push(Effect::Renew(ctx.pool, epoch, shard, tx));
     // Where no answer comes, the next goes to another shard.
-    let due_ms = pool.seat.beat_due_ms;
+    let due_ms = pool.lease.beat_due_ms;
     ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
 /// The write of the next heartbeat, which is sent now.
 pub fn next_beat(pool: &mut Pool, ctx: &Ctx<'_>) -> Write {
     let write = write(BEAT_KEY, rows::encode(&beat(pool, ctx)));
-    pool.seat.sent = (pool.seat.next_count(), ctx.now.ms);
-    pool.seat.unseen.push_back(pool.seat.sent);
-    if pool.seat.unseen.len() > UNSEEN_MAX {
-        pool.seat.unseen.pop_front();
+    pool.lease.sent = (pool.lease.next_count(), ctx.now.ms);
+    pool.lease.unseen.push_back(pool.lease.sent);
+    if pool.lease.unseen.len() > UNSEEN_MAX {
+        pool.lease.unseen.pop_front();
     }
     // Behind one that a slow store has not answered yet, the next would only wait.
-    let pause_ms = (pool.seat.answer_ms * 3 / 2).clamp(RENEW_MS, RENEW_SLOW_MS);
-    pool.seat.beat_due_ms = ctx.now.ms + pause_ms;
+    let pause_ms = (pool.lease.answer_ms * 3 / 2).clamp(RENEW_MS, RENEW_SLOW_MS);
+    pool.lease.beat_due_ms = ctx.now.ms + pause_ms;
     write
 }
 
@@ -377,25 +377,25 @@
     if pool.tenure.as_ref().is_none_or(|t| t.epoch != epoch) {
         return;
     }
-    pool.seat.shards[shard].is_renewing = false;
-    pool.seat.note_answer(shard, outcome, ctx.now.ms);
+    pool.lease.shards[shard].is_renewing = false;
+    pool.lease.note_answer(shard, outcome, ctx.now.ms);
     match outcome {
         TxOutcome::Committed(_) => {
-            pool.seat.note_renewed(sent_ms, ctx.now.ms);
-            let due_ms = pool.seat.beat_due_ms;
+            pool.lease.note_renewed(sent_ms, ctx.now.ms);
+            let due_ms = pool.lease.beat_due_ms;
             ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
         }
         TxOutcome::Conflict(found) => match ours_at(pool, shard, found, ctx) {
             // An answer told a newer revision than the row's.
             Some(revision) => {
                 take_fence(pool, shard, revision);
-                pool.seat.beat_due_ms = ctx.now.ms;
+                pool.lease.beat_due_ms = ctx.now.ms;
                 ctx.after(0, Timer::Renew);
             }
             None => lose(pool, "its row changed", ctx),
         },
         TxOutcome::Refused | TxOutcome::Unknown => {
-            pool.seat.beat_due_ms = ctx.now.ms;
+            pool.lease.beat_due_ms = ctx.now.ms;
             ctx.after(TX_RETRY_MS, Timer::Renew);
         }
     }
@@ -411,22 +411,27 @@
     let fence = pool.tenure.as_ref()?.fences[shard];
     let mut rows = found.iter().map(|(_, row)| row);
     let row = rows.find(|row| row.key == OWNER_KEY)?;
-    let is_ours = row.revision != fence && conflict::is_ours(&pool.seat, ctx.me, row);
+    let is_ours = row.revision != fence && conflict::is_ours(&pool.lease, ctx.me, row);
     is_ours.then_some(row.revision)
 }
 
 /// Takes the epoch from the owner's row as read: the answer to the claim may have told a newer revision than the row's, which
 /// no condition on it would meet. Says whether the row is this owner's.
-pub fn settle_epoch(tenure: &mut Tenure, seat: &mut Seat, rows: &[StoredRow], me: &str) -> bool {
+pub fn settle_epoch(
+    tenure: &mut Tenure,
+    lease: &mut OwnerLease,
+    rows: &[StoredRow],
+    me: &str,
+) -> bool {
     let Some(row) = rows.iter().find(|row| row.key == OWNER_KEY) else {
         return true;
     };
-    if !conflict::is_ours(seat, me, row) {
+    if !conflict::is_ours(lease, me, row) {
         return false;
     }
     if tenure.epoch != row.revision {
         // Answers to renewals that are out name the epoch of before, and are passed over.
-        let shards = seat.shards.iter_mut();
+        let shards = lease.shards.iter_mut();
         shards.for_each(|shard| shard.is_renewing = false);
     }
     tenure.epoch = row.revision;
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -21,13 +21,13 @@
 use super::lives::{greet, worker_word, workers_loaded, workers_read};
 use super::load;
 use super::offers::OFFERS_KEY;
+use super::owner_lease;
 use super::place;
 use super::policy;
 use super::quota;
 use super::remove;
 use super::rows::{cancelled_job, pool_of_part, shard_of_part, BEAT_KEY, OWNER_KEY};
 use super::runs;
-use super::seat;
 use super::sizing;
 use super::state::{Ctx, Effect, Event, LoadedRows, PoolKey, State, Timer, WaveKnown};
 use super::told;
@@ -56,7 +56,7 @@
         }
         Event::Renewed(pool, epoch, shard, sent_ms, outcome) => {
             with_pool(state, pool, now, &mut out, |pool, ctx, _| {
-                seat::renewed(pool, epoch, shard, sent_ms, &outcome, ctx);
+                owner_lease::renewed(pool, epoch, shard, sent_ms, &outcome, ctx);
             });
         }
         Event::Loaded(pool, epoch, rows) => loaded(state, pool, epoch, rows, now, &mut out),
@@ -253,19 +253,19 @@
     let me = state.me.clone();
     let nonce = state.nonce;
     with_pool(state, key, now, out, |pool, ctx, _| {
-        if let Err(e) = seat::observe(pool, shard, row, now.ms) {
+        if let Err(e) = owner_lease::observe(pool, shard, row, now.ms) {
             ctx.tell(Decision::new(Code::BadRow, Subject::Pool, &pool.name, e));
         }
-        let is_ours = pool.seat.is_ours(&me, nonce);
+        let is_ours = pool.lease.is_ours(&me, nonce);
         let is_newer = pool
             .tenure
             .as_ref()
-            .is_some_and(|t| t.epoch < pool.seat.epoch);
+            .is_some_and(|t| t.epoch < pool.lease.epoch);
         if is_newer && !is_ours {
-            seat::lose(pool, "another entry owns it", ctx);
+            owner_lease::lose(pool, "another entry owns it", ctx);
         }
         claim::begin_if_claimed(pool, nonce, ctx);
-        let is_free = pool.seat.owner.entry.is_empty() || pool.seat.owner.entry == me;
+        let is_free = pool.lease.owner.entry.is_empty() || pool.lease.owner.entry == me;
         if pool.tenure.is_none() && is_free {
             ctx.after(0, Timer::Claim);
         }
@@ -298,19 +298,19 @@
             ctx.after(LOAD_RETRY_MS, Timer::Load);
             return;
         };
-        if !seat::settle_epoch(tenure, &mut pool.seat, &rows.owner, ctx.me) {
-            seat::lose(pool, "its row changed", ctx);
+        if !owner_lease::settle_epoch(tenure, &mut pool.lease, &rows.owner, ctx.me) {
+            owner_lease::lose(pool, "its row changed", ctx);
             return;
         }
         let epoch = tenure.epoch;
-        let is_same_holder = pool.seat.claim_after == ctx.me;
+        let is_same_holder = pool.lease.claim_after == ctx.me;
         if !tenure.hosts.is_ready() {
-            let former = &pool.seat.former;
+            let former = &pool.lease.former;
             tenure.hosts = hosts::HostDuty::new(&rows.host_orders, former, is_same_holder, ctx);
         }
         let offers = rows.owner.iter().find(|row| row.key == OFFERS_KEY);
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
-        let times = pool.seat.beat.times.clone();
+        let times = pool.lease.beat.times.clone();
         let id = tenure.next_book(ctx);
         // Counted from the claim, leases that this owner gave since would be over at once, and all that runs be requeued.
         let earlier_ms = tenure.earlier_until_ms(ctx.now.ms);
@@ -396,9 +396,9 @@
         let Some(tenure) = tenure_of(&mut pool.tenure, id) else {
             return;
         };
-        match commit::recorded(tenure, &mut pool.seat, shard, outcome, ctx) {
+        match commit::recorded(tenure, &mut pool.lease, shard, outcome, ctx) {
             Settled::Fine => {}
-            Settled::PoolLost => seat::lose(pool, "its row changed", ctx),
+            Settled::PoolLost => owner_lease::lose(pool, "its row changed", ctx),
             Settled::Diverged => {
                 told::tell_last_answers(tenure, ctx);
                 tenure.drop_book(ctx);
@@ -437,7 +437,7 @@
 
 /// This entry as one that may claim pools.
 fn claimant(state: &State) -> claim::Claimant {
-    let heard = state.pools.iter().map(|pool| pool.seat.beat.cpu_milli);
+    let heard = state.pools.iter().map(|pool| pool.lease.beat.cpu_milli);
     claim::Claimant {
         owned: state.owned(),
         cpu_milli: state.cpu_milli,
@@ -495,7 +495,7 @@
     }
     with_pool(state, key, now, out, |pool, ctx, _| {
         if timer == Timer::Renew {
-            seat::renew(pool, ctx);
+            owner_lease::renew(pool, ctx);
             return;
         }
         let Some(tenure) = &mut pool.tenure else {
@@ -507,7 +507,7 @@
                 ctx.out
                     .push(Effect::Load(ctx.pool, epoch, pool.name.clone()));
             }
-            Timer::Resend(shard) => commit::resend(tenure, &mut pool.seat, shard, ctx),
+            Timer::Resend(shard) => commit::resend(tenure, &mut pool.lease, shard, ctx),
             Timer::Remove => remove::look(tenure, ctx),
             _ => {
                 if let Some(book) = &mut tenure.book {
@@ -549,10 +549,10 @@
         .iter()
         .enumerate()
         .filter(|(n, _)| *n != usize::from(key.0));
-    let mut seats = others.map(|(_, pool)| &pool.seat);
-    seats.any(|seat| {
-        let is_heard = now_ms < seat.beat_seen_ms + hosts::NEED_KEPT_MS;
-        is_heard && seat.beat.needed > seat.beat.serving
+    let mut leases = others.map(|(_, pool)| &pool.lease);
+    leases.any(|lease| {
+        let is_heard = now_ms < lease.beat_seen_ms + hosts::NEED_KEPT_MS;
+        is_heard && lease.beat.needed > lease.beat.serving
     })
 }
 
@@ -575,10 +575,10 @@
             epoch,
             can_park,
             pressed,
-            answer_ms: pool.seat.answer_ms,
+            answer_ms: pool.lease.answer_ms,
         };
         if sizing::look(book, &mut tenure.sizing, &mut pool.offers, &with, ctx) {
-            seat::tell(pool, ctx);
+            owner_lease::tell(pool, ctx);
         }
     });
 }
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -8,8 +8,8 @@
 use super::book::Book;
 use super::keys::JobKey;
 use super::limits::{FINISHED_KEPT_MS, REMOVED_JOBS, REMOVE_MS};
+use super::owner_lease::epoch_guard;
 use super::rows::{cancel_key, shard_part, SHARDS};
-use super::seat::epoch_guard;
 use super::state::{Batch, Ctx, Effect, Pool, Tenure, Timer};
 use crate::port::fleet::{RowTx, Table, TxOutcome, Write};
 
@@ -111,7 +111,7 @@
                 .map(|id| gone(Table::Progress, id))
                 .collect(),
         };
-        pool.seat.note_sent(shard, ctx.now.ms);
+        pool.lease.note_sent(shard, ctx.now.ms);
         ctx.out
             .push(Effect::Record(ctx.pool, book.id, shard, tx.clone()));
         tenure.batches[shard] = Some(Batch {
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -9,9 +9,9 @@
 use super::limits::CPU_FULL_MILLI;
 use super::lives::ListNews;
 use super::offers::Offers;
+use super::owner_lease::OwnerLease;
 use super::quota::QuotaDuty;
 use super::rows::{WaveRow, SHARDS};
-use super::seat::Seat;
 use super::sizing::Sizing;
 use super::wave::WaveDuty;
 use crate::clock::{Millis, Now};
@@ -168,7 +168,7 @@
     /// Its name, which is also the partition of its rows.
     pub name: String,
     /// Who owns it.
-    pub seat: Seat,
+    pub lease: OwnerLease,
     /// Its hosts that are to leave it.
     pub offers: Offers,
     /// Set while this entry does.
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -4,8 +4,8 @@
 
 use rockwick::core::sched::hosts::{self, HostDuty, HostTask, Look};
 use rockwick::core::sched::offers::{Offers, OffersRow, Taken};
+use rockwick::core::sched::owner_lease::FormerOrders;
 use rockwick::core::sched::rows::{encode, HostOrdersRow};
-use rockwick::core::sched::seat::FormerOrders;
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::port::fleet::{FleetConfig, HostRecord, HostReply, HostState, StoredRow, TxOutcome};
 
--- a/tests/test_leases.rs
+++ b/tests/test_leases.rs
@@ -79,7 +79,7 @@
     let third = renewal(&mut state, &mut now_ms);
     let seen = owner_row(second.shard, BEAT_KEY, second.beat, 201);
     reduce(&mut state, seen, now(now_ms + 1));
-    let renewed_ms = state.pool(POOL).map(|p| p.seat.renewed_ms);
+    let renewed_ms = state.pool(POOL).map(|p| p.lease.renewed_ms);
     assert_eq!(
         renewed_ms,
         Some(second.at_ms),
