--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -8,7 +8,7 @@
 use super::load::Facts;
 use super::owner_lease;
 use super::quota::{self, QuotaDuty};
-use super::state::{Ctx, Effect, Pool, PoolKey, State, Tenure, Timer, WaveKnown};
+use super::state::{Ctx, Effect, Ownership, Pool, PoolKey, State, Timer, WaveKnown};
 use super::wave::WaveDuty;
 use crate::clock::Now;
 
@@ -48,21 +48,26 @@
     work: impl FnOnce(&mut Book, &mut Ctx<'_>) -> bool,
 ) {
     with_pool(state, key, now, out, |pool, ctx, _| {
-        let Some(tenure) = tenure_of(&mut pool.tenure, id) else {
+        let Some(ownership) = ownership_of(&mut pool.ownership, id) else {
+            return;
+        };
+        let Some(book) = &mut ownership.book else {
             return;
         };
-        let Some(book) = &mut tenure.book else { return };
         if work(book, ctx) {
             owner_lease::lose(pool, "a worker has seen a later epoch", ctx);
         }
     });
 }
 
-/// A pool's tenure, if its books are those that are asked for.
-pub(super) fn tenure_of(tenure: &mut Option<Tenure>, id: BookId) -> Option<&mut Tenure> {
-    let tenure = tenure.as_mut()?;
-    let is_it = tenure.book.as_ref().is_some_and(|book| book.id == id);
-    is_it.then_some(tenure)
+/// A pool's ownership, if its books are those that are asked for.
+pub(super) fn ownership_of(
+    ownership: &mut Option<Ownership>,
+    id: BookId,
+) -> Option<&mut Ownership> {
+    let ownership = ownership.as_mut()?;
+    let is_it = ownership.book.as_ref().is_some_and(|book| book.id == id);
+    is_it.then_some(ownership)
 }
 
 /// Runs `work` on what an owner does for hosts, if its pool carries that; says so.
@@ -79,12 +84,12 @@
         return false;
     };
     let until_ms = pool.lease.until_ms();
-    let Some(tenure) = &mut pool.tenure else {
+    let Some(ownership) = &mut pool.ownership else {
         return true;
     };
-    let epoch = tenure.epoch;
+    let epoch = ownership.epoch;
     // Lent out, so that what all pools offer is looked at where it is: there may be hundreds of hosts.
-    let mut duty = std::mem::take(&mut tenure.hosts);
+    let mut duty = std::mem::take(&mut ownership.hosts);
     let needs: Vec<PoolNeed<'_>> = state.pools.iter().map(PoolNeed::of).collect();
     let look = hosts::Look {
         config: &state.config,
@@ -103,8 +108,8 @@
     };
     work(&mut duty, &mut state.waves, &look, &mut ctx);
     let pool = &mut state.pools[usize::from(key.0)];
-    if let Some(tenure) = &mut pool.tenure {
-        tenure.hosts = duty;
+    if let Some(ownership) = &mut pool.ownership {
+        ownership.hosts = duty;
     }
     true
 }
@@ -126,13 +131,13 @@
 ) {
     let mut waves = std::mem::take(&mut state.waves);
     with_pool(state, key, now, out, |pool, ctx, _| {
-        let Some(tenure) = &mut pool.tenure else {
+        let Some(ownership) = &mut pool.ownership else {
             return;
         };
-        let facts = (tenure.epoch, pool.name.as_str());
+        let facts = (ownership.epoch, pool.name.as_str());
         work(
-            tenure.book.as_mut(),
-            &mut tenure.duty,
+            ownership.book.as_mut(),
+            &mut ownership.duty,
             &mut waves,
             facts,
             ctx,
@@ -168,7 +173,7 @@
 ) {
     let short_elsewhere = short_elsewhere(state, key, now);
     with_pool(state, key, now, out, |pool, ctx, facts| {
-        let Some(tenure) = pool.tenure.as_mut().filter(|t| t.epoch == epoch) else {
+        let Some(ownership) = pool.ownership.as_mut().filter(|t| t.epoch == epoch) else {
             return;
         };
         let with = quota::Look {
@@ -177,10 +182,10 @@
             config: facts.config,
             short_elsewhere: &short_elsewhere,
         };
-        let before = tenure.quota.short.clone();
-        work(tenure.book.as_mut(), &mut tenure.quota, &with, ctx);
+        let before = ownership.quota.short.clone();
+        work(ownership.book.as_mut(), &mut ownership.quota, &with, ctx);
         // Others give back what they do not need once they hear of it.
-        if tenure.quota.short != before {
+        if ownership.quota.short != before {
             owner_lease::tell(pool, ctx);
         }
     });
@@ -210,7 +215,7 @@
         name: name.to_string(),
         lease,
         offers: Default::default(),
-        tenure: None,
+        ownership: None,
     });
     state.pool_keys.insert(name.to_string(), key);
     state.timers.insert((now.ms, key, Timer::Claim));
@@ -223,7 +228,7 @@
         .pools
         .iter()
         .enumerate()
-        .filter(|(_, p)| p.tenure.is_some())
+        .filter(|(_, p)| p.ownership.is_some())
         .map(|(n, _)| PoolKey(n as u16))
         .collect()
 }
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -9,7 +9,7 @@
 };
 use super::owner_lease::{beat, guard, observe, send_release, write, Claim, OwnerLease};
 use super::rows::{self, shard_part, OwnerRow, BEAT_KEY, OWNER_KEY, SHARDS};
-use super::state::{Ctx, Effect, Pool, Tenure, Timer};
+use super::state::{Ctx, Effect, Ownership, Pool, Timer};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{Revision, RowTx, TxOutcome};
@@ -56,7 +56,7 @@
 
 /// Claims the pool if it has had no living owner for long enough; else looks again when it may.
 pub fn consider(pool: &mut Pool, me: &Claimant, ctx: &mut Ctx<'_>) {
-    if pool.tenure.is_some() || me.is_stopping {
+    if pool.ownership.is_some() || me.is_stopping {
         return;
     }
     // Without a configuration, an owner knows neither quotas nor attempts nor which hosts are off.
@@ -184,7 +184,7 @@
         give_up_claim(pool, ctx);
     }
     begin_if_won(pool, ctx);
-    if pool.tenure.is_none() {
+    if pool.ownership.is_none() {
         ctx.after(pause_ms, Timer::Claim);
     }
 }
@@ -198,7 +198,7 @@
         .claim
         .take()
         .filter(|claim| is_ours && claim.epoch == lease.epoch);
-    let is_begun = pool.tenure.is_some() || lease.epoch <= lease.held_epoch;
+    let is_begun = pool.ownership.is_some() || lease.epoch <= lease.held_epoch;
     if let Some(sent_ms) = lease.claim_open_ms.filter(|_| is_ours && !is_begun) {
         win(pool, pool.lease.epoch, sent_ms, nonce, ctx);
     }
@@ -254,7 +254,7 @@
     }
 }
 
-/// Begins the tenure once all shards are won.
+/// Begins the ownership once all shards are won.
 fn begin_if_won(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let Some(claim) = &pool.lease.claim else {
         return;
@@ -265,7 +265,7 @@
     };
     let (epoch, sent_ms) = (claim.epoch, claim.sent_ms);
     pool.lease.claim = None;
-    if pool.tenure.is_none() {
+    if pool.ownership.is_none() {
         begin(pool, epoch, fences, sent_ms, ctx);
     }
 }
@@ -292,7 +292,7 @@
         shard.is_renewing = false;
         shard.unanswered_ms = None;
     }
-    pool.tenure = Some(Tenure {
+    pool.ownership = Some(Ownership {
         epoch,
         fences,
         book: None,
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -10,7 +10,7 @@
 use super::remove;
 use super::rows::{self, shard_part, SHARDS};
 use super::runs;
-use super::state::{Batch, Ctx, Effect, Pool, Tenure, Timer};
+use super::state::{Batch, Ctx, Effect, Ownership, Pool, Timer};
 use super::told;
 use super::worker::HoldPhase;
 use crate::clock::Millis;
@@ -30,10 +30,12 @@
 
 /// Sends what was gathered, if it is time, in each shard that has no batch out.
 pub fn flush(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let Some(tenure) = &mut pool.tenure else {
+    let Some(ownership) = &mut pool.ownership else {
+        return;
+    };
+    let Some(book) = &mut ownership.book else {
         return;
     };
-    let Some(book) = &mut tenure.book else { return };
     if !ctx.may_send() {
         return;
     }
@@ -46,7 +48,7 @@
         ctx.after(due_ms - ctx.now.ms, Timer::Flush);
         return;
     }
-    let for_new = shard_for_new(tenure, &pool.lease, ctx);
+    let for_new = shard_for_new(ownership, &pool.lease, ctx);
     for shard in 0..SHARDS {
         send(pool, shard, for_new == Some(shard), ctx);
     }
@@ -54,8 +56,8 @@
 
 /// The shard that takes jobs of which nothing is on record: the first one, as long as its answers come. Where they do
 /// not, the next one that is free; so a partition that is away holds up those jobs alone that have begun in it.
-fn shard_for_new(tenure: &Tenure, lease: &OwnerLease, ctx: &mut Ctx<'_>) -> Option<usize> {
-    for (shard, batch) in tenure.batches.iter().enumerate() {
+fn shard_for_new(ownership: &Ownership, lease: &OwnerLease, ctx: &mut Ctx<'_>) -> Option<usize> {
+    for (shard, batch) in ownership.batches.iter().enumerate() {
         let Some(batch) = batch else {
             if lease.is_good(shard, ctx.now.ms) {
                 return Some(shard);
@@ -68,17 +70,19 @@
             return None;
         }
     }
-    tenure.batches.iter().position(Option::is_none)
+    ownership.batches.iter().position(Option::is_none)
 }
 
 /// Sends what is to be recorded in one shard, unless a batch of it is out.
 fn send(pool: &mut Pool, shard: usize, takes_new: bool, ctx: &mut Ctx<'_>) {
-    let Some(tenure) = &mut pool.tenure else {
+    let Some(ownership) = &mut pool.ownership else {
+        return;
+    };
+    let Some(book) = &mut ownership.book else {
         return;
     };
-    let Some(book) = &mut tenure.book else { return };
     let id = book.id;
-    if tenure.batches[shard].is_some() {
+    if ownership.batches[shard].is_some() {
         return;
     }
     let jobs = to_record(book, shard, takes_new);
@@ -88,7 +92,7 @@
     let is_all = jobs.len() < BATCH_JOBS;
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
-        guards: vec![epoch_guard(tenure.fences[shard])],
+        guards: vec![epoch_guard(ownership.fences[shard])],
         writes: Vec::new(),
     };
     let mut batch = gather(book, jobs, tx, ctx.now.ms);
@@ -98,8 +102,8 @@
     pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out
         .push(Effect::Record(ctx.pool, id, shard, batch.tx.clone()));
-    if let Some(tenure) = &mut pool.tenure {
-        tenure.batches[shard] = Some(batch);
+    if let Some(ownership) = &mut pool.ownership {
+        ownership.batches[shard] = Some(batch);
     }
 }
 
@@ -178,23 +182,23 @@
 
 /// Settles the batch of a shard.
 pub fn recorded(
-    tenure: &mut Tenure,
+    ownership: &mut Ownership,
     lease: &mut OwnerLease,
     shard: usize,
     outcome: TxOutcome,
     ctx: &mut Ctx<'_>,
 ) -> Settled {
-    let epoch = tenure.epoch;
+    let epoch = ownership.epoch;
     lease.note_answer(shard, &outcome, ctx.now.ms);
-    if tenure.batches[shard].is_none() {
+    if ownership.batches[shard].is_none() {
         return Settled::Fine;
     }
     let revision = match outcome {
         TxOutcome::Committed(revision) => revision,
-        TxOutcome::Conflict(found) => match settle_conflict(tenure, lease, shard, &found, ctx) {
+        TxOutcome::Conflict(found) => match settle_conflict(ownership, lease, shard, &found, ctx) {
             Verdict::Done(revision) => revision,
             Verdict::Again => {
-                resend(tenure, lease, shard, ctx);
+                resend(ownership, lease, shard, ctx);
                 return Settled::Fine;
             }
             Verdict::PoolLost => return Settled::PoolLost,
@@ -205,7 +209,7 @@
             return Settled::Fine;
         }
     };
-    let (Some(batch), Some(book)) = (tenure.batches[shard].take(), &mut tenure.book) else {
+    let (Some(batch), Some(book)) = (ownership.batches[shard].take(), &mut ownership.book) else {
         return Settled::Fine;
     };
     told::recorded(&batch, book, revision, epoch, ctx);
@@ -236,13 +240,13 @@
 
 /// What a conflict means for the batch of a shard; told unless it was only our own work.
 fn settle_conflict(
-    tenure: &mut Tenure,
+    ownership: &mut Ownership,
     lease: &OwnerLease,
     shard: usize,
     found: &[(Table, StoredRow)],
     ctx: &mut Ctx<'_>,
 ) -> Verdict {
-    let (Some(batch), Some(book)) = (&mut tenure.batches[shard], &mut tenure.book) else {
+    let (Some(batch), Some(book)) = (&mut ownership.batches[shard], &mut ownership.book) else {
         return Verdict::Diverged;
     };
     let is_ours = |row: &StoredRow| conflict::is_ours(lease, ctx.me, row);
@@ -251,19 +255,19 @@
     let part = batch.tx.part.clone();
     let own = found.iter().find(|(table, _)| *table == Table::Owners);
     if let Some((_, row)) = own.filter(|_| verdict == Verdict::Again) {
-        tenure.fences[shard] = row.revision;
+        ownership.fences[shard] = row.revision;
     }
     if !matches!(verdict, Verdict::Done(_)) {
         let why = format!("{verdict:?}");
         let decision = Decision::new(Code::LostRace, Subject::Pool, &part, why);
-        ctx.tell(decision.naming("row", odd).with("epoch", tenure.epoch));
+        ctx.tell(decision.naming("row", odd).with("epoch", ownership.epoch));
     }
     verdict
 }
 
 /// Sends the batch of a shard again.
-pub fn resend(tenure: &Tenure, lease: &mut OwnerLease, shard: usize, ctx: &mut Ctx<'_>) {
-    let (Some(batch), Some(book)) = (&tenure.batches[shard], &tenure.book) else {
+pub fn resend(ownership: &Ownership, lease: &mut OwnerLease, shard: usize, ctx: &mut Ctx<'_>) {
+    let (Some(batch), Some(book)) = (&ownership.batches[shard], &ownership.book) else {
         return;
     };
     if !ctx.may_send() {
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -42,7 +42,7 @@
     out: &mut Vec<Effect>,
 ) {
     with_pool(state, key, now, out, |pool, ctx, _| {
-        if pool.tenure.as_ref().is_none_or(|t| t.epoch != epoch) {
+        if pool.ownership.as_ref().is_none_or(|t| t.epoch != epoch) {
             return;
         }
         match outcome {
--- a/src/core/sched/fence.rs
+++ b/src/core/sched/fence.rs
@@ -6,7 +6,7 @@
 
 use super::keys::BookId;
 
-/// Readings of one tenure, and restarts of one id within a reading, that are told apart. Beyond, the last one stands for all
+/// Readings of one ownership, and restarts of one id within a reading, that are told apart. Beyond, the last one stands for all
 /// that follow.
 const COUNTED: u64 = 256;
 
--- a/src/core/sched/handover.rs
+++ b/src/core/sched/handover.rs
@@ -4,7 +4,7 @@
 use super::commit;
 use super::limits::STOP_RECORD_MS;
 use super::owner_lease;
-use super::state::{Effect, State, Tenure, Timer};
+use super::state::{Effect, Ownership, State, Timer};
 use crate::clock::Now;
 
 /// Begins to stop.
@@ -24,7 +24,7 @@
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, _| {
             commit::flush(pool, ctx);
-            let is_done = pool.tenure.as_ref().is_some_and(has_nothing_left);
+            let is_done = pool.ownership.as_ref().is_some_and(has_nothing_left);
             if is_done || is_over {
                 owner_lease::release(pool, ctx);
             }
@@ -37,7 +37,7 @@
 
 /// Whether nothing of the books is left to be recorded. What a worker told and nobody recorded goes with that worker: the
 /// next owner would start a finished task again.
-fn has_nothing_left(tenure: &Tenure) -> bool {
-    let has_dirty = tenure.book.as_ref().is_some_and(|b| !b.dirty.is_empty());
-    !has_dirty && tenure.batches.iter().all(Option::is_none)
+fn has_nothing_left(ownership: &Ownership) -> bool {
+    let has_dirty = ownership.book.as_ref().is_some_and(|b| !b.dirty.is_empty());
+    !has_dirty && ownership.batches.iter().all(Option::is_none)
 }
--- a/src/core/sched/lives.rs
+++ b/src/core/sched/lives.rs
@@ -141,11 +141,13 @@
         with_pool(state, key, now, out, |pool, ctx, _| {
             let is_its_pool = pool.name == fact.pool;
             let offers = &pool.offers;
-            let Some(tenure) = &mut pool.tenure else {
+            let Some(ownership) = &mut pool.ownership else {
+                return;
+            };
+            let epoch = ownership.epoch;
+            let Some(book) = &mut ownership.book else {
                 return;
             };
-            let epoch = tenure.epoch;
-            let Some(book) = &mut tenure.book else { return };
             match is_its_pool {
                 true => note_present(book, &fact, offers, epoch, ctx),
                 // A life of the same id came up in another pool.
@@ -216,7 +218,7 @@
     state.listed.remove(id);
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, _| {
-            let Some(book) = pool.tenure.as_mut().and_then(|t| t.book.as_mut()) else {
+            let Some(book) = pool.ownership.as_mut().and_then(|t| t.book.as_mut()) else {
                 return;
             };
             note_gone(book, id, ctx);
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -16,7 +16,7 @@
     SLOW_ANSWER_MS, TOLD_APART_MS, TX_RETRY_MS,
 };
 use super::rows::{self, shard_part, BeatRow, OwnerRow, BEAT_KEY, OWNER_KEY, SHARDS};
-use super::state::{Ctx, Effect, Pool, Tenure, Timer};
+use super::state::{Ctx, Effect, Ownership, Pool, Timer};
 use super::told;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
@@ -62,7 +62,7 @@
     pub claim_after_ms: Millis,
     /// When the first of our claims was sent whose fate is open.
     pub claim_open_ms: Option<Millis>,
-    /// Epoch of our last tenure.
+    /// Epoch of our last ownership.
     pub held_epoch: Revision,
     /// Orders to hosts of the owner before our claim.
     pub former: FormerOrders,
@@ -232,7 +232,7 @@
 /// The answer to our renewal may be lost: the feed tells that it was done, and the lease counts from its own sending.
 fn note_own_beat(pool: &mut Pool) {
     let lease = &mut pool.lease;
-    let is_ours = pool.tenure.is_some() && lease.beat.entry == lease.owner.entry;
+    let is_ours = pool.ownership.is_some() && lease.beat.entry == lease.owner.entry;
     if !is_ours {
         return;
     }
@@ -277,8 +277,8 @@
 }
 
 pub(super) fn beat(pool: &Pool, ctx: &Ctx<'_>) -> BeatRow {
-    let book = pool.tenure.as_ref().and_then(|t| t.book.as_ref());
-    let sizing = pool.tenure.as_ref().map(|t| &t.sizing);
+    let book = pool.ownership.as_ref().and_then(|t| t.book.as_ref());
+    let sizing = pool.ownership.as_ref().map(|t| &t.sizing);
     BeatRow {
         wanted: sizing.map_or(0, |s| s.wanted),
         needed: sizing.map_or(0, |s| s.needed),
@@ -294,14 +294,14 @@
 }
 
 fn short_accounts(pool: &Pool) -> BTreeSet<String> {
-    let tenure = pool.tenure.as_ref();
-    tenure.map(|t| t.quota.short.clone()).unwrap_or_default()
+    let ownership = pool.ownership.as_ref();
+    ownership.map(|t| t.quota.short.clone()).unwrap_or_default()
 }
 
 /// Hosts that were ordered about of late, and how long ago: by this owner, or by the one that it claims after.
 fn ordered(pool: &Pool, now_ms: Millis) -> BTreeMap<String, Millis> {
-    let told_ms = match &pool.tenure {
-        Some(tenure) => tenure.hosts.ordered_ms(now_ms),
+    let told_ms = match &pool.ownership {
+        Some(ownership) => ownership.hosts.ordered_ms(now_ms),
         None => pool.lease.former_orders().told_ms,
     };
     let ages = told_ms.into_iter();
@@ -332,15 +332,17 @@
 }
 
 fn send_beat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let Some(tenure) = &pool.tenure else { return };
+    let Some(ownership) = &pool.ownership else {
+        return;
+    };
     let Some(shard) = pool.lease.shard_to_renew(ctx.now.ms) else {
         ctx.after(TX_RETRY_MS, Timer::Renew);
         return;
     };
-    let epoch = tenure.epoch;
+    let epoch = ownership.epoch;
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
-        guards: vec![epoch_guard(tenure.fences[shard])],
+        guards: vec![epoch_guard(ownership.fences[shard])],
         writes: vec![next_beat(pool, ctx)],
     };
     pool.lease.shards[shard].is_renewing = true;
@@ -374,7 +376,7 @@
     outcome: &TxOutcome,
     ctx: &mut Ctx<'_>,
 ) {
-    if pool.tenure.as_ref().is_none_or(|t| t.epoch != epoch) {
+    if pool.ownership.as_ref().is_none_or(|t| t.epoch != epoch) {
         return;
     }
     pool.lease.shards[shard].is_renewing = false;
@@ -408,7 +410,7 @@
     found: &[(Table, StoredRow)],
     ctx: &Ctx<'_>,
 ) -> Option<Revision> {
-    let fence = pool.tenure.as_ref()?.fences[shard];
+    let fence = pool.ownership.as_ref()?.fences[shard];
     let mut rows = found.iter().map(|(_, row)| row);
     let row = rows.find(|row| row.key == OWNER_KEY)?;
     let is_ours = row.revision != fence && conflict::is_ours(&pool.lease, ctx.me, row);
@@ -418,7 +420,7 @@
 /// Takes the epoch from the owner's row as read: the answer to the claim may have told a newer revision than the row's, which
 /// no condition on it would meet. Says whether the row is this owner's.
 pub fn settle_epoch(
-    tenure: &mut Tenure,
+    ownership: &mut Ownership,
     lease: &mut OwnerLease,
     rows: &[StoredRow],
     me: &str,
@@ -429,27 +431,27 @@
     if !conflict::is_ours(lease, me, row) {
         return false;
     }
-    if tenure.epoch != row.revision {
+    if ownership.epoch != row.revision {
         // Answers to renewals that are out name the epoch of before, and are passed over.
         let shards = lease.shards.iter_mut();
         shards.for_each(|shard| shard.is_renewing = false);
     }
-    tenure.epoch = row.revision;
-    tenure.fences[0] = row.revision;
+    ownership.epoch = row.revision;
+    ownership.fences[0] = row.revision;
     true
 }
 
 fn take_fence(pool: &mut Pool, shard: usize, revision: Revision) {
-    if let Some(tenure) = &mut pool.tenure {
-        tenure.fences[shard] = revision;
+    if let Some(ownership) = &mut pool.ownership {
+        ownership.fences[shard] = revision;
     }
 }
 
 /// Gives the pool up in the store, so that another may take it at once.
 pub fn release(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    if let Some(mut tenure) = pool.tenure.take() {
-        told::tell_last_answers(&mut tenure, ctx);
-        send_release(&pool.name, tenure.epoch, ctx);
+    if let Some(mut ownership) = pool.ownership.take() {
+        told::tell_last_answers(&mut ownership, ctx);
+        send_release(&pool.name, ownership.epoch, ctx);
     }
 }
 
@@ -466,12 +468,13 @@
 
 /// Drops the books of a pool that another entry owns now.
 pub fn lose(pool: &mut Pool, why: &str, ctx: &mut Ctx<'_>) {
-    let Some(mut tenure) = pool.tenure.take() else {
+    let Some(mut ownership) = pool.ownership.take() else {
         return;
     };
-    told::tell_last_answers(&mut tenure, ctx);
+    told::tell_last_answers(&mut ownership, ctx);
     ctx.tell(
-        Decision::new(Code::PoolLost, Subject::Pool, &pool.name, why).with("epoch", tenure.epoch),
+        Decision::new(Code::PoolLost, Subject::Pool, &pool.name, why)
+            .with("epoch", ownership.epoch),
     );
     // Those of the books would act on others with the same keys, should the pool come back.
     ctx.drop_timers(|timer| timer != Timer::Claim);
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::access::{
-    owned_pools, pool_key, tenure_of, with_book, with_duty, with_grants, with_hosts, with_pool,
+    owned_pools, ownership_of, pool_key, with_book, with_duty, with_grants, with_hosts, with_pool,
     with_quota,
 };
 use super::book::Book;
@@ -104,8 +104,8 @@
         }
         Event::IntakeRemoved(pool, id, outcome) => {
             with_pool(state, pool, now, &mut out, |pool, _, _| {
-                if let Some(tenure) = tenure_of(&mut pool.tenure, id) {
-                    remove::intake_removed(tenure, &outcome);
+                if let Some(ownership) = ownership_of(&mut pool.ownership, id) {
+                    remove::intake_removed(ownership, &outcome);
                 }
             });
         }
@@ -227,8 +227,8 @@
     }
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, facts| {
-            let tenure = pool.tenure.as_mut();
-            if let Some(book) = tenure.and_then(|t| t.book.as_mut()) {
+            let ownership = pool.ownership.as_mut();
+            if let Some(book) = ownership.and_then(|t| t.book.as_mut()) {
                 book.wants_quota = true;
                 policy::refresh(book, facts.config, ctx);
             }
@@ -258,7 +258,7 @@
         }
         let is_ours = pool.lease.is_ours(&me, nonce);
         let is_newer = pool
-            .tenure
+            .ownership
             .as_ref()
             .is_some_and(|t| t.epoch < pool.lease.epoch);
         if is_newer && !is_ours {
@@ -266,7 +266,7 @@
         }
         claim::begin_if_claimed(pool, nonce, ctx);
         let is_free = pool.lease.owner.entry.is_empty() || pool.lease.owner.entry == me;
-        if pool.tenure.is_none() && is_free {
+        if pool.ownership.is_none() && is_free {
             ctx.after(0, Timer::Claim);
         }
     });
@@ -291,42 +291,42 @@
     }
     with_pool(state, key, now, out, |pool, ctx, facts| {
         let name = pool.name.clone();
-        let Some(tenure) = pool.tenure.as_mut().filter(|t| t.epoch == epoch) else {
+        let Some(ownership) = pool.ownership.as_mut().filter(|t| t.epoch == epoch) else {
             return;
         };
         let Some(rows) = rows else {
             ctx.after(LOAD_RETRY_MS, Timer::Load);
             return;
         };
-        if !owner_lease::settle_epoch(tenure, &mut pool.lease, &rows.owner, ctx.me) {
+        if !owner_lease::settle_epoch(ownership, &mut pool.lease, &rows.owner, ctx.me) {
             owner_lease::lose(pool, "its row changed", ctx);
             return;
         }
-        let epoch = tenure.epoch;
+        let epoch = ownership.epoch;
         let is_same_holder = pool.lease.claim_after == ctx.me;
-        if !tenure.hosts.is_ready() {
+        if !ownership.hosts.is_ready() {
             let former = &pool.lease.former;
-            tenure.hosts = hosts::HostDuty::new(&rows.host_orders, former, is_same_holder, ctx);
+            ownership.hosts = hosts::HostDuty::new(&rows.host_orders, former, is_same_holder, ctx);
         }
         let offers = rows.owner.iter().find(|row| row.key == OFFERS_KEY);
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
         let times = pool.lease.beat.times.clone();
-        let id = tenure.next_book(ctx);
+        let id = ownership.next_book(ctx);
         // Counted from the claim, leases that this owner gave since would be over at once, and all that runs be requeued.
-        let earlier_ms = tenure.earlier_until_ms(ctx.now.ms);
+        let earlier_ms = ownership.earlier_until_ms(ctx.now.ms);
         let mut book = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
-        tenure.keep_shards(&mut book);
+        ownership.keep_shards(&mut book);
         close_given(&mut book, &pool.offers);
-        wave::close_leaving(&mut book, &tenure.duty);
-        for row in std::mem::take(&mut tenure.early) {
+        wave::close_leaving(&mut book, &ownership.duty);
+        for row in std::mem::take(&mut ownership.early) {
             load::apply_intake(&mut book, &row, facts.config, epoch, ctx);
         }
-        told::loaded(&name, &book, tenure, facts.config.version, ctx);
+        told::loaded(&name, &book, ownership, facts.config.version, ctx);
         let workers: Vec<WorkerKey> = book.workers.keys().collect();
         for worker in workers {
             greet(&mut book, worker, epoch, ctx);
         }
-        tenure.book = Some(book);
+        ownership.book = Some(book);
         ctx.after(RESORT_MS, Timer::Upkeep);
         ctx.after(0, Timer::Remove);
         ctx.after(0, Timer::Wave);
@@ -341,12 +341,12 @@
         return;
     };
     with_pool(state, key, now, out, |pool, ctx, facts| {
-        let Some(tenure) = &mut pool.tenure else {
+        let Some(ownership) = &mut pool.ownership else {
             return;
         };
-        let epoch = tenure.epoch;
-        match &mut tenure.book {
-            None => tenure.early.push(row.clone()),
+        let epoch = ownership.epoch;
+        match &mut ownership.book {
+            None => ownership.early.push(row.clone()),
             Some(book) => {
                 let is_new =
                     cancelled_job(&row.key).is_none() && !book.by_id.contains_key(&row.key);
@@ -393,15 +393,15 @@
     out: &mut Vec<Effect>,
 ) {
     with_pool(state, key, now, out, |pool, ctx, _| {
-        let Some(tenure) = tenure_of(&mut pool.tenure, id) else {
+        let Some(ownership) = ownership_of(&mut pool.ownership, id) else {
             return;
         };
-        match commit::recorded(tenure, &mut pool.lease, shard, outcome, ctx) {
+        match commit::recorded(ownership, &mut pool.lease, shard, outcome, ctx) {
             Settled::Fine => {}
             Settled::PoolLost => owner_lease::lose(pool, "its row changed", ctx),
             Settled::Diverged => {
-                told::tell_last_answers(tenure, ctx);
-                tenure.drop_book(ctx);
+                told::tell_last_answers(ownership, ctx);
+                ownership.drop_book(ctx);
                 ctx.out
                     .push(Effect::Load(ctx.pool, id.epoch, pool.name.clone()));
             }
@@ -463,7 +463,7 @@
     }
     if timer == Timer::Quota {
         let epoch = state.pools[usize::from(key.0)]
-            .tenure
+            .ownership
             .as_ref()
             .map(|t| t.epoch);
         with_quota(state, key, epoch.unwrap_or(0), now, out, quota::look);
@@ -498,19 +498,19 @@
             owner_lease::renew(pool, ctx);
             return;
         }
-        let Some(tenure) = &mut pool.tenure else {
+        let Some(ownership) = &mut pool.ownership else {
             return;
         };
-        let epoch = tenure.epoch;
+        let epoch = ownership.epoch;
         match timer {
             Timer::Load => {
                 ctx.out
                     .push(Effect::Load(ctx.pool, epoch, pool.name.clone()));
             }
-            Timer::Resend(shard) => commit::resend(tenure, &mut pool.lease, shard, ctx),
-            Timer::Remove => remove::look(tenure, ctx),
+            Timer::Resend(shard) => commit::resend(ownership, &mut pool.lease, shard, ctx),
+            Timer::Remove => remove::look(ownership, ctx),
             _ => {
-                if let Some(book) = &mut tenure.book {
+                if let Some(book) = &mut ownership.book {
                     fire_in_book(book, timer, epoch, ctx);
                 }
             }
@@ -565,11 +565,13 @@
         if is_parked(&pool.name) {
             return;
         }
-        let Some(tenure) = &mut pool.tenure else {
+        let Some(ownership) = &mut pool.ownership else {
+            return;
+        };
+        let epoch = ownership.epoch;
+        let Some(book) = &mut ownership.book else {
             return;
         };
-        let epoch = tenure.epoch;
-        let Some(book) = &mut tenure.book else { return };
         let with = sizing::Look {
             pool: &pool.name,
             epoch,
@@ -577,7 +579,7 @@
             pressed,
             answer_ms: pool.lease.answer_ms,
         };
-        if sizing::look(book, &mut tenure.sizing, &mut pool.offers, &with, ctx) {
+        if sizing::look(book, &mut ownership.sizing, &mut pool.offers, &with, ctx) {
             owner_lease::tell(pool, ctx);
         }
     });
@@ -585,8 +587,8 @@
 
 /// Asks for grants as soon as work waits for them.
 fn adjust_quota(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
-    let tenure = state.pools[usize::from(key.0)].tenure.as_ref();
-    let Some((epoch, book)) = tenure.and_then(|t| Some((t.epoch, t.book.as_ref()?))) else {
+    let ownership = state.pools[usize::from(key.0)].ownership.as_ref();
+    let Some((epoch, book)) = ownership.and_then(|t| Some((t.epoch, t.book.as_ref()?))) else {
         return;
     };
     if book.wants_quota {
@@ -603,11 +605,11 @@
     for key in owned_pools(state) {
         adjust_quota(state, key, now, out);
         with_pool(state, key, now, out, |pool, ctx, _| {
-            let Some(tenure) = &mut pool.tenure else {
+            let Some(ownership) = &mut pool.ownership else {
                 return;
             };
-            let epoch = tenure.epoch;
-            if let Some(book) = tenure.book.as_mut() {
+            let epoch = ownership.epoch;
+            if let Some(book) = ownership.book.as_mut() {
                 crashes::give_up(book, epoch, ctx);
                 gang::stop_broken(book, epoch, ctx);
                 if book.wants_placing && ctx.may_send() {
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -10,14 +10,14 @@
 use super::limits::{FINISHED_KEPT_MS, REMOVED_JOBS, REMOVE_MS};
 use super::owner_lease::epoch_guard;
 use super::rows::{cancel_key, shard_part, SHARDS};
-use super::state::{Batch, Ctx, Effect, Pool, Tenure, Timer};
+use super::state::{Batch, Ctx, Effect, Ownership, Pool, Timer};
 use crate::port::fleet::{RowTx, Table, TxOutcome, Write};
 
 /// Removes what was submitted, of the part with the most jobs that are old.
-pub(super) fn look(tenure: &mut Tenure, ctx: &mut Ctx<'_>) {
+pub(super) fn look(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
     ctx.after(REMOVE_MS, Timer::Remove);
-    let Some(book) = &tenure.book else { return };
-    if tenure.removing.is_some() || !tenure.removable.is_empty() || !ctx.may_send() {
+    let Some(book) = &ownership.book else { return };
+    if ownership.removing.is_some() || !ownership.removable.is_empty() || !ctx.may_send() {
         return;
     }
     let mut old: BTreeMap<&String, Vec<JobKey>> = BTreeMap::new();
@@ -43,7 +43,7 @@
         guards: Vec::new(),
         writes: writes.map(|key| gone(Table::Intake, key)).collect(),
     };
-    tenure.removing = Some((part.clone(), keys));
+    ownership.removing = Some((part.clone(), keys));
     ctx.out.push(Effect::RemoveIntake(ctx.pool, book.id, tx));
 }
 
@@ -56,8 +56,8 @@
 }
 
 /// What was submitted is gone, or not: then the next look tries again.
-pub(super) fn intake_removed(tenure: &mut Tenure, outcome: &TxOutcome) {
-    let (Some((part, keys)), Some(book)) = (tenure.removing.take(), &mut tenure.book) else {
+pub(super) fn intake_removed(ownership: &mut Ownership, outcome: &TxOutcome) {
+    let (Some((part, keys)), Some(book)) = (ownership.removing.take(), &mut ownership.book) else {
         return;
     };
     if !matches!(outcome, TxOutcome::Committed(_)) {
@@ -70,32 +70,34 @@
         job.intake.retain(|other| *other != part);
         // Progress stays until no part can bring the job back.
         if job.intake.is_empty() {
-            tenure.removable.push(key);
+            ownership.removable.push(key);
         }
     }
 }
 
 /// Removes progress whose job is gone, in each shard that has no batch out.
 pub(super) fn flush(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let Some(tenure) = &mut pool.tenure else {
+    let Some(ownership) = &mut pool.ownership else {
         return;
     };
-    let Some(book) = &mut tenure.book else { return };
-    if tenure.removable.is_empty() && book.orphans.is_empty() {
+    let Some(book) = &mut ownership.book else {
+        return;
+    };
+    if ownership.removable.is_empty() && book.orphans.is_empty() {
         return;
     }
     for shard in 0..SHARDS {
-        if tenure.batches[shard].is_some() {
+        if ownership.batches[shard].is_some() {
             continue;
         }
-        let (removed, later) = std::mem::take(&mut tenure.removable)
+        let (removed, later) = std::mem::take(&mut ownership.removable)
             .into_iter()
             .partition(|key| {
                 book.jobs
                     .get(*key)
                     .is_none_or(|job| job.shard.unwrap_or(0) == shard)
             });
-        tenure.removable = later;
+        ownership.removable = later;
         let removed: Vec<JobKey> = removed;
         let mut ids = orphans_of(book, shard);
         let jobs = removed.iter().filter_map(|key| book.jobs.get(*key));
@@ -105,7 +107,7 @@
         }
         let tx = RowTx {
             part: shard_part(&pool.name, shard),
-            guards: vec![epoch_guard(tenure.fences[shard])],
+            guards: vec![epoch_guard(ownership.fences[shard])],
             writes: ids
                 .into_iter()
                 .map(|id| gone(Table::Progress, id))
@@ -114,7 +116,7 @@
         pool.lease.note_sent(shard, ctx.now.ms);
         ctx.out
             .push(Effect::Record(ctx.pool, book.id, shard, tx.clone()));
-        tenure.batches[shard] = Some(Batch {
+        ownership.batches[shard] = Some(Batch {
             tx,
             jobs: Vec::new(),
             starts: Vec::new(),
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -28,7 +28,7 @@
 
 /// What an owner holds of its pool.
 #[derive(Clone, Debug)]
-pub struct Tenure {
+pub struct Ownership {
     /// Its epoch: the fence of all its orders.
     pub epoch: u64,
     /// The books, once they are read.
@@ -60,7 +60,7 @@
     pub hosts: HostDuty,
 }
 
-impl Tenure {
+impl Ownership {
     /// Drops what is left of an earlier reading, and gives the id of the books to be built; what looks at them now and then
     /// is set anew.
     pub(super) fn next_book(&mut self, ctx: &mut Ctx<'_>) -> BookId {
@@ -172,7 +172,7 @@
     /// Its hosts that are to leave it.
     pub offers: Offers,
     /// Set while this entry does.
-    pub tenure: Option<Tenure>,
+    pub ownership: Option<Ownership>,
 }
 
 /// What a timer is for.
@@ -433,7 +433,7 @@
 
     /// Number of pools that this entry owns.
     pub fn owned(&self) -> usize {
-        self.pools.iter().filter(|p| p.tenure.is_some()).count()
+        self.pools.iter().filter(|p| p.ownership.is_some()).count()
     }
 
     /// A pool by name.
--- a/src/core/sched/told.rs
+++ b/src/core/sched/told.rs
@@ -8,7 +8,7 @@
 use super::book::Book;
 use super::crashes::Evidence;
 use super::keys::{TaskKey, WorkerKey};
-use super::state::{Batch, Ctx, Tenure};
+use super::state::{Batch, Ctx, Ownership};
 use super::tasks::Phase;
 use super::worker::Worker;
 use crate::clock::Millis;
@@ -241,8 +241,8 @@
 }
 
 /// Tells all answers of books that are about to be dropped.
-pub(super) fn tell_last_answers(tenure: &mut Tenure, ctx: &mut Ctx<'_>) {
-    if let Some(book) = &mut tenure.book {
+pub(super) fn tell_last_answers(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
+    if let Some(book) = &mut ownership.book {
         tell_answers(book, ctx);
     }
 }
@@ -283,7 +283,7 @@
 pub(super) fn loaded(
     name: &str,
     book: &Book,
-    tenure: &Tenure,
+    ownership: &Ownership,
     config_version: u64,
     ctx: &mut Ctx<'_>,
 ) {
@@ -296,21 +296,21 @@
     for w in carrying.take(LOADED_MAX) {
         on.add(format_args!("{}:{}", w.fact.id, w.tasks.len()));
     }
-    let why = match tenure.readings {
+    let why = match ownership.readings {
         1 => "rows read",
         _ => "rows read again, within the tenure",
     };
     ctx.tell(
         Decision::new(Code::PoolLoaded, Subject::Pool, name, why)
             .naming("started_on", on.text)
-            .with("epoch", tenure.epoch)
-            .with("reads", u64::from(tenure.readings))
+            .with("epoch", ownership.epoch)
+            .with("reads", u64::from(ownership.readings))
             .with("jobs", book.jobs.len() as u64)
             .with("workers", book.workers.len() as u64)
             .with("started", started as u64)
             .with("done", done)
             .with("config", config_version)
-            .with("took_ms", ctx.now.ms - tenure.began_ms),
+            .with("took_ms", ctx.now.ms - ownership.began_ms),
     );
 }
 
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -152,10 +152,10 @@
 }
 
 fn note_owned<P>(carrier: &Carrier<P>, state: &State) {
-    let pools = state.pools.iter().filter(|p| p.tenure.is_some());
+    let pools = state.pools.iter().filter(|p| p.ownership.is_some());
     let oldest = pools
         .clone()
-        .filter_map(|p| p.tenure.as_ref().map(|t| t.epoch))
+        .filter_map(|p| p.ownership.as_ref().map(|t| t.epoch))
         .min();
     match (carrier.owned.intake_from.get(), oldest) {
         (None, Some(epoch)) => carrier.owned.intake_from.set(Some(epoch)),
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -237,7 +237,7 @@
     assert_eq!(closing(&world), Some(host));
 }
 
-/// Answers of an earlier tenure come while this one has changes of its own out, some of which are lost; they settle none of
+/// Answers of an earlier ownership come while this one has changes of its own out, some of which are lost; they settle none of
 /// these.
 #[test]
 fn left_former_answers() {
--- a/tests/test_reload.rs
+++ b/tests/test_reload.rs
@@ -1,4 +1,4 @@
-//! Rows that an owner reads again within its tenure.
+//! Rows that an owner reads again within its ownership.
 
 use crate::world::{lasting, World};
 
--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -1,4 +1,4 @@
-//! A pool's rows that are read again within a tenure, after one of them was changed by something else.
+//! A pool's rows that are read again within an ownership, after one of them was changed by something else.
 //!
 //! Each reading gives new books, whose keys of workers and tasks mean something else than those of the books before. Answers
 //! that were on their way and timers that were set for the earlier books were told apart by the epoch alone, which
@@ -88,7 +88,7 @@
     world.freeze(owner, 6_000);
     world.run(6_100);
     let state = world.entries[owner].state.as_ref().expect("it is up");
-    assert!(state.pool(POOL).is_some_and(|p| p.tenure.is_none()));
+    assert!(state.pool(POOL).is_some_and(|p| p.ownership.is_none()));
     let left = state.timers.iter().map(|(_, _, timer)| *timer);
     let left: Vec<Timer> = left.filter(|t| *t != Timer::Claim).collect();
     assert!(left.is_empty(), "{left:?}");
@@ -101,7 +101,7 @@
     world.run(SETTLE_MS);
     let readings = |world: &World| {
         let pool = world.owner().and_then(|state| state.pool(POOL));
-        pool.and_then(|p| p.tenure.as_ref()).map(|t| t.readings)
+        pool.and_then(|p| p.ownership.as_ref()).map(|t| t.readings)
     };
     for round in 0..10 {
         let id = format!("job-{round}");
--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -1,6 +1,6 @@
 //! Every answer of the store names the store's newest revision. That is a transaction's own only where no other write came
 //! in between; taken for its own, it makes the next condition fail, though nobody else has touched the row. The owner then
-//! read all of its rows again within its tenure, while answers and timers of the books before went on: with one commit in
+//! read all of its rows again within its ownership, while answers and timers of the books before went on: with one commit in
 //! twenty answered so, 111 of 150 random worlds broke a promise, many by tasks that ran twice.
 
 use rockwick::core::sched::job::JobState;
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -202,7 +202,7 @@
     assert!(effects.iter().any(is_release), "{effects:?}");
 }
 
-/// Rows that are read again within a tenure tell an owner nothing of its own orders to hosts.
+/// Rows that are read again within an ownership tell an owner nothing of its own orders to hosts.
 #[test]
 fn sched_reload_keeps_host_orders() {
     let mut world = World::new(20, 1, 4);
@@ -212,9 +212,9 @@
     world.run(1_000);
     let ordered = |world: &World| {
         let pool = world.owner().and_then(|s| s.pool(POOL));
-        let tenure = pool.and_then(|p| p.tenure.as_ref());
+        let ownership = pool.and_then(|p| p.ownership.as_ref());
         let hosts = (0..4).map(|n| format!("host-{n}"));
-        let mut out = hosts.filter(|host| tenure.is_some_and(|t| t.hosts.has_order(host)));
+        let mut out = hosts.filter(|host| ownership.is_some_and(|t| t.hosts.has_order(host)));
         out.next()
     };
     let before = ordered(&world);
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -75,7 +75,7 @@
     Nothing,
     /// Timed jobs whose rounds overlap.
     Timed,
-    /// Rows are read again within a tenure.
+    /// Rows are read again within an ownership.
     Reread,
     /// The list of workers loses entries of lives that run on, and gets them back.
     Unlisted,
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -67,7 +67,7 @@
 
     /// The owner's books on the pool, once it has read them.
     pub(crate) fn owner_book(&self) -> Option<&Book> {
-        self.owner()?.pool(POOL)?.tenure.as_ref()?.book.as_ref()
+        self.owner()?.pool(POOL)?.ownership.as_ref()?.book.as_ref()
     }
 
     /// Whether a job has ended by its owner's books, whatever is on record.
@@ -82,11 +82,11 @@
         self.entries.iter().position(owns)
     }
 
-    /// An entry reads the rows of its pool again, within the same tenure; gives what is logged by it.
+    /// An entry reads the rows of its pool again, within the same ownership; gives what is logged by it.
     pub(crate) fn reload(&mut self, n: usize) -> Vec<Decision> {
         let state = self.entries[n].state.as_ref();
-        let tenure = state.and_then(|s| s.pool(POOL)?.tenure.as_ref());
-        let epoch = tenure.expect("it owns the pool").epoch;
+        let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
+        let epoch = ownership.expect("it owns the pool").epoch;
         let rows = self.rows();
         self.told(n, Event::Loaded(PoolKey(0), epoch, Some(rows)))
     }
@@ -96,11 +96,11 @@
         self.rows()
     }
 
-    /// An entry is handed rows that were read before, within its tenure.
+    /// An entry is handed rows that were read before, within its ownership.
     pub(crate) fn load(&mut self, n: usize, rows: LoadedRows) {
         let state = self.entries[n].state.as_ref();
-        let tenure = state.and_then(|s| s.pool(POOL)?.tenure.as_ref());
-        let epoch = tenure.expect("it owns the pool").epoch;
+        let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
+        let epoch = ownership.expect("it owns the pool").epoch;
         self.tell(n, Event::Loaded(PoolKey(0), epoch, Some(rows)));
     }
 
