--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -186,7 +186,7 @@
         work(ownership.book.as_mut(), &mut ownership.quota, &with, ctx);
         // Others give back what they do not need once they hear of it.
         if ownership.quota.short != before {
-            owner_lease::tell(pool, ctx);
+            owner_lease::hasten_heartbeat(pool, ctx);
         }
     });
 }
@@ -195,9 +195,9 @@
 fn short_elsewhere(state: &State, key: PoolKey, now: Now) -> BTreeSet<String> {
     let pools = state.pools.iter().enumerate();
     let others = pools.filter(|(n, _)| *n != usize::from(key.0));
-    let heard = others.filter(|(_, p)| now.ms < p.lease.beat_seen_ms + hosts::NEED_KEPT_MS);
+    let heard = others.filter(|(_, p)| now.ms < p.lease.heartbeat_seen_ms + hosts::NEED_KEPT_MS);
     heard
-        .flat_map(|(_, p)| p.lease.beat.short_accounts.iter().cloned())
+        .flat_map(|(_, p)| p.lease.heartbeat.short_accounts.iter().cloned())
         .collect()
 }
 
@@ -208,7 +208,7 @@
     }
     let key = PoolKey(state.pools.len() as u16);
     let lease = owner_lease::OwnerLease {
-        beat_seen_ms: now.ms,
+        heartbeat_seen_ms: now.ms,
         ..owner_lease::OwnerLease::default()
     };
     state.pools.push(Pool {
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -7,8 +7,8 @@
     CLAIM_OWNED_MS, CLAIM_SPREAD_MS, CLAIM_WEAK_MS, CPU_FULL_MILLI, OWNER_LEASE_MS, RENEW_MS,
     TX_RETRY_MS,
 };
-use super::owner_lease::{beat, guard, observe, send_release, write, Claim, OwnerLease};
-use super::rows::{self, shard_part, OwnerRow, BEAT_KEY, OWNER_KEY, SHARDS};
+use super::owner_lease::{guard, heartbeat, observe, send_release, write, Claim, OwnerLease};
+use super::rows::{self, shard_part, OwnerRow, HEARTBEAT_KEY, OWNER_KEY, SHARDS};
 use super::state::{Ctx, Effect, Ownership, Pool, Timer};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
@@ -85,7 +85,7 @@
         Some(since_ms) if now_ms >= since_ms + stagger_ms => claim(pool, ctx, me.nonce),
         Some(since_ms) => ctx.after(since_ms + stagger_ms - now_ms, Timer::Claim),
         None => {
-            let over_ms = pool.lease.beat_seen_ms + OWNER_LEASE_MS;
+            let over_ms = pool.lease.heartbeat_seen_ms + OWNER_LEASE_MS;
             ctx.after(over_ms - now_ms + stagger_ms, Timer::Claim);
         }
     }
@@ -95,9 +95,9 @@
 fn claim(pool: &mut Pool, ctx: &mut Ctx<'_>, nonce: u64) {
     pool.lease.claim_open_ms.get_or_insert(ctx.now.ms);
     pool.lease.claim_after = pool.lease.owner.entry.clone();
-    pool.lease.claim_after_beat = pool.lease.shards[0].beat_entry.clone();
+    pool.lease.claim_after_heartbeat = pool.lease.shards[0].heartbeat_entry.clone();
     pool.lease.claim_from = pool.lease.shards[0].owner_revision;
-    pool.lease.claim_after_ms = pool.lease.beat_seen_ms;
+    pool.lease.claim_after_ms = pool.lease.heartbeat_seen_ms;
     pool.lease.former = pool.lease.former_orders();
     send_claim(pool, 0, 0, nonce, ctx);
 }
@@ -115,8 +115,8 @@
         }
         let is_over = pool.lease.claim_after.is_empty() || pool.lease.claim_after == ctx.me;
         // One that had won the first shard only is not the owner before: that one may renew and send in the others.
-        let has_left = is_over && lease.beat_entry == pool.lease.claim_after_beat;
-        let over_ms = lease.beat_seen_ms + OWNER_LEASE_MS;
+        let has_left = is_over && lease.heartbeat_entry == pool.lease.claim_after_heartbeat;
+        let over_ms = lease.heartbeat_seen_ms + OWNER_LEASE_MS;
         if !has_left && ctx.now.ms < over_ms {
             ctx.after(over_ms - ctx.now.ms, Timer::Claim);
             continue;
@@ -136,11 +136,11 @@
         part: shard_part(&pool.name, shard),
         guards: vec![
             guard(OWNER_KEY, lease.owner_revision),
-            guard(BEAT_KEY, lease.beat_revision),
+            guard(HEARTBEAT_KEY, lease.heartbeat_revision),
         ],
         writes: vec![
             write(OWNER_KEY, rows::encode(&owner)),
-            write(BEAT_KEY, rows::encode(&beat(pool, ctx))),
+            write(HEARTBEAT_KEY, rows::encode(&heartbeat(pool, ctx))),
         ],
     };
     pool.lease.shards[shard].is_claiming = true;
@@ -230,7 +230,7 @@
     };
     lease.epoch = epoch;
     lease.shards[0].owner_revision = epoch;
-    lease.shards[0].beat_revision = epoch.max(lease.shards[0].beat_revision);
+    lease.shards[0].heartbeat_revision = epoch.max(lease.shards[0].heartbeat_revision);
     let mut fences = [None; SHARDS];
     fences[0] = Some(epoch);
     lease.claim = Some(Claim {
@@ -248,7 +248,7 @@
         return;
     }
     won.owner_revision = revision;
-    won.beat_revision = won.beat_revision.max(revision);
+    won.heartbeat_revision = won.heartbeat_revision.max(revision);
     if let Some(claim) = lease.claim.as_mut().filter(|c| revision > c.epoch) {
         claim.fences[shard] = Some(revision);
     }
@@ -310,9 +310,9 @@
     });
     ctx.out
         .push(Effect::Load(ctx.pool, epoch, pool.name.clone()));
-    pool.lease.beat_due_ms = sent_ms + RENEW_MS;
+    pool.lease.heartbeat_due_ms = sent_ms + RENEW_MS;
     ctx.after(
-        pool.lease.beat_due_ms.saturating_sub(ctx.now.ms),
+        pool.lease.heartbeat_due_ms.saturating_sub(ctx.now.ms),
         Timer::Renew,
     );
 }
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -98,7 +98,7 @@
     let mut batch = gather(book, jobs, tx, ctx.now.ms);
     batch.is_all = is_all;
     // One write less where writes of a part go in turn, 300 ms each on the users' slow days.
-    batch.tx.writes.push(owner_lease::next_beat(pool, ctx));
+    batch.tx.writes.push(owner_lease::next_heartbeat(pool, ctx));
     pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out
         .push(Effect::Record(ctx.pool, id, shard, batch.tx.clone()));
@@ -157,7 +157,7 @@
         starts,
         removed: Vec::new(),
         sent_ms: now_ms,
-        has_beat: true,
+        has_heartbeat: true,
         is_all: false,
     }
 }
@@ -214,7 +214,7 @@
     };
     told::recorded(&batch, book, revision, epoch, ctx);
     // Sent again, it may have taken effect the first time: the lease counts from then.
-    if batch.has_beat {
+    if batch.has_heartbeat {
         lease.note_renewed(batch.sent_ms, ctx.now.ms);
     }
     for ((key, change), write) in batch.jobs.iter().zip(&batch.tx.writes) {
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -75,10 +75,10 @@
     pub fn of(pool: &'a Pool) -> Self {
         Self {
             pool: &pool.name,
-            wanted: pool.lease.beat.wanted,
-            needed: pool.lease.beat.needed,
+            wanted: pool.lease.heartbeat.wanted,
+            needed: pool.lease.heartbeat.needed,
             offers: &pool.offers,
-            heard_ms: pool.lease.beat_seen_ms,
+            heard_ms: pool.lease.heartbeat_seen_ms,
         }
     }
 
--- a/src/core/sched/limits.rs
+++ b/src/core/sched/limits.rs
@@ -15,7 +15,7 @@
 pub const RENEW_SLOW_MS: Millis = 800;
 
 /// Heartbeats that only tell a change of needs are so far apart at the least: what changes jobs tells it, too.
-pub const TOLD_APART_MS: Millis = 100;
+pub const HEARTBEAT_MIN_GAP_MS: Millis = 100;
 
 /// A store that takes longer than that is slow: it answers in 5 to 15 ms, and in 285 on the users' slow days.
 pub const SLOW_ANSWER_MS: Millis = 100;
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -12,10 +12,10 @@
 use super::conflict;
 use super::hosts::ORDERS_APART_MS;
 use super::limits::{
-    OWNER_LEASE_MS, OWNER_MARGIN_MS, RENEW_MS, RENEW_SLOW_MS, SHARD_LATE_MS, SHARD_PAUSE_MS,
-    SLOW_ANSWER_MS, TOLD_APART_MS, TX_RETRY_MS,
+    HEARTBEAT_MIN_GAP_MS, OWNER_LEASE_MS, OWNER_MARGIN_MS, RENEW_MS, RENEW_SLOW_MS, SHARD_LATE_MS,
+    SHARD_PAUSE_MS, SLOW_ANSWER_MS, TX_RETRY_MS,
 };
-use super::rows::{self, shard_part, BeatRow, OwnerRow, BEAT_KEY, OWNER_KEY, SHARDS};
+use super::rows::{self, shard_part, HeartbeatRow, OwnerRow, HEARTBEAT_KEY, OWNER_KEY, SHARDS};
 use super::state::{Ctx, Effect, Ownership, Pool, Timer};
 use super::told;
 use crate::clock::Millis;
@@ -43,11 +43,11 @@
     /// Its revision: the epoch.
     pub epoch: Revision,
     /// The newest heartbeat.
-    pub beat: BeatRow,
+    pub heartbeat: HeartbeatRow,
     /// Its revision.
-    pub beat_revision: Revision,
+    pub heartbeat_revision: Revision,
     /// When this entry saw the newest heartbeat.
-    pub beat_seen_ms: Millis,
+    pub heartbeat_seen_ms: Millis,
     /// The shards.
     pub shards: [ShardLease; SHARDS],
     /// Our claim that won the first shard, until all others are won.
@@ -55,7 +55,7 @@
     /// The owner before our claim; empty where it had left.
     pub claim_after: String,
     /// The entry whose heartbeat stood in the first shard before our claim.
-    pub claim_after_beat: String,
+    pub claim_after_heartbeat: String,
     /// Revision of the owner's row that our claim replaces.
     pub claim_from: Revision,
     /// When that owner was last heard.
@@ -73,7 +73,7 @@
     /// Our heartbeats that the feed has not shown yet: counts, and when they were sent.
     pub unseen: VecDeque<(u64, Millis)>,
     /// When the next one is due; changes of jobs carry heartbeats, too.
-    pub beat_due_ms: Millis,
+    pub heartbeat_due_ms: Millis,
     /// What the store took for the last one.
     pub answer_ms: Millis,
 }
@@ -84,11 +84,11 @@
     /// Revision of the owner's row.
     pub owner_revision: Revision,
     /// Revision of the heartbeat.
-    pub beat_revision: Revision,
+    pub heartbeat_revision: Revision,
     /// The entry whose heartbeat it is.
-    pub beat_entry: String,
+    pub heartbeat_entry: String,
     /// When this entry saw that heartbeat.
-    pub beat_seen_ms: Millis,
+    pub heartbeat_seen_ms: Millis,
     /// A claim of ours is out.
     pub is_claiming: bool,
     /// A renewal of ours is out.
@@ -119,13 +119,13 @@
     /// The count of the next heartbeat: no number is used twice, also where the feed is behind. An older one that it brings
     /// under a later one's number would renew the lease from that one's sending.
     fn next_count(&self) -> u64 {
-        self.beat.count.max(self.sent.0) + 1
+        self.heartbeat.count.max(self.sent.0) + 1
     }
 
     /// What the owner that was heard last ordered hosts about.
     pub(super) fn former_orders(&self) -> FormerOrders {
-        let heard_ms = self.beat_seen_ms;
-        let ordered = self.beat.ordered.iter();
+        let heard_ms = self.heartbeat_seen_ms;
+        let ordered = self.heartbeat.ordered.iter();
         FormerOrders {
             told_ms: ordered
                 .map(|(host, age_ms)| (host.clone(), heard_ms.saturating_sub(*age_ms)))
@@ -185,9 +185,9 @@
     /// How long the pool has been without a living owner; nothing while it has one.
     pub(super) fn vacant_since_ms(&self, now_ms: Millis) -> Option<Millis> {
         if self.owner.entry.is_empty() {
-            return Some(self.beat_seen_ms);
+            return Some(self.heartbeat_seen_ms);
         }
-        let over_ms = self.beat_seen_ms + OWNER_LEASE_MS;
+        let over_ms = self.heartbeat_seen_ms + OWNER_LEASE_MS;
         (now_ms >= over_ms).then_some(over_ms)
     }
 }
@@ -209,38 +209,40 @@
         if shard == 0 {
             lease.owner = owner;
             lease.epoch = row.revision;
-            lease.beat_seen_ms = now_ms;
+            lease.heartbeat_seen_ms = now_ms;
         } else {
             note_won(lease, shard, &owner, row.revision);
         }
     }
-    if row.key == BEAT_KEY && row.revision > lease.shards[shard].beat_revision {
-        let beat: BeatRow = rows::decode(value)?;
-        lease.shards[shard].beat_revision = row.revision;
-        lease.shards[shard].beat_entry.clone_from(&beat.entry);
-        lease.shards[shard].beat_seen_ms = now_ms;
-        if row.revision > lease.beat_revision {
-            lease.beat_revision = row.revision;
-            lease.beat = beat;
-            lease.beat_seen_ms = now_ms;
-            note_own_beat(pool);
+    if row.key == HEARTBEAT_KEY && row.revision > lease.shards[shard].heartbeat_revision {
+        let heartbeat: HeartbeatRow = rows::decode(value)?;
+        lease.shards[shard].heartbeat_revision = row.revision;
+        lease.shards[shard]
+            .heartbeat_entry
+            .clone_from(&heartbeat.entry);
+        lease.shards[shard].heartbeat_seen_ms = now_ms;
+        if row.revision > lease.heartbeat_revision {
+            lease.heartbeat_revision = row.revision;
+            lease.heartbeat = heartbeat;
+            lease.heartbeat_seen_ms = now_ms;
+            note_own_heartbeat(pool);
         }
     }
     Ok(())
 }
 
 /// The answer to our renewal may be lost: the feed tells that it was done, and the lease counts from its own sending.
-fn note_own_beat(pool: &mut Pool) {
+fn note_own_heartbeat(pool: &mut Pool) {
     let lease = &mut pool.lease;
-    let is_ours = pool.ownership.is_some() && lease.beat.entry == lease.owner.entry;
+    let is_ours = pool.ownership.is_some() && lease.heartbeat.entry == lease.owner.entry;
     if !is_ours {
         return;
     }
     while let Some((count, sent_ms)) = lease.unseen.front().copied() {
-        if count > lease.beat.count {
+        if count > lease.heartbeat.count {
             return;
         }
-        if count == lease.beat.count {
+        if count == lease.heartbeat.count {
             lease.renewed_ms = lease.renewed_ms.max(sent_ms);
         }
         lease.unseen.pop_front();
@@ -276,16 +278,16 @@
     guard(OWNER_KEY, fence)
 }
 
-pub(super) fn beat(pool: &Pool, ctx: &Ctx<'_>) -> BeatRow {
+pub(super) fn heartbeat(pool: &Pool, ctx: &Ctx<'_>) -> HeartbeatRow {
     let book = pool.ownership.as_ref().and_then(|t| t.book.as_ref());
     let sizing = pool.ownership.as_ref().map(|t| &t.sizing);
-    BeatRow {
+    HeartbeatRow {
         wanted: sizing.map_or(0, |s| s.wanted),
         needed: sizing.map_or(0, |s| s.needed),
         serving: sizing.map_or(0, |s| s.serving),
         short_accounts: short_accounts(pool),
         ordered: ordered(pool, ctx.now.ms),
-        times: book.map_or_else(|| pool.lease.beat.times.clone(), |b| b.times.clone()),
+        times: book.map_or_else(|| pool.lease.heartbeat.times.clone(), |b| b.times.clone()),
         entry: ctx.me.to_string(),
         cpu_milli: ctx.cpu_milli,
         count: pool.lease.next_count(),
@@ -312,26 +314,26 @@
 
 /// Renews the lease, if no heartbeat was sent of late.
 pub fn renew(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let due_ms = pool.lease.beat_due_ms;
+    let due_ms = pool.lease.heartbeat_due_ms;
     if ctx.now.ms < due_ms {
         ctx.after(due_ms - ctx.now.ms, Timer::Renew);
         return;
     }
-    send_beat(pool, ctx);
+    send_heartbeat(pool, ctx);
 }
 
 /// Tells soon what changed in the pool's needs, unless the store is slow: then it comes with the next
 /// heartbeat, since each of its own would hold up changes of jobs.
-pub fn tell(pool: &mut Pool, ctx: &mut Ctx<'_>) {
+pub fn hasten_heartbeat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     if pool.lease.answer_ms >= SLOW_ANSWER_MS {
         return;
     }
-    let due_ms = pool.lease.sent.1 + TOLD_APART_MS;
-    pool.lease.beat_due_ms = pool.lease.beat_due_ms.min(due_ms);
+    let due_ms = pool.lease.sent.1 + HEARTBEAT_MIN_GAP_MS;
+    pool.lease.heartbeat_due_ms = pool.lease.heartbeat_due_ms.min(due_ms);
     ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
-fn send_beat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
+fn send_heartbeat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let Some(ownership) = &pool.ownership else {
         return;
     };
@@ -343,19 +345,19 @@
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
         guards: vec![epoch_guard(ownership.fences[shard])],
-        writes: vec![next_beat(pool, ctx)],
+        writes: vec![next_heartbeat(pool, ctx)],
     };
     pool.lease.shards[shard].is_renewing = true;
     pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out.push(Effect::Renew(ctx.pool, epoch, shard, tx));
     // Where no answer comes, the next goes to another shard.
-    let due_ms = pool.lease.beat_due_ms;
+    let due_ms = pool.lease.heartbeat_due_ms;
     ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
 /// The write of the next heartbeat, which is sent now.
-pub fn next_beat(pool: &mut Pool, ctx: &Ctx<'_>) -> Write {
-    let write = write(BEAT_KEY, rows::encode(&beat(pool, ctx)));
+pub fn next_heartbeat(pool: &mut Pool, ctx: &Ctx<'_>) -> Write {
+    let write = write(HEARTBEAT_KEY, rows::encode(&heartbeat(pool, ctx)));
     pool.lease.sent = (pool.lease.next_count(), ctx.now.ms);
     pool.lease.unseen.push_back(pool.lease.sent);
     if pool.lease.unseen.len() > UNSEEN_MAX {
@@ -363,7 +365,7 @@
     }
     // Behind one that a slow store has not answered yet, the next would only wait.
     let pause_ms = (pool.lease.answer_ms * 3 / 2).clamp(RENEW_MS, RENEW_SLOW_MS);
-    pool.lease.beat_due_ms = ctx.now.ms + pause_ms;
+    pool.lease.heartbeat_due_ms = ctx.now.ms + pause_ms;
     write
 }
 
@@ -384,20 +386,20 @@
     match outcome {
         TxOutcome::Committed(_) => {
             pool.lease.note_renewed(sent_ms, ctx.now.ms);
-            let due_ms = pool.lease.beat_due_ms;
+            let due_ms = pool.lease.heartbeat_due_ms;
             ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
         }
         TxOutcome::Conflict(found) => match ours_at(pool, shard, found, ctx) {
             // An answer told a newer revision than the row's.
             Some(revision) => {
                 take_fence(pool, shard, revision);
-                pool.lease.beat_due_ms = ctx.now.ms;
+                pool.lease.heartbeat_due_ms = ctx.now.ms;
                 ctx.after(0, Timer::Renew);
             }
             None => lose(pool, "its row changed", ctx),
         },
         TxOutcome::Refused | TxOutcome::Unknown => {
-            pool.lease.beat_due_ms = ctx.now.ms;
+            pool.lease.heartbeat_due_ms = ctx.now.ms;
             ctx.after(TX_RETRY_MS, Timer::Renew);
         }
     }
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -26,7 +26,7 @@
 use super::policy;
 use super::quota;
 use super::remove;
-use super::rows::{cancelled_job, pool_of_part, shard_of_part, BEAT_KEY, OWNER_KEY};
+use super::rows::{cancelled_job, pool_of_part, shard_of_part, HEARTBEAT_KEY, OWNER_KEY};
 use super::runs;
 use super::sizing;
 use super::state::{Ctx, Effect, Event, LoadedRows, PoolKey, State, Timer, WaveKnown};
@@ -247,7 +247,7 @@
         });
         return;
     }
-    if row.key != OWNER_KEY && row.key != BEAT_KEY {
+    if row.key != OWNER_KEY && row.key != HEARTBEAT_KEY {
         return;
     }
     let me = state.me.clone();
@@ -310,7 +310,7 @@
         }
         let offers = rows.owner.iter().find(|row| row.key == OFFERS_KEY);
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
-        let times = pool.lease.beat.times.clone();
+        let times = pool.lease.heartbeat.times.clone();
         let id = ownership.next_book(ctx);
         // Counted from the claim, leases that this owner gave since would be over at once, and all that runs be requeued.
         let earlier_ms = ownership.earlier_until_ms(ctx.now.ms);
@@ -437,7 +437,10 @@
 
 /// This entry as one that may claim pools.
 fn claimant(state: &State) -> claim::Claimant {
-    let heard = state.pools.iter().map(|pool| pool.lease.beat.cpu_milli);
+    let heard = state
+        .pools
+        .iter()
+        .map(|pool| pool.lease.heartbeat.cpu_milli);
     claim::Claimant {
         owned: state.owned(),
         cpu_milli: state.cpu_milli,
@@ -551,8 +554,8 @@
         .filter(|(n, _)| *n != usize::from(key.0));
     let mut leases = others.map(|(_, pool)| &pool.lease);
     leases.any(|lease| {
-        let is_heard = now_ms < lease.beat_seen_ms + hosts::NEED_KEPT_MS;
-        is_heard && lease.beat.needed > lease.beat.serving
+        let is_heard = now_ms < lease.heartbeat_seen_ms + hosts::NEED_KEPT_MS;
+        is_heard && lease.heartbeat.needed > lease.heartbeat.serving
     })
 }
 
@@ -580,7 +583,7 @@
             answer_ms: pool.lease.answer_ms,
         };
         if sizing::look(book, &mut ownership.sizing, &mut pool.offers, &with, ctx) {
-            owner_lease::tell(pool, ctx);
+            owner_lease::hasten_heartbeat(pool, ctx);
         }
     });
 }
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -122,7 +122,7 @@
             starts: Vec::new(),
             removed,
             sent_ms: ctx.now.ms,
-            has_beat: false,
+            has_heartbeat: false,
             is_all: true,
         });
     }
--- a/src/core/sched/rows.rs
+++ b/src/core/sched/rows.rs
@@ -16,7 +16,7 @@
 pub const OWNER_KEY: &str = "owner";
 
 /// Key of the owner's heartbeat.
-pub const BEAT_KEY: &str = "beat";
+pub const HEARTBEAT_KEY: &str = "beat";
 
 /// Behind a job's id in the key of its cancel.
 const CANCEL_SUFFIX: &str = "/cancel";
@@ -35,7 +35,7 @@
 
 /// The owner is alive, and what others may know of its pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BeatRow {
+pub struct HeartbeatRow {
     /// The entry.
     pub entry: String,
     /// Rises with each heartbeat.
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -157,7 +157,7 @@
     /// When it was sent first.
     pub sent_ms: Millis,
     /// It carries a heartbeat.
-    pub has_beat: bool,
+    pub has_heartbeat: bool,
     /// Nothing more of its shard waited to be recorded.
     pub is_all: bool,
 }
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -137,14 +137,18 @@
 
 /// Hands on what a pool's owner says of waiting jobs.
 fn publish_waiting(shared: &Shared, row: &StoredRow) {
-    let Some(value) = row.value.as_deref().filter(|_| row.key == rows::BEAT_KEY) else {
+    let Some(value) = row
+        .value
+        .as_deref()
+        .filter(|_| row.key == rows::HEARTBEAT_KEY)
+    else {
         return;
     };
     let Some((pool, _)) = rows::shard_of_part(&row.part) else {
         return;
     };
     // A row that can't be read is logged by the reducer.
-    if let Ok(beat) = rows::decode::<rows::BeatRow>(value) {
+    if let Ok(beat) = rows::decode::<rows::HeartbeatRow>(value) {
         if let Some(waiting) = beat.waiting {
             shared.set_waiting(pool, waiting);
         }
--- a/standin/src/fleet/trouble.rs
+++ b/standin/src/fleet/trouble.rs
@@ -5,7 +5,7 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use base64::Engine;
 use rockwick::core::sched::fence;
-use rockwick::core::sched::rows::{OwnerRow, BEAT_KEY, OWNER_KEY};
+use rockwick::core::sched::rows::{OwnerRow, HEARTBEAT_KEY, OWNER_KEY};
 use serde_json::Value;
 use smol::Timer;
 
@@ -87,7 +87,7 @@
                 self.owners.insert(ver, entry);
                 return false;
             }
-            is_renewal |= put["key"] == BEAT_KEY;
+            is_renewal |= put["key"] == HEARTBEAT_KEY;
         }
         let is_trapped = is_renewal && self.renewal_trap == Some(Trap::Set);
         if is_trapped {
--- a/tests/test_leases.rs
+++ b/tests/test_leases.rs
@@ -4,8 +4,8 @@
 
 use rockwick::clock::Now;
 use rockwick::core::sched::reduce;
-use rockwick::core::sched::rows::{encode, shard_part, BeatRow, OwnerRow};
-use rockwick::core::sched::rows::{BEAT_KEY, OWNER_KEY, SHARDS};
+use rockwick::core::sched::rows::{encode, shard_part, HeartbeatRow, OwnerRow};
+use rockwick::core::sched::rows::{HEARTBEAT_KEY, OWNER_KEY, SHARDS};
 use rockwick::core::sched::state::{Effect, Event, PoolKey, State};
 use rockwick::port::fleet::{OperatorWord, StoredRow, TxOutcome};
 
@@ -48,7 +48,7 @@
         *now_ms += 10;
         for effect in reduce(state, Event::Tick, now(*now_ms)) {
             if let Effect::Renew(_, _, shard, tx) = effect {
-                let write = tx.writes.into_iter().find(|w| w.key == BEAT_KEY);
+                let write = tx.writes.into_iter().find(|w| w.key == HEARTBEAT_KEY);
                 return Sent {
                     at_ms: *now_ms,
                     shard,
@@ -74,10 +74,10 @@
     let mut now_ms = 3_010;
     let first = renewal(&mut state, &mut now_ms);
     let second = renewal(&mut state, &mut now_ms);
-    let seen = owner_row(first.shard, BEAT_KEY, first.beat, 200);
+    let seen = owner_row(first.shard, HEARTBEAT_KEY, first.beat, 200);
     reduce(&mut state, seen, now(now_ms + 1));
     let third = renewal(&mut state, &mut now_ms);
-    let seen = owner_row(second.shard, BEAT_KEY, second.beat, 201);
+    let seen = owner_row(second.shard, HEARTBEAT_KEY, second.beat, 201);
     reduce(&mut state, seen, now(now_ms + 1));
     let renewed_ms = state.pool(POOL).map(|p| p.lease.renewed_ms);
     assert_eq!(
@@ -104,13 +104,13 @@
             nonce,
             epoch: 0,
         };
-        let beat = BeatRow {
+        let beat = HeartbeatRow {
             entry: "other".to_string(),
-            ..BeatRow::default()
+            ..HeartbeatRow::default()
         };
         let event = owner_row(shard, OWNER_KEY, encode(&owner), 50);
         reduce(&mut state, event, now(100));
-        let event = owner_row(shard, BEAT_KEY, encode(&beat), 60);
+        let event = owner_row(shard, HEARTBEAT_KEY, encode(&beat), 60);
         reduce(&mut state, event, now(100));
     }
     let mut claimed = Vec::new();
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::book::Book;
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::load;
-use rockwick::core::sched::rows::{self, shard_of_part, BEAT_KEY};
+use rockwick::core::sched::rows::{self, shard_of_part, HEARTBEAT_KEY};
 use rockwick::core::sched::state::{Effect, Event, WaveKnown};
 use rockwick::core::sched::wave::{self, WaveDuty};
 use rockwick::port::fleet::{HostRecord, HostState, OperatorWord, Table, WaveOrder, WaveState};
@@ -241,7 +241,7 @@
 /// Jobs that the newest heartbeat says wait; nothing where it does not tell.
 fn told_waiting(world: &World) -> Option<u64> {
     let beats = world.store.iter().filter(|((table, part, key), _)| {
-        *table == Table::Owners && key == BEAT_KEY && shard_of_part(part).is_some()
+        *table == Table::Owners && key == HEARTBEAT_KEY && shard_of_part(part).is_some()
     });
     let (_, (value, _)) = beats.max_by_key(|(_, (_, revision))| *revision)?;
     let beat: serde_json::Value = serde_json::from_slice(value).expect("it decodes");
