--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -11,7 +11,7 @@
 use rockwick::auth::TokenHash;
 use rockwick::clock::Now;
 use rockwick::core::sched::book::Book;
-use rockwick::core::sched::hosts::{self, HostDuty, Look, PoolNeed};
+use rockwick::core::sched::hosts::{self, HostController, Look, PoolNeed};
 use rockwick::core::sched::job::{JobSpec, StepSpec};
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
@@ -235,18 +235,20 @@
         pool: "pool-4",
         epoch: 7,
     };
-    let duty = || {
+    let controller = || {
         let new = |ctx: &mut Ctx<'_>| {
-            let mut duty = HostDuty::new(&[], &FormerOrders::default(), true, ctx);
-            hosts::look(&mut duty, &BTreeMap::new(), &look, ctx);
-            hosts::list_read(&mut duty, list.clone());
-            duty
+            let mut controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+            hosts::look(&mut controller, &BTreeMap::new(), &look, ctx);
+            hosts::list_read(&mut controller, list.clone());
+            controller
         };
         decide(new).0
     };
     bencher
-        .with_inputs(duty)
-        .bench_local_refs(|duty| decide(|ctx| hosts::look(duty, &BTreeMap::new(), &look, ctx)));
+        .with_inputs(controller)
+        .bench_local_refs(|controller| {
+            decide(|ctx| hosts::look(controller, &BTreeMap::new(), &look, ctx))
+        });
 }
 
 /// As many queues over seven host names, and as many accounts of two keys.
--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::book::Book;
-use super::hosts::{self, HostDuty, PoolNeed};
+use super::hosts::{self, HostController, PoolNeed};
 use super::keys::BookId;
 use super::load::Facts;
 use super::owner_lease;
-use super::quota::{self, QuotaDuty};
+use super::quota::{self, QuotaController};
 use super::state::{Ctx, Effect, Ownership, Pool, PoolKey, State, Timer, WaveKnown};
-use super::wave::WaveDuty;
+use super::wave::WaveController;
 use crate::clock::Now;
 
 /// Runs `work` on a pool, with what is needed of the rest of the state.
@@ -71,16 +71,21 @@
 }
 
 /// Runs `work` on what an owner does for hosts, if its pool carries that; says so.
-pub(super) fn with_hosts(
+pub(super) fn with_host_controller(
     state: &mut State,
     key: PoolKey,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(&mut HostDuty, &mut BTreeMap<u64, WaveKnown>, &hosts::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(
+        &mut HostController,
+        &mut BTreeMap<u64, WaveKnown>,
+        &hosts::Look<'_>,
+        &mut Ctx<'_>,
+    ),
 ) -> bool {
     let pool = state.pools.get_mut(usize::from(key.0));
-    let duty_pool = hosts::duty_pool(&state.config);
-    let Some(pool) = pool.filter(|p| duty_pool == Some(p.name.as_str())) else {
+    let controller_pool = hosts::controller_pool(&state.config);
+    let Some(pool) = pool.filter(|p| controller_pool == Some(p.name.as_str())) else {
         return false;
     };
     let until_ms = pool.lease.until_ms();
@@ -89,7 +94,7 @@
     };
     let epoch = ownership.epoch;
     // Lent out, so that what all pools offer is looked at where it is: there may be hundreds of hosts.
-    let mut duty = std::mem::take(&mut ownership.hosts);
+    let mut controller = std::mem::take(&mut ownership.hosts);
     let needs: Vec<PoolNeed<'_>> = state.pools.iter().map(PoolNeed::of).collect();
     let look = hosts::Look {
         config: &state.config,
@@ -106,24 +111,24 @@
         timers: &mut state.timers,
         out,
     };
-    work(&mut duty, &mut state.waves, &look, &mut ctx);
+    work(&mut controller, &mut state.waves, &look, &mut ctx);
     let pool = &mut state.pools[usize::from(key.0)];
     if let Some(ownership) = &mut pool.ownership {
-        ownership.hosts = duty;
+        ownership.hosts = controller;
     }
     true
 }
 
 /// Runs `work` on what an owner does for waves; it is given the epoch and the pool's name, too. There are no books while they are
 /// being read: an answer that comes then still settles what was sent before.
-pub(super) fn with_duty(
+pub(super) fn with_wave_controller(
     state: &mut State,
     key: PoolKey,
     now: Now,
     out: &mut Vec<Effect>,
     work: impl FnOnce(
         Option<&mut Book>,
-        &mut WaveDuty,
+        &mut WaveController,
         &mut BTreeMap<u64, WaveKnown>,
         (u64, &str),
         &mut Ctx<'_>,
@@ -137,7 +142,7 @@
         let facts = (ownership.epoch, pool.name.as_str());
         work(
             ownership.book.as_mut(),
-            &mut ownership.duty,
+            &mut ownership.waves,
             &mut waves,
             facts,
             ctx,
@@ -147,29 +152,36 @@
 }
 
 /// Runs `work` on the quotas of a pool that this entry owns under `epoch`, once its books are read.
-pub(super) fn with_quota(
+pub(super) fn with_quota_controller(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(&mut Book, &mut QuotaDuty, &quota::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(&mut Book, &mut QuotaController, &quota::Look<'_>, &mut Ctx<'_>),
 ) {
-    with_grants(state, key, epoch, now, out, |book, duty, with, ctx| {
-        if let Some(book) = book {
-            work(book, duty, with, ctx);
-        }
-    });
+    with_grant_controller(
+        state,
+        key,
+        epoch,
+        now,
+        out,
+        |book, controller, with, ctx| {
+            if let Some(book) = book {
+                work(book, controller, with, ctx);
+            }
+        },
+    );
 }
 
 /// The same, also while the books are being read: an answer that comes meanwhile settles what was sent before.
-pub(super) fn with_grants(
+pub(super) fn with_grant_controller(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(Option<&mut Book>, &mut QuotaDuty, &quota::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(Option<&mut Book>, &mut QuotaController, &quota::Look<'_>, &mut Ctx<'_>),
 ) {
     let short_elsewhere = short_elsewhere(state, key, now);
     with_pool(state, key, now, out, |pool, ctx, facts| {
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -303,7 +303,7 @@
         removable: Vec::new(),
         early: Vec::new(),
         began_ms: ctx.now.ms,
-        duty: Default::default(),
+        waves: Default::default(),
         quota: Default::default(),
         sizing: Default::default(),
         hosts: Default::default(),
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -1,6 +1,6 @@
 //! What becomes of pools' offers: changes by their owners, and hosts taken by the entry that orders them.
 
-use super::access::{with_hosts, with_pool};
+use super::access::{with_host_controller, with_pool};
 use super::book::Book;
 use super::hosts;
 use super::offers::{Offers, OFFERS_KEY};
@@ -82,9 +82,9 @@
     out: &mut Vec<Effect>,
 ) {
     let mut written = None;
-    with_hosts(state, key, now, out, |duty, _, look, ctx| {
+    with_host_controller(state, key, now, out, |controller, _, look, ctx| {
         if look.epoch == epoch {
-            written = hosts::taken(duty, from, &outcome, epoch, ctx);
+            written = hosts::taken(controller, from, &outcome, epoch, ctx);
         }
     });
     let Some(donor) = state.pool_keys.get(from).copied() else {
@@ -101,8 +101,8 @@
         }
     });
     if is_conflict {
-        with_hosts(state, key, now, out, |duty, waves, look, ctx| {
-            hosts::retake(duty, waves, look, ctx);
+        with_host_controller(state, key, now, out, |controller, waves, look, ctx| {
+            hosts::retake(controller, waves, look, ctx);
         });
     }
 }
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -124,7 +124,7 @@
 
 /// What the entry that orders hosts knows.
 #[derive(Clone, Debug, Default)]
-pub struct HostDuty {
+pub struct HostController {
     pub(super) list: HostList,
     orders: BTreeMap<String, HostOrder>,
     pending: Option<WaveChange>,
@@ -146,7 +146,7 @@
     all_quiet_ms: Millis,
 }
 
-impl HostDuty {
+impl HostController {
     /// The duty as a former holder left it; the same holder need not leave any host alone.
     pub fn new(
         rows: &[StoredRow],
@@ -154,31 +154,32 @@
         is_same_holder: bool,
         ctx: &mut Ctx<'_>,
     ) -> Self {
-        let mut duty = Self {
+        let mut controller = Self {
             is_ready: true,
             ..Self::default()
         };
         if is_same_holder {
-            return duty;
+            return controller;
         }
         let over_ms = former.over_ms + ORDERS_APART_MS;
         for row in rows {
             let value = row.value.as_deref().unwrap_or_default();
             match rows::decode::<HostOrdersRow>(value) {
-                Ok(row) => duty
+                Ok(row) => controller
                     .quiet
                     .extend(row.hosts.into_iter().map(|host| (host, over_ms))),
                 Err(e) => {
-                    duty.all_quiet_ms = over_ms;
+                    controller.all_quiet_ms = over_ms;
                     ctx.tell(Decision::new(Code::BadRow, Subject::Host, &row.key, e));
                 }
             }
         }
         // Of those that it named in a heartbeat, the time of the order is known better.
         let told = former.told_ms.iter();
-        duty.quiet
+        controller
+            .quiet
             .extend(told.map(|(host, at_ms)| (host.clone(), at_ms + ORDERS_APART_MS)));
-        duty
+        controller
     }
 
     /// Hosts that were ordered about of late, by this entry or a former holder, and the latest time of that.
@@ -237,7 +238,7 @@
 }
 
 /// The pool whose owner orders hosts: the first parked one, else the first.
-pub fn duty_pool(config: &FleetConfig) -> Option<&str> {
+pub fn controller_pool(config: &FleetConfig) -> Option<&str> {
     let parked = config.pools.iter().find(|(_, p)| p.is_parked);
     let pool = parked.or_else(|| config.pools.iter().next());
     pool.map(|(name, _)| name.as_str())
@@ -269,65 +270,65 @@
 
 /// Looks at what hosts are to do.
 pub fn look(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
     with: &Look<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     ctx.after(LOOK_MS, Timer::Hosts);
-    if duty.list.ask(ctx.now.ms, LIST_MS) {
+    if controller.list.ask(ctx.now.ms, LIST_MS) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, with.epoch));
     }
-    if !duty.is_ready || !ctx.may_send() || duty.list.asked_ms() == 0 {
+    if !controller.is_ready || !ctx.may_send() || controller.list.asked_ms() == 0 {
         return;
     }
-    duty.retakes = 0;
-    settle_orders(duty, waves, with, ctx);
+    controller.retakes = 0;
+    settle_orders(controller, waves, with, ctx);
     for wave in waves.values().filter(|w| !w.is_done) {
-        order_upkeep(duty, wave, with.epoch, ctx);
+        order_upkeep(controller, wave, with.epoch, ctx);
     }
-    send_hosts(duty, waves, with, ctx);
+    send_hosts(controller, waves, with, ctx);
 }
 
 /// Looks again at once for hosts to move: those that were to be taken were not, and the offers are known as they
 /// are now.
 pub fn retake(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
     with: &Look<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    if duty.retakes >= RETAKES_MAX || !duty.is_ready || !ctx.may_send() {
+    if controller.retakes >= RETAKES_MAX || !controller.is_ready || !ctx.may_send() {
         return;
     }
-    duty.retakes += 1;
-    send_hosts(duty, waves, with, ctx);
+    controller.retakes += 1;
+    send_hosts(controller, waves, with, ctx);
 }
 
 fn send_hosts(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
     with: &Look<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    moves::move_hosts(duty, waves, with, ctx);
-    take_hosts(duty, with, ctx);
-    record_orders(duty, with, ctx);
+    moves::move_hosts(controller, waves, with, ctx);
+    take_hosts(controller, with, ctx);
+    record_orders(controller, with, ctx);
 }
 
 /// Takes the hosts that are about to be moved from those that offer them, and gives back what was taken and is
 /// not moved.
-fn take_hosts(duty: &mut HostDuty, with: &Look<'_>, ctx: &mut Ctx<'_>) {
+fn take_hosts(controller: &mut HostController, with: &Look<'_>, ctx: &mut Ctx<'_>) {
     for need in with.needs {
-        if duty.taking.contains_key(need.pool) {
+        if controller.taking.contains_key(need.pool) {
             continue;
         }
-        drop_withdrawn(duty, need);
-        let Some(row) = with_taken(duty, need, with.epoch, ctx.now.ms) else {
+        drop_withdrawn(controller, need);
+        let Some(row) = with_taken(controller, need, with.epoch, ctx.now.ms) else {
             continue;
         };
         let tx = need.offers.write(need.pool, &row);
-        duty.taking.insert(need.pool.to_string(), row);
+        controller.taking.insert(need.pool.to_string(), row);
         let pool = need.pool.to_string();
         ctx.out
             .push(Effect::TakeHosts(ctx.pool, with.epoch, pool, tx));
@@ -335,8 +336,8 @@
 }
 
 /// Drops orders for hosts that are on offer no more.
-fn drop_withdrawn(duty: &mut HostDuty, need: &PoolNeed<'_>) {
-    duty.orders.retain(|host, order| {
+fn drop_withdrawn(controller: &mut HostController, need: &PoolNeed<'_>) {
+    controller.orders.retain(|host, order| {
         let is_theirs = order.offered_by.as_deref() == Some(need.pool);
         !is_theirs || need.gives(host)
     });
@@ -345,13 +346,13 @@
 /// A pool's offers once the hosts that orders wait for are taken and those given back that need no mark; nothing
 /// where that changes nothing.
 fn with_taken(
-    duty: &HostDuty,
+    controller: &HostController,
     need: &PoolNeed<'_>,
     epoch: u64,
     now_ms: Millis,
 ) -> Option<OffersRow> {
     let known = &need.offers.row;
-    let waiting = duty.orders.iter();
+    let waiting = controller.orders.iter();
     let waiting = waiting.filter(|(_, order)| order.offered_by.as_deref() == Some(need.pool));
     let fresh = waiting.filter_map(|(host, _)| {
         let taken = known.taken.get(host);
@@ -361,7 +362,7 @@
     });
     let fresh: Vec<(&String, &String)> = fresh.collect();
     let is_over =
-        |host: &str, taken: &Taken| !needs_mark(duty, need.pool, host, taken, epoch, now_ms);
+        |host: &str, taken: &Taken| !needs_mark(controller, need.pool, host, taken, epoch, now_ms);
     if fresh.is_empty() && !known.taken.iter().any(|(host, taken)| is_over(host, taken)) {
         return None;
     }
@@ -378,54 +379,55 @@
 /// Whether something of ours can still move a host that was taken: not once it was moved, and not where it was
 /// never ordered.
 fn needs_mark(
-    duty: &HostDuty,
+    controller: &HostController,
     pool: &str,
     host: &str,
     taken: &Taken,
     epoch: u64,
     now_ms: Millis,
 ) -> bool {
-    if duty.has_order(host) || duty.is_quiet(host, now_ms) {
+    if controller.has_order(host) || controller.is_quiet(host, now_ms) {
         return true;
     }
-    let record = duty.list.get(host);
+    let record = controller.list.get(host);
     let is_there = record.is_some_and(|h| h.pool == pool && h.life == taken.life);
-    is_there && taken.epoch == epoch && duty.sent_ms.contains_key(host)
+    is_there && taken.epoch == epoch && controller.sent_ms.contains_key(host)
 }
 
 /// Settles a change of a pool's offers; gives the row as it is now known, if it was written.
 pub fn taken(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     pool: &str,
     outcome: &TxOutcome,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) -> Option<OffersRow> {
-    let row = duty.taking.remove(pool)?;
+    let row = controller.taking.remove(pool)?;
     if !matches!(outcome, TxOutcome::Committed(_)) {
-        tell_not_taken(duty, pool, outcome, ctx);
+        tell_not_taken(controller, pool, outcome, ctx);
         // Where it took effect without an answer, the feed tells; the next look goes by the row as it is then.
-        duty.orders
+        controller
+            .orders
             .retain(|_, order| order.offered_by.as_deref() != Some(pool));
         return None;
     }
-    for (host, order) in &mut duty.orders {
+    for (host, order) in &mut controller.orders {
         if order.offered_by.as_deref() == Some(pool) && row.taken.contains_key(host) {
             order.offered_by = None;
         }
     }
-    send_ready(duty, epoch, ctx);
+    send_ready(controller, epoch, ctx);
     Some(row)
 }
 
-fn tell_not_taken(duty: &HostDuty, pool: &str, outcome: &TxOutcome, ctx: &mut Ctx<'_>) {
+fn tell_not_taken(controller: &HostController, pool: &str, outcome: &TxOutcome, ctx: &mut Ctx<'_>) {
     let why = match outcome {
         TxOutcome::Committed(_) => return,
         TxOutcome::Conflict(_) => "the pool's offers changed meanwhile",
         TxOutcome::Refused => "the store refused",
         TxOutcome::Unknown => "no answer; the feed tells whether it took effect",
     };
-    let waiting = duty.orders.values();
+    let waiting = controller.orders.values();
     let waiting = waiting.filter(|order| order.offered_by.as_deref() == Some(pool));
     let dropped = waiting.count() as u64;
     let decision = Decision::new(Code::OffersNotTaken, Subject::Pool, pool, why);
@@ -433,17 +435,22 @@
 }
 
 /// Puts on record which hosts are about to be ordered about.
-fn record_orders(duty: &mut HostDuty, with: &Look<'_>, ctx: &mut Ctx<'_>) {
-    let fresh = duty.orders.iter().filter(|(_, order)| !order.is_recorded);
+fn record_orders(controller: &mut HostController, with: &Look<'_>, ctx: &mut Ctx<'_>) {
+    let fresh = controller
+        .orders
+        .iter()
+        .filter(|(_, order)| !order.is_recorded);
     let fresh: BTreeSet<String> = fresh.map(|(host, _)| host.clone()).collect();
-    if fresh.is_empty() || duty.recording.is_some() {
+    if fresh.is_empty() || controller.recording.is_some() {
         return;
     }
     let now_ms = ctx.now.ms;
-    duty.sent_ms.retain(|_, at| now_ms < *at + ORDERS_APART_MS);
+    controller
+        .sent_ms
+        .retain(|_, at| now_ms < *at + ORDERS_APART_MS);
     let mut row = HostOrdersRow::default();
-    row.hosts.extend(duty.orders.keys().cloned());
-    row.hosts.extend(duty.sent_ms.keys().cloned());
+    row.hosts.extend(controller.orders.keys().cloned());
+    row.hosts.extend(controller.sent_ms.keys().cloned());
     let tx = RowTx {
         part: with.pool.to_string(),
         guards: vec![epoch_guard(with.epoch)],
@@ -453,30 +460,35 @@
             value: Some(rows::encode(&row)),
         }],
     };
-    duty.recording = Some(fresh);
+    controller.recording = Some(fresh);
     ctx.out
         .push(Effect::RecordHostOrders(ctx.pool, with.epoch, tx));
 }
 
 /// Takes note of the orders that are on record now.
-pub fn recorded(duty: &mut HostDuty, outcome: &TxOutcome, epoch: u64, ctx: &mut Ctx<'_>) {
-    let hosts = duty.recording.take().unwrap_or_default();
+pub fn recorded(
+    controller: &mut HostController,
+    outcome: &TxOutcome,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
+    let hosts = controller.recording.take().unwrap_or_default();
     if !matches!(outcome, TxOutcome::Committed(_)) {
         // The next look tries again; with another epoch the pool is lost, as the next renewal tells.
         return;
     }
     for host in hosts {
-        if let Some(order) = duty.orders.get_mut(&host) {
+        if let Some(order) = controller.orders.get_mut(&host) {
             order.is_recorded = true;
         }
     }
-    send_ready(duty, epoch, ctx);
+    send_ready(controller, epoch, ctx);
 }
 
 /// Sends the orders that are on record and whose hosts were taken.
-fn send_ready(duty: &mut HostDuty, epoch: u64, ctx: &mut Ctx<'_>) {
+fn send_ready(controller: &mut HostController, epoch: u64, ctx: &mut Ctx<'_>) {
     let mut ready = Vec::new();
-    for (host, order) in &mut duty.orders {
+    for (host, order) in &mut controller.orders {
         if order.is_sent || !order.is_recorded || order.offered_by.is_some() {
             continue;
         }
@@ -486,26 +498,26 @@
         ready.push((host.clone(), order.task.clone()));
     }
     for (host, task) in ready {
-        send(duty, &host, &task, epoch, ctx);
+        send(controller, &host, &task, epoch, ctx);
     }
 }
 
 /// Takes in the list of hosts.
-pub fn list_read(duty: &mut HostDuty, list: Vec<HostRecord>) {
-    duty.list.take(list);
+pub fn list_read(controller: &mut HostController, list: Vec<HostRecord>) {
+    controller.list.take(list);
 }
 
 /// Sends again what got no answer, and drops what is seen to be done.
 fn settle_orders(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
     with: &Look<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     let now_ms = ctx.now.ms;
-    let list_asked_ms = duty.list.asked_ms();
-    let list = &duty.list;
-    duty.orders.retain(|host, order| {
+    let list_asked_ms = controller.list.asked_ms();
+    let list = &controller.list;
+    controller.orders.retain(|host, order| {
         let record = list.get(host);
         let is_listed_since = list_asked_ms > order.since_ms;
         match &order.task {
@@ -527,23 +539,29 @@
             }
         }
     });
-    let again: Vec<(String, HostTask)> = duty
+    let again: Vec<(String, HostTask)> = controller
         .orders
         .iter()
         .filter(|(_, order)| order.is_sent && order.again_ms.is_some_and(|at| now_ms >= at))
         .map(|(host, order)| (host.clone(), order.task.clone()))
         .collect();
     for (host, task) in again {
-        if let Some(order) = duty.orders.get_mut(&host) {
+        if let Some(order) = controller.orders.get_mut(&host) {
             order.again_ms = Some(now_ms + RETRY_SENT_MS);
         }
-        send(duty, &host, &task, with.epoch, ctx);
+        send(controller, &host, &task, with.epoch, ctx);
     }
-    record_accepted(duty, waves, with.epoch, ctx);
+    record_accepted(controller, waves, with.epoch, ctx);
 }
 
-fn send(duty: &mut HostDuty, host: &str, task: &HostTask, epoch: u64, ctx: &mut Ctx<'_>) {
-    duty.sent_ms.insert(host.to_string(), ctx.now.ms);
+fn send(
+    controller: &mut HostController,
+    host: &str,
+    task: &HostTask,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
+    controller.sent_ms.insert(host.to_string(), ctx.now.ms);
     let (code, why) = match task {
         HostTask::Move(to) => (Code::MoveOrdered, format!("to {to}")),
         HostTask::Upkeep(wave) => (Code::UpkeepOrdered, format!("wave {wave}")),
@@ -559,34 +577,34 @@
     ));
 }
 
-fn order_upkeep(duty: &mut HostDuty, wave: &WaveKnown, epoch: u64, ctx: &mut Ctx<'_>) {
+fn order_upkeep(controller: &mut HostController, wave: &WaveKnown, epoch: u64, ctx: &mut Ctx<'_>) {
     for (host, slot) in &wave.row.out {
-        let is_busy = duty.orders.contains_key(host) || duty.is_quiet(host, ctx.now.ms);
+        let is_busy = controller.orders.contains_key(host) || controller.is_quiet(host, ctx.now.ms);
         if slot.is_ordered || is_busy {
             continue;
         }
-        let record = duty.list.get(host);
+        let record = controller.list.get(host);
         if record.is_some_and(|h| h.pool == slot.pool) {
-            duty.begin(host, HostTask::Upkeep(wave.order.wave), None, ctx);
+            controller.begin(host, HostTask::Upkeep(wave.order.wave), None, ctx);
         } else if record.is_some() {
             // It was moved before its slot was taken: its new pool takes it through.
             let mut row = wave.row.clone();
             row.out.remove(host);
-            settle(duty, wave, row, epoch, ctx);
+            settle(controller, wave, row, epoch, ctx);
         }
     }
 }
 
 /// Puts on record which slots' hosts are out.
 fn record_accepted(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
     for wave in waves.values() {
         let mut row = wave.row.clone();
-        for (host, order) in &duty.orders {
+        for (host, order) in &controller.orders {
             let is_accepted =
                 order.task == HostTask::Upkeep(wave.order.wave) && order.again_ms.is_none();
             if let Some(slot) = row.out.get_mut(host).filter(|_| is_accepted) {
@@ -594,17 +612,23 @@
             }
         }
         if row != wave.row {
-            settle(duty, wave, row, epoch, ctx);
+            settle(controller, wave, row, epoch, ctx);
         }
     }
 }
 
-fn settle(duty: &mut HostDuty, wave: &WaveKnown, row: WaveRow, epoch: u64, ctx: &mut Ctx<'_>) {
-    if duty.pending.is_some() {
+fn settle(
+    controller: &mut HostController,
+    wave: &WaveKnown,
+    row: WaveRow,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
+    if controller.pending.is_some() {
         return;
     }
     let tx = wave::row_tx(wave, &row);
-    duty.pending = Some(WaveChange {
+    controller.pending = Some(WaveChange {
         wave: wave.order.wave,
         row,
         after: wave.revision,
@@ -614,12 +638,12 @@
 
 /// Takes in what became of a change of a wave's row.
 pub fn settled(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     waves: &mut BTreeMap<u64, WaveKnown>,
     outcome: TxOutcome,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(change) = duty.pending.take() else {
+    let Some(change) = controller.pending.take() else {
         return;
     };
     let Some(known) = waves.get_mut(&change.wave) else {
@@ -637,8 +661,8 @@
 }
 
 /// Settles an order to a host.
-pub fn ordered(duty: &mut HostDuty, host: &str, reply: HostReply, ctx: &mut Ctx<'_>) {
-    let Some(order) = duty.orders.get_mut(host) else {
+pub fn ordered(controller: &mut HostController, host: &str, reply: HostReply, ctx: &mut Ctx<'_>) {
+    let Some(order) = controller.orders.get_mut(host) else {
         return;
     };
     let why = format!("{:?}: {reply:?}", order.task);
@@ -647,7 +671,7 @@
         HostReply::Accepted => {
             order.again_ms = None;
             order.since_ms = ctx.now.ms;
-            duty.list.hasten(ctx.now.ms + LOOK_MS);
+            controller.list.hasten(ctx.now.ms + LOOK_MS);
         }
         HostReply::Silent | HostReply::TooMany => {
             order.again_ms = Some(ctx.now.ms + RETRY_MS);
@@ -656,7 +680,7 @@
             let is_move = matches!(order.task, HostTask::Move(_));
             order.again_ms = Some(ctx.now.ms + RETRY_MS);
             if is_move {
-                duty.orders.remove(host);
+                controller.orders.remove(host);
             }
         }
     }
--- a/src/core/sched/moves.rs
+++ b/src/core/sched/moves.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::hosts::{HostDuty, HostTask, Look, PoolNeed, NEED_KEPT_MS, RETRY_SENT_MS};
+use super::hosts::{HostController, HostTask, Look, PoolNeed, NEED_KEPT_MS, RETRY_SENT_MS};
 use super::state::{Ctx, WaveKnown};
 use crate::clock::Millis;
 use crate::port::fleet::HostState;
@@ -36,7 +36,7 @@
 
 /// Sends hosts where they are wanted, and parks those that nobody wants.
 pub(super) fn move_hosts(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
     with: &Look<'_>,
     ctx: &Ctx<'_>,
@@ -50,23 +50,23 @@
     };
     let mut spare: Vec<Spare> = Vec::new();
     for need in with.needs {
-        spare.extend(fleet.spare_of(duty, need, with.epoch));
+        spare.extend(fleet.spare_of(controller, need, with.epoch));
     }
-    fill(duty, &fleet, with, &parked.name, &mut spare, ctx);
-    note_offers(duty, with, ctx.now.ms);
-    park(duty, &parked.name, spare, ctx);
+    fill(controller, &fleet, with, &parked.name, &mut spare, ctx);
+    note_offers(controller, with, ctx.now.ms);
+    park(controller, &parked.name, spare, ctx);
 }
 
 /// Gives hosts to the pools that lack some, the shortest first.
 fn fill(
-    duty: &mut HostDuty,
+    controller: &mut HostController,
     fleet: &Fleet<'_>,
     with: &Look<'_>,
     parked: &str,
     spare: &mut Vec<Spare>,
     ctx: &Ctx<'_>,
 ) {
-    let mut serving = count_serving(duty, with.needs);
+    let mut serving = count_serving(controller, with.needs);
     let is_heard = |need: &PoolNeed<'_>| ctx.now.ms < need.heard_ms + NEED_KEPT_MS;
     let heard: Vec<usize> = (0..with.needs.len())
         .filter(|n| is_heard(&with.needs[*n]))
@@ -74,19 +74,19 @@
     if shortest(with.needs, &heard, &serving).is_none() {
         return;
     }
-    let mut idle: Vec<String> = duty
+    let mut idle: Vec<String> = controller
         .list
         .iter()
-        .filter(|h| fleet.is_free(duty, &h.host, parked))
+        .filter(|h| fleet.is_free(controller, &h.host, parked))
         .map(|h| h.host.clone())
         .collect();
     while let Some(n) = shortest(with.needs, &heard, &serving) {
         let pool = with.needs[n].pool;
         let task = HostTask::Move(pool.to_string());
         if let Some(host) = idle.pop() {
-            duty.begin(&host, task, None, ctx);
+            controller.begin(&host, task, None, ctx);
         } else if let Some(other) = take_other(spare, pool) {
-            duty.begin(&other.host, task, Some(other.pool), ctx);
+            controller.begin(&other.host, task, Some(other.pool), ctx);
         } else {
             return;
         }
@@ -95,12 +95,12 @@
 }
 
 /// Hosts that serve each pool: those on their way to it included, those that leave it or are spare not.
-fn count_serving(duty: &HostDuty, needs: &[PoolNeed<'_>]) -> Vec<u64> {
+fn count_serving(controller: &HostController, needs: &[PoolNeed<'_>]) -> Vec<u64> {
     let places = needs.iter().enumerate();
     let places: HashMap<&str, usize> = places.map(|(n, need)| (need.pool, n)).collect();
     let mut serving = vec![0; needs.len()];
-    for record in duty.list.iter() {
-        let place = match duty.task_of(&record.host) {
+    for record in controller.list.iter() {
+        let place = match controller.task_of(&record.host) {
             Some(HostTask::Move(to)) => places.get(to.as_str()),
             _ => places
                 .get(record.pool.as_str())
@@ -130,48 +130,49 @@
 }
 
 /// Notes since when hosts are on offer.
-fn note_offers(duty: &mut HostDuty, with: &Look<'_>, now_ms: Millis) {
+fn note_offers(controller: &mut HostController, with: &Look<'_>, now_ms: Millis) {
     let is_offered = |host: &str| {
         let mut rows = with.needs.iter().map(|need| &need.offers.row);
         rows.any(|row| row.offered.contains_key(host))
     };
-    duty.offered_ms.retain(|host, _| is_offered(host));
+    controller.offered_ms.retain(|host, _| is_offered(host));
     for need in with.needs {
         for host in need.offers.row.offered.keys() {
-            if !duty.offered_ms.contains_key(host) {
-                duty.offered_ms.insert(host.clone(), now_ms);
+            if !controller.offered_ms.contains_key(host) {
+                controller.offered_ms.insert(host.clone(), now_ms);
             }
         }
     }
 }
 
 /// Turns off hosts that have been on offer for long enough.
-fn park(duty: &mut HostDuty, parked: &str, spare: Vec<Spare>, ctx: &Ctx<'_>) {
+fn park(controller: &mut HostController, parked: &str, spare: Vec<Spare>, ctx: &Ctx<'_>) {
     let task = HostTask::Move(parked.to_string());
     let is_long = |other: &Spare| {
-        let since_ms = duty.offered_ms.get(&other.host);
+        let since_ms = controller.offered_ms.get(&other.host);
         other.is_offered && since_ms.is_some_and(|since| ctx.now.ms >= since + PARK_MS)
     };
-    let room = PARKED_AT_A_TIME.saturating_sub(duty.count_of(&task));
+    let room = PARKED_AT_A_TIME.saturating_sub(controller.count_of(&task));
     let long: Vec<Spare> = spare.into_iter().filter(is_long).take(room).collect();
     for other in long {
-        duty.begin(&other.host, task.clone(), Some(other.pool), ctx);
+        controller.begin(&other.host, task.clone(), Some(other.pool), ctx);
     }
 }
 
 impl Fleet<'_> {
     /// Hosts of a pool that are on offer, or that a former holder took and did not move. What this one took and
     /// did not move goes back first: its return may be on its way.
-    fn spare_of(&self, duty: &HostDuty, need: &PoolNeed<'_>, epoch: u64) -> Vec<Spare> {
+    fn spare_of(&self, controller: &HostController, need: &PoolNeed<'_>, epoch: u64) -> Vec<Spare> {
         let row = &need.offers.row;
         let offered = row.offered.iter().map(|(host, life)| (host, life, true));
         let taken = row.taken.iter().filter(|(_, by)| by.epoch != epoch);
         let taken = taken.map(|(host, by)| (host, &by.life, false));
         // A later life of the host may be at work, whatever the row says of an earlier one.
-        let is_on = |host: &str, life: &str| duty.list.get(host).is_some_and(|h| h.life == life);
-        let all = offered
-            .chain(taken)
-            .filter(|(host, life, _)| is_on(host, life) && self.is_free(duty, host, need.pool));
+        let is_on =
+            |host: &str, life: &str| controller.list.get(host).is_some_and(|h| h.life == life);
+        let all = offered.chain(taken).filter(|(host, life, _)| {
+            is_on(host, life) && self.is_free(controller, host, need.pool)
+        });
         all.map(|(host, _, is_offered)| Spare {
             host: host.clone(),
             pool: need.pool.to_string(),
@@ -181,16 +182,16 @@
     }
 
     /// Whether a host is up in this pool, with no order out, no slot of a wave and nobody else's orders of late.
-    fn is_free(&self, duty: &HostDuty, host: &str, pool: &str) -> bool {
-        let record = duty.list.get(host);
+    fn is_free(&self, controller: &HostController, host: &str, pool: &str) -> bool {
+        let record = controller.list.get(host);
         if !record.is_some_and(|h| h.pool == pool && h.state == HostState::Up) {
             return false;
         }
         let has_slot = self.waves.values().any(|w| w.row.out.contains_key(host));
-        let is_busy = duty.has_order(host) || duty.is_quiet(host, self.now_ms);
+        let is_busy = controller.has_order(host) || controller.is_quiet(host, self.now_ms);
         // What was refused is not tried again at once.
         let was_sent = |at: &Millis| self.now_ms < at + RETRY_SENT_MS;
-        let is_busy = is_busy || duty.sent_ms.get(host).is_some_and(was_sent);
+        let is_busy = is_busy || controller.sent_ms.get(host).is_some_and(was_sent);
         !has_slot && !is_busy
     }
 }
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -138,7 +138,7 @@
 
 /// What a pool's owner knows of quotas.
 #[derive(Clone, Debug, Default)]
-pub struct QuotaDuty {
+pub struct QuotaController {
     ledgers: BTreeMap<String, Ledger>,
     /// Accounts of which more waits here than is granted.
     pub short: BTreeSet<String>,
@@ -158,17 +158,22 @@
 }
 
 /// Looks at the grants of all accounts that have work here, or had some.
-pub fn look(book: &mut Book, duty: &mut QuotaDuty, with: &Look<'_>, ctx: &mut Ctx<'_>) {
+pub fn look(book: &mut Book, controller: &mut QuotaController, with: &Look<'_>, ctx: &mut Ctx<'_>) {
     let pause_ms = match with.config.accounts.is_empty() {
         true => IDLE_LOOK_MS,
         false => LOOK_MS,
     };
     ctx.after(pause_ms, Timer::Quota);
-    adjust(book, duty, with, ctx);
+    adjust(book, controller, with, ctx);
 }
 
 /// Asks for what is needed and gives back what is not.
-pub fn adjust(book: &mut Book, duty: &mut QuotaDuty, with: &Look<'_>, ctx: &mut Ctx<'_>) {
+pub fn adjust(
+    book: &mut Book,
+    controller: &mut QuotaController,
+    with: &Look<'_>,
+    ctx: &mut Ctx<'_>,
+) {
     book.wants_quota = false;
     let mut short = BTreeSet::new();
     for account in &mut book.accounts {
@@ -184,12 +189,12 @@
                 book.wants_placing = true;
             }
             if is_news && need(account) != Capacity::default() {
-                let ledger = duty.ledgers.entry(account.name.clone()).or_default();
+                let ledger = controller.ledgers.entry(account.name.clone()).or_default();
                 tell_held(account, ledger, Capacity::default(), with, ctx);
             }
             continue;
         };
-        let ledger = duty.ledgers.entry(account.name.clone()).or_default();
+        let ledger = controller.ledgers.entry(account.name.clone()).or_default();
         note_quota(ledger, quota, with.config.version);
         match &ledger.pending {
             None => settle_need(account, ledger, quota, with, ctx),
@@ -210,7 +215,7 @@
             short.insert(account.name.clone());
         }
     }
-    duty.short = short;
+    controller.short = short;
 }
 
 /// Takes note of an account's quota, and of the version that lowered it.
@@ -339,13 +344,13 @@
 /// Settles a change of a grant; books that are being read look at grants once they are there.
 pub fn settled(
     book: Option<&mut Book>,
-    duty: &mut QuotaDuty,
+    controller: &mut QuotaController,
     pool: &str,
     account: &str,
     outcome: TxOutcome,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(ledger) = duty.ledgers.get_mut(account) else {
+    let Some(ledger) = controller.ledgers.get_mut(account) else {
         return;
     };
     let Some(pending) = ledger.pending.take() else {
@@ -388,12 +393,12 @@
 /// Takes in an account's row as read.
 pub fn read(
     book: &mut Book,
-    duty: &mut QuotaDuty,
+    controller: &mut QuotaController,
     account: &str,
     row: Option<StoredRow>,
     ctx: &mut Ctx<'_>,
 ) {
-    let ledger = duty.ledgers.get_mut(account);
+    let ledger = controller.ledgers.get_mut(account);
     let Some(ledger) = ledger.filter(|ledger| ledger.pending.is_none()) else {
         return;
     };
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use super::access::{
-    owned_pools, ownership_of, pool_key, with_book, with_duty, with_grants, with_hosts, with_pool,
-    with_quota,
+    owned_pools, ownership_of, pool_key, with_book, with_grant_controller, with_host_controller,
+    with_pool, with_quota_controller, with_wave_controller,
 };
 use super::book::Book;
 use super::claim;
@@ -83,24 +83,30 @@
         }
         Event::WaveRow(row) => wave_row(state, &row, now, &mut out),
         Event::WaveSettled(pool, epoch, outcome) => {
-            with_duty(
+            with_wave_controller(
                 state,
                 pool,
                 now,
                 &mut out,
-                |book, duty, waves, with, ctx| {
+                |book, controller, waves, with, ctx| {
                     if with.0 == epoch {
-                        wave::settled(book, duty, waves, outcome, ctx);
+                        wave::settled(book, controller, waves, outcome, ctx);
                     }
                 },
             );
         }
         Event::OrderedSettled(pool, epoch, outcome) => {
-            with_hosts(state, pool, now, &mut out, |duty, waves, look, ctx| {
-                if look.epoch == epoch {
-                    hosts::settled(duty, waves, outcome, ctx);
-                }
-            });
+            with_host_controller(
+                state,
+                pool,
+                now,
+                &mut out,
+                |controller, waves, look, ctx| {
+                    if look.epoch == epoch {
+                        hosts::settled(controller, waves, outcome, ctx);
+                    }
+                },
+            );
         }
         Event::IntakeRemoved(pool, id, outcome) => {
             with_pool(state, pool, now, &mut out, |pool, _, _| {
@@ -116,45 +122,52 @@
             hosts_taken(state, pool, epoch, &from, outcome, now, &mut out);
         }
         Event::QuotaSettled(pool, epoch, account, outcome) => {
-            with_grants(
+            with_grant_controller(
                 state,
                 pool,
                 epoch,
                 now,
                 &mut out,
-                |book, duty, with, ctx| {
-                    quota::settled(book, duty, with.pool, &account, outcome, ctx);
+                |book, controller, with, ctx| {
+                    quota::settled(book, controller, with.pool, &account, outcome, ctx);
                 },
             );
         }
         Event::QuotaRead(pool, epoch, account, row) => {
-            with_quota(state, pool, epoch, now, &mut out, |book, duty, _, ctx| {
-                quota::read(book, duty, &account, row, ctx);
-            });
+            with_quota_controller(
+                state,
+                pool,
+                epoch,
+                now,
+                &mut out,
+                |book, controller, _, ctx| {
+                    quota::read(book, controller, &account, row, ctx);
+                },
+            );
         }
         Event::HostOrdersRecorded(pool, epoch, outcome) => {
-            with_hosts(state, pool, now, &mut out, |duty, _, look, ctx| {
+            with_host_controller(state, pool, now, &mut out, |controller, _, look, ctx| {
                 if look.epoch == epoch {
-                    hosts::recorded(duty, &outcome, epoch, ctx);
+                    hosts::recorded(controller, &outcome, epoch, ctx);
                 }
             });
         }
         Event::HostOrdered(pool, epoch, host, reply) => {
-            with_hosts(state, pool, now, &mut out, |duty, _, look, ctx| {
+            with_host_controller(state, pool, now, &mut out, |controller, _, look, ctx| {
                 if look.epoch == epoch {
-                    hosts::ordered(duty, &host, reply, ctx);
+                    hosts::ordered(controller, &host, reply, ctx);
                 }
             });
         }
         Event::HostsRead(pool, epoch, list) => {
-            with_duty(state, pool, now, &mut out, |_, duty, _, with, _| {
+            with_wave_controller(state, pool, now, &mut out, |_, controller, _, with, _| {
                 if with.0 == epoch {
-                    wave::hosts_read(duty, list.clone());
+                    wave::hosts_read(controller, list.clone());
                 }
             });
-            with_hosts(state, pool, now, &mut out, |duty, _, look, _| {
+            with_host_controller(state, pool, now, &mut out, |controller, _, look, _| {
                 if look.epoch == epoch {
-                    hosts::list_read(duty, list);
+                    hosts::list_read(controller, list);
                 }
             });
         }
@@ -306,7 +319,8 @@
         let is_same_holder = pool.lease.claim_after == ctx.me;
         if !ownership.hosts.is_ready() {
             let former = &pool.lease.former;
-            ownership.hosts = hosts::HostDuty::new(&rows.host_orders, former, is_same_holder, ctx);
+            ownership.hosts =
+                hosts::HostController::new(&rows.host_orders, former, is_same_holder, ctx);
         }
         let offers = rows.owner.iter().find(|row| row.key == OFFERS_KEY);
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
@@ -317,7 +331,7 @@
         let mut book = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
         ownership.keep_shards(&mut book);
         close_given(&mut book, &pool.offers);
-        wave::close_leaving(&mut book, &ownership.duty);
+        wave::close_leaving(&mut book, &ownership.waves);
         for row in std::mem::take(&mut ownership.early) {
             load::apply_intake(&mut book, &row, facts.config, epoch, ctx);
         }
@@ -469,12 +483,12 @@
             .ownership
             .as_ref()
             .map(|t| t.epoch);
-        with_quota(state, key, epoch.unwrap_or(0), now, out, quota::look);
+        with_quota_controller(state, key, epoch.unwrap_or(0), now, out, quota::look);
         return;
     }
     if timer == Timer::Hosts {
-        let is_ours = with_hosts(state, key, now, out, |duty, waves, look, ctx| {
-            hosts::look(duty, waves, look, ctx);
+        let is_ours = with_host_controller(state, key, now, out, |controller, waves, look, ctx| {
+            hosts::look(controller, waves, look, ctx);
         });
         if !is_ours {
             let at_ms = now.ms + hosts::IDLE_LOOK_MS;
@@ -483,14 +497,14 @@
         return;
     }
     if timer == Timer::Wave {
-        with_duty(
+        with_wave_controller(
             state,
             key,
             now,
             out,
-            |book, duty, waves, (epoch, name), ctx| {
+            |book, controller, waves, (epoch, name), ctx| {
                 if let Some(book) = book {
-                    wave::look(book, duty, waves, name, epoch, ctx);
+                    wave::look(book, controller, waves, name, epoch, ctx);
                 }
             },
         );
@@ -595,7 +609,7 @@
         return;
     };
     if book.wants_quota {
-        with_quota(state, key, epoch, now, out, quota::adjust);
+        with_quota_controller(state, key, epoch, now, out, quota::adjust);
     }
 }
 
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 
 use super::book::Book;
-use super::hosts::{HostDuty, HostTask};
+use super::hosts::{HostController, HostTask};
 use super::keys::{BookId, JobKey, TaskKey, WorkerKey};
 use super::limits::CPU_FULL_MILLI;
 use super::lives::ListNews;
 use super::offers::Offers;
 use super::owner_lease::OwnerLease;
-use super::quota::QuotaDuty;
+use super::quota::QuotaController;
 use super::rows::{WaveRow, SHARDS};
 use super::sizing::Sizing;
-use super::wave::WaveDuty;
+use super::wave::WaveController;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
@@ -51,13 +51,13 @@
     /// When the pool was claimed; everything a former owner sent came before.
     pub began_ms: Millis,
     /// What it does for waves.
-    pub duty: WaveDuty,
+    pub waves: WaveController,
     /// What client accounts may have running in the pool.
-    pub quota: QuotaDuty,
+    pub quota: QuotaController,
     /// What it thinks of the pool's size.
     pub sizing: Sizing,
     /// What it knows as the entry that orders hosts.
-    pub hosts: HostDuty,
+    pub hosts: HostController,
 }
 
 impl Ownership {
--- a/src/core/sched/waits.rs
+++ b/src/core/sched/waits.rs
@@ -4,7 +4,7 @@
 
 use super::book::Book;
 use super::state::{Ctx, WaveKnown};
-use super::wave::{self, Turn, WaveDuty, TURN_MS};
+use super::wave::{self, Turn, WaveController, TURN_MS};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::HostState;
@@ -65,20 +65,24 @@
 /// Tells what a wave waits for in this pool, if that takes too long.
 pub(super) fn tell(
     book: &Book,
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     due: &BTreeSet<&str>,
     pool: &str,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(since_ms) = duty.waits.note(wave, ctx.now.ms) else {
+    let Some(since_ms) = controller.waits.note(wave, ctx.now.ms) else {
         return;
     };
     let number = wave.order.wave;
     let waited_ms = ctx.now.ms - since_ms;
     let ours = due.iter().copied();
-    let ours =
-        ours.filter_map(|host| Some((host, reason(book, duty, wave, host, pool, ctx.now.ms)?)));
+    let ours = ours.filter_map(|host| {
+        Some((
+            host,
+            reason(book, controller, wave, host, pool, ctx.now.ms)?,
+        ))
+    });
     let told: Vec<(&str, &str)> = ours.take(HOSTS_TOLD).collect();
     let Some((first, why)) = told.first() else {
         return;
@@ -95,31 +99,38 @@
 /// What a host of this pool waits for in a wave; nothing for one of another pool, or one that is gone.
 fn reason(
     book: &Book,
-    duty: &WaveDuty,
+    controller: &WaveController,
     wave: &WaveKnown,
     host: &str,
     pool: &str,
     now_ms: Millis,
 ) -> Option<&'static str> {
     if let Some(slot) = wave.row.out.get(host).filter(|slot| slot.pool != pool) {
-        let is_listed = duty.hosts.get(host).is_some_and(|h| h.pool == slot.pool);
+        let is_listed = controller
+            .hosts
+            .get(host)
+            .is_some_and(|h| h.pool == slot.pool);
         return (!is_listed).then_some("another pool holds its slot, and it is not listed there");
     }
-    if let Some((number, turn)) = duty.turns.get(host) {
+    if let Some((number, turn)) = controller.turns.get(host) {
         return Some(match (turn, *number == wave.order.wave) {
             (_, false) => "it has its turn in another wave",
-            (Turn::Closing(_), _) if duty.is_settling() => "a change of a wave's row has no answer",
+            (Turn::Closing(_), _) if controller.is_settling() => {
+                "a change of a wave's row has no answer"
+            }
             (Turn::Closing(_), _) if wave.row.out.len() >= wave.order.out_max => {
                 "all slots of the wave are taken"
             }
             (Turn::Closing(_), _) => "work there has not left, or its ends are not on record",
             (Turn::Holding, _) => "it holds a slot, and no order to it is on record",
-            (Turn::Away(_), _) if duty.is_settling() => "a change of a wave's row has no answer",
+            (Turn::Away(_), _) if controller.is_settling() => {
+                "a change of a wave's row has no answer"
+            }
             (Turn::Away(_), _) => "it was ordered out, and the list does not name it as up since",
         });
     }
     let Some(key) = book.worker_on(host) else {
-        let record = duty.hosts.get(host).filter(|h| h.pool == pool)?;
+        let record = controller.hosts.get(host).filter(|h| h.pool == pool)?;
         return Some(match record.state {
             HostState::Up if record.life.is_empty() => "hosts before it have their turns",
             HostState::Up => "the list of workers lacks the life that the list of hosts names",
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -76,7 +76,7 @@
 
 /// What an owner does for waves.
 #[derive(Clone, Debug, Default)]
-pub struct WaveDuty {
+pub struct WaveController {
     pub(super) turns: BTreeMap<String, (u64, Turn)>,
     pending: Option<Pending>,
     /// Hosts whose turn was broken off, and when it may begin again.
@@ -86,7 +86,7 @@
     pub(super) waits: Waits,
 }
 
-impl WaveDuty {
+impl WaveController {
     /// Whether a change of a wave's row is out.
     pub(super) fn is_settling(&self) -> bool {
         self.pending.is_some()
@@ -96,7 +96,7 @@
 /// Looks at all waves that are not done.
 pub fn look(
     book: &mut Book,
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     known: &mut BTreeMap<u64, WaveKnown>,
     pool: &str,
     epoch: u64,
@@ -105,10 +105,10 @@
     let mut is_any = false;
     for wave in known.values_mut().filter(|w| !w.is_done) {
         is_any = true;
-        if is_complete(wave, &due_hosts(wave), duty) {
+        if is_complete(wave, &due_hosts(wave), controller) {
             wave.is_done = true;
             let number = wave.order.wave;
-            end_turns(book, duty, number);
+            end_turns(book, controller, number);
             ctx.out.push(Effect::TellWave(number, WaveState::Completed));
             let id = number.to_string();
             ctx.tell(Decision::new(
@@ -120,32 +120,35 @@
             continue;
         }
         let due = due_hosts(wave);
-        recover(book, duty, wave, pool);
+        recover(book, controller, wave, pool);
         mark_due(book, &due);
-        advance(book, duty, wave, pool, epoch, ctx);
-        begin_turns(book, duty, wave, &due, pool, ctx);
-        waits::tell(book, duty, wave, &due, pool, ctx);
+        advance(book, controller, wave, pool, epoch, ctx);
+        begin_turns(book, controller, wave, &due, pool, ctx);
+        waits::tell(book, controller, wave, &due, pool, ctx);
     }
     if !is_any {
         return;
     }
     let is_away = |(_, turn): &(u64, Turn)| matches!(turn, Turn::Away(_));
-    let pause_ms = match duty.turns.values().any(is_away) {
+    let pause_ms = match controller.turns.values().any(is_away) {
         true => HOSTS_AWAY_MS,
         false => HOSTS_MS,
     };
-    if duty.hosts.ask(ctx.now.ms, pause_ms) {
+    if controller.hosts.ask(ctx.now.ms, pause_ms) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, epoch));
     }
     ctx.after(LOOK_MS, Timer::Wave);
 }
 
 /// Opens hosts whose turn in a wave is left when that is done: they left the fleet meanwhile, and may come back.
-fn end_turns(book: &mut Book, duty: &mut WaveDuty, wave: u64) {
-    let left = duty.turns.iter().filter(|(_, (number, _))| *number == wave);
+fn end_turns(book: &mut Book, controller: &mut WaveController, wave: u64) {
+    let left = controller
+        .turns
+        .iter()
+        .filter(|(_, (number, _))| *number == wave);
     let left: Vec<String> = left.map(|(host, _)| host.clone()).collect();
     for host in left {
-        duty.turns.remove(&host);
+        controller.turns.remove(&host);
         book.set_closing(&host, false);
     }
 }
@@ -158,11 +161,12 @@
 }
 
 /// Whether every host that still exists is back.
-fn is_complete(wave: &WaveKnown, due: &BTreeSet<&str>, duty: &WaveDuty) -> bool {
+fn is_complete(wave: &WaveKnown, due: &BTreeSet<&str>, controller: &WaveController) -> bool {
     // A list that is older than the wave lacks hosts that came since.
-    let is_newer = duty.hosts.asked_ms() > wave.seen_ms;
+    let is_newer = controller.hosts.asked_ms() > wave.seen_ms;
     let is_gone = |host: &&str| {
-        let is_listed = !is_newer || duty.hosts.is_empty() || duty.hosts.get(host).is_some();
+        let is_listed =
+            !is_newer || controller.hosts.is_empty() || controller.hosts.get(host).is_some();
         !is_listed && !wave.row.out.contains_key(*host)
     };
     due.iter().all(is_gone)
@@ -170,12 +174,12 @@
 
 /// Slots that this pool's former owner took, or this one without an answer. Their hosts are about to be ordered out and get
 /// nothing new: what lasts would be ended there beside what this owner moves elsewhere.
-fn recover(book: &mut Book, duty: &mut WaveDuty, wave: &WaveKnown, pool: &str) {
+fn recover(book: &mut Book, controller: &mut WaveController, wave: &WaveKnown, pool: &str) {
     for (host, slot) in wave.row.out.iter().filter(|(_, slot)| slot.pool == pool) {
-        let turn = duty.turns.get(host).map(|(_, turn)| turn);
+        let turn = controller.turns.get(host).map(|(_, turn)| turn);
         if matches!(turn, None | Some(Turn::Closing(_))) {
             let turn = (wave.order.wave, Turn::Holding);
-            duty.turns.insert(host.clone(), turn);
+            controller.turns.insert(host.clone(), turn);
         }
         if slot.is_ordered {
             continue;
@@ -186,9 +190,12 @@
 }
 
 /// Closes the hosts that are on their way out in books that were just read.
-pub(super) fn close_leaving(book: &mut Book, duty: &WaveDuty) {
-    let asked = duty.pending.as_ref().filter(|pending| pending.is_take);
-    for (host, (_, turn)) in &duty.turns {
+pub(super) fn close_leaving(book: &mut Book, controller: &WaveController) {
+    let asked = controller
+        .pending
+        .as_ref()
+        .filter(|pending| pending.is_take);
+    for (host, (_, turn)) in &controller.turns {
         if matches!(turn, Turn::Away(_)) {
             continue;
         }
@@ -207,13 +214,13 @@
 
 fn advance(
     book: &mut Book,
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     pool: &str,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let turns: Vec<(String, Turn)> = duty
+    let turns: Vec<(String, Turn)> = controller
         .turns
         .iter()
         .filter(|(_, (number, _))| *number == wave.order.wave)
@@ -221,31 +228,31 @@
         .collect();
     for (host, turn) in turns {
         match turn {
-            Turn::Closing(_) if !has_host(book, duty, &host, pool) => {
-                duty.turns.remove(&host);
+            Turn::Closing(_) if !has_host(book, controller, &host, pool) => {
+                controller.turns.remove(&host);
                 book.set_closing(&host, false);
             }
             // A former owner, or the next one, took it through.
             Turn::Closing(_) if wave.row.back.contains(&host) => {
-                reopen(book, duty, &host, "it has been through", ctx);
+                reopen(book, controller, &host, "it has been through", ctx);
             }
             Turn::Closing(since_ms) => {
                 if clear(book, &host, since_ms, epoch, ctx) {
-                    if take_slot(duty, wave, &host, (pool, epoch), ctx) {
+                    if take_slot(controller, wave, &host, (pool, epoch), ctx) {
                         book.set_going(&host);
                     }
                 } else if ctx.now.ms >= since_ms + CLOSE_MAX_MS {
                     reopen(
                         book,
-                        duty,
+                        controller,
                         &host,
                         "what lasts there could not move, or its ends are not on record",
                         ctx,
                     );
                 }
             }
-            Turn::Holding => go_out(book, duty, wave, &host, ctx),
-            Turn::Away(since_ms) => give_back(duty, wave, &host, since_ms, epoch, ctx),
+            Turn::Holding => go_out(book, controller, wave, &host, ctx),
+            Turn::Away(since_ms) => give_back(controller, wave, &host, since_ms, epoch, ctx),
         }
     }
 }
@@ -294,10 +301,16 @@
 }
 
 /// Gives a host back to its pool for a while.
-fn reopen(book: &mut Book, duty: &mut WaveDuty, host: &str, why: &str, ctx: &mut Ctx<'_>) {
-    duty.turns.remove(host);
+fn reopen(
+    book: &mut Book,
+    controller: &mut WaveController,
+    host: &str,
+    why: &str,
+    ctx: &mut Ctx<'_>,
+) {
+    controller.turns.remove(host);
     let again_ms = ctx.now.ms + REOPENED_MS;
-    duty.reopened.insert(host.to_string(), again_ms);
+    controller.reopened.insert(host.to_string(), again_ms);
     book.set_closing(host, false);
     ctx.tell(Decision::new(Code::HostReopened, Subject::Host, host, why));
 }
@@ -347,7 +360,7 @@
 }
 
 fn settle(
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     row: WaveRow,
     host: &str,
@@ -356,7 +369,7 @@
     ctx: &mut Ctx<'_>,
 ) {
     let tx = row_tx(wave, &row);
-    duty.pending = Some(Pending {
+    controller.pending = Some(Pending {
         wave: wave.order.wave,
         after: wave.revision,
         row,
@@ -368,14 +381,14 @@
 
 /// Asks for a slot of a wave; says whether that went out.
 fn take_slot(
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     host: &str,
     (pool, epoch): (&str, u64),
     ctx: &mut Ctx<'_>,
 ) -> bool {
     let is_full = wave.row.out.len() >= wave.order.out_max;
-    if duty.pending.is_some() || is_full || !ctx.may_send() {
+    if controller.pending.is_some() || is_full || !ctx.may_send() {
         return false;
     }
     let mut row = wave.row.clone();
@@ -390,44 +403,50 @@
         is_ordered: false,
     };
     row.out.insert(host.to_string(), slot);
-    settle(duty, wave, row, host, true, epoch, ctx);
+    settle(controller, wave, row, host, true, epoch, ctx);
     true
 }
 
 /// Gives the slot of a host back that is up again by a list that was asked for after its order was accepted. A
 /// new life alone proves nothing: it may have come of a crash, with the upkeep still to follow.
 fn give_back(
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     host: &str,
     since_ms: Millis,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    if duty.pending.is_some() || duty.hosts.asked_ms() <= since_ms {
+    if controller.pending.is_some() || controller.hosts.asked_ms() <= since_ms {
         return;
     }
-    let record = duty.hosts.get(host);
+    let record = controller.hosts.get(host);
     if record.is_none_or(|h| h.state != HostState::Up) {
         return;
     }
     let mut row = wave.row.clone();
     row.out.remove(host);
     row.back.push(host.to_string());
-    settle(duty, wave, row, host, false, epoch, ctx);
+    settle(controller, wave, row, host, false, epoch, ctx);
 }
 
 /// Whether a host is still this pool's.
-fn has_host(book: &Book, duty: &WaveDuty, host: &str, pool: &str) -> bool {
-    let record = duty.hosts.get(host);
+fn has_host(book: &Book, controller: &WaveController, host: &str, pool: &str) -> bool {
+    let record = controller.hosts.get(host);
     book.worker_on(host).is_some() || record.is_none_or(|h| h.pool == pool)
 }
 
 /// Takes note that the host of a slot was ordered out, or that its slot was given up for it.
-fn go_out(book: &mut Book, duty: &mut WaveDuty, wave: &WaveKnown, host: &str, ctx: &mut Ctx<'_>) {
+fn go_out(
+    book: &mut Book,
+    controller: &mut WaveController,
+    wave: &WaveKnown,
+    host: &str,
+    ctx: &mut Ctx<'_>,
+) {
     let Some(slot) = wave.row.out.get(host) else {
         let why = "its slot was given up";
-        reopen(book, duty, host, why, ctx);
+        reopen(book, controller, host, why, ctx);
         return;
     };
     if !slot.is_ordered {
@@ -437,18 +456,20 @@
     book.closing.remove(host);
     book.going.remove(host);
     let turn = Turn::Away(ctx.now.ms);
-    duty.turns.insert(host.to_string(), (wave.order.wave, turn));
+    controller
+        .turns
+        .insert(host.to_string(), (wave.order.wave, turn));
 }
 
 /// Takes in what became of a change of a wave's row; books that are being read close and open hosts by its row later.
 pub fn settled(
     book: Option<&mut Book>,
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     known: &mut BTreeMap<u64, WaveKnown>,
     outcome: TxOutcome,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(pending) = duty.pending.take() else {
+    let Some(pending) = controller.pending.take() else {
         return;
     };
     let Some(wave) = known.get_mut(&pending.wave) else {
@@ -472,7 +493,8 @@
         return;
     }
     if pending.is_take {
-        duty.turns
+        controller
+            .turns
             .insert(pending.host, (pending.wave, Turn::Holding));
         ctx.after(0, Timer::Wave);
     } else {
@@ -487,7 +509,7 @@
             )
             .with("left", left as u64),
         );
-        duty.turns.remove(&pending.host);
+        controller.turns.remove(&pending.host);
         if let Some(book) = book {
             book.set_closing(&pending.host, false);
         }
@@ -504,21 +526,21 @@
 }
 
 /// Takes in the list of hosts.
-pub fn hosts_read(duty: &mut WaveDuty, hosts: Vec<HostRecord>) {
-    duty.hosts.take(hosts);
+pub fn hosts_read(controller: &mut WaveController, hosts: Vec<HostRecord>) {
+    controller.hosts.take(hosts);
 }
 
 /// Closes as many hosts as the wave's time asks for.
 fn begin_turns(
     book: &mut Book,
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     due: &BTreeSet<&str>,
     pool: &str,
     ctx: &mut Ctx<'_>,
 ) {
-    let candidates = candidates(book, duty, wave, due, pool, ctx.now.ms);
-    let in_turn = duty
+    let candidates = candidates(book, controller, wave, due, pool, ctx.now.ms);
+    let in_turn = controller
         .turns
         .values()
         .filter(|(n, _)| *n == wave.order.wave)
@@ -535,7 +557,7 @@
                 .with("wave", wave.order.wave)
                 .with("left", left as u64),
         );
-        duty.turns.insert(host, (wave.order.wave, turn));
+        controller.turns.insert(host, (wave.order.wave, turn));
     }
 }
 
@@ -552,7 +574,7 @@
 /// Hosts of the pool whose turn may begin, those with the least work first.
 fn candidates(
     book: &Book,
-    duty: &WaveDuty,
+    controller: &WaveController,
     wave: &WaveKnown,
     due: &BTreeSet<&str>,
     pool: &str,
@@ -560,8 +582,11 @@
 ) -> Vec<(String, u64)> {
     let may_begin = |host: &str| {
         !wave.row.out.contains_key(host)
-            && !duty.turns.contains_key(host)
-            && duty.reopened.get(host).is_none_or(|again| now_ms >= *again)
+            && !controller.turns.contains_key(host)
+            && controller
+                .reopened
+                .get(host)
+                .is_none_or(|again| now_ms >= *again)
     };
     let mut found: Vec<(String, u64)> = Vec::new();
     for host in due.iter().copied().filter(|h| may_begin(h)) {
@@ -572,7 +597,7 @@
             }
             continue;
         }
-        let record = duty.hosts.get(host);
+        let record = controller.hosts.get(host);
         let is_off =
             |h: &HostRecord| h.pool == pool && h.state == HostState::Up && h.life.is_empty();
         if record.is_some_and(is_off) {
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -13,7 +13,7 @@
 use super::operations::{whole, whole_intake, whole_progress};
 use super::shared::Shared;
 use crate::clock::Millis;
-use crate::core::sched::hosts::{duty_pool, HostTask};
+use crate::core::sched::hosts::{controller_pool, HostTask};
 use crate::core::sched::limits::{
     HOLD_SLACK_MS, ORDER_TIMEOUT_MS, TX_RETRY_MS, TX_TIMEOUT_MAX_MS, TX_TIMEOUT_MS,
 };
@@ -166,9 +166,11 @@
         (Some(_), None) => carrier.owned.intake_from.set(None),
         _ => {}
     }
-    let duty_pool = duty_pool(&state.config);
-    let has_duty = pools.clone().any(|p| Some(p.name.as_str()) == duty_pool);
-    carrier.owned.orders_hosts.set(has_duty);
+    let controller_pool = controller_pool(&state.config);
+    let has_controller = pools
+        .clone()
+        .any(|p| Some(p.name.as_str()) == controller_pool);
+    carrier.owned.orders_hosts.set(has_controller);
     let mut names = carrier.owned.pools.borrow_mut();
     if names.len() != pools.clone().count() || !pools.clone().all(|p| names.contains(&p.name)) {
         *names = pools.map(|p| p.name.clone()).collect();
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use rockwick::core::sched::hosts::{self, HostDuty, HostTask, Look};
+use rockwick::core::sched::hosts::{self, HostController, HostTask, Look};
 use rockwick::core::sched::offers::{Offers, OffersRow, Taken};
 use rockwick::core::sched::owner_lease::FormerOrders;
 use rockwick::core::sched::rows::{encode, HostOrdersRow};
@@ -16,7 +16,7 @@
 
 /// The entry that orders hosts: pool `busy` lacks one, pool `idle` offers `h1`.
 struct Holder {
-    duty: HostDuty,
+    controller: HostController,
     config: FleetConfig,
     now_ms: u64,
     /// What `idle` offers.
@@ -44,12 +44,14 @@
         offers.row.offered = BTreeMap::from([("h1".to_string(), "life of h1".to_string())]);
         offers.revision = 3;
         let mut holder = Self {
-            duty: HostDuty::default(),
+            controller: HostController::default(),
             config: pools("idle"),
             now_ms: 50_000,
             offers,
         };
-        holder.with_ctx(|duty, _, ctx| *duty = HostDuty::new(&[row], &former, false, ctx));
+        holder.with_ctx(|controller, _, ctx| {
+            *controller = HostController::new(&[row], &former, false, ctx)
+        });
         let list = ["h1", "h2"].map(|host| HostRecord {
             host: host.to_string(),
             pool: "idle".to_string(),
@@ -58,13 +60,13 @@
         });
         // The first look asks for the list.
         holder.look();
-        hosts::list_read(&mut holder.duty, list.to_vec());
+        hosts::list_read(&mut holder.controller, list.to_vec());
         holder
     }
 
     fn with_ctx(
         &mut self,
-        work: impl FnOnce(&mut HostDuty, &Look<'_>, &mut Ctx<'_>),
+        work: impl FnOnce(&mut HostController, &Look<'_>, &mut Ctx<'_>),
     ) -> Vec<Effect> {
         let none = Offers::default();
         let needs = [
@@ -77,15 +79,17 @@
             pool: "off",
             epoch: EPOCH,
         };
-        decide(self.now_ms, |ctx| work(&mut self.duty, &look, ctx))
+        decide(self.now_ms, |ctx| work(&mut self.controller, &look, ctx))
     }
 
     fn look(&mut self) -> Vec<Effect> {
-        self.with_ctx(|duty, look, ctx| hosts::look(duty, &BTreeMap::new(), look, ctx))
+        self.with_ctx(|controller, look, ctx| hosts::look(controller, &BTreeMap::new(), look, ctx))
     }
 
     fn recorded(&mut self) -> Vec<Effect> {
-        self.with_ctx(|duty, _, ctx| hosts::recorded(duty, &TxOutcome::Committed(9), EPOCH, ctx))
+        self.with_ctx(|controller, _, ctx| {
+            hosts::recorded(controller, &TxOutcome::Committed(9), EPOCH, ctx)
+        })
     }
 
     /// The host was taken from `idle`, or its offer was withdrawn meanwhile.
@@ -95,8 +99,8 @@
             false => TxOutcome::Conflict(Vec::new()),
         };
         let mut row = None;
-        let effects = self.with_ctx(|duty, _, ctx| {
-            row = hosts::taken(duty, "idle", &outcome, EPOCH, ctx);
+        let effects = self.with_ctx(|controller, _, ctx| {
+            row = hosts::taken(controller, "idle", &outcome, EPOCH, ctx);
         });
         self.offers.took(row.unwrap_or_default(), 10);
         effects
@@ -164,10 +168,10 @@
     holder.look();
     holder.recorded();
     assert_eq!(moves(&holder.taken(true)).len(), 1);
-    holder.with_ctx(|duty, _, ctx| hosts::ordered(duty, "h1", HostReply::Silent, ctx));
+    holder.with_ctx(|controller, _, ctx| hosts::ordered(controller, "h1", HostReply::Silent, ctx));
     holder.now_ms += 500;
     assert_eq!(moves(&holder.look()), to_busy(), "it is taken: sent again");
-    holder.with_ctx(|duty, _, ctx| hosts::ordered(duty, "h1", HostReply::Silent, ctx));
+    holder.with_ctx(|controller, _, ctx| hosts::ordered(controller, "h1", HostReply::Silent, ctx));
     holder.offers.took(OffersRow::default(), 12);
     holder.now_ms += 500;
     assert_eq!(moves(&holder.look()), [], "it is not taken any more");
@@ -184,13 +188,13 @@
     };
     let by_former = BTreeMap::from([("h1".to_string(), taken(EPOCH - 1))]);
     holder.offers.row.taken = by_former;
-    let effects = holder.with_ctx(|duty, look, ctx| {
+    let effects = holder.with_ctx(|controller, look, ctx| {
         let needs = [look.needs[1]];
         let calm = Look {
             needs: &needs,
             ..*look
         };
-        hosts::look(duty, &BTreeMap::new(), &calm, ctx);
+        hosts::look(controller, &BTreeMap::new(), &calm, ctx);
     });
     // Nobody lacks a host: the former holder's mark goes.
     assert_eq!((takes(&effects), moves(&effects).len()), (1, 0));
@@ -237,7 +241,7 @@
         state: HostState::Up,
         life: String::new(),
     });
-    hosts::list_read(&mut holder.duty, list.collect());
+    hosts::list_read(&mut holder.controller, list.collect());
     holder.look();
     holder.recorded();
     holder.taken(true);
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use rockwick::clock::Millis;
 use rockwick::core::sched::book::Book;
-use rockwick::core::sched::hosts::{self, HostDuty, HostTask, Look};
+use rockwick::core::sched::hosts::{self, HostController, HostTask, Look};
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::{Offers, OffersRow, OFFERS_KEY};
@@ -53,7 +53,7 @@
     book: Book,
     sizing: Sizing,
     offers: Offers,
-    duty: HostDuty,
+    controller: HostController,
     seen: Offers,
     config: FleetConfig,
     row: Option<(Vec<u8>, u64)>,
@@ -74,9 +74,9 @@
             let fact = worker_fact(&format!("life-{n}"), &host);
             answering(&mut book, fact);
         }
-        let mut duty = HostDuty::default();
+        let mut controller = HostController::default();
         decide(0, |ctx| {
-            duty = HostDuty::new(&[], &FormerOrders::default(), true, ctx);
+            controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
         });
         let sizing = Sizing::default();
         Self {
@@ -85,7 +85,7 @@
             book,
             sizing,
             offers: Offers::default(),
-            duty,
+            controller,
             seen: Offers::default(),
             config: pools(POOL),
             row: None,
@@ -265,7 +265,7 @@
         }
     }
 
-    fn holder(&mut self, work: impl FnOnce(&mut HostDuty, &Look<'_>, &mut Ctx<'_>)) {
+    fn holder(&mut self, work: impl FnOnce(&mut HostController, &Look<'_>, &mut Ctx<'_>)) {
         let none = Offers::default();
         let needs = [
             need("busy", self.lacks, &none, self.now_ms),
@@ -277,8 +277,8 @@
             pool: "off",
             epoch: EPOCH,
         };
-        let duty = &mut self.duty;
-        let effects = decide(self.now_ms, |ctx| work(duty, &look, ctx));
+        let controller = &mut self.controller;
+        let effects = decide(self.now_ms, |ctx| work(controller, &look, ctx));
         self.carry(effects);
     }
 
@@ -310,8 +310,8 @@
             },
             Arrival::Taken(outcome) => {
                 let mut row = None;
-                self.holder(|duty, _, ctx| {
-                    row = hosts::taken(duty, POOL, &outcome, EPOCH, ctx);
+                self.holder(|controller, _, ctx| {
+                    row = hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
                 });
                 match (outcome, row) {
                     (TxOutcome::Committed(revision), Some(row)) => self.seen.took(row, revision),
@@ -319,11 +319,11 @@
                     _ => {}
                 }
             }
-            Arrival::Recorded => self.holder(|duty, _, ctx| {
-                hosts::recorded(duty, &TxOutcome::Committed(1), EPOCH, ctx);
+            Arrival::Recorded => self.holder(|controller, _, ctx| {
+                hosts::recorded(controller, &TxOutcome::Committed(1), EPOCH, ctx);
             }),
-            Arrival::Ordered(host, reply) => self.holder(|duty, _, ctx| {
-                hosts::ordered(duty, &host, reply, ctx);
+            Arrival::Ordered(host, reply) => self.holder(|controller, _, ctx| {
+                hosts::ordered(controller, &host, reply, ctx);
             }),
             Arrival::ToOwner(row) => observe(&mut self.offers, &row),
             Arrival::ToHolder(row) => observe(&mut self.seen, &row),
@@ -362,9 +362,9 @@
             }
             self.owner_looks();
             let list = self.list();
-            self.holder(|duty, look, ctx| {
-                hosts::list_read(duty, list);
-                hosts::look(duty, &BTreeMap::new(), look, ctx);
+            self.holder(|controller, look, ctx| {
+                hosts::list_read(controller, list);
+                hosts::look(controller, &BTreeMap::new(), look, ctx);
             });
         }
     }
@@ -414,18 +414,18 @@
         pool: "off",
         epoch: EPOCH,
     };
-    let mut duty = HostDuty::default();
+    let mut controller = HostController::default();
     let effects = decide(100_000, |ctx| {
-        duty = HostDuty::new(&[], &FormerOrders::default(), true, ctx);
-        hosts::look(&mut duty, &BTreeMap::new(), &look, ctx);
-        hosts::list_read(&mut duty, Pair::new(1).list());
-        hosts::look(&mut duty, &BTreeMap::new(), &look, ctx);
+        controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+        hosts::look(&mut controller, &BTreeMap::new(), &look, ctx);
+        hosts::list_read(&mut controller, Pair::new(1).list());
+        hosts::look(&mut controller, &BTreeMap::new(), &look, ctx);
     });
     let is_take = |e: &Effect| matches!(e, Effect::TakeHosts(..));
     assert!(effects.iter().any(is_take), "{effects:?}");
     let effects = decide(100_010, |ctx| {
         hosts::taken(
-            &mut duty,
+            &mut controller,
             POOL,
             &TxOutcome::Conflict(Vec::new()),
             EPOCH,
@@ -434,7 +434,7 @@
     });
     let is_told = |e: &Effect| matches!(e, Effect::Log(d) if d.code == Code::OffersNotTaken);
     assert!(effects.iter().any(is_told), "{effects:?}");
-    assert!(!duty.has_order("host-0"));
+    assert!(!controller.has_order("host-0"));
 }
 
 /// An owner that changes its offers just before each take arrives: what is on offer is taken all the same.
@@ -442,11 +442,11 @@
 fn offers_in_step() {
     let config = pools(POOL);
     let none = Offers::default();
-    let mut duty = HostDuty::default();
+    let mut controller = HostController::default();
     let mut offers = Offers::default();
     let mut took = 0;
     decide(100_000, |ctx| {
-        duty = HostDuty::new(&[], &FormerOrders::default(), true, ctx);
+        controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
     });
     for look_n in 0..10 {
         let now_ms = 100_000 + look_n * 100;
@@ -455,11 +455,11 @@
             &none,
             &offers,
             now_ms,
-            |duty, look, ctx| {
-                hosts::look(duty, &BTreeMap::new(), look, ctx);
-                hosts::list_read(duty, Pair::new(1).list());
+            |controller, look, ctx| {
+                hosts::look(controller, &BTreeMap::new(), look, ctx);
+                hosts::list_read(controller, Pair::new(1).list());
             },
-            &mut duty,
+            &mut controller,
         );
         // The owner puts one more on offer before the take arrives.
         let host = format!("host-{}", look_n.min(5));
@@ -480,13 +480,13 @@
                 &none,
                 &offers,
                 now_ms + 10,
-                |duty, look, ctx| {
-                    hosts::taken(duty, POOL, &outcome, EPOCH, ctx);
+                |controller, look, ctx| {
+                    hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
                     if !is_newest {
-                        hosts::retake(duty, &BTreeMap::new(), look, ctx);
+                        hosts::retake(controller, &BTreeMap::new(), look, ctx);
                     }
                 },
-                &mut duty,
+                &mut controller,
             );
         }
     }
@@ -507,8 +507,8 @@
     none: &Offers,
     offers: &Offers,
     now_ms: Millis,
-    work: impl FnOnce(&mut HostDuty, &Look<'_>, &mut Ctx<'_>),
-    duty: &mut HostDuty,
+    work: impl FnOnce(&mut HostController, &Look<'_>, &mut Ctx<'_>),
+    controller: &mut HostController,
 ) -> Vec<Effect> {
     let needs = [need("busy", 6, none, now_ms), need(POOL, 0, offers, now_ms)];
     let look = Look {
@@ -517,5 +517,5 @@
         pool: "off",
         epoch: EPOCH,
     };
-    decide(now_ms, |ctx| work(duty, &look, ctx))
+    decide(now_ms, |ctx| work(controller, &look, ctx))
 }
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -9,7 +9,7 @@
 use rockwick::core::sched::offers::{Offers, OffersRow, OFFERS_KEY};
 use rockwick::core::sched::rows::{self, SlotRow, WaveRow};
 use rockwick::core::sched::state::{Effect, WaveKnown};
-use rockwick::core::sched::wave::{self, WaveDuty};
+use rockwick::core::sched::wave::{self, WaveController};
 use rockwick::port::fleet::{HostRecord, HostState, StoredRow, TxOutcome, WaveOrder};
 
 use crate::decide::decide;
@@ -66,7 +66,7 @@
 /// An owner that gives a host back, and another entry that takes a slot in the wave's row right after.
 struct Turn {
     book: Book,
-    duty: WaveDuty,
+    controller: WaveController,
     waves: BTreeMap<u64, WaveKnown>,
     /// As this owner writes it, on condition of revision 10.
     ours: WaveRow,
@@ -101,7 +101,7 @@
         };
         let mut turn = Self {
             book: Book::default(),
-            duty: WaveDuty::default(),
+            controller: WaveController::default(),
             waves: BTreeMap::from([(1, known)]),
             ours,
             theirs,
@@ -118,17 +118,19 @@
             state: HostState::Up,
             life: "life".to_string(),
         });
-        wave::hosts_read(&mut turn.duty, hosts.to_vec());
+        wave::hosts_read(&mut turn.controller, hosts.to_vec());
         assert!(!turn.look(1_500), "the list is read anew");
-        wave::hosts_read(&mut turn.duty, hosts.to_vec());
+        wave::hosts_read(&mut turn.controller, hosts.to_vec());
         assert!(turn.look(2_000), "the host is given back");
         turn
     }
 
     /// Looks at the wave; whether a change of its row goes out.
     fn look(&mut self, now_ms: u64) -> bool {
-        let (book, duty, waves) = (&mut self.book, &mut self.duty, &mut self.waves);
-        let effects = decide(now_ms, |ctx| wave::look(book, duty, waves, POOL, 7, ctx));
+        let (book, controller, waves) = (&mut self.book, &mut self.controller, &mut self.waves);
+        let effects = decide(now_ms, |ctx| {
+            wave::look(book, controller, waves, POOL, 7, ctx)
+        });
         let is_change = |effect: &Effect| matches!(effect, Effect::SettleWave(..));
         effects.iter().any(is_change)
     }
@@ -140,9 +142,9 @@
     }
 
     fn answer(&mut self, outcome: TxOutcome) {
-        let (book, duty, waves) = (&mut self.book, &mut self.duty, &mut self.waves);
+        let (book, controller, waves) = (&mut self.book, &mut self.controller, &mut self.waves);
         decide(2_000, |ctx| {
-            wave::settled(Some(book), duty, waves, outcome, ctx);
+            wave::settled(Some(book), controller, waves, outcome, ctx);
         });
     }
 }
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use rockwick::core::sched::book::Book;
 use rockwick::core::sched::job::JobState;
-use rockwick::core::sched::quota::{self, Look, QuotaDuty};
+use rockwick::core::sched::quota::{self, Look, QuotaController};
 use rockwick::core::sched::state::{Effect, Timer};
 use rockwick::port::fleet::{
     AccountConfig, Capacity, FleetConfig, RowTx, StoredRow, Table, TxOutcome,
@@ -46,7 +46,7 @@
     pool: String,
     epoch: u64,
     book: Book,
-    duty: QuotaDuty,
+    controller: QuotaController,
     /// Its configuration: version, and quota in cores.
     quota: (u64, u64),
 }
@@ -63,7 +63,7 @@
             pool: pool.to_string(),
             epoch,
             book,
-            duty: QuotaDuty::default(),
+            controller: QuotaController::default(),
             quota,
         }
     }
@@ -78,7 +78,7 @@
         short_elsewhere: &BTreeSet<String>,
         work: impl FnOnce(
             &mut Book,
-            &mut QuotaDuty,
+            &mut QuotaController,
             &Look<'_>,
             &mut rockwick::core::sched::state::Ctx<'_>,
         ),
@@ -91,7 +91,7 @@
             short_elsewhere,
         };
         decide(now_ms, |ctx| {
-            work(&mut self.book, &mut self.duty, &with, ctx)
+            work(&mut self.book, &mut self.controller, &with, ctx)
         })
     }
 
@@ -222,16 +222,17 @@
             if owner.epoch != answer.epoch {
                 continue;
             }
-            let effects = owner.act(
-                now_ms,
-                &BTreeSet::new(),
-                |book, duty, with, ctx| match answer.what {
-                    Some(outcome) => {
-                        quota::settled(Some(book), duty, with.pool, ACCOUNT, outcome, ctx)
-                    }
-                    None => quota::read(book, duty, ACCOUNT, row, ctx),
-                },
-            );
+            let effects =
+                owner.act(
+                    now_ms,
+                    &BTreeSet::new(),
+                    |book, controller, with, ctx| match answer.what {
+                        Some(outcome) => {
+                            quota::settled(Some(book), controller, with.pool, ACCOUNT, outcome, ctx)
+                        }
+                        None => quota::read(book, controller, ACCOUNT, row, ctx),
+                    },
+                );
             self.carry(answer.owner, effects);
         }
     }
@@ -260,7 +261,7 @@
         }
         let others = self.owners.iter().enumerate();
         let others = others.filter(|(other, _)| *other != n);
-        let short = others.flat_map(|(_, o)| o.duty.short.iter().cloned());
+        let short = others.flat_map(|(_, o)| o.controller.short.iter().cloned());
         let short = short.collect();
         let effects = self.owners[n].act(self.now_ms, &short, quota::adjust);
         self.carry(n, effects);
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -8,7 +8,7 @@
 use rockwick::core::sched::load;
 use rockwick::core::sched::rows::{self, shard_of_part, HEARTBEAT_KEY};
 use rockwick::core::sched::state::{Effect, Event, WaveKnown};
-use rockwick::core::sched::wave::{self, WaveDuty};
+use rockwick::core::sched::wave::{self, WaveController};
 use rockwick::port::fleet::{HostRecord, HostState, OperatorWord, Table, WaveOrder, WaveState};
 
 use crate::decide::decide;
@@ -211,14 +211,14 @@
 fn wave_older_list() {
     let mut book = Book::default();
     load::add_worker(&mut book, worker_fact("life-2", "new"), 0);
-    let mut duty = WaveDuty::default();
+    let mut controller = WaveController::default();
     let old = HostRecord {
         host: "old".to_string(),
         pool: POOL.to_string(),
         state: HostState::Up,
         life: "life-1".to_string(),
     };
-    wave::hosts_read(&mut duty, vec![old]);
+    wave::hosts_read(&mut controller, vec![old]);
     let order = WaveOrder {
         wave: 1,
         hosts: vec!["new".to_string()],
@@ -232,7 +232,7 @@
     };
     let mut waves = BTreeMap::from([(1, known)]);
     let effects = decide(10_000, |ctx| {
-        wave::look(&mut book, &mut duty, &mut waves, POOL, 7, ctx);
+        wave::look(&mut book, &mut controller, &mut waves, POOL, 7, ctx);
     });
     let is_told = |e: &Effect| matches!(e, Effect::TellWave(1, WaveState::Completed));
     assert!(!effects.iter().any(is_told));
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::load;
 use rockwick::core::sched::rows::{SlotRow, WaveRow};
 use rockwick::core::sched::state::{Effect, WaveKnown};
-use rockwick::core::sched::wave::{self, WaveDuty};
+use rockwick::core::sched::wave::{self, WaveController};
 use rockwick::event::{Code, Decision, Subject};
 use rockwick::port::fleet::{HostRecord, HostState, WaveOrder};
 
@@ -18,7 +18,7 @@
 /// A pool with one host, whose order to go for upkeep was accepted.
 struct Out {
     book: Book,
-    duty: WaveDuty,
+    controller: WaveController,
     waves: BTreeMap<u64, WaveKnown>,
     now_ms: u64,
 }
@@ -47,7 +47,7 @@
         };
         Self {
             book,
-            duty: WaveDuty::default(),
+            controller: WaveController::default(),
             waves: BTreeMap::from([(1, wave)]),
             now_ms: 10_000,
         }
@@ -69,7 +69,7 @@
         decide(self.now_ms, |ctx| {
             wave::look(
                 &mut self.book,
-                &mut self.duty,
+                &mut self.controller,
                 &mut self.waves,
                 POOL,
                 7,
@@ -96,7 +96,7 @@
             state,
             life: "life-2".to_string(),
         };
-        wave::hosts_read(&mut self.duty, vec![record]);
+        wave::hosts_read(&mut self.controller, vec![record]);
     }
 }
 
