--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -10,7 +10,6 @@
 use divan::Bencher;
 use rockwick::auth::TokenHash;
 use rockwick::clock::Now;
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::hosts::{self, HostController, Look, PoolNeed};
 use rockwick::core::sched::job::{JobSpec, StepSpec};
 use rockwick::core::sched::keys::TaskKey;
@@ -18,6 +17,7 @@
 use rockwick::core::sched::offers::Offers;
 use rockwick::core::sched::owner_lease::FormerOrders;
 use rockwick::core::sched::place;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::routing::Routing;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::state::{Ctx, Effect, PoolKey, Timers};
@@ -108,8 +108,8 @@
 }
 
 /// Books of a pool whose workers are two thirds full, and one task that waits.
-fn book(workers: usize) -> Book {
-    let mut book = Book::default();
+fn pool_state(workers: usize) -> PoolState {
+    let mut pool_state = PoolState::default();
     for n in 0..workers {
         let fact = WorkerFact {
             id: format!("life-{n}"),
@@ -126,8 +126,8 @@
             },
             draining: false,
         };
-        let key = load::add_worker(&mut book, fact, 0);
-        let worker = &mut book.workers[key];
+        let key = load::add_worker(&mut pool_state, fact, 0);
+        let worker = &mut pool_state.workers[key];
         worker.answers = true;
         worker.clock = Some(ClockSample {
             local_ms: 0,
@@ -138,43 +138,43 @@
             ..Capacity::default()
         };
         worker.take(TaskKey::default(), taken);
-        book.note_room(key);
+        pool_state.note_room(key);
     }
-    decide(|ctx| load::apply_intake(&mut book, &job("a"), &config(), 1, ctx));
-    book
+    decide(|ctx| load::apply_intake(&mut pool_state, &job("a"), &config(), 1, ctx));
+    pool_state
 }
 
 /// One task gets its place.
 #[divan::bench(args = SIZES)]
 fn place_task(bencher: Bencher<'_, '_>, workers: usize) {
     bencher
-        .with_inputs(|| book(workers))
-        .bench_local_refs(|book| decide(|ctx| place::place(book, ctx)));
+        .with_inputs(|| pool_state(workers))
+        .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
 }
 
 /// One task waits, with no room for it anywhere.
 #[divan::bench(args = SIZES)]
 fn place_task_in_vain(bencher: Bencher<'_, '_>, workers: usize) {
     let full = || {
-        let mut book = book(workers);
-        let keys: Vec<_> = book.workers.keys().collect();
+        let mut pool_state = pool_state(workers);
+        let keys: Vec<_> = pool_state.workers.keys().collect();
         for key in keys {
-            book.workers[key].used.cpu_milli = 16_000;
-            book.note_room(key);
+            pool_state.workers[key].used.cpu_milli = 16_000;
+            pool_state.note_room(key);
         }
-        book
+        pool_state
     };
     bencher
         .with_inputs(full)
-        .bench_local_refs(|book| decide(|ctx| place::place(book, ctx)));
+        .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
 }
 
 /// Books with a queue of 2,000 tasks, with no room for one of them anywhere.
-fn queued(workers: usize) -> Book {
-    let mut book = book(workers);
+fn queued(workers: usize) -> PoolState {
+    let mut pool_state = pool_state(workers);
     let row = job_of("queue", 2_000, 16_100);
-    decide(|ctx| load::apply_intake(&mut book, &row, &config(), 1, ctx));
-    book
+    decide(|ctx| load::apply_intake(&mut pool_state, &row, &config(), 1, ctx));
+    pool_state
 }
 
 /// A long queue waits in vain, and is looked at for the first time.
@@ -182,20 +182,20 @@
 fn place_queue_in_vain(bencher: Bencher<'_, '_>, workers: usize) {
     bencher
         .with_inputs(|| queued(workers))
-        .bench_local_refs(|book| decide(|ctx| place::place(book, ctx)));
+        .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
 }
 
 /// The same, looked at again at once.
 #[divan::bench(args = SIZES)]
 fn place_queue_again(bencher: Bencher<'_, '_>, workers: usize) {
     let looked_at = || {
-        let mut book = queued(workers);
-        decide(|ctx| place::place(&mut book, ctx));
-        book
+        let mut pool_state = queued(workers);
+        decide(|ctx| place::place(&mut pool_state, ctx));
+        pool_state
     };
     bencher
         .with_inputs(looked_at)
-        .bench_local_refs(|book| decide(|ctx| place::place(book, ctx)));
+        .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
 }
 
 /// A peak begins: one pool lacks half of the hosts, the others offer a quarter of them all.
--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::book::Book;
 use super::hosts::{self, HostController, PoolNeed};
-use super::keys::BookId;
+use super::keys::PoolStateId;
 use super::load::Facts;
 use super::owner_lease;
+use super::pool_state::PoolState;
 use super::quota::{self, QuotaController};
 use super::state::{Ctx, Effect, Ownership, Pool, PoolKey, State, Timer, WaveKnown};
 use super::wave::WaveController;
@@ -39,22 +39,22 @@
 
 /// Runs `work` on the books of a pool, if they are those that are asked for; `work` says whether a worker knows of a later
 /// owner.
-pub(super) fn with_book(
+pub(super) fn with_pool_state(
     state: &mut State,
     key: PoolKey,
-    id: BookId,
+    id: PoolStateId,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(&mut Book, &mut Ctx<'_>) -> bool,
+    work: impl FnOnce(&mut PoolState, &mut Ctx<'_>) -> bool,
 ) {
     with_pool(state, key, now, out, |pool, ctx, _| {
         let Some(ownership) = ownership_of(&mut pool.ownership, id) else {
             return;
         };
-        let Some(book) = &mut ownership.book else {
+        let Some(pool_state) = &mut ownership.pool_state else {
             return;
         };
-        if work(book, ctx) {
+        if work(pool_state, ctx) {
             owner_lease::lose(pool, "a worker has seen a later epoch", ctx);
         }
     });
@@ -63,10 +63,13 @@
 /// A pool's ownership, if its books are those that are asked for.
 pub(super) fn ownership_of(
     ownership: &mut Option<Ownership>,
-    id: BookId,
+    id: PoolStateId,
 ) -> Option<&mut Ownership> {
     let ownership = ownership.as_mut()?;
-    let is_it = ownership.book.as_ref().is_some_and(|book| book.id == id);
+    let is_it = ownership
+        .pool_state
+        .as_ref()
+        .is_some_and(|pool_state| pool_state.id == id);
     is_it.then_some(ownership)
 }
 
@@ -127,7 +130,7 @@
     now: Now,
     out: &mut Vec<Effect>,
     work: impl FnOnce(
-        Option<&mut Book>,
+        Option<&mut PoolState>,
         &mut WaveController,
         &mut BTreeMap<u64, WaveKnown>,
         (u64, &str),
@@ -141,7 +144,7 @@
         };
         let facts = (ownership.epoch, pool.name.as_str());
         work(
-            ownership.book.as_mut(),
+            ownership.pool_state.as_mut(),
             &mut ownership.waves,
             &mut waves,
             facts,
@@ -158,7 +161,7 @@
     epoch: u64,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(&mut Book, &mut QuotaController, &quota::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(&mut PoolState, &mut QuotaController, &quota::Look<'_>, &mut Ctx<'_>),
 ) {
     with_grant_controller(
         state,
@@ -166,9 +169,9 @@
         epoch,
         now,
         out,
-        |book, controller, with, ctx| {
-            if let Some(book) = book {
-                work(book, controller, with, ctx);
+        |pool_state, controller, with, ctx| {
+            if let Some(pool_state) = pool_state {
+                work(pool_state, controller, with, ctx);
             }
         },
     );
@@ -181,7 +184,7 @@
     epoch: u64,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(Option<&mut Book>, &mut QuotaController, &quota::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(Option<&mut PoolState>, &mut QuotaController, &quota::Look<'_>, &mut Ctx<'_>),
 ) {
     let short_elsewhere = short_elsewhere(state, key, now);
     with_pool(state, key, now, out, |pool, ctx, facts| {
@@ -195,7 +198,12 @@
             short_elsewhere: &short_elsewhere,
         };
         let before = ownership.quota.short.clone();
-        work(ownership.book.as_mut(), &mut ownership.quota, &with, ctx);
+        work(
+            ownership.pool_state.as_mut(),
+            &mut ownership.quota,
+            &with,
+            ctx,
+        );
         // Others give back what they do not need once they hear of it.
         if ownership.quota.short != before {
             owner_lease::hasten_heartbeat(pool, ctx);
--- a/src/core/sched/accounts.rs
+++ b/src/core/sched/accounts.rs
@@ -1,8 +1,8 @@
 //! What client accounts have in a pool: the books' side of quotas and weights.
 
-use super::book::Book;
 use super::fairness::Meter;
 use super::keys::{AccountKey, JobKey, TaskKey};
+use super::pool_state::PoolState;
 use crate::clock::Millis;
 use crate::port::fleet::{AccountConfig, Capacity};
 
@@ -27,7 +27,7 @@
     pub named_by: u64,
 }
 
-impl Book {
+impl PoolState {
     /// The key of an account, which is new where it had no job before; what has a quota, or is not configured, may take nothing
     /// yet. `named_by` is the version of the configuration that a job of it was accepted by.
     pub fn account_key(
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -295,7 +295,7 @@
     pool.ownership = Some(Ownership {
         epoch,
         fences,
-        book: None,
+        pool_state: None,
         readings: 0,
         batches: Default::default(),
         first_shards: Default::default(),
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -1,12 +1,12 @@
 //! Recorded before ordered: progress goes to the store in batches, and only then do starts go out and
 //! ends count as seen.
 
-use super::book::Book;
 use super::conflict::{self, Verdict};
 use super::holds;
 use super::keys::{JobKey, TaskKey, WorkerKey};
 use super::limits::{BATCH_JOBS, GATHER_MS, SHARD_BUSY_MS, TX_RETRY_MS};
 use super::owner_lease::{self, epoch_guard, OwnerLease};
+use super::pool_state::PoolState;
 use super::remove;
 use super::rows::{self, shard_part, SHARDS};
 use super::runs;
@@ -33,17 +33,17 @@
     let Some(ownership) = &mut pool.ownership else {
         return;
     };
-    let Some(book) = &mut ownership.book else {
+    let Some(pool_state) = &mut ownership.pool_state else {
         return;
     };
     if !ctx.may_send() {
         return;
     }
-    if book.dirty.is_empty() {
+    if pool_state.dirty.is_empty() {
         remove::flush(pool, ctx);
         return;
     }
-    let due_ms = book.dirty_since_ms + GATHER_MS;
+    let due_ms = pool_state.dirty_since_ms + GATHER_MS;
     if ctx.now.ms < due_ms {
         ctx.after(due_ms - ctx.now.ms, Timer::Flush);
         return;
@@ -78,14 +78,14 @@
     let Some(ownership) = &mut pool.ownership else {
         return;
     };
-    let Some(book) = &mut ownership.book else {
+    let Some(pool_state) = &mut ownership.pool_state else {
         return;
     };
-    let id = book.id;
+    let id = pool_state.id;
     if ownership.batches[shard].is_some() {
         return;
     }
-    let jobs = to_record(book, shard, takes_new);
+    let jobs = to_record(pool_state, shard, takes_new);
     if jobs.is_empty() {
         return;
     }
@@ -95,7 +95,7 @@
         guards: vec![epoch_guard(ownership.fences[shard])],
         writes: Vec::new(),
     };
-    let mut batch = gather(book, jobs, tx, ctx.now.ms);
+    let mut batch = gather(pool_state, jobs, tx, ctx.now.ms);
     batch.is_all = is_all;
     // One write less where writes of a part go in turn, 300 ms each on the users' slow days.
     batch.tx.writes.push(owner_lease::next_heartbeat(pool, ctx));
@@ -108,10 +108,10 @@
 }
 
 /// Jobs whose changes go into a shard now; those that are new are put there.
-fn to_record(book: &mut Book, shard: usize, takes_new: bool) -> Vec<JobKey> {
+fn to_record(pool_state: &mut PoolState, shard: usize, takes_new: bool) -> Vec<JobKey> {
     let mut jobs = Vec::new();
-    for key in &book.dirty {
-        let Some(job) = book.jobs.get_mut(*key) else {
+    for key in &pool_state.dirty {
+        let Some(job) = pool_state.jobs.get_mut(*key) else {
             continue;
         };
         if takes_new {
@@ -127,14 +127,14 @@
     jobs
 }
 
-fn gather(book: &mut Book, jobs: Vec<JobKey>, mut tx: RowTx, now_ms: Millis) -> Batch {
+fn gather(pool_state: &mut PoolState, jobs: Vec<JobKey>, mut tx: RowTx, now_ms: Millis) -> Batch {
     let mut kept = Vec::with_capacity(jobs.len());
     for key in jobs {
-        book.dirty.remove(&key);
-        let Some(progress) = book.progress(key) else {
+        pool_state.dirty.remove(&key);
+        let Some(progress) = pool_state.progress(key) else {
             continue;
         };
-        let job = &book.jobs[key];
+        let job = &pool_state.jobs[key];
         tx.guards.push(Guard {
             table: Table::Progress,
             key: job.id.clone(),
@@ -148,9 +148,9 @@
         kept.push((key, job.changes));
     }
     let is_in = |task: &TaskKey| kept.iter().any(|(job, _)| *job == task.job);
-    let unsent = std::mem::take(&mut book.unsent);
+    let unsent = std::mem::take(&mut pool_state.unsent);
     let (starts, later) = unsent.into_iter().partition(|(task, _)| is_in(task));
-    book.unsent = later;
+    pool_state.unsent = later;
     Batch {
         tx,
         jobs: kept,
@@ -163,19 +163,19 @@
 }
 
 /// Workers whose ends are all on record now are held again.
-fn release_ends(book: &mut Book, epoch: u64, ctx: &mut Ctx<'_>) {
-    let waiting: Vec<WorkerKey> = book.recording.iter().copied().collect();
+fn release_ends(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+    let waiting: Vec<WorkerKey> = pool_state.recording.iter().copied().collect();
     for key in waiting {
-        if !book.settle_ends(key) {
+        if !pool_state.settle_ends(key) {
             continue;
         }
-        book.recording.remove(&key);
-        let Some(w) = book.workers.get_mut(key) else {
+        pool_state.recording.remove(&key);
+        let Some(w) = pool_state.workers.get_mut(key) else {
             continue;
         };
         if matches!(w.hold, HoldPhase::Recording(_)) {
             w.hold = HoldPhase::Idle;
-            holds::next(book, key, epoch, ctx);
+            holds::next(pool_state, key, epoch, ctx);
         }
     }
 }
@@ -209,31 +209,33 @@
             return Settled::Fine;
         }
     };
-    let (Some(batch), Some(book)) = (ownership.batches[shard].take(), &mut ownership.book) else {
+    let (Some(batch), Some(pool_state)) =
+        (ownership.batches[shard].take(), &mut ownership.pool_state)
+    else {
         return Settled::Fine;
     };
-    told::recorded(&batch, book, revision, epoch, ctx);
+    told::recorded(&batch, pool_state, revision, epoch, ctx);
     // Sent again, it may have taken effect the first time: the lease counts from then.
     if batch.has_heartbeat {
         lease.note_renewed(batch.sent_ms, ctx.now.ms);
     }
     for ((key, change), write) in batch.jobs.iter().zip(&batch.tx.writes) {
-        if let Some(job) = book.jobs.get_mut(*key) {
+        if let Some(job) = pool_state.jobs.get_mut(*key) {
             job.revision = revision;
             job.recorded_digest = conflict::digest(write.value.as_deref());
             job.recorded_changes = *change;
         }
     }
     for key in &batch.removed {
-        book.forget(*key, ctx.now.ms);
+        pool_state.forget(*key, ctx.now.ms);
     }
     for (task, run) in &batch.starts {
-        runs::send_start(book, *task, *run, epoch, ctx);
+        runs::send_start(pool_state, *task, *run, epoch, ctx);
     }
     // While more waits than a batch takes, workers are not asked for more ends: each account costs the owner's processor
     // time, which is short then. Held at once, 95 of 100 tasks of a peak day started within 1,447 ms, so within 961.
     if batch.is_all {
-        release_ends(book, epoch, ctx);
+        release_ends(pool_state, epoch, ctx);
     }
     Settled::Fine
 }
@@ -246,12 +248,14 @@
     found: &[(Table, StoredRow)],
     ctx: &mut Ctx<'_>,
 ) -> Verdict {
-    let (Some(batch), Some(book)) = (&mut ownership.batches[shard], &mut ownership.book) else {
+    let (Some(batch), Some(pool_state)) =
+        (&mut ownership.batches[shard], &mut ownership.pool_state)
+    else {
         return Verdict::Diverged;
     };
     let is_ours = |row: &StoredRow| conflict::is_ours(lease, ctx.me, row);
     let odd = conflict::unexpected(batch, found);
-    let verdict = conflict::judge(batch, book, found, is_ours);
+    let verdict = conflict::judge(batch, pool_state, found, is_ours);
     let part = batch.tx.part.clone();
     let own = found.iter().find(|(table, _)| *table == Table::Owners);
     if let Some((_, row)) = own.filter(|_| verdict == Verdict::Again) {
@@ -267,7 +271,7 @@
 
 /// Sends the batch of a shard again.
 pub fn resend(ownership: &Ownership, lease: &mut OwnerLease, shard: usize, ctx: &mut Ctx<'_>) {
-    let (Some(batch), Some(book)) = (&ownership.batches[shard], &ownership.book) else {
+    let (Some(batch), Some(pool_state)) = (&ownership.batches[shard], &ownership.pool_state) else {
         return;
     };
     if !ctx.may_send() {
@@ -275,6 +279,10 @@
         return;
     }
     lease.note_sent(shard, ctx.now.ms);
-    ctx.out
-        .push(Effect::Record(ctx.pool, book.id, shard, batch.tx.clone()));
+    ctx.out.push(Effect::Record(
+        ctx.pool,
+        pool_state.id,
+        shard,
+        batch.tx.clone(),
+    ));
 }
--- a/src/core/sched/conflict.rs
+++ b/src/core/sched/conflict.rs
@@ -5,8 +5,8 @@
 //! are as this owner wrote them, at a lower revision than it thought, were touched by nobody: their exact revisions are taken
 //! over, and the transaction goes again.
 
-use super::book::Book;
 use super::owner_lease::OwnerLease;
+use super::pool_state::PoolState;
 use super::rows::{self, OwnerRow};
 use super::state::Batch;
 use crate::port::fleet::{Guard, Revision, StoredRow, Table};
@@ -40,7 +40,7 @@
 /// Judges a conflict, and corrects the batch where it goes again.
 pub fn judge(
     batch: &mut Batch,
-    book: &mut Book,
+    pool_state: &mut PoolState,
     found: &[(Table, StoredRow)],
     is_ours: impl Fn(&StoredRow) -> bool,
 ) -> Verdict {
@@ -55,10 +55,10 @@
     if let Some(revision) = done_at(batch, &progress) {
         return Verdict::Done(revision);
     }
-    if !progress.iter().all(|row| is_as_recorded(book, row)) {
+    if !progress.iter().all(|row| is_as_recorded(pool_state, row)) {
         return Verdict::Diverged;
     }
-    match correct(batch, book, found) {
+    match correct(batch, pool_state, found) {
         true => Verdict::Again,
         false => Verdict::Diverged,
     }
@@ -89,13 +89,16 @@
 }
 
 /// Whether a row of progress is as this owner last knew it on record.
-fn is_as_recorded(book: &Book, row: &StoredRow) -> bool {
-    let job = book.by_id.get(&row.key).and_then(|key| book.jobs.get(*key));
+fn is_as_recorded(pool_state: &PoolState, row: &StoredRow) -> bool {
+    let job = pool_state
+        .by_id
+        .get(&row.key)
+        .and_then(|key| pool_state.jobs.get(*key));
     job.is_some_and(|job| job.recorded_digest == digest(row.value.as_deref()))
 }
 
 /// Takes over the revisions found; says whether one was another than the batch had.
-fn correct(batch: &mut Batch, book: &mut Book, found: &[(Table, StoredRow)]) -> bool {
+fn correct(batch: &mut Batch, pool_state: &mut PoolState, found: &[(Table, StoredRow)]) -> bool {
     let mut is_any = false;
     for (table, row) in found {
         let mut guards = batch.tx.guards.iter_mut();
@@ -104,10 +107,10 @@
         };
         is_any |= guard.revision != row.revision;
         guard.revision = row.revision;
-        let job = book
+        let job = pool_state
             .by_id
             .get(&row.key)
-            .and_then(|key| book.jobs.get_mut(*key));
+            .and_then(|key| pool_state.jobs.get_mut(*key));
         if let Some(job) = job.filter(|_| *table == Table::Progress) {
             job.revision = row.revision;
         }
--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -12,11 +12,11 @@
 //! third crash: 243 workers, 1,080 runs, no job.
 
 use super::blame::LivesEnded;
-use super::book::Book;
 use super::gang;
 use super::job::StepSpec;
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{FRESH_MS, HEARD_ON_MS, SOUND_MS, WORKER_LEASE_MS, YOUNG_MS};
+use super::pool_state::PoolState;
 use super::runs;
 use super::state::Ctx;
 use super::tasks::{Phase, Seen, Task};
@@ -172,8 +172,13 @@
 }
 
 /// Counts a life's end for the tasks that may have been at work there.
-pub(super) fn note_end(book: &mut Book, worker: WorkerKey, over: Over, ctx: &mut Ctx<'_>) {
-    let Some(w) = book.workers.get(worker) else {
+pub(super) fn note_end(
+    pool_state: &mut PoolState,
+    worker: WorkerKey,
+    over: Over,
+    ctx: &mut Ctx<'_>,
+) {
+    let Some(w) = pool_state.workers.get(worker) else {
         return;
     };
     if w.fact.draining && w.is_known() {
@@ -183,17 +188,17 @@
     let end = End::new(w, over);
     let tasks: Vec<TaskKey> = w.tasks.iter().copied().collect();
     if end.is_crash {
-        book.crashed_ms = book.crashed_ms.max(end.lost_ms());
+        pool_state.crashed_ms = pool_state.crashed_ms.max(end.lost_ms());
     }
     for key in tasks {
-        count(book, key, end, ctx);
+        count(pool_state, key, end, ctx);
     }
 }
 
 /// Takes in that a worker went with its connections: what was there is put on record, for an owner that comes before
 /// the next life answers. An owner that had seen three crashes of five was replaced before each of those answers.
-pub(super) fn note_broken(book: &mut Book, worker: WorkerKey, now_ms: Millis) {
-    let Some(w) = book.workers.get(worker) else {
+pub(super) fn note_broken(pool_state: &mut PoolState, worker: WorkerKey, now_ms: Millis) {
+    let Some(w) = pool_state.workers.get(worker) else {
         return;
     };
     let end = End::new(w, Over::LaterLife);
@@ -201,13 +206,13 @@
         return;
     }
     let tasks: Vec<TaskKey> = w.tasks.iter().copied().collect();
-    book.crashed_ms = now_ms;
+    pool_state.crashed_ms = now_ms;
     for key in tasks {
-        let is_first = among_gang(book, key, end) == Among::First;
-        let Some(spec) = book.step_spec(key).cloned() else {
+        let is_first = among_gang(pool_state, key, end) == Among::First;
+        let Some(spec) = pool_state.step_spec(key).cloned() else {
             continue;
         };
-        let Some(task) = book.task_mut(key) else {
+        let Some(task) = pool_state.task_mut(key) else {
             continue;
         };
         let one = end.count(task, &spec, Among::First, now_ms);
@@ -218,17 +223,17 @@
             0 => Seen::Gone,
             _ => Seen::GoneFresh,
         };
-        book.mark(key.job, now_ms);
+        pool_state.mark(key.job, now_ms);
     }
 }
 
 /// Takes in that a worker is there after all.
-pub(super) fn note_back(book: &mut Book, worker: WorkerKey) {
-    let Some(w) = book.workers.get(worker) else {
+pub(super) fn note_back(pool_state: &mut PoolState, worker: WorkerKey) {
+    let Some(w) = pool_state.workers.get(worker) else {
         return;
     };
     for key in w.tasks.iter().copied().collect::<Vec<_>>() {
-        if let Some(task) = book.task_mut(key) {
+        if let Some(task) = pool_state.task_mut(key) {
             task.seen = task.seen.min(Seen::Begun);
         }
     }
@@ -246,18 +251,18 @@
     Later,
 }
 
-fn among_gang(book: &Book, key: TaskKey, end: End) -> Among {
-    let run = book.task(key).map(|t| t.run);
-    if !gang::is_member(book, key) {
+fn among_gang(pool_state: &PoolState, key: TaskKey, end: End) -> Among {
+    let run = pool_state.task(key).map(|t| t.run);
+    if !gang::is_member(pool_state, key) {
         return Among::First;
     }
     let lost_ms = |task: &Task| {
-        let worker = task.phase.worker().and_then(|w| book.workers.get(w));
+        let worker = task.phase.worker().and_then(|w| pool_state.workers.get(w));
         task.lost_ms.or(worker.and_then(|w| w.broke_ms))
     };
     let ours_ms = end.lost_ms();
-    let members = gang::members(book, key).into_iter();
-    let fellows = members.filter_map(|m| book.task(m));
+    let members = gang::members(pool_state, key).into_iter();
+    let fellows = members.filter_map(|m| pool_state.task(m));
     let fellows = fellows.filter(|t| Some(t.run) == run);
     // Those on the same worker went with it.
     let elsewhere = fellows.filter_map(lost_ms).filter(|at| *at != ours_ms);
@@ -268,12 +273,12 @@
     }
 }
 
-fn count(book: &mut Book, key: TaskKey, end: End, ctx: &mut Ctx<'_>) {
-    let Some(spec) = book.step_spec(key).cloned() else {
+fn count(pool_state: &mut PoolState, key: TaskKey, end: End, ctx: &mut Ctx<'_>) {
+    let Some(spec) = pool_state.step_spec(key).cloned() else {
         return;
     };
-    let among = among_gang(book, key, end);
-    let Some(task) = book.task_mut(key) else {
+    let among = among_gang(pool_state, key, end);
+    let Some(task) = pool_state.task_mut(key) else {
         return;
     };
     task.lost_ms = Some(end.lost_ms());
@@ -285,11 +290,11 @@
     let (ended, run) = (task.ended, task.run);
     let pause_ms = if spec.lasting { ended.pause_ms() } else { 0 };
     task.held_until_ms = ctx.now.ms + pause_ms;
-    book.mark(key.job, ctx.now.ms);
-    let is_given_up = is_given_up(book, key);
-    leave(book, key);
+    pool_state.mark(key.job, ctx.now.ms);
+    let is_given_up = is_given_up(pool_state, key);
+    leave(pool_state, key);
     if one.blamed > 0 || ended.all >= NOTED_FROM || is_given_up {
-        let id = &book.jobs[key.job].id;
+        let id = &pool_state.jobs[key.job].id;
         ctx.tell(
             Decision::new(Code::TaskSuspected, Subject::Job, id, "its worker's end")
                 .with("step", u64::from(key.step))
@@ -307,32 +312,49 @@
 }
 
 /// Whether a task is started no more.
-pub(super) fn is_given_up(book: &Book, key: TaskKey) -> bool {
-    let lasts = book.step_spec(key).is_some_and(|s| s.lasting);
-    book.task(key)
+pub(super) fn is_given_up(pool_state: &PoolState, key: TaskKey) -> bool {
+    let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
+    pool_state
+        .task(key)
         .is_some_and(|t| t.ended.is_too_many(lasts, t.run))
 }
 
 /// Ends the job of a task that is given up. The others of a step that lasts and may miss only some go on: stopped with
 /// their job, they would all be away. Once none is left, nothing more comes of it, and its caller is told so.
-pub(super) fn leave(book: &mut Book, key: TaskKey) {
-    let is_over = book.jobs.get(key.job).is_none_or(|j| j.state.is_final());
-    if is_over || !is_given_up(book, key) {
+pub(super) fn leave(pool_state: &mut PoolState, key: TaskKey) {
+    let is_over = pool_state
+        .jobs
+        .get(key.job)
+        .is_none_or(|j| j.state.is_final());
+    if is_over || !is_given_up(pool_state, key) {
         return;
     }
-    let may_miss = |task: &TaskKey| book.step_spec(*task).is_some_and(|s| s.away_max.is_some());
-    let mut all = book.tasks_of(key.job).into_iter();
-    let has_run = |task| book.task(task).is_some_and(|t| t.phase.worker().is_some());
-    let goes_on = may_miss(&key) && all.any(|task| has_run(task) || !is_given_up(book, task));
+    let may_miss = |task: &TaskKey| {
+        pool_state
+            .step_spec(*task)
+            .is_some_and(|s| s.away_max.is_some())
+    };
+    let mut all = pool_state.tasks_of(key.job).into_iter();
+    let has_run = |task| {
+        pool_state
+            .task(task)
+            .is_some_and(|t| t.phase.worker().is_some())
+    };
+    let goes_on = may_miss(&key) && all.any(|task| has_run(task) || !is_given_up(pool_state, task));
     if !goes_on {
-        book.given_up.push(key.job);
+        pool_state.given_up.push(key.job);
     }
 }
 
 /// Takes in that a worker's account, asked for at `sent_ms`, shows a task's run.
-pub(super) fn note_shown(book: &mut Book, key: TaskKey, sent_ms: Millis, now_ms: Millis) {
-    let lasts = book.step_spec(key).is_some_and(|s| s.lasting);
-    let Some(task) = book.task_mut(key) else {
+pub(super) fn note_shown(
+    pool_state: &mut PoolState,
+    key: TaskKey,
+    sent_ms: Millis,
+    now_ms: Millis,
+) {
+    let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
+    let Some(task) = pool_state.task_mut(key) else {
         return;
     };
     let begun_ms = task.begun_ms.unwrap_or(task.since_ms);
@@ -341,16 +363,16 @@
     let is_sound = lasts && (ran_ms >= SOUND_MS || task.is_at_work);
     if is_sound && task.ended != LivesEnded::NONE {
         task.ended = LivesEnded::NONE;
-        book.mark(key.job, now_ms);
+        pool_state.mark(key.job, now_ms);
     }
-    if ran_ms >= FRESH_MS && book.watched.remove(&key).is_some() {
-        book.wants_placing = true;
+    if ran_ms >= FRESH_MS && pool_state.watched.remove(&key).is_some() {
+        pool_state.wants_placing = true;
     }
 }
 
 /// Ends the jobs of tasks that brought too many workers down.
-pub(super) fn give_up(book: &mut Book, epoch: u64, ctx: &mut Ctx<'_>) {
-    for job in std::mem::take(&mut book.given_up) {
-        runs::fail_job(book, job, "workers crash under a task", epoch, ctx);
+pub(super) fn give_up(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+    for job in std::mem::take(&mut pool_state.given_up) {
+        runs::fail_job(pool_state, job, "workers crash under a task", epoch, ctx);
     }
 }
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -1,9 +1,9 @@
 //! What becomes of pools' offers: changes by their owners, and hosts taken by the entry that orders them.
 
 use super::access::{with_host_controller, with_pool};
-use super::book::Book;
 use super::hosts;
 use super::offers::{Offers, OFFERS_KEY};
+use super::pool_state::PoolState;
 use super::sizing;
 use super::state::{Ctx, Effect, PoolKey, State};
 use crate::clock::Now;
@@ -11,9 +11,9 @@
 use crate::port::fleet::{StoredRow, Table, TxOutcome};
 
 /// Hosts that are on offer, or were taken, get no work from a new owner either.
-pub(super) fn close_given(book: &mut Book, offers: &Offers) {
-    sizing::mark_offered(book, offers);
-    for (_, worker) in &mut book.workers {
+pub(super) fn close_given(pool_state: &mut PoolState, offers: &Offers) {
+    sizing::mark_offered(pool_state, offers);
+    for (_, worker) in &mut pool_state.workers {
         worker.is_spare = worker.is_offered;
     }
 }
--- a/src/core/sched/fence.rs
+++ b/src/core/sched/fence.rs
@@ -4,15 +4,15 @@
 //! the owner's reading of the rows bars what its earlier books sent; the restarts of the worker's id bar what was sent to an
 //! earlier life, which names the later one, too.
 
-use super::keys::BookId;
+use super::keys::PoolStateId;
 
 /// Readings of one ownership, and restarts of one id within a reading, that are told apart. Beyond, the last one stands for all
 /// that follow.
 const COUNTED: u64 = 256;
 
 /// The fence of orders to a worker whose id has begun anew that often in these books.
-pub fn of(book: BookId, epoch: u64, restarts: u32) -> u64 {
-    let reading = u64::from(book.reading).min(COUNTED - 1);
+pub fn of(pool_state: PoolStateId, epoch: u64, restarts: u32) -> u64 {
+    let reading = u64::from(pool_state.reading).min(COUNTED - 1);
     let restarts = u64::from(restarts).min(COUNTED - 1);
     (epoch * COUNTED + reading) * COUNTED + restarts
 }
--- a/src/core/sched/gang.rs
+++ b/src/core/sched/gang.rs
@@ -3,87 +3,87 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use super::book::Book;
 use super::keys::{TaskKey, WorkerKey};
 use super::place;
+use super::pool_state::PoolState;
 use super::runs;
 use super::state::Ctx;
 use super::tasks::Phase;
 use crate::port::fleet::Capacity;
 
 /// Whether a task's step is a gang.
-pub fn is_member(book: &Book, key: TaskKey) -> bool {
-    book.step_spec(key).is_some_and(|s| s.gang)
+pub fn is_member(pool_state: &PoolState, key: TaskKey) -> bool {
+    pool_state.step_spec(key).is_some_and(|s| s.gang)
 }
 
 /// All tasks of a task's step, itself included.
-pub fn members(book: &Book, key: TaskKey) -> Vec<TaskKey> {
-    let count = book.step_spec(key).map_or(0, |s| s.count);
+pub fn members(pool_state: &PoolState, key: TaskKey) -> Vec<TaskKey> {
+    let count = pool_state.step_spec(key).map_or(0, |s| s.count);
     (0..count).map(|index| TaskKey { index, ..key }).collect()
 }
 
 /// Gives places to a whole gang, if all its members wait and there is room for all.
-pub(super) fn place(book: &mut Book, key: TaskKey, ctx: &mut Ctx<'_>) {
-    let members = members(book, key);
-    let waits = |m: &TaskKey| book.task(*m).is_some_and(|t| t.phase == Phase::Ready);
+pub(super) fn place(pool_state: &mut PoolState, key: TaskKey, ctx: &mut Ctx<'_>) {
+    let members = members(pool_state, key);
+    let waits = |m: &TaskKey| pool_state.task(*m).is_some_and(|t| t.phase == Phase::Ready);
     if !members.iter().all(waits) {
         return;
     }
-    if !book.is_within_quota(key, members.len() as u64) {
+    if !pool_state.is_within_quota(key, members.len() as u64) {
         return;
     }
-    let Some(places) = find_places(book, &members, ctx.now.ms) else {
+    let Some(places) = find_places(pool_state, &members, ctx.now.ms) else {
         return;
     };
-    let runs = members.iter().filter_map(|m| book.task(*m));
+    let runs = members.iter().filter_map(|m| pool_state.task(*m));
     let last_run = runs.map(|t| t.run).max().unwrap_or(0);
     for (member, worker) in members.into_iter().zip(places) {
-        if let Some(task) = book.task_mut(member) {
+        if let Some(task) = pool_state.task_mut(member) {
             // The members of a gang share the number of their run.
             task.run = last_run;
         }
-        place::assign(book, member, worker, ctx);
+        place::assign(pool_state, member, worker, ctx);
     }
 }
 
 /// Places for all members: in one rack where the step asks for that and one has room, else anywhere.
-fn find_places(book: &Book, members: &[TaskKey], now_ms: u64) -> Option<Vec<WorkerKey>> {
-    let spec = book.step_spec(*members.first()?)?;
+fn find_places(pool_state: &PoolState, members: &[TaskKey], now_ms: u64) -> Option<Vec<WorkerKey>> {
+    let spec = pool_state.step_spec(*members.first()?)?;
     if spec.same_rack {
-        let open = book.workers.values().filter(|w| w.is_open(now_ms));
+        let open = pool_state.workers.values().filter(|w| w.is_open(now_ms));
         let racks: BTreeSet<&str> = open.map(|w| w.rack()).collect();
-        let in_rack = |rack: &&str| find_in(book, members, Some(rack), now_ms);
+        let in_rack = |rack: &&str| find_in(pool_state, members, Some(rack), now_ms);
         if let Some(places) = racks.iter().find_map(in_rack) {
             return Some(places);
         }
     }
-    find_in(book, members, None, now_ms)
+    find_in(pool_state, members, None, now_ms)
 }
 
 fn find_in(
-    book: &Book,
+    pool_state: &PoolState,
     members: &[TaskKey],
     rack: Option<&str>,
     now_ms: u64,
 ) -> Option<Vec<WorkerKey>> {
-    let spec = book.step_spec(*members.first()?)?;
+    let spec = pool_state.step_spec(*members.first()?)?;
     let demand = spec.demand();
     let most = usize::from(spec.per_worker_max);
     let mut taken: HashMap<WorkerKey, (Capacity, usize)> = HashMap::new();
     let mut places = Vec::with_capacity(members.len());
     for member in members {
-        let open = book.workers.iter().filter(|(_, w)| w.is_open(now_ms));
-        let candidates = open.filter(|(key, _)| !book.reserved.has(*key));
+        let open = pool_state.workers.iter().filter(|(_, w)| w.is_open(now_ms));
+        let candidates = open.filter(|(key, _)| !pool_state.reserved.has(*key));
         let fitting = candidates.filter(|(key, w)| {
             let (mut used, count) = taken.get(key).copied().unwrap_or_default();
             used.add(demand);
             let is_in_rack = rack.is_none_or(|r| r == w.rack());
             let is_apart = most == 0 || count < most;
-            is_in_rack && is_apart && w.fits(used) && place::suits(book, *member, spec, *key)
+            is_in_rack && is_apart && w.fits(used) && place::suits(pool_state, *member, spec, *key)
         });
         let cost = |key: &WorkerKey| {
             let (used, _) = taken.get(key).copied().unwrap_or_default();
-            place::cost_milli(book, spec, *key, used)
+            place::cost_milli(pool_state, spec, *key, used)
         };
         let (best, _) = fitting.min_by_key(|(key, _)| cost(key))?;
         let (used, count) = taken.entry(best).or_default();
@@ -95,20 +95,20 @@
 }
 
 /// Stops what is left of gangs that lost a member.
-pub(super) fn stop_broken(book: &mut Book, epoch: u64, ctx: &mut Ctx<'_>) {
-    for key in std::mem::take(&mut book.broken_gangs) {
-        for member in members(book, key) {
-            let phase = book.task(member).map(|t| t.phase);
+pub(super) fn stop_broken(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+    for key in std::mem::take(&mut pool_state.broken_gangs) {
+        for member in members(pool_state, key) {
+            let phase = pool_state.task(member).map(|t| t.phase);
             let goes_on = matches!(
                 phase,
                 Some(Phase::Starting(_) | Phase::Running(_) | Phase::Recording(_))
             );
             if goes_on {
-                runs::stop(book, member, epoch, ctx);
+                runs::stop(pool_state, member, epoch, ctx);
             }
         }
     }
     // Members that go back to wait by these stops tell nothing new: taken for a loss, they would stop the gang's next run
     // before it is sent, and that one the next, for good.
-    book.broken_gangs.clear();
+    pool_state.broken_gangs.clear();
 }
--- a/src/core/sched/gather.rs
+++ b/src/core/sched/gather.rs
@@ -4,11 +4,11 @@
 //! Small tasks that come all the time are placed as soon as they fit somewhere, so that none of a pool's hosts need ever
 //! become empty by itself. Tasks that last are not moved: hosts on which they leave too little room are passed over.
 
-use super::book::Book;
 use super::job::StepSpec;
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{PLACE_LOOKS, RESORT_MS, WORKER_LEASE_MS};
 use super::place;
+use super::pool_state::PoolState;
 use super::runs;
 use super::slack::Slack;
 use super::state::Ctx;
@@ -83,79 +83,86 @@
 }
 
 /// Places tasks on the hosts that are reserved for them as soon as they fit, and gives up hosts that are of no use.
-pub(super) fn settle(book: &mut Book, ctx: &mut Ctx<'_>) {
-    if book.reserved.is_empty() {
+pub(super) fn settle(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+    if pool_state.reserved.is_empty() {
         return;
     }
     let now_ms = ctx.now.ms;
-    for mut held in std::mem::take(&mut book.reserved.held) {
-        held.note_idle(book, now_ms);
-        match held.outcome(book, now_ms) {
-            Outcome::Waits => book.reserved.held.push(held),
+    for mut held in std::mem::take(&mut pool_state.reserved.held) {
+        held.note_idle(pool_state, now_ms);
+        match held.outcome(pool_state, now_ms) {
+            Outcome::Waits => pool_state.reserved.held.push(held),
             Outcome::Fits => {
-                held.tell(book, Code::ReservationUsed, "the task fits", ctx);
-                place::assign(book, held.task, held.worker, ctx);
+                held.tell(pool_state, Code::ReservationUsed, "the task fits", ctx);
+                place::assign(pool_state, held.task, held.worker, ctx);
             }
-            Outcome::Over(why) => held.tell(book, Code::ReservationDropped, why, ctx),
+            Outcome::Over(why) => held.tell(pool_state, Code::ReservationDropped, why, ctx),
             Outcome::TooLong => {
-                held.tell(book, Code::ReservationDropped, "it takes too long", ctx);
-                book.reserved.avoided = Some(held.worker);
+                held.tell(
+                    pool_state,
+                    Code::ReservationDropped,
+                    "it takes too long",
+                    ctx,
+                );
+                pool_state.reserved.avoided = Some(held.worker);
             }
         }
     }
 }
 
 /// Reserves hosts for tasks that have waited long enough, in the order of waiting tasks.
-pub(super) fn reserve(book: &mut Book, ctx: &mut Ctx<'_>) {
+pub(super) fn reserve(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     let now_ms = ctx.now.ms;
-    if book.ready.is_empty() || now_ms < book.reserved.next_look_ms {
+    if pool_state.ready.is_empty() || now_ms < pool_state.reserved.next_look_ms {
         return;
     }
-    book.reserved.next_look_ms = now_ms + RESORT_MS;
-    let waiting = waiting_long(book, now_ms);
+    pool_state.reserved.next_look_ms = now_ms + RESORT_MS;
+    let waiting = waiting_long(pool_state, now_ms);
     if waiting.is_empty() {
         return;
     }
-    let slack = Slack::of(book, now_ms);
+    let slack = Slack::of(pool_state, now_ms);
     let most = (slack.hosts / HOSTS_PER_RESERVATION).max(1);
     let mut in_vain: Vec<Capacity> = Vec::new();
     for rank in waiting {
-        if book.reserved.held.len() as u64 >= most || in_vain.len() >= SEARCHES_MAX {
+        if pool_state.reserved.held.len() as u64 >= most || in_vain.len() >= SEARCHES_MAX {
             return;
         }
-        let Some(spec) = book.step_spec(rank.task) else {
+        let Some(spec) = pool_state.step_spec(rank.task) else {
             continue;
         };
         let demand = spec.demand();
         let is_known = in_vain.iter().any(|d| demand.holds(*d));
-        if is_known || !slack.is_split(book, rank.class, demand) {
+        if is_known || !slack.is_split(pool_state, rank.class, demand) {
             continue;
         }
-        match Search::new(book, rank.task, spec, now_ms).best() {
-            Some(host) => hold(book, rank, host, ctx),
+        match Search::new(pool_state, rank.task, spec, now_ms).best() {
+            Some(host) => hold(pool_state, rank, host, ctx),
             None => in_vain.push(demand),
         }
     }
 }
 
 /// Tasks that may start, have waited for long and have no host reserved.
-fn waiting_long(book: &Book, now_ms: Millis) -> Vec<Rank> {
+fn waiting_long(pool_state: &PoolState, now_ms: Millis) -> Vec<Rank> {
     let waits_long = |rank: &&Rank| {
-        let (Some(task), Some(spec)) = (book.task(rank.task), book.step_spec(rank.task)) else {
+        let (Some(task), Some(spec)) =
+            (pool_state.task(rank.task), pool_state.step_spec(rank.task))
+        else {
             return false;
         };
         let is_long = now_ms >= task.since_ms + WAIT_MS;
-        let may_start = !spec.gang && !task.is_suspect() && !is_held(book, rank.task, now_ms);
-        is_long && may_start && !book.reserved.is_for(rank.task)
+        let may_start = !spec.gang && !task.is_suspect() && !is_held(pool_state, rank.task, now_ms);
+        is_long && may_start && !pool_state.reserved.is_for(rank.task)
     };
-    let ready = book.ready.iter();
-    let ready = ready.filter(|rank| !runs::is_exhausted(book, rank.task));
-    let ready = ready.filter(|rank| book.is_within_quota(rank.task, 1));
+    let ready = pool_state.ready.iter();
+    let ready = ready.filter(|rank| !runs::is_exhausted(pool_state, rank.task));
+    let ready = ready.filter(|rank| pool_state.is_within_quota(rank.task, 1));
     let waiting = ready.take(PLACE_LOOKS).filter(waits_long);
     waiting.copied().collect()
 }
 
-fn hold(book: &mut Book, rank: Rank, host: Candidate, ctx: &mut Ctx<'_>) {
+fn hold(pool_state: &mut PoolState, rank: Rank, host: Candidate, ctx: &mut Ctx<'_>) {
     let now_ms = ctx.now.ms;
     let drain_ms = host.free_ms.saturating_sub(now_ms);
     let held = Reservation {
@@ -166,40 +173,46 @@
         seen_ms: now_ms,
         idle: 0,
     };
-    book.reserved.held.push(held);
-    book.reserved.avoided = None;
-    held.tell(book, Code::HostReserved, "no host has room for it", ctx);
+    pool_state.reserved.held.push(held);
+    pool_state.reserved.avoided = None;
+    held.tell(
+        pool_state,
+        Code::HostReserved,
+        "no host has room for it",
+        ctx,
+    );
 }
 
 impl Reservation {
-    fn note_idle(&mut self, book: &Book, now_ms: Millis) {
-        let free = book.workers.get(self.worker).map(Worker::free);
+    fn note_idle(&mut self, pool_state: &PoolState, now_ms: Millis) {
+        let free = pool_state.workers.get(self.worker).map(Worker::free);
         let free_milli = free.map_or(0, |free| free.cpu_milli);
         self.idle += free_milli * now_ms.saturating_sub(self.seen_ms);
         self.seen_ms = now_ms;
     }
 
-    fn outcome(&self, book: &Book, now_ms: Millis) -> Outcome {
+    fn outcome(&self, pool_state: &PoolState, now_ms: Millis) -> Outcome {
         let waits = |t: &Task| t.phase == Phase::Ready;
-        let Some(spec) = book.step_spec(self.task) else {
+        let Some(spec) = pool_state.step_spec(self.task) else {
             return Outcome::Over("its job is gone");
         };
-        if !book.task(self.task).is_some_and(waits) {
+        if !pool_state.task(self.task).is_some_and(waits) {
             return Outcome::Over("the task waits no more");
         }
-        let worker = book.workers.get(self.worker);
+        let worker = pool_state.workers.get(self.worker);
         let Some(worker) = worker.filter(|w| w.is_open(now_ms)) else {
             return Outcome::Over("its host takes no work");
         };
-        let is_barred = is_held(book, self.task, now_ms) || runs::is_exhausted(book, self.task);
-        if is_barred || !book.is_within_quota(self.task, 1) {
+        let is_barred =
+            is_held(pool_state, self.task, now_ms) || runs::is_exhausted(pool_state, self.task);
+        if is_barred || !pool_state.is_within_quota(self.task, 1) {
             return Outcome::Over("the task may not start");
         }
         let demand = spec.demand();
         if worker.fits(demand) {
             return Outcome::Fits;
         }
-        if free_ms(book, worker, demand, now_ms).is_none() {
+        if free_ms(pool_state, worker, demand, now_ms).is_none() {
             return Outcome::Over("its host will not have the room");
         }
         match now_ms < self.until_ms {
@@ -208,9 +221,9 @@
         }
     }
 
-    fn tell(&self, book: &Book, code: Code, why: &'static str, ctx: &mut Ctx<'_>) {
-        let id = book.jobs.get(self.task.job).map_or("", |job| &job.id);
-        let demand = book.step_spec(self.task).map(StepSpec::demand);
+    fn tell(&self, pool_state: &PoolState, code: Code, why: &'static str, ctx: &mut Ctx<'_>) {
+        let id = pool_state.jobs.get(self.task.job).map_or("", |job| &job.id);
+        let demand = pool_state.step_spec(self.task).map(StepSpec::demand);
         let mut told = Decision::new(code, Subject::Job, id, why)
             .with("round", u64::from(self.task.round))
             .with("step", u64::from(self.task.step))
@@ -219,7 +232,7 @@
             .with("held_ms", ctx.now.ms.saturating_sub(self.since_ms))
             .with("most_ms", self.until_ms.saturating_sub(self.since_ms))
             .with("idle_core_ms", self.idle / 1_000);
-        if let Some(worker) = book.workers.get(self.worker) {
+        if let Some(worker) = pool_state.workers.get(self.worker) {
             told = told
                 .naming("worker", &*worker.fact.id)
                 .naming("on", &*worker.fact.host)
@@ -239,16 +252,16 @@
 
 /// A look for the host to be reserved for a task.
 struct Search<'a> {
-    book: &'a Book,
+    pool_state: &'a PoolState,
     key: TaskKey,
     spec: &'a StepSpec,
     now_ms: Millis,
 }
 
 impl<'a> Search<'a> {
-    fn new(book: &'a Book, key: TaskKey, spec: &'a StepSpec, now_ms: Millis) -> Self {
+    fn new(pool_state: &'a PoolState, key: TaskKey, spec: &'a StepSpec, now_ms: Millis) -> Self {
         Self {
-            book,
+            pool_state,
             key,
             spec,
             now_ms,
@@ -257,11 +270,16 @@
 
     /// The host on which the task fits soonest; hosts without a task that lasts go first.
     fn best(&self) -> Option<Candidate> {
-        let workers = self.book.workers.iter();
+        let workers = self.pool_state.workers.iter();
         let hosts = workers.filter_map(|(key, worker)| {
             let free_ms = self.free_ms(key, worker)?;
-            let is_avoided = self.book.reserved.avoided == Some(key);
-            let cost = (is_avoided, self.book.carries_lasting(worker), free_ms, key);
+            let is_avoided = self.pool_state.reserved.avoided == Some(key);
+            let cost = (
+                is_avoided,
+                self.pool_state.carries_lasting(worker),
+                free_ms,
+                key,
+            );
             Some((cost, free_ms))
         });
         let best = hosts.min_by_key(|(cost, _)| *cost);
@@ -271,32 +289,42 @@
     fn free_ms(&self, key: WorkerKey, worker: &Worker) -> Option<Millis> {
         let failed_there = |t: &Task| t.failed_on == Some(key);
         let may_take = worker.is_open(self.now_ms)
-            && !self.book.reserved.has(key)
-            && place::suits(self.book, self.key, self.spec, key)
-            && !self.book.task(self.key).is_some_and(failed_there);
+            && !self.pool_state.reserved.has(key)
+            && place::suits(self.pool_state, self.key, self.spec, key)
+            && !self.pool_state.task(self.key).is_some_and(failed_there);
         if !may_take {
             return None;
         }
-        let free_ms = free_ms(self.book, worker, self.spec.demand(), self.now_ms)?;
+        let free_ms = free_ms(self.pool_state, worker, self.spec.demand(), self.now_ms)?;
         (free_ms <= self.now_ms + DRAIN_MAX_MS).then_some(free_ms)
     }
 }
 
 /// Whether a task that lasts is to wait before its next start.
-fn is_held(book: &Book, key: TaskKey, now_ms: Millis) -> bool {
-    let lasts = book.step_spec(key).is_some_and(|s| s.lasting);
-    lasts && book.is_held(key, now_ms)
+fn is_held(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
+    let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
+    lasts && pool_state.is_held(key, now_ms)
 }
 
 /// When `demand` is expected to fit on a worker that gets nothing new; never, where what stays is too much.
-fn free_ms(book: &Book, worker: &Worker, demand: Capacity, now_ms: Millis) -> Option<Millis> {
+fn free_ms(
+    pool_state: &PoolState,
+    worker: &Worker,
+    demand: Capacity,
+    now_ms: Millis,
+) -> Option<Millis> {
     if !worker.is_large_enough(demand) {
         return None;
     }
     let mut ends: Vec<(Millis, Capacity)> = worker
         .tasks
         .iter()
-        .filter_map(|key| Some((end_ms(book, *key, now_ms)?, book.step_spec(*key)?.demand())))
+        .filter_map(|key| {
+            Some((
+                end_ms(pool_state, *key, now_ms)?,
+                pool_state.step_spec(*key)?.demand(),
+            ))
+        })
         .collect();
     ends.sort_unstable_by_key(|(end_ms, _)| *end_ms);
     let mut used = worker.used;
@@ -316,13 +344,13 @@
 
 /// When a task's run is expected to end; never, where it lasts. One that is past its time takes half as long again, for
 /// all that is known.
-fn end_ms(book: &Book, key: TaskKey, now_ms: Millis) -> Option<Millis> {
-    let job = book.jobs.get(key.job)?;
+fn end_ms(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> Option<Millis> {
+    let job = pool_state.jobs.get(key.job)?;
     let step = usize::from(key.step);
     if job.spec.steps.get(step)?.lasting {
         return None;
     }
-    let task = book.task(key)?;
+    let task = pool_state.task(key)?;
     let begun_ms = task.begun_ms.unwrap_or(task.since_ms);
     let end_ms = begun_ms + job.step_ms.get(step)?;
     if now_ms < end_ms {
--- a/src/core/sched/handover.rs
+++ b/src/core/sched/handover.rs
@@ -38,6 +38,9 @@
 /// Whether nothing of the books is left to be recorded. What a worker told and nobody recorded goes with that worker: the
 /// next owner would start a finished task again.
 fn has_nothing_left(ownership: &Ownership) -> bool {
-    let has_dirty = ownership.book.as_ref().is_some_and(|b| !b.dirty.is_empty());
+    let has_dirty = ownership
+        .pool_state
+        .as_ref()
+        .is_some_and(|b| !b.dirty.is_empty());
     !has_dirty && ownership.batches.iter().all(Option::is_none)
 }
--- a/src/core/sched/holds.rs
+++ b/src/core/sched/holds.rs
@@ -5,13 +5,13 @@
 
 use std::collections::HashMap;
 
-use super::book::Book;
 use super::crashes::{self, Evidence};
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{
     HEARD_ON_MS, HOLD_IDLE_WAIT_MS, HOLD_RETRY_MS, HOLD_WAIT_MS, RECORDING_WAIT_MS, SAME_LIFE_MS,
     WORKER_LEASE_MS,
 };
+use super::pool_state::PoolState;
 use super::restarts;
 use super::runs;
 use super::state::{Ctx, Effect, Timer};
@@ -26,9 +26,9 @@
 const ENDS_LISTED_MAX: usize = 500;
 
 /// Sends the next hold to a worker, unless one is out.
-pub fn next(book: &mut Book, key: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    let seen = book.seen_up_to(key);
-    let Some(w) = book.workers.get_mut(key) else {
+pub fn next(pool_state: &mut PoolState, key: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
+    let seen = pool_state.seen_up_to(key);
+    let Some(w) = pool_state.workers.get_mut(key) else {
         return;
     };
     if w.is_superseded {
@@ -70,59 +70,65 @@
     };
     w.hold = HoldPhase::Out(ctx.now.ms);
     w.told_seen = w.told_seen.max(seen);
-    if let Some(order) = runs::order(book, key, epoch, ctx) {
+    if let Some(order) = runs::order(pool_state, key, epoch, ctx) {
         ctx.out.push(Effect::Hold(order, key, ask));
     }
 }
 
 /// Holds workers whose ends could not be recorded for long. By a look now and then: a timer for each account would be
 /// thousands a second at a peak.
-pub fn hold_stuck(book: &mut Book, epoch: u64, ctx: &mut Ctx<'_>) {
-    let stuck: Vec<WorkerKey> = book.recording.iter().copied().collect();
+pub fn hold_stuck(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+    let stuck: Vec<WorkerKey> = pool_state.recording.iter().copied().collect();
     for key in stuck {
-        next(book, key, epoch, ctx);
+        next(pool_state, key, epoch, ctx);
     }
 }
 
 /// Takes in a worker's account; says whether the pool is lost.
 pub fn held(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
     result: Result<HoldReport, OrderReply>,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    let Some(w) = book.workers.get_mut(key) else {
+    let Some(w) = pool_state.workers.get_mut(key) else {
         return false;
     };
     w.hold = HoldPhase::Idle;
     match result {
         Ok(report) if !w.is_born(report.born_wall_ms) => {
-            restarts::supersede(book, key, report.born_wall_ms, ctx);
+            restarts::supersede(pool_state, key, report.born_wall_ms, ctx);
         }
         Ok(_) if w.is_unproven => {
-            restarts::prove(book, key, ctx);
-            next(book, key, epoch, ctx);
+            restarts::prove(pool_state, key, ctx);
+            next(pool_state, key, epoch, ctx);
         }
         Ok(report) if w.is_superseded => {
-            take_ends(book, key, sent_ms, &report, epoch, ctx);
+            take_ends(pool_state, key, sent_ms, &report, epoch, ctx);
         }
-        Ok(report) => account(book, key, sent_ms, report, epoch, ctx),
+        Ok(report) => account(pool_state, key, sent_ms, report, epoch, ctx),
         Err(OrderReply::Fenced) if !w.has_restarted() => return true,
         Err(OrderReply::OtherLife) if w.is_at_its_address() => {
             w.is_listed = false;
-            runs::worker_over(book, key, &Evidence::Answer("hold"), ctx);
-            end_lease(book, key);
-            forget_if_over(book, key, ctx);
+            runs::worker_over(pool_state, key, &Evidence::Answer("hold"), ctx);
+            end_lease(pool_state, key);
+            forget_if_over(pool_state, key, ctx);
         }
-        Err(reply) => silent(book, key, sent_ms, reply, ctx),
+        Err(reply) => silent(pool_state, key, sent_ms, reply, ctx),
     }
     false
 }
 
-fn silent(book: &mut Book, key: WorkerKey, sent_ms: Millis, reply: OrderReply, ctx: &mut Ctx<'_>) {
-    let Some(w) = book.workers.get_mut(key) else {
+fn silent(
+    pool_state: &mut PoolState,
+    key: WorkerKey,
+    sent_ms: Millis,
+    reply: OrderReply,
+    ctx: &mut Ctx<'_>,
+) {
+    let Some(w) = pool_state.workers.get_mut(key) else {
         return;
     };
     let left_ms = w.lease_over_ms.saturating_sub(ctx.now.ms);
@@ -143,65 +149,65 @@
             .with("tasks", w.tasks.len() as u64),
         );
         if is_broken {
-            crashes::note_broken(book, key, ctx.now.ms);
+            crashes::note_broken(pool_state, key, ctx.now.ms);
         }
     }
     ctx.after(left_ms, Timer::LeaseOver(key));
     ctx.after(HOLD_RETRY_MS, Timer::Hold(key));
-    end_if_succeeded(book, key, ctx);
+    end_if_succeeded(pool_state, key, ctx);
 }
 
 /// Everything ordered to a worker that is not heard has lapsed.
-pub fn lease_over(book: &mut Book, key: WorkerKey, ctx: &mut Ctx<'_>) {
-    let Some(w) = book.workers.get(key) else {
+pub fn lease_over(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
+    let Some(w) = pool_state.workers.get(key) else {
         return;
     };
     if w.answers || ctx.now.ms < w.lease_over_ms {
         return;
     }
-    let has_left = book.left.values().any(|left| left.worker == key);
+    let has_left = pool_state.left.values().any(|left| left.worker == key);
     if !w.tasks.is_empty() || has_left {
-        runs::worker_over(book, key, &Evidence::Lapse, ctx);
+        runs::worker_over(pool_state, key, &Evidence::Lapse, ctx);
     }
-    forget_if_over(book, key, ctx);
+    forget_if_over(pool_state, key, ctx);
 }
 
 /// Drops a worker that is neither listed nor heard, with nothing left on it.
-pub fn forget_if_over(book: &mut Book, key: WorkerKey, ctx: &Ctx<'_>) {
-    let Some(w) = book.workers.get(key) else {
+pub fn forget_if_over(pool_state: &mut PoolState, key: WorkerKey, ctx: &Ctx<'_>) {
+    let Some(w) = pool_state.workers.get(key) else {
         return;
     };
     if w.is_listed || w.answers || ctx.now.ms < w.lease_over_ms || !w.tasks.is_empty() {
         return;
     }
-    book.remove_worker(key, ctx.now.ms);
+    pool_state.remove_worker(key, ctx.now.ms);
 }
 
 fn account(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
     report: HoldReport,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let w = &mut book.workers[key];
+    let w = &mut pool_state.workers[key];
     w.fact.born_wall_ms = w.fact.born_wall_ms.or(report.born_wall_ms);
     if !w.answers {
         w.answers = true;
         // With its host open again, it was cut off and did not go.
         w.is_going &= w.is_closing;
-        book.wants_placing = true;
+        pool_state.wants_placing = true;
     }
     w.heard_ms = ctx.now.ms;
     w.first_asked_ms.get_or_insert(sent_ms);
     w.is_refusing = false;
     if w.broke_ms.take().is_some() {
-        crashes::note_back(book, key);
+        crashes::note_back(pool_state, key);
     }
-    restarts::adopt(book, key, &report, epoch, ctx);
-    end_earlier_lives(book, key, sent_ms, ctx);
-    let w = &mut book.workers[key];
+    restarts::adopt(pool_state, key, &report, epoch, ctx);
+    end_earlier_lives(pool_state, key, sent_ms, ctx);
+    let w = &mut pool_state.workers[key];
     let sample = ClockSample {
         local_ms: ctx.now.ms,
         worker_ms: report.clock_ms,
@@ -209,45 +215,53 @@
     if w.clock.is_none_or(|c| c.worker_ms <= sample.worker_ms) {
         w.clock = Some(sample);
     }
-    tell_unreadable(&mut book.workers[key], report.unreadable, ctx);
+    tell_unreadable(&mut pool_state.workers[key], report.unreadable, ctx);
     let is_whole = report.ended.len() < ENDS_LISTED_MAX;
-    take_ends(book, key, sent_ms, &report, epoch, ctx);
-    compare(book, key, sent_ms, &report.running, is_whole, epoch, ctx);
-    drop_left(book, key, sent_ms, &report.running);
-    let is_recorded = book.settle_ends(key);
-    let is_blocked = book.seen_up_to(key) < book.workers[key].recorded;
+    take_ends(pool_state, key, sent_ms, &report, epoch, ctx);
+    compare(
+        pool_state,
+        key,
+        sent_ms,
+        &report.running,
+        is_whole,
+        epoch,
+        ctx,
+    );
+    drop_left(pool_state, key, sent_ms, &report.running);
+    let is_recorded = pool_state.settle_ends(key);
+    let is_blocked = pool_state.seen_up_to(key) < pool_state.workers[key].recorded;
     if !is_recorded {
-        book.workers[key].hold = HoldPhase::Recording(ctx.now.ms);
-        book.recording.insert(key);
+        pool_state.workers[key].hold = HoldPhase::Recording(ctx.now.ms);
+        pool_state.recording.insert(key);
     } else if is_blocked {
         // It would answer at once with the ends that may not count as seen yet.
         ctx.after(HOLD_RETRY_MS, Timer::Hold(key));
     } else {
-        next(book, key, epoch, ctx);
+        next(pool_state, key, epoch, ctx);
     }
 }
 
 /// Takes in the ends that an account lists and that are not known yet.
 fn take_ends(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
     report: &HoldReport,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let mut told = told::Ends::new(book, key, sent_ms, epoch);
+    let mut told = told::Ends::new(pool_state, key, sent_ms, epoch);
     for end in &report.ended {
-        if end.number <= book.workers[key].taken {
+        if end.number <= pool_state.workers[key].taken {
             told.add_again(end);
         } else {
-            told.add(book, end, ctx);
-            runs::take_end(book, key, end, epoch, ctx);
-            let job = book.by_id.get(&end.task.job).copied();
-            book.note_taken(key, end.number, job);
+            told.add(pool_state, end, ctx);
+            runs::take_end(pool_state, key, end, epoch, ctx);
+            let job = pool_state.by_id.get(&end.task.job).copied();
+            pool_state.note_taken(key, end.number, job);
         }
     }
-    told.finish(book, ctx);
+    told.finish(pool_state, ctx);
 }
 
 /// Tells once how much of a worker's account can't be read.
@@ -262,11 +276,11 @@
 }
 
 /// Runs left behind whose stop was answered before this account was asked for, and that it lacks, are over.
-fn drop_left(book: &mut Book, key: WorkerKey, sent_ms: Millis, running: &[RunningTask]) {
-    if book.left.is_empty() {
+fn drop_left(pool_state: &mut PoolState, key: WorkerKey, sent_ms: Millis, running: &[RunningTask]) {
+    if pool_state.left.is_empty() {
         return;
     }
-    book.drop_left(|left| {
+    pool_state.drop_left(|left| {
         let is_asked_later = left.settled_ms.is_some_and(|at| at < sent_ms);
         let is_there = running.iter().any(|r| r.task == left.name);
         left.worker == key && is_asked_later && !is_there
@@ -275,55 +289,66 @@
 
 /// An id carries one life at a time: those that were last heard before this one was asked are over, and so are those that a
 /// former owner gave work to. Those of its host are over where this one came after their crash.
-fn end_earlier_lives(book: &mut Book, key: WorkerKey, sent_ms: Millis, ctx: &mut Ctx<'_>) {
-    let mut earlier = book.lives_beside(key);
-    let later = &book.workers[key];
+fn end_earlier_lives(
+    pool_state: &mut PoolState,
+    key: WorkerKey,
+    sent_ms: Millis,
+    ctx: &mut Ctx<'_>,
+) {
+    let mut earlier = pool_state.lives_beside(key);
+    let later = &pool_state.workers[key];
     earlier.retain(|other| {
-        let w = &book.workers[*other];
+        let w = &pool_state.workers[*other];
         match w.fact.id == later.fact.id {
             true => w.was_there() && w.heard_ms < sent_ms,
             false => w.is_succeeded_by(later),
         }
     });
     for other in earlier {
-        end_by(book, other, key, sent_ms, ctx);
+        end_by(pool_state, other, key, sent_ms, ctx);
     }
 }
 
 /// Ends a life whose connections are gone if a later one of its host was heard already.
-fn end_if_succeeded(book: &mut Book, key: WorkerKey, ctx: &mut Ctx<'_>) {
-    let Some(w) = book.workers.get(key) else {
+fn end_if_succeeded(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
+    let Some(w) = pool_state.workers.get(key) else {
         return;
     };
-    let found = book
+    let found = pool_state
         .lives_on(&w.fact.host)
         .find(|(_, other)| w.is_succeeded_by(other))
         .map(|(other, life)| (other, life.first_asked_ms.unwrap_or(life.heard_ms)));
     if let Some((other, asked_ms)) = found {
-        end_by(book, key, other, asked_ms, ctx);
+        end_by(pool_state, key, other, asked_ms, ctx);
     }
 }
 
 /// Ends a life by an account of `later` that was asked for at `asked_ms`.
-fn end_by(book: &mut Book, key: WorkerKey, later: WorkerKey, asked_ms: Millis, ctx: &mut Ctx<'_>) {
-    let life = book.workers[later].fact.id.clone();
-    book.workers[key].is_listed = false;
+fn end_by(
+    pool_state: &mut PoolState,
+    key: WorkerKey,
+    later: WorkerKey,
+    asked_ms: Millis,
+    ctx: &mut Ctx<'_>,
+) {
+    let life = pool_state.workers[later].fact.id.clone();
+    pool_state.workers[key].is_listed = false;
     let evidence = Evidence::Account { life, asked_ms };
-    runs::worker_over(book, key, &evidence, ctx);
-    end_lease(book, key);
-    forget_if_over(book, key, ctx);
+    runs::worker_over(pool_state, key, &evidence, ctx);
+    end_lease(pool_state, key);
+    forget_if_over(pool_state, key, ctx);
 }
 
 /// What ran there is over before its lease.
-fn end_lease(book: &mut Book, key: WorkerKey) {
-    if let Some(w) = book.workers.get_mut(key) {
+fn end_lease(pool_state: &mut PoolState, key: WorkerKey) {
+    if let Some(w) = pool_state.workers.get_mut(key) {
         w.lease_over_ms = 0;
     }
 }
 
 /// Compares what a worker says to run with what the books expect there.
 fn compare(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
     running: &[RunningTask],
@@ -333,26 +358,26 @@
 ) {
     let listed: HashMap<&TaskName, u32> = running.iter().map(|r| (&r.task, r.run)).collect();
     for run in running {
-        expect(book, key, sent_ms, run, epoch, ctx);
+        expect(pool_state, key, sent_ms, run, epoch, ctx);
     }
     if !is_whole {
         return;
     }
-    let expected: Vec<TaskKey> = book.workers[key].tasks.iter().copied().collect();
+    let expected: Vec<TaskKey> = pool_state.workers[key].tasks.iter().copied().collect();
     for task in expected {
-        let is_there = book
+        let is_there = pool_state
             .name(task)
             .is_some_and(|name| listed.contains_key(&name));
-        if !is_there && must_show(book, task, sent_ms) {
+        if !is_there && must_show(pool_state, task, sent_ms) {
             let why = "not among what the worker runs";
-            runs::requeue_for(book, task, why, Some(sent_ms), ctx);
+            runs::requeue_for(pool_state, task, why, Some(sent_ms), ctx);
         }
     }
 }
 
 /// Whether an account asked for at `sent_ms` must show the task, were it there.
-fn must_show(book: &Book, key: TaskKey, sent_ms: Millis) -> bool {
-    let Some(task) = book.task(key) else {
+fn must_show(pool_state: &PoolState, key: TaskKey, sent_ms: Millis) -> bool {
+    let Some(task) = pool_state.task(key) else {
         return false;
     };
     match task.phase {
@@ -364,42 +389,42 @@
 }
 
 fn expect(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     worker: WorkerKey,
     sent_ms: Millis,
     run: &RunningTask,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let key = book.find(&run.task);
-    let task = key.and_then(|k| book.task(k));
+    let key = pool_state.find(&run.task);
+    let task = key.and_then(|k| pool_state.task(k));
     let (Some(key), Some(task)) = (key, task) else {
-        if book.is_left_alone(&run.task.job) {
+        if pool_state.is_left_alone(&run.task.job) {
             return;
         }
-        runs::stop_stray(book, worker, &run.task, run.run, epoch, ctx);
+        runs::stop_stray(pool_state, worker, &run.task, run.run, epoch, ctx);
         return;
     };
     let is_here = task.run == run.run && task.phase.worker() == Some(worker);
     match task.phase {
         Phase::Suspect(_) | Phase::Starting(_) if is_here => {
-            book.set_phase(key, Phase::Running(worker), ctx.now.ms);
-            if let Some(task) = book.task_mut(key) {
+            pool_state.set_phase(key, Phase::Running(worker), ctx.now.ms);
+            if let Some(task) = pool_state.task_mut(key) {
                 task.settled_ms = Some(ctx.now.ms);
             }
-            if book.jobs[key.job].state.is_final() {
-                runs::stop(book, key, epoch, ctx);
+            if pool_state.jobs[key.job].state.is_final() {
+                runs::stop(pool_state, key, epoch, ctx);
             }
         }
         Phase::Running(_) if is_here => {
-            if let Some(task) = book.task_mut(key) {
+            if let Some(task) = pool_state.task_mut(key) {
                 task.is_at_work = run.percent >= 100;
             }
-            crashes::note_shown(book, key, sent_ms, ctx.now.ms);
+            crashes::note_shown(pool_state, key, sent_ms, ctx.now.ms);
         }
         Phase::Stopping(_) if is_here => {}
         // A start that is out again while an old copy of it is listed is told apart by its run.
         _ if task.run == run.run && task.phase.worker() == Some(worker) => {}
-        _ => runs::stop_stray(book, worker, &run.task, run.run, epoch, ctx),
+        _ => runs::stop_stray(pool_state, worker, &run.task, run.run, epoch, ctx),
     }
 }
--- a/src/core/sched/keys.rs
+++ b/src/core/sched/keys.rs
@@ -12,7 +12,7 @@
 /// One reading of a pool's rows. Keys mean something in the books that came of it alone: an answer to what they sent that
 /// reaches other books, taken in there, would speak of another worker or task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct BookId {
+pub struct PoolStateId {
     /// Epoch of the owner that read.
     pub epoch: u64,
     /// Its readings until then, this one included.
--- a/src/core/sched/lives.rs
+++ b/src/core/sched/lives.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 
 use super::access::{owned_pools, with_pool};
-use super::book::Book;
 use super::holds;
 use super::keys::WorkerKey;
 use super::load;
 use super::offers::Offers;
+use super::pool_state::PoolState;
 use super::state::{Ctx, Effect, State, Timer};
 use super::told;
 use super::worker::Worker;
@@ -145,13 +145,13 @@
                 return;
             };
             let epoch = ownership.epoch;
-            let Some(book) = &mut ownership.book else {
+            let Some(pool_state) = &mut ownership.pool_state else {
                 return;
             };
             match is_its_pool {
-                true => note_present(book, &fact, offers, epoch, ctx),
+                true => note_present(pool_state, &fact, offers, epoch, ctx),
                 // A life of the same id came up in another pool.
-                false => note_gone(book, &fact.id, ctx),
+                false => note_gone(pool_state, &fact.id, ctx),
             }
         });
     }
@@ -159,14 +159,14 @@
 
 /// Takes in a worker's entry in the list.
 pub fn note_present(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     fact: &WorkerFact,
     offers: &Offers,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    if let Some(key) = book.life(&fact.id, fact.born_wall_ms) {
-        let w = &mut book.workers[key];
+    if let Some(key) = pool_state.life(&fact.id, fact.born_wall_ms) {
+        let w = &mut pool_state.workers[key];
         if w.is_superseded {
             return;
         }
@@ -180,21 +180,21 @@
         };
         w.is_listed = true;
         w.is_withdrawn = false;
-        book.note_room(key);
-        book.wants_placing = true;
-        holds::next(book, key, epoch, ctx);
+        pool_state.note_room(key);
+        pool_state.wants_placing = true;
+        holds::next(pool_state, key, epoch, ctx);
         return;
     }
-    if let Some((_, earlier)) = book.lives_of(&fact.id).last() {
+    if let Some((_, earlier)) = pool_state.lives_of(&fact.id).last() {
         ctx.tell(told::restarted(earlier, fact.born_wall_ms, "its entry"));
     }
-    let key = load::add_listed(book, fact.clone(), ctx.now.ms, ctx.now);
+    let key = load::add_listed(pool_state, fact.clone(), ctx.now.ms, ctx.now);
     let is_given = offers.is_given(&fact.host, &fact.id);
-    book.workers[key].is_spare = is_given;
-    book.workers[key].is_offered = is_given;
+    pool_state.workers[key].is_spare = is_given;
+    pool_state.workers[key].is_offered = is_given;
     let found = Decision::new(Code::WorkerFound, Subject::Host, &fact.id, &*fact.host);
     ctx.tell(found.with("born_wall_ms", told::born(fact.born_wall_ms)));
-    greet(book, key, epoch, ctx);
+    greet(pool_state, key, epoch, ctx);
 }
 
 /// Tells that a worker's room is another one. What runs there and does not fit any more is left till it ends: nothing new
@@ -218,29 +218,30 @@
     state.listed.remove(id);
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, _| {
-            let Some(book) = pool.ownership.as_mut().and_then(|t| t.book.as_mut()) else {
+            let Some(pool_state) = pool.ownership.as_mut().and_then(|t| t.pool_state.as_mut())
+            else {
                 return;
             };
-            note_gone(book, id, ctx);
+            note_gone(pool_state, id, ctx);
         });
     }
 }
 
-fn note_gone(book: &mut Book, id: &str, ctx: &Ctx<'_>) {
-    let lives: Vec<WorkerKey> = book.lives_of(id).map(|(key, _)| key).collect();
+fn note_gone(pool_state: &mut PoolState, id: &str, ctx: &Ctx<'_>) {
+    let lives: Vec<WorkerKey> = pool_state.lives_of(id).map(|(key, _)| key).collect();
     for key in lives {
-        let w = &mut book.workers[key];
+        let w = &mut pool_state.workers[key];
         w.is_listed = false;
         w.is_withdrawn = w.answers;
-        holds::forget_if_over(book, key, ctx);
+        holds::forget_if_over(pool_state, key, ctx);
     }
 }
 
 /// First hold to a worker, and a look at the end of what others may have ordered there.
-pub(super) fn greet(book: &mut Book, worker: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    let left_ms = book.workers[worker]
+pub(super) fn greet(pool_state: &mut PoolState, worker: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
+    let left_ms = pool_state.workers[worker]
         .lease_over_ms
         .saturating_sub(ctx.now.ms);
     ctx.after(left_ms, Timer::LeaseOver(worker));
-    holds::next(book, worker, epoch, ctx);
+    holds::next(pool_state, worker, epoch, ctx);
 }
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -1,13 +1,13 @@
 //! A new owner's books: built from rows, and from rows that come later.
 
-use super::book::Book;
 use super::conflict;
 use super::job::{JobSpec, JobState};
-use super::keys::{BookId, JobKey, TaskKey, WorkerKey};
+use super::keys::{JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::{
     CLOCK_SLOW_PERCENT, LEASE_SLACK_MS, STRAY_LEASE_MS, WORKER_LEASE_MS, YOUNG_LIFE_MS,
 };
 use super::policy::{self, Deadlines};
+use super::pool_state::PoolState;
 use super::rows::{self, cancelled_job, shard_of_part, ProgressRow, RoundRow, Standing, TaskRow};
 use super::runs;
 use super::state::{Ctx, LoadedRows, State};
@@ -25,21 +25,21 @@
 /// Builds the books of a pool.
 pub fn build(
     pool: &str,
-    id: BookId,
+    id: PoolStateId,
     began_ms: Millis,
     times: Times,
     loaded: LoadedRows,
     state: &Facts<'_>,
     ctx: &mut Ctx<'_>,
-) -> Book {
-    let mut book = Book {
+) -> PoolState {
+    let mut pool_state = PoolState {
         id,
         name: pool.to_string(),
         times,
-        ..Book::default()
+        ..PoolState::default()
     };
     for fact in state.listed.values().filter(|f| f.pool == pool) {
-        add_listed(&mut book, fact.clone(), began_ms, ctx.now);
+        add_listed(&mut pool_state, fact.clone(), began_ms, ctx.now);
     }
     let mut cancels = Vec::new();
     let mut intake = loaded.intake;
@@ -49,21 +49,21 @@
         if cancelled_job(&row.key).is_some() {
             cancels.push(row);
         } else {
-            add_job(&mut book, &row, state.config, ctx);
+            add_job(&mut pool_state, &row, state.config, ctx);
         }
     }
     for row in loaded.progress {
-        apply_progress(&mut book, &row, began_ms, ctx);
+        apply_progress(&mut pool_state, &row, began_ms, ctx);
     }
-    let keys: Vec<JobKey> = book.jobs.keys().collect();
+    let keys: Vec<JobKey> = pool_state.jobs.keys().collect();
     for key in keys {
-        begin_if_new(&mut book, key, ctx);
+        begin_if_new(&mut pool_state, key, ctx);
     }
     for row in cancels {
-        apply_intake(&mut book, &row, state.config, id.epoch, ctx);
+        apply_intake(&mut pool_state, &row, state.config, id.epoch, ctx);
     }
-    book.wants_placing = true;
-    book
+    pool_state.wants_placing = true;
+    pool_state
 }
 
 /// What of the state is needed beside the books.
@@ -85,23 +85,23 @@
 }
 
 /// Adds a worker's life to the books.
-pub fn add_worker(book: &mut Book, fact: WorkerFact, began_ms: Millis) -> WorkerKey {
-    book.add_worker(Worker::new(fact, began_ms + FOREIGN_LEASE_MS))
+pub fn add_worker(pool_state: &mut PoolState, fact: WorkerFact, began_ms: Millis) -> WorkerKey {
+    pool_state.add_worker(Worker::new(fact, began_ms + FOREIGN_LEASE_MS))
 }
 
 /// The same for a life that this owner did not see begin. A former owner may have sent it a deadline that was meant for an
 /// earlier life of its id, if it began of late.
 pub(super) fn add_listed(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     fact: WorkerFact,
     began_ms: Millis,
     now: Now,
 ) -> WorkerKey {
     let born_wall_ms = fact.born_wall_ms;
-    let key = add_worker(book, fact, began_ms);
+    let key = add_worker(pool_state, fact, began_ms);
     let is_young = born_wall_ms.is_some_and(|ms| now.wall_ms.abs_diff(ms) < YOUNG_LIFE_MS);
     if is_young {
-        let w = &mut book.workers[key];
+        let w = &mut pool_state.workers[key];
         w.lease_over_ms = w.lease_over_ms.max(now.ms + STRAY_LEASE_MS);
     }
     key
@@ -109,7 +109,7 @@
 
 /// Takes in a row of intake: a job, or a cancel.
 pub fn apply_intake(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     row: &StoredRow,
     config: &FleetConfig,
     epoch: u64,
@@ -119,46 +119,46 @@
         return;
     }
     if let Some(id) = cancelled_job(&row.key) {
-        if let Some(key) = book.by_id.get(id).copied() {
-            runs::cancel(book, key, epoch, ctx);
+        if let Some(key) = pool_state.by_id.get(id).copied() {
+            runs::cancel(pool_state, key, epoch, ctx);
         }
         return;
     }
-    if is_stale(book, row, epoch) {
+    if is_stale(pool_state, row, epoch) {
         ctx.tell_job(Code::JobStale, &row.key, "its rows have left the store");
         return;
     }
-    if let Some(key) = add_job(book, row, config, ctx) {
-        book.meter(key, ctx.now.ms);
-        begin_if_new(book, key, ctx);
-        let Some(job) = book.jobs.get(key) else {
+    if let Some(key) = add_job(pool_state, row, config, ctx) {
+        pool_state.meter(key, ctx.now.ms);
+        begin_if_new(pool_state, key, ctx);
+        let Some(job) = pool_state.jobs.get(key) else {
             return;
         };
         // What is beyond its account's weight or quota tells of no need for hosts.
         let is_beyond = job
             .account
-            .is_some_and(|account| book.is_beyond_quota(account));
+            .is_some_and(|account| pool_state.is_beyond_quota(account));
         if !job.is_excess && !is_beyond {
-            book.note_arrival(key, ctx.now.ms);
+            pool_state.note_arrival(key, ctx.now.ms);
         }
     }
 }
 
 /// Whether a job's row was read before the job was removed, and is told after that: begun anew, all its finished tasks ran
 /// once more. What is older than the claim was there for the reading that followed, unless it had left.
-fn is_stale(book: &Book, row: &StoredRow, epoch: u64) -> bool {
-    let is_known = book.by_id.contains_key(&row.key);
-    !is_known && (row.revision < epoch || book.forgotten.contains_key(&row.key))
+fn is_stale(pool_state: &PoolState, row: &StoredRow, epoch: u64) -> bool {
+    let is_known = pool_state.by_id.contains_key(&row.key);
+    !is_known && (row.revision < epoch || pool_state.forgotten.contains_key(&row.key))
 }
 
 fn add_job(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     row: &StoredRow,
     config: &FleetConfig,
     ctx: &mut Ctx<'_>,
 ) -> Option<JobKey> {
-    if let Some(key) = book.by_id.get(&row.key).copied() {
-        let parts = &mut book.jobs[key].intake;
+    if let Some(key) = pool_state.by_id.get(&row.key).copied() {
+        let parts = &mut pool_state.jobs[key].intake;
         if !parts.contains(&row.part) {
             parts.push(row.part.clone());
         }
@@ -169,18 +169,19 @@
         Err(e) => {
             let why = format!("intake row: {e}");
             ctx.tell(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
-            book.unread.insert(row.key.clone());
+            pool_state.unread.insert(row.key.clone());
             return None;
         }
     };
     let policy = policy::of(&spec, config);
-    let step_ms = book.times.expect(&spec);
+    let step_ms = pool_state.times.expect(&spec);
     let deadlines = Deadlines::new(&spec, &step_ms, policy, ctx.now);
-    *book.waiting.entry(spec.queue.clone()).or_default() += 1;
+    *pool_state.waiting.entry(spec.queue.clone()).or_default() += 1;
     let account = spec.account.as_deref();
     let named_by = spec.policy.map_or(0, |policy| policy.config);
-    let account = account.map(|name| book.account_key(name, config.accounts.get(name), named_by));
-    let key = book.jobs.insert(Job {
+    let account =
+        account.map(|name| pool_state.account_key(name, config.accounts.get(name), named_by));
+    let key = pool_state.jobs.insert(Job {
         id: row.key.clone(),
         state: JobState::Queued,
         rounds: Default::default(),
@@ -202,14 +203,14 @@
         step_ms,
         spec,
     });
-    book.by_id.insert(row.key.clone(), key);
+    pool_state.by_id.insert(row.key.clone(), key);
     Some(key)
 }
 
 /// Begins the rounds of a job that are due and were never begun.
-pub fn begin_if_new(book: &mut Book, key: JobKey, ctx: &mut Ctx<'_>) {
+pub fn begin_if_new(pool_state: &mut PoolState, key: JobKey, ctx: &mut Ctx<'_>) {
     loop {
-        let Some(job) = book.jobs.get(key) else {
+        let Some(job) = pool_state.jobs.get(key) else {
             return;
         };
         let next = job.rounds_begun;
@@ -223,19 +224,24 @@
         if !is_due || job.state.is_final() || job.is_unreadable {
             return;
         }
-        book.begin_round(key, next, ctx.now.ms);
+        pool_state.begin_round(key, next, ctx.now.ms);
     }
 }
 
-fn apply_progress(book: &mut Book, row: &StoredRow, began_ms: Millis, ctx: &mut Ctx<'_>) {
+fn apply_progress(
+    pool_state: &mut PoolState,
+    row: &StoredRow,
+    began_ms: Millis,
+    ctx: &mut Ctx<'_>,
+) {
     let Some((_, shard)) = shard_of_part(&row.part) else {
         let why = "progress in a part that is no shard's";
         ctx.tell(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
         return;
     };
-    let Some(key) = book.by_id.get(&row.key).copied() else {
-        if !book.unread.contains(&row.key) {
-            book.orphans.push((shard, row.key.clone()));
+    let Some(key) = pool_state.by_id.get(&row.key).copied() else {
+        if !pool_state.unread.contains(&row.key) {
+            pool_state.orphans.push((shard, row.key.clone()));
         }
         return;
     };
@@ -245,42 +251,42 @@
             let why = format!("progress row: {e}");
             ctx.tell(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
             // Begun anew, it might run twice, and its record would be refused for ever, with all others of the batch.
-            book.set_state(key, JobState::Running, ctx.now.ms);
-            let job = &mut book.jobs[key];
+            pool_state.set_state(key, JobState::Running, ctx.now.ms);
+            let job = &mut pool_state.jobs[key];
             job.revision = row.revision;
             job.shard = Some(shard);
             job.is_unreadable = true;
             return;
         }
     };
-    book.set_state(key, progress.state, ctx.now.ms);
-    book.jobs[key].revision = row.revision;
-    book.jobs[key].recorded_digest = conflict::digest(row.value.as_deref());
-    book.jobs[key].shard = Some(shard);
-    book.jobs[key].rounds_begun = progress.begun();
+    pool_state.set_state(key, progress.state, ctx.now.ms);
+    pool_state.jobs[key].revision = row.revision;
+    pool_state.jobs[key].recorded_digest = conflict::digest(row.value.as_deref());
+    pool_state.jobs[key].shard = Some(shard);
+    pool_state.jobs[key].rounds_begun = progress.begun();
     if progress.state.is_final() {
         return;
     }
-    book.jobs[key].renew_policy(progress.policy, ctx.now);
+    pool_state.jobs[key].renew_policy(progress.policy, ctx.now);
     let lives: Vec<WorkerKey> = progress
         .lives()
-        .map(|(id, host, born)| known_or_ghost(book, (id, born), host, began_ms, ctx.now))
+        .map(|(id, host, born)| known_or_ghost(pool_state, (id, born), host, began_ms, ctx.now))
         .collect();
     for round in &progress.rounds {
-        apply_round(book, key, round, &lives, ctx.now.ms);
+        apply_round(pool_state, key, round, &lives, ctx.now.ms);
     }
 }
 
 /// The worker that a row names; one that is not listed may still run what it was told, until a later life
 /// of its host answers or everything told to it has lapsed.
 fn known_or_ghost(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     (id, born_wall_ms): (&str, Option<Millis>),
     host: &str,
     began_ms: Millis,
     now: Now,
 ) -> WorkerKey {
-    if let Some(key) = book.life(id, born_wall_ms) {
+    if let Some(key) = pool_state.life(id, born_wall_ms) {
         return key;
     }
     let fact = WorkerFact {
@@ -294,13 +300,19 @@
         capacity: Default::default(),
         draining: true,
     };
-    let key = add_listed(book, fact, began_ms, now);
-    book.workers[key].is_listed = false;
+    let key = add_listed(pool_state, fact, began_ms, now);
+    pool_state.workers[key].is_listed = false;
     key
 }
 
-fn apply_round(book: &mut Book, job: JobKey, row: &RoundRow, lives: &[WorkerKey], now_ms: Millis) {
-    let spec = book.jobs[job].spec.clone();
+fn apply_round(
+    pool_state: &mut PoolState,
+    job: JobKey,
+    row: &RoundRow,
+    lives: &[WorkerKey],
+    now_ms: Millis,
+) {
+    let spec = pool_state.jobs[job].spec.clone();
     let mut round = Round::default();
     for (n, step) in spec.steps.iter().enumerate() {
         let recorded = row.steps.get(n);
@@ -319,7 +331,7 @@
             is_open: false,
         });
     }
-    book.jobs[job].rounds.insert(row.round, round);
+    pool_state.jobs[job].rounds.insert(row.round, round);
     for (step, tasks) in row.steps.iter().enumerate() {
         for (index, task) in tasks.iter().enumerate() {
             let Standing::Started(place) = task.2 else {
@@ -334,10 +346,10 @@
                 step: step as u16,
                 index: index as u16,
             };
-            book.set_phase(key, Phase::Suspect(*worker), now_ms);
+            pool_state.set_phase(key, Phase::Suspect(*worker), now_ms);
         }
     }
-    book.open_steps(job, row.round, now_ms);
+    pool_state.open_steps(job, row.round, now_ms);
 }
 
 fn task(row: &TaskRow) -> Task {
--- a/src/core/sched/mod.rs
+++ b/src/core/sched/mod.rs
@@ -1,12 +1,11 @@
 //! Scheduling of jobs on pools of workers: one reducer over events, effects as data.
 //!
-//! Data lies at the bottom ([`job`], [`rows`], [`worker`], [`book`]), each decision is a module over it, and
+//! Data lies at the bottom ([`job`], [`rows`], [`worker`], [`pool_state`]), each decision is a module over it, and
 //! [`reduce`](reduce::reduce) is on top.
 
 mod access;
 pub mod accounts;
 pub mod blame;
-pub mod book;
 pub mod claim;
 pub mod commit;
 pub mod conflict;
@@ -33,6 +32,7 @@
 pub mod owner_lease;
 pub mod place;
 mod policy;
+pub mod pool_state;
 mod progress;
 pub mod quota;
 pub mod reduce;
--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -3,10 +3,10 @@
 use std::collections::HashMap;
 use std::ops::Bound;
 
-use super::book::Book;
 use super::keys::{JobKey, TaskKey};
 use super::limits::{PLACE_LOOKS, RESORT_MS};
 use super::overload::{self, Supply};
+use super::pool_state::PoolState;
 use super::runs;
 use super::tasks::{Class, Outlook, Rank};
 use crate::clock::Millis;
@@ -20,7 +20,7 @@
     at_ms: Millis,
 }
 
-impl Book {
+impl PoolState {
     /// Waiting tasks that a round of placement looks at: the first ones, and now and then some of those behind, by turns.
     pub(super) fn next_to_place(&mut self, now_ms: Millis) -> Vec<Rank> {
         let mut ranks = self.placeable(None, now_ms);
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -279,7 +279,7 @@
 }
 
 pub(super) fn heartbeat(pool: &Pool, ctx: &Ctx<'_>) -> HeartbeatRow {
-    let book = pool.ownership.as_ref().and_then(|t| t.book.as_ref());
+    let pool_state = pool.ownership.as_ref().and_then(|t| t.pool_state.as_ref());
     let sizing = pool.ownership.as_ref().map(|t| &t.sizing);
     HeartbeatRow {
         wanted: sizing.map_or(0, |s| s.wanted),
@@ -287,11 +287,11 @@
         serving: sizing.map_or(0, |s| s.serving),
         short_accounts: short_accounts(pool),
         ordered: ordered(pool, ctx.now.ms),
-        times: book.map_or_else(|| pool.lease.heartbeat.times.clone(), |b| b.times.clone()),
+        times: pool_state.map_or_else(|| pool.lease.heartbeat.times.clone(), |b| b.times.clone()),
         entry: ctx.me.to_string(),
         cpu_milli: ctx.cpu_milli,
         count: pool.lease.next_count(),
-        waiting: book.map(|b| b.waiting.clone()),
+        waiting: pool_state.map(|b| b.waiting.clone()),
     }
 }
 
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -3,12 +3,12 @@
 use std::cell::Cell;
 use std::collections::HashSet;
 
-use super::book::Book;
 use super::gang;
 use super::gather;
 use super::job::{JobState, StepSpec};
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{SUSPEND_MAX_MS, SUSPEND_MS};
+use super::pool_state::PoolState;
 use super::room::Slot;
 use super::state::Ctx;
 use super::tasks::{Phase, Rank, Task};
@@ -26,33 +26,33 @@
 const FAILS_MILLI: u64 = 300;
 
 /// Gives places to waiting tasks, in their order, as far as there is room.
-pub fn place(book: &mut Book, ctx: &mut Ctx<'_>) {
-    book.wants_placing = false;
-    gather::settle(book, ctx);
+pub fn place(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+    pool_state.wants_placing = false;
+    gather::settle(pool_state, ctx);
     let mut too_large: Vec<Capacity> = Vec::new();
     let mut tried_gangs: HashSet<TaskKey> = HashSet::new();
-    for Rank { task: key, .. } in book.next_to_place(ctx.now.ms) {
-        let Some(spec) = book.step_spec(key) else {
+    for Rank { task: key, .. } in pool_state.next_to_place(ctx.now.ms) {
+        let Some(spec) = pool_state.step_spec(key) else {
             continue;
         };
         if spec.gang {
             // Its other members are in the list, too.
             if tried_gangs.insert(TaskKey { index: 0, ..key }) {
-                gang::place(book, key, ctx);
+                gang::place(pool_state, key, ctx);
             }
             continue;
         }
         let demand = spec.demand();
-        if too_large.iter().any(|d| demand.holds(*d)) || !book.is_within_quota(key, 1) {
+        if too_large.iter().any(|d| demand.holds(*d)) || !pool_state.is_within_quota(key, 1) {
             continue;
         }
-        match choose(book, key, ctx.now.ms) {
-            Choice::Worker(worker) => assign(book, key, worker, ctx),
+        match choose(pool_state, key, ctx.now.ms) {
+            Choice::Worker(worker) => assign(pool_state, key, worker, ctx),
             Choice::NoRoom => too_large.push(demand),
             Choice::Barred => {}
         }
     }
-    gather::reserve(book, ctx);
+    gather::reserve(pool_state, ctx);
 }
 
 /// What a look for a task's place came to.
@@ -68,30 +68,34 @@
 /// The place of a suspect of crashes: where least runs that would end with the worker.
 fn choose_apart(search: &Search<'_>) -> Option<WorkerKey> {
     let cpu_milli = search.spec.demand().cpu_milli;
-    let slots = search.book.room.with_free(cpu_milli).map(|s| s.worker);
+    let slots = search
+        .pool_state
+        .room
+        .with_free(cpu_milli)
+        .map(|s| s.worker);
     let open = slots.filter(|worker| search.may_take(*worker));
     open.min_by_key(|worker| {
-        let cost = cost_milli(search.book, search.spec, *worker, Capacity::default());
-        (search.book.workers[*worker].tasks.len(), cost)
+        let cost = cost_milli(search.pool_state, search.spec, *worker, Capacity::default());
+        (search.pool_state.workers[*worker].tasks.len(), cost)
     })
 }
 
 /// The place of a task: on a worker that is reserved for another one only if it lasts and there is no other.
-fn choose(book: &Book, key: TaskKey, now_ms: u64) -> Choice {
-    let Some(spec) = book.step_spec(key) else {
+fn choose(pool_state: &PoolState, key: TaskKey, now_ms: u64) -> Choice {
+    let Some(spec) = pool_state.step_spec(key) else {
         return Choice::Barred;
     };
     let mut search = Search {
-        book,
+        pool_state,
         spec,
         key,
         now_ms,
-        is_apart: book.task(key).is_some_and(|t| t.is_apart(now_ms)),
+        is_apart: pool_state.task(key).is_some_and(|t| t.is_apart(now_ms)),
         has_room: Cell::new(false),
         takes_reserved: false,
     };
     let mut worker = search.choose();
-    if worker.is_none() && spec.lasting && !book.reserved.is_empty() {
+    if worker.is_none() && spec.lasting && !pool_state.reserved.is_empty() {
         search.takes_reserved = true;
         worker = search.choose();
     }
@@ -104,7 +108,7 @@
 
 /// The place of least cost: in the rack where the data lies if one there fits, else anywhere.
 fn choose_cheapest(search: &Search<'_>) -> Option<WorkerKey> {
-    let room = &search.book.room;
+    let room = &search.pool_state.room;
     let cpu_milli = search.spec.demand().cpu_milli;
     let Some(rack) = search.spec.data_rack.as_deref() else {
         let best = search.best(room.with_free(cpu_milli), 0, None);
@@ -117,7 +121,7 @@
 
 /// A look for a task's place.
 struct Search<'a> {
-    book: &'a Book,
+    pool_state: &'a PoolState,
     spec: &'a StepSpec,
     key: TaskKey,
     now_ms: u64,
@@ -131,7 +135,7 @@
 
 impl Search<'_> {
     fn choose(&self) -> Option<WorkerKey> {
-        match self.book.task(self.key).is_some_and(Task::is_suspect) {
+        match self.pool_state.task(self.key).is_some_and(Task::is_suspect) {
             true => choose_apart(self),
             false => choose_cheapest(self),
         }
@@ -153,7 +157,7 @@
             if !self.may_take(slot.worker) {
                 continue;
             }
-            let cost = cost_milli(self.book, self.spec, slot.worker, Capacity::default());
+            let cost = cost_milli(self.pool_state, self.spec, slot.worker, Capacity::default());
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, slot.worker));
             }
@@ -163,39 +167,44 @@
 
     /// Whether a worker is reserved for another task. What lasts goes there all the same where it finds no other place.
     fn is_reserved(&self, key: WorkerKey) -> bool {
-        !self.takes_reserved && self.book.reserved.bars(key, self.key)
+        !self.takes_reserved && self.pool_state.reserved.bars(key, self.key)
     }
 
     fn may_take(&self, key: WorkerKey) -> bool {
-        let worker = &self.book.workers[key];
+        let worker = &self.pool_state.workers[key];
         if !worker.is_open(self.now_ms) || !worker.fits(self.spec.demand()) || self.is_reserved(key)
         {
             return false;
         }
         self.has_room.set(true);
-        suits(self.book, self.key, self.spec, key)
-            && !failed_there(self.book, self.key, self.spec, key, self.now_ms)
-            && !(self.is_apart && self.book.is_watched(key))
+        suits(self.pool_state, self.key, self.spec, key)
+            && !failed_there(self.pool_state, self.key, self.spec, key, self.now_ms)
+            && !(self.is_apart && self.pool_state.is_watched(key))
     }
 }
 
 /// Whether the task's last run failed on this worker and another one may take it, with room now or soon: three
 /// failures on one bad worker would end the job.
 fn failed_there(
-    book: &Book,
+    pool_state: &PoolState,
     key: TaskKey,
     spec: &StepSpec,
     worker: WorkerKey,
     now_ms: u64,
 ) -> bool {
-    let Some(task) = book.task(key).filter(|t| t.failed_on == Some(worker)) else {
+    let Some(task) = pool_state.task(key).filter(|t| t.failed_on == Some(worker)) else {
         return false;
     };
     let until_ms = task.failed_ms + avoid_ms(task.fails());
-    let mut others = book.workers.iter().filter(|(other, _)| *other != worker);
+    let mut others = pool_state
+        .workers
+        .iter()
+        .filter(|(other, _)| *other != worker);
     now_ms < until_ms
         && others.any(|(other, w)| {
-            w.is_open(until_ms) && w.is_large_enough(spec.demand()) && suits(book, key, spec, other)
+            w.is_open(until_ms)
+                && w.is_large_enough(spec.demand())
+                && suits(pool_state, key, spec, other)
         })
 }
 
@@ -206,34 +215,44 @@
 }
 
 /// Whether a task could go to another worker than the one it is on.
-pub fn has_other(book: &Book, key: TaskKey, worker: WorkerKey, now_ms: u64) -> bool {
-    let Some(spec) = book.step_spec(key) else {
+pub fn has_other(pool_state: &PoolState, key: TaskKey, worker: WorkerKey, now_ms: u64) -> bool {
+    let Some(spec) = pool_state.step_spec(key) else {
         return false;
     };
     let demand = spec.demand();
-    let slots = book.room.with_free(demand.cpu_milli);
+    let slots = pool_state.room.with_free(demand.cpu_milli);
     let mut others = slots.map(|slot| slot.worker).filter(|w| *w != worker);
     others.any(|other| {
-        let w = &book.workers[other];
-        w.is_open(now_ms) && w.fits(demand) && suits(book, key, spec, other)
+        let w = &pool_state.workers[other];
+        w.is_open(now_ms) && w.fits(demand) && suits(pool_state, key, spec, other)
     })
 }
 
-pub(super) fn suits(book: &Book, key: TaskKey, spec: &StepSpec, worker: WorkerKey) -> bool {
-    let worker = &book.workers[worker];
+pub(super) fn suits(
+    pool_state: &PoolState,
+    key: TaskKey,
+    spec: &StepSpec,
+    worker: WorkerKey,
+) -> bool {
+    let worker = &pool_state.workers[worker];
     if let Some(label) = &spec.label {
         if !worker.fact.labels.contains(label) {
             return false;
         }
     }
     let most = usize::from(spec.per_worker_max);
-    most == 0 || book.siblings_on(key, worker) < most
+    most == 0 || pool_state.siblings_on(key, worker) < most
 }
 
 /// How much a worker is to be avoided, in thousandths of its room that stay free; `more` is about to be placed
 /// there, too. Full workers first: others stay empty and can go where they are wanted.
-pub(super) fn cost_milli(book: &Book, spec: &StepSpec, worker: WorkerKey, more: Capacity) -> u64 {
-    let w = &book.workers[worker];
+pub(super) fn cost_milli(
+    pool_state: &PoolState,
+    spec: &StepSpec,
+    worker: WorkerKey,
+    more: Capacity,
+) -> u64 {
+    let w = &pool_state.workers[worker];
     let room = w.fact.capacity.cpu_milli;
     let free = room.saturating_sub(w.used.cpu_milli + more.cpu_milli);
     let mut cost = free * 1_000 / room.max(1);
@@ -250,25 +269,30 @@
     cost + u64::from(w.fails_in_row) * FAILS_MILLI
 }
 
-pub(super) fn assign(book: &mut Book, key: TaskKey, worker: WorkerKey, ctx: &mut Ctx<'_>) {
-    book.set_phase(key, Phase::Recording(worker), ctx.now.ms);
-    let Some(task) = book.task_mut(key) else {
+pub(super) fn assign(
+    pool_state: &mut PoolState,
+    key: TaskKey,
+    worker: WorkerKey,
+    ctx: &mut Ctx<'_>,
+) {
+    pool_state.set_phase(key, Phase::Recording(worker), ctx.now.ms);
+    let Some(task) = pool_state.task_mut(key) else {
         return;
     };
     task.run += 1;
     task.lost_ms = None;
     let run = task.run;
-    book.unsent.push((key, run));
-    if book.jobs[key.job].state == JobState::Queued {
-        book.set_state(key.job, JobState::Running, ctx.now.ms);
+    pool_state.unsent.push((key, run));
+    if pool_state.jobs[key.job].state == JobState::Queued {
+        pool_state.set_state(key.job, JobState::Running, ctx.now.ms);
     }
-    book.mark(key.job, ctx.now.ms);
-    let w = &book.workers[worker];
+    pool_state.mark(key.job, ctx.now.ms);
+    let w = &pool_state.workers[worker];
     ctx.tell(
         Decision::new(
             Code::TaskPlaced,
             Subject::Job,
-            &book.jobs[key.job].id,
+            &pool_state.jobs[key.job].id,
             &*w.fact.id,
         )
         .naming("on", &*w.fact.host)
--- a/src/core/sched/policy.rs
+++ b/src/core/sched/policy.rs
@@ -3,10 +3,10 @@
 //! An owner's configuration may be older than a job, or may have lost its queue. So the entry that accepts a job writes the
 //! queue's policy beside it, an owner records the policies that changed since, and of all that is known the newest one holds.
 
-use super::book::Book;
 use super::job::{JobSpec, QueuePolicy};
 use super::keys::JobKey;
 use super::limits::HOPELESS_FACTOR;
+use super::pool_state::PoolState;
 use super::state::Ctx;
 use super::tasks::Job;
 use crate::clock::{Millis, Now};
@@ -77,8 +77,8 @@
 }
 
 /// Brings all jobs under a configuration that has come into force.
-pub(super) fn refresh(book: &mut Book, config: &FleetConfig, ctx: &Ctx<'_>) {
-    let open = book
+pub(super) fn refresh(pool_state: &mut PoolState, config: &FleetConfig, ctx: &Ctx<'_>) {
+    let open = pool_state
         .jobs
         .iter_mut()
         .filter(|(_, job)| !job.state.is_final());
@@ -88,6 +88,6 @@
     });
     let renewed: Vec<JobKey> = renewed.collect();
     for key in renewed {
-        book.mark(key, ctx.now.ms);
+        pool_state.mark(key, ctx.now.ms);
     }
 }
--- a/src/core/sched/book.rs
+++ b/src/core/sched/pool_state.rs
@@ -7,7 +7,7 @@
 use super::accounts::AccountUse;
 use super::gather::Reservations;
 use super::job::{JobState, StepSpec};
-use super::keys::{AccountKey, BookId, JobKey, TaskKey, WorkerKey};
+use super::keys::{AccountKey, JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::{ARRIVALS_MS, CALM_MS, FORGOTTEN_KEPT_MS, HELD_MAX_MS};
 use super::order::LookCursor;
 use super::room::Room;
@@ -46,9 +46,9 @@
 
 /// The books of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct PoolState {
     /// The reading that they came of.
-    pub id: BookId,
+    pub id: PoolStateId,
     /// The pool.
     pub name: String,
     /// The jobs.
@@ -121,7 +121,7 @@
     pub answers: Answers,
 }
 
-impl Book {
+impl PoolState {
     /// A task.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         let round = self.jobs.get(key.job)?.rounds.get(&key.round)?;
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -2,12 +2,12 @@
 
 use std::collections::HashMap;
 
-use super::book::Book;
 use super::keys::{JobKey, WorkerKey};
+use super::pool_state::PoolState;
 use super::rows::{ProgressRow, RoundRow, Standing, TaskRow};
 use super::tasks::{LivesEnded, Phase, Seen, Task};
 
-impl Book {
+impl PoolState {
     /// A job's progress as its row holds it.
     pub fn progress(&self, key: JobKey) -> Option<ProgressRow> {
         let job = self.jobs.get(key)?;
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::accounts::AccountUse;
-use super::book::Book;
+use super::pool_state::PoolState;
 use super::rows;
 use super::state::{Ctx, Effect, Timer};
 use crate::clock::Millis;
@@ -158,25 +158,30 @@
 }
 
 /// Looks at the grants of all accounts that have work here, or had some.
-pub fn look(book: &mut Book, controller: &mut QuotaController, with: &Look<'_>, ctx: &mut Ctx<'_>) {
+pub fn look(
+    pool_state: &mut PoolState,
+    controller: &mut QuotaController,
+    with: &Look<'_>,
+    ctx: &mut Ctx<'_>,
+) {
     let pause_ms = match with.config.accounts.is_empty() {
         true => IDLE_LOOK_MS,
         false => LOOK_MS,
     };
     ctx.after(pause_ms, Timer::Quota);
-    adjust(book, controller, with, ctx);
+    adjust(pool_state, controller, with, ctx);
 }
 
 /// Asks for what is needed and gives back what is not.
 pub fn adjust(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     controller: &mut QuotaController,
     with: &Look<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    book.wants_quota = false;
+    pool_state.wants_quota = false;
     let mut short = BTreeSet::new();
-    for account in &mut book.accounts {
+    for account in &mut pool_state.accounts {
         let config = with.config.accounts.get(&account.name);
         account.weight = config.map_or(0, |a| a.weight);
         let quota = config.map(|a| a.quota);
@@ -186,7 +191,7 @@
             let limit = is_news.then(Capacity::default);
             if account.limit != limit {
                 account.limit = limit;
-                book.wants_placing = true;
+                pool_state.wants_placing = true;
             }
             if is_news && need(account) != Capacity::default() {
                 let ledger = controller.ledgers.entry(account.name.clone()).or_default();
@@ -206,7 +211,7 @@
         }
         let limit = ledger.limit(with, quota);
         if account.limit != Some(limit) {
-            book.wants_placing = true;
+            pool_state.wants_placing = true;
         }
         account.limit = Some(limit);
         account.ceiling = limited(minus(quota, ledger.row.others(with.pool)), quota);
@@ -343,7 +348,7 @@
 
 /// Settles a change of a grant; books that are being read look at grants once they are there.
 pub fn settled(
-    book: Option<&mut Book>,
+    pool_state: Option<&mut PoolState>,
     controller: &mut QuotaController,
     pool: &str,
     account: &str,
@@ -385,14 +390,14 @@
             return;
         }
     }
-    if let Some(book) = book {
-        book.wants_quota = true;
+    if let Some(pool_state) = pool_state {
+        pool_state.wants_quota = true;
     }
 }
 
 /// Takes in an account's row as read.
 pub fn read(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     controller: &mut QuotaController,
     account: &str,
     row: Option<StoredRow>,
@@ -408,7 +413,7 @@
         .is_some_and(|row| row.revision < ledger.revision);
     if !is_older {
         ledger.observe(row, account, ctx);
-        book.wants_quota = true;
+        pool_state.wants_quota = true;
     }
 }
 
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -3,10 +3,9 @@
 use std::sync::Arc;
 
 use super::access::{
-    owned_pools, ownership_of, pool_key, with_book, with_grant_controller, with_host_controller,
-    with_pool, with_quota_controller, with_wave_controller,
+    owned_pools, ownership_of, pool_key, with_grant_controller, with_host_controller, with_pool,
+    with_pool_state, with_quota_controller, with_wave_controller,
 };
-use super::book::Book;
 use super::claim;
 use super::commit::{self, Settled};
 use super::crashes;
@@ -16,7 +15,7 @@
 use super::holds;
 use super::hosts;
 use super::job::JobSpec;
-use super::keys::{BookId, WorkerKey};
+use super::keys::{PoolStateId, WorkerKey};
 use super::limits::RESORT_MS;
 use super::lives::{greet, worker_word, workers_loaded, workers_read};
 use super::load;
@@ -24,6 +23,7 @@
 use super::owner_lease;
 use super::place;
 use super::policy;
+use super::pool_state::PoolState;
 use super::quota;
 use super::remove;
 use super::rows::{cancelled_job, pool_of_part, shard_of_part, HEARTBEAT_KEY, OWNER_KEY};
@@ -61,24 +61,24 @@
         }
         Event::Loaded(pool, epoch, rows) => loaded(state, pool, epoch, rows, now, &mut out),
         Event::Intake(row) => intake(state, &row, now, &mut out),
-        Event::Recorded(pool, book, shard, outcome) => {
-            recorded(state, pool, book, shard, outcome, now, &mut out);
+        Event::Recorded(pool, pool_state, shard, outcome) => {
+            recorded(state, pool, pool_state, shard, outcome, now, &mut out);
         }
         Event::Started(pool, id, task, run, reply) => {
-            with_book(state, pool, id, now, &mut out, |book, ctx| {
-                runs::started(book, task, run, reply, id.epoch, ctx)
+            with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
+                runs::started(pool_state, task, run, reply, id.epoch, ctx)
             });
         }
         Event::Stopped(pool, id, task, run, reply) => {
-            with_book(state, pool, id, now, &mut out, |book, ctx| {
-                runs::stopped(book, task, run, reply, ctx)
+            with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
+                runs::stopped(pool_state, task, run, reply, ctx)
             });
         }
         // The worker tells it to the next owner; taken in here it would put the handover off.
         Event::Held(..) if state.is_stopping() => {}
         Event::Held(pool, id, worker, sent_ms, result) => {
-            with_book(state, pool, id, now, &mut out, |book, ctx| {
-                holds::held(book, worker, sent_ms, result, id.epoch, ctx)
+            with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
+                holds::held(pool_state, worker, sent_ms, result, id.epoch, ctx)
             });
         }
         Event::WaveRow(row) => wave_row(state, &row, now, &mut out),
@@ -88,9 +88,9 @@
                 pool,
                 now,
                 &mut out,
-                |book, controller, waves, with, ctx| {
+                |pool_state, controller, waves, with, ctx| {
                     if with.0 == epoch {
-                        wave::settled(book, controller, waves, outcome, ctx);
+                        wave::settled(pool_state, controller, waves, outcome, ctx);
                     }
                 },
             );
@@ -128,8 +128,8 @@
                 epoch,
                 now,
                 &mut out,
-                |book, controller, with, ctx| {
-                    quota::settled(book, controller, with.pool, &account, outcome, ctx);
+                |pool_state, controller, with, ctx| {
+                    quota::settled(pool_state, controller, with.pool, &account, outcome, ctx);
                 },
             );
         }
@@ -140,8 +140,8 @@
                 epoch,
                 now,
                 &mut out,
-                |book, controller, _, ctx| {
-                    quota::read(book, controller, &account, row, ctx);
+                |pool_state, controller, _, ctx| {
+                    quota::read(pool_state, controller, &account, row, ctx);
                 },
             );
         }
@@ -241,9 +241,9 @@
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, facts| {
             let ownership = pool.ownership.as_mut();
-            if let Some(book) = ownership.and_then(|t| t.book.as_mut()) {
-                book.wants_quota = true;
-                policy::refresh(book, facts.config, ctx);
+            if let Some(pool_state) = ownership.and_then(|t| t.pool_state.as_mut()) {
+                pool_state.wants_quota = true;
+                policy::refresh(pool_state, facts.config, ctx);
             }
         });
     }
@@ -325,22 +325,22 @@
         let offers = rows.owner.iter().find(|row| row.key == OFFERS_KEY);
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
         let times = pool.lease.heartbeat.times.clone();
-        let id = ownership.next_book(ctx);
+        let id = ownership.begin_reading(ctx);
         // Counted from the claim, leases that this owner gave since would be over at once, and all that runs be requeued.
         let earlier_ms = ownership.earlier_until_ms(ctx.now.ms);
-        let mut book = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
-        ownership.keep_shards(&mut book);
-        close_given(&mut book, &pool.offers);
-        wave::close_leaving(&mut book, &ownership.waves);
+        let mut pool_state = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
+        ownership.keep_shards(&mut pool_state);
+        close_given(&mut pool_state, &pool.offers);
+        wave::close_leaving(&mut pool_state, &ownership.waves);
         for row in std::mem::take(&mut ownership.early) {
-            load::apply_intake(&mut book, &row, facts.config, epoch, ctx);
+            load::apply_intake(&mut pool_state, &row, facts.config, epoch, ctx);
         }
-        told::loaded(&name, &book, ownership, facts.config.version, ctx);
-        let workers: Vec<WorkerKey> = book.workers.keys().collect();
+        told::loaded(&name, &pool_state, ownership, facts.config.version, ctx);
+        let workers: Vec<WorkerKey> = pool_state.workers.keys().collect();
         for worker in workers {
-            greet(&mut book, worker, epoch, ctx);
+            greet(&mut pool_state, worker, epoch, ctx);
         }
-        ownership.book = Some(book);
+        ownership.pool_state = Some(pool_state);
         ctx.after(RESORT_MS, Timer::Upkeep);
         ctx.after(0, Timer::Remove);
         ctx.after(0, Timer::Wave);
@@ -359,14 +359,14 @@
             return;
         };
         let epoch = ownership.epoch;
-        match &mut ownership.book {
+        match &mut ownership.pool_state {
             None => ownership.early.push(row.clone()),
-            Some(book) => {
+            Some(pool_state) => {
                 let is_new =
-                    cancelled_job(&row.key).is_none() && !book.by_id.contains_key(&row.key);
-                load::apply_intake(book, row, facts.config, epoch, ctx);
+                    cancelled_job(&row.key).is_none() && !pool_state.by_id.contains_key(&row.key);
+                load::apply_intake(pool_state, row, facts.config, epoch, ctx);
                 if is_new {
-                    tell_taken(book, &row.key, facts.config.version, ctx);
+                    tell_taken(pool_state, &row.key, facts.config.version, ctx);
                 }
             }
         }
@@ -374,8 +374,12 @@
 }
 
 /// A new job, and what its order among others will rest on.
-fn tell_taken(book: &Book, id: &str, config_version: u64, ctx: &mut Ctx<'_>) {
-    let Some(job) = book.by_id.get(id).and_then(|key| book.jobs.get(*key)) else {
+fn tell_taken(pool_state: &PoolState, id: &str, config_version: u64, ctx: &mut Ctx<'_>) {
+    let Some(job) = pool_state
+        .by_id
+        .get(id)
+        .and_then(|key| pool_state.jobs.get(*key))
+    else {
         return;
     };
     ctx.tell(
@@ -400,7 +404,7 @@
 fn recorded(
     state: &mut State,
     key: PoolKey,
-    id: BookId,
+    id: PoolStateId,
     shard: usize,
     outcome: TxOutcome,
     now: Now,
@@ -415,7 +419,7 @@
             Settled::PoolLost => owner_lease::lose(pool, "its row changed", ctx),
             Settled::Diverged => {
                 told::tell_last_answers(ownership, ctx);
-                ownership.drop_book(ctx);
+                ownership.drop_pool_state(ctx);
                 ctx.out
                     .push(Effect::Load(ctx.pool, id.epoch, pool.name.clone()));
             }
@@ -502,9 +506,9 @@
             key,
             now,
             out,
-            |book, controller, waves, (epoch, name), ctx| {
-                if let Some(book) = book {
-                    wave::look(book, controller, waves, name, epoch, ctx);
+            |pool_state, controller, waves, (epoch, name), ctx| {
+                if let Some(pool_state) = pool_state {
+                    wave::look(pool_state, controller, waves, name, epoch, ctx);
                 }
             },
         );
@@ -527,27 +531,27 @@
             Timer::Resend(shard) => commit::resend(ownership, &mut pool.lease, shard, ctx),
             Timer::Remove => remove::look(ownership, ctx),
             _ => {
-                if let Some(book) = &mut ownership.book {
-                    fire_in_book(book, timer, epoch, ctx);
+                if let Some(pool_state) = &mut ownership.pool_state {
+                    fire_in_pool_state(pool_state, timer, epoch, ctx);
                 }
             }
         }
     });
 }
 
-fn fire_in_book(book: &mut Book, timer: Timer, epoch: u64, ctx: &mut Ctx<'_>) {
+fn fire_in_pool_state(pool_state: &mut PoolState, timer: Timer, epoch: u64, ctx: &mut Ctx<'_>) {
     match timer {
-        Timer::Hold(worker) => holds::next(book, worker, epoch, ctx),
-        Timer::LeaseOver(worker) => holds::lease_over(book, worker, ctx),
-        Timer::Restart(task, run) => runs::send_start(book, task, run, epoch, ctx),
-        Timer::Restop(task, run) => runs::restop(book, task, run, epoch, ctx),
+        Timer::Hold(worker) => holds::next(pool_state, worker, epoch, ctx),
+        Timer::LeaseOver(worker) => holds::lease_over(pool_state, worker, ctx),
+        Timer::Restart(task, run) => runs::send_start(pool_state, task, run, epoch, ctx),
+        Timer::Restop(task, run) => runs::restop(pool_state, task, run, epoch, ctx),
         Timer::Upkeep => {
-            book.resort(ctx.now.ms);
-            sizing::tell_load(book, ctx);
-            runs::begin_due_rounds(book, ctx);
-            runs::end_exhausted(book, epoch, ctx);
-            holds::hold_stuck(book, epoch, ctx);
-            book.wants_placing = true;
+            pool_state.resort(ctx.now.ms);
+            sizing::tell_load(pool_state, ctx);
+            runs::begin_due_rounds(pool_state, ctx);
+            runs::end_exhausted(pool_state, epoch, ctx);
+            holds::hold_stuck(pool_state, epoch, ctx);
+            pool_state.wants_placing = true;
             // Timers at the same moment are one: this one alone keeps the round going.
             let is_set =
                 |(_, p, t): &(Millis, PoolKey, Timer)| *p == ctx.pool && *t == Timer::Upkeep;
@@ -586,7 +590,7 @@
             return;
         };
         let epoch = ownership.epoch;
-        let Some(book) = &mut ownership.book else {
+        let Some(pool_state) = &mut ownership.pool_state else {
             return;
         };
         let with = sizing::Look {
@@ -596,7 +600,13 @@
             pressed,
             answer_ms: pool.lease.answer_ms,
         };
-        if sizing::look(book, &mut ownership.sizing, &mut pool.offers, &with, ctx) {
+        if sizing::look(
+            pool_state,
+            &mut ownership.sizing,
+            &mut pool.offers,
+            &with,
+            ctx,
+        ) {
             owner_lease::hasten_heartbeat(pool, ctx);
         }
     });
@@ -605,10 +615,11 @@
 /// Asks for grants as soon as work waits for them.
 fn adjust_quota(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
     let ownership = state.pools[usize::from(key.0)].ownership.as_ref();
-    let Some((epoch, book)) = ownership.and_then(|t| Some((t.epoch, t.book.as_ref()?))) else {
+    let Some((epoch, pool_state)) = ownership.and_then(|t| Some((t.epoch, t.pool_state.as_ref()?)))
+    else {
         return;
     };
-    if book.wants_quota {
+    if pool_state.wants_quota {
         with_quota_controller(state, key, epoch, now, out, quota::adjust);
     }
 }
@@ -626,13 +637,13 @@
                 return;
             };
             let epoch = ownership.epoch;
-            if let Some(book) = ownership.book.as_mut() {
-                crashes::give_up(book, epoch, ctx);
-                gang::stop_broken(book, epoch, ctx);
-                if book.wants_placing && ctx.may_send() {
-                    place::place(book, ctx);
+            if let Some(pool_state) = ownership.pool_state.as_mut() {
+                crashes::give_up(pool_state, epoch, ctx);
+                gang::stop_broken(pool_state, epoch, ctx);
+                if pool_state.wants_placing && ctx.may_send() {
+                    place::place(pool_state, ctx);
                 }
-                told::tell_old_answers(book, ctx);
+                told::tell_old_answers(pool_state, ctx);
             }
             commit::flush(pool, ctx);
         });
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 
-use super::book::Book;
 use super::keys::JobKey;
 use super::limits::{FINISHED_KEPT_MS, REMOVED_JOBS, REMOVE_MS};
 use super::owner_lease::epoch_guard;
+use super::pool_state::PoolState;
 use super::rows::{cancel_key, shard_part, SHARDS};
 use super::state::{Batch, Ctx, Effect, Ownership, Pool, Timer};
 use crate::port::fleet::{RowTx, Table, TxOutcome, Write};
@@ -16,12 +16,14 @@
 /// Removes what was submitted, of the part with the most jobs that are old.
 pub(super) fn look(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
     ctx.after(REMOVE_MS, Timer::Remove);
-    let Some(book) = &ownership.book else { return };
+    let Some(pool_state) = &ownership.pool_state else {
+        return;
+    };
     if ownership.removing.is_some() || !ownership.removable.is_empty() || !ctx.may_send() {
         return;
     }
     let mut old: BTreeMap<&String, Vec<JobKey>> = BTreeMap::new();
-    for (key, job) in &book.jobs {
+    for (key, job) in &pool_state.jobs {
         let is_old = |at| ctx.now.ms > at + FINISHED_KEPT_MS;
         // An end that is not on record yet is not known to the next owner.
         let is_recorded = job.recorded_changes >= job.changes;
@@ -35,7 +37,7 @@
         return;
     };
     keys.truncate(REMOVED_JOBS);
-    let ids = keys.iter().map(|key| &book.jobs[*key].id);
+    let ids = keys.iter().map(|key| &pool_state.jobs[*key].id);
     let writes = ids.flat_map(|id| [id.clone(), cancel_key(id)]);
     let tx = RowTx {
         part: part.clone(),
@@ -44,7 +46,8 @@
         writes: writes.map(|key| gone(Table::Intake, key)).collect(),
     };
     ownership.removing = Some((part.clone(), keys));
-    ctx.out.push(Effect::RemoveIntake(ctx.pool, book.id, tx));
+    ctx.out
+        .push(Effect::RemoveIntake(ctx.pool, pool_state.id, tx));
 }
 
 fn gone(table: Table, key: String) -> Write {
@@ -57,14 +60,16 @@
 
 /// What was submitted is gone, or not: then the next look tries again.
 pub(super) fn intake_removed(ownership: &mut Ownership, outcome: &TxOutcome) {
-    let (Some((part, keys)), Some(book)) = (ownership.removing.take(), &mut ownership.book) else {
+    let (Some((part, keys)), Some(pool_state)) =
+        (ownership.removing.take(), &mut ownership.pool_state)
+    else {
         return;
     };
     if !matches!(outcome, TxOutcome::Committed(_)) {
         return;
     }
     for key in keys {
-        let Some(job) = book.jobs.get_mut(key) else {
+        let Some(job) = pool_state.jobs.get_mut(key) else {
             continue;
         };
         job.intake.retain(|other| *other != part);
@@ -80,10 +85,10 @@
     let Some(ownership) = &mut pool.ownership else {
         return;
     };
-    let Some(book) = &mut ownership.book else {
+    let Some(pool_state) = &mut ownership.pool_state else {
         return;
     };
-    if ownership.removable.is_empty() && book.orphans.is_empty() {
+    if ownership.removable.is_empty() && pool_state.orphans.is_empty() {
         return;
     }
     for shard in 0..SHARDS {
@@ -93,14 +98,15 @@
         let (removed, later) = std::mem::take(&mut ownership.removable)
             .into_iter()
             .partition(|key| {
-                book.jobs
+                pool_state
+                    .jobs
                     .get(*key)
                     .is_none_or(|job| job.shard.unwrap_or(0) == shard)
             });
         ownership.removable = later;
         let removed: Vec<JobKey> = removed;
-        let mut ids = orphans_of(book, shard);
-        let jobs = removed.iter().filter_map(|key| book.jobs.get(*key));
+        let mut ids = orphans_of(pool_state, shard);
+        let jobs = removed.iter().filter_map(|key| pool_state.jobs.get(*key));
         ids.extend(jobs.map(|job| job.id.clone()));
         if ids.is_empty() {
             continue;
@@ -115,7 +121,7 @@
         };
         pool.lease.note_sent(shard, ctx.now.ms);
         ctx.out
-            .push(Effect::Record(ctx.pool, book.id, shard, tx.clone()));
+            .push(Effect::Record(ctx.pool, pool_state.id, shard, tx.clone()));
         ownership.batches[shard] = Some(Batch {
             tx,
             jobs: Vec::new(),
@@ -129,9 +135,9 @@
 }
 
 /// Progress without a job in a shard, as much as one transaction may remove.
-fn orphans_of(book: &mut Book, shard: usize) -> Vec<String> {
+fn orphans_of(pool_state: &mut PoolState, shard: usize) -> Vec<String> {
     let mut ids = Vec::new();
-    book.orphans.retain(|(of, id)| {
+    pool_state.orphans.retain(|(of, id)| {
         let is_taken = *of == shard && ids.len() < REMOVED_JOBS;
         if is_taken {
             ids.push(id.clone());
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -5,10 +5,10 @@
 
 use std::collections::HashSet;
 
-use super::book::Book;
 use super::holds;
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::STRAY_LEASE_MS;
+use super::pool_state::PoolState;
 use super::runs;
 use super::state::{Ctx, Timer};
 use super::tasks::Phase;
@@ -18,8 +18,8 @@
 
 /// Takes in that a life answers where earlier ones of its id were known. Its next hold bars all that is on its way to them:
 /// the account that it gives then is the first to count.
-pub(super) fn prove(book: &mut Book, key: WorkerKey, ctx: &mut Ctx<'_>) {
-    let Some(w) = book.workers.get_mut(key) else {
+pub(super) fn prove(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
+    let Some(w) = pool_state.workers.get_mut(key) else {
         return;
     };
     w.is_unproven = false;
@@ -28,25 +28,25 @@
     w.lease_over_ms = w.lease_over_ms.max(ctx.now.ms + STRAY_LEASE_MS);
     let born_wall_ms = w.fact.born_wall_ms;
     let id = w.fact.id.clone();
-    let others = book
+    let others = pool_state
         .lives_of(&id)
         .filter(|(other, w)| *other != key && w.was_there());
     let earlier: Vec<WorkerKey> = others.map(|(other, _)| other).collect();
     for other in earlier {
-        supersede(book, other, born_wall_ms, ctx);
+        supersede(pool_state, other, born_wall_ms, ctx);
     }
 }
 
 /// Takes in that another life answered what was sent to this one. What may run under its id is told by the account of the
 /// life that is there now.
 pub(super) fn supersede(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: WorkerKey,
     born_wall_ms: Option<Millis>,
     ctx: &mut Ctx<'_>,
 ) {
-    let has_left = book.left.values().any(|left| left.worker == key);
-    let Some(w) = book.workers.get_mut(key).filter(|w| !w.is_superseded) else {
+    let has_left = pool_state.left.values().any(|left| left.worker == key);
+    let Some(w) = pool_state.workers.get_mut(key).filter(|w| !w.is_superseded) else {
         return;
     };
     ctx.tell(told::restarted(w, born_wall_ms, "its account"));
@@ -57,21 +57,21 @@
     let left_ms = if is_empty { 0 } else { STRAY_LEASE_MS };
     w.lease_over_ms = ctx.now.ms + left_ms;
     ctx.after(left_ms, Timer::LeaseOver(key));
-    holds::forget_if_over(book, key, ctx);
+    holds::forget_if_over(pool_state, key, ctx);
 }
 
 /// Runs that a life tells of although the books have them on an earlier life of its id: their starts reached this one.
 pub(super) fn adopt(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: WorkerKey,
     report: &HoldReport,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(w) = book.workers.get(key) else {
+    let Some(w) = pool_state.workers.get(key) else {
         return;
     };
-    let lives = book.lives_of(&w.fact.id).map(|(life, _)| life);
+    let lives = pool_state.lives_of(&w.fact.id).map(|(life, _)| life);
     let earlier: Vec<WorkerKey> = lives.filter(|life| *life != key).collect();
     if earlier.is_empty() {
         return;
@@ -80,22 +80,22 @@
     let ended = report.ended.iter().map(|e| (&e.task, e.run));
     let told: HashSet<(&TaskName, u32)> = running.chain(ended).collect();
     for (name, run) in &told {
-        if let Some(task) = book.find(name) {
-            adopt_task(book, task, *run, &earlier, key, epoch, ctx);
+        if let Some(task) = pool_state.find(name) {
+            adopt_task(pool_state, task, *run, &earlier, key, epoch, ctx);
         }
     }
-    let left = book.left.iter().filter(|((_, run), left)| {
+    let left = pool_state.left.iter().filter(|((_, run), left)| {
         earlier.contains(&left.worker) && told.contains(&(&left.name, *run))
     });
     let left: Vec<(TaskKey, u32)> = left.map(|(run, _)| *run).collect();
     for (task, run) in left {
-        book.move_left((task, run), key);
-        runs::restop(book, task, run, epoch, ctx);
+        pool_state.move_left((task, run), key);
+        runs::restop(pool_state, task, run, epoch, ctx);
     }
 }
 
 fn adopt_task(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
     earlier: &[WorkerKey],
@@ -103,7 +103,7 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(task) = book.task(key).filter(|task| task.run == run) else {
+    let Some(task) = pool_state.task(key).filter(|task| task.run == run) else {
         return;
     };
     let is_theirs = task.phase.worker().is_some_and(|on| earlier.contains(&on));
@@ -111,11 +111,11 @@
         return;
     }
     let is_stopping = matches!(task.phase, Phase::Stopping(_));
-    book.set_phase(key, Phase::Running(worker), ctx.now.ms);
-    if let Some(task) = book.task_mut(key) {
+    pool_state.set_phase(key, Phase::Running(worker), ctx.now.ms);
+    if let Some(task) = pool_state.task_mut(key) {
         task.settled_ms = Some(ctx.now.ms);
     }
     if is_stopping {
-        runs::stop(book, key, epoch, ctx);
+        runs::stop(pool_state, key, epoch, ctx);
     }
 }
--- a/src/core/sched/roster.rs
+++ b/src/core/sched/roster.rs
@@ -5,13 +5,13 @@
 
 use std::collections::HashMap;
 
-use super::book::Book;
 use super::keys::WorkerKey;
 use super::limits::DROPPED_KEPT_MS;
+use super::pool_state::PoolState;
 use super::worker::Worker;
 use crate::clock::Millis;
 
-impl Book {
+impl PoolState {
     /// Adds a worker's life.
     pub fn add_worker(&mut self, mut worker: Worker) -> WorkerKey {
         worker.is_closing |= self.closing.contains(&worker.fact.host);
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -3,7 +3,6 @@
 //! A run that was recorded may be at work until its worker says otherwise, until the worker's life is
 //! over, or until everything ordered there has lapsed. Only then does the next run get its place.
 
-use super::book::{Book, LeftRun};
 use super::crashes::{self, Evidence};
 use super::fence;
 use super::gang;
@@ -13,6 +12,7 @@
     FAILS_IN_A_ROW, FULL_PAUSE_MS, ORDER_RETRY_MS, SUSPEND_MAX_MS, SUSPEND_MS, WORKER_LEASE_MS,
 };
 use super::load;
+use super::pool_state::{LeftRun, PoolState};
 use super::state::{Ctx, Effect, Order, Timer};
 use super::tasks::{Phase, Task};
 use super::told;
@@ -25,23 +25,39 @@
 const UNWELL_PAUSE_MS: u64 = 500;
 
 /// Where orders to a worker go; nowhere once a later life has its id.
-pub fn order(book: &Book, worker: WorkerKey, epoch: u64, ctx: &Ctx<'_>) -> Option<Order> {
-    let worker = book.workers.get(worker).filter(|w| !w.is_superseded)?;
+pub fn order(
+    pool_state: &PoolState,
+    worker: WorkerKey,
+    epoch: u64,
+    ctx: &Ctx<'_>,
+) -> Option<Order> {
+    let worker = pool_state
+        .workers
+        .get(worker)
+        .filter(|w| !w.is_superseded)?;
     Some(Order {
         pool: ctx.pool,
-        book: book.id,
+        pool_state: pool_state.id,
         to: Addressee {
             worker: worker.fact.id.clone(),
             address: worker.fact.address,
-            fence: fence::of(book.id, epoch, worker.restarts),
+            fence: fence::of(pool_state.id, epoch, worker.restarts),
         },
         until_ms: ctx.until_ms,
     })
 }
 
 /// Sends the start of a run that is on record.
-pub fn send_start(book: &mut Book, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
-    let Some(task) = book.task(key) else { return };
+pub fn send_start(
+    pool_state: &mut PoolState,
+    key: TaskKey,
+    run: u32,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
+    let Some(task) = pool_state.task(key) else {
+        return;
+    };
     let (Phase::Recording(worker) | Phase::Starting(worker)) = task.phase else {
         return;
     };
@@ -50,13 +66,14 @@
     }
     let checkpoint = task.checkpoint.clone();
     if task.phase == Phase::Recording(worker) {
-        book.set_phase(key, Phase::Starting(worker), ctx.now.ms);
+        pool_state.set_phase(key, Phase::Starting(worker), ctx.now.ms);
     }
-    let (Some(name), Some(order)) = (book.name(key), order(book, worker, epoch, ctx)) else {
+    let (Some(name), Some(order)) = (pool_state.name(key), order(pool_state, worker, epoch, ctx))
+    else {
         return;
     };
-    let spec = book.jobs[key.job].spec.payload.clone();
-    let Some(w) = book.workers.get_mut(worker) else {
+    let spec = pool_state.jobs[key.job].spec.payload.clone();
+    let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
     };
     let Some(clock) = w.clock.filter(|_| ctx.may_send() && w.answers) else {
@@ -76,28 +93,32 @@
 }
 
 /// Whether a refusal for the fence tells that another entry owns the pool.
-fn is_fenced_out(book: &Book, worker: WorkerKey) -> bool {
-    book.workers.get(worker).is_some_and(|w| !w.has_restarted())
+fn is_fenced_out(pool_state: &PoolState, worker: WorkerKey) -> bool {
+    pool_state
+        .workers
+        .get(worker)
+        .is_some_and(|w| !w.has_restarted())
 }
 
 /// Whether another life that answers in a worker's place tells that the worker's is over.
-fn is_at_its_address(book: &Book, worker: WorkerKey) -> bool {
-    book.workers
+fn is_at_its_address(pool_state: &PoolState, worker: WorkerKey) -> bool {
+    pool_state
+        .workers
         .get(worker)
         .is_some_and(Worker::is_at_its_address)
 }
 
 /// Settles a start; says whether the pool is lost.
 pub fn started(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
     reply: OrderReply,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    told::note_answer(book, key, run, reply, ctx);
-    let Some(task) = book.task(key) else {
+    told::note_answer(pool_state, key, run, reply, ctx);
+    let Some(task) = pool_state.task(key) else {
         return false;
     };
     let Phase::Starting(worker) = task.phase else {
@@ -109,14 +130,17 @@
     match reply {
         OrderReply::Accepted | OrderReply::Outdated => {
             // Outdated: it ended or was barred there; the next account tells which.
-            book.set_phase(key, Phase::Running(worker), ctx.now.ms);
-            settle(book, key, ctx);
-            if let Some(task) = book.task_mut(key).filter(|_| reply == OrderReply::Accepted) {
+            pool_state.set_phase(key, Phase::Running(worker), ctx.now.ms);
+            settle(pool_state, key, ctx);
+            if let Some(task) = pool_state
+                .task_mut(key)
+                .filter(|_| reply == OrderReply::Accepted)
+            {
                 task.started_ms = Some(ctx.now.ms);
             }
         }
         OrderReply::Silent | OrderReply::Broken => {
-            if let Some(task) = book.task_mut(key) {
+            if let Some(task) = pool_state.task_mut(key) {
                 task.is_start_open = true;
                 task.is_start_broken |= reply == OrderReply::Broken;
             }
@@ -124,80 +148,89 @@
         }
         OrderReply::TooLate => ctx.after(ORDER_RETRY_MS, Timer::Restart(key, run)),
         OrderReply::NoRoom => {
-            pause(book, worker, FULL_PAUSE_MS, ctx);
-            refused(book, key, "no room", epoch, ctx);
+            pause(pool_state, worker, FULL_PAUSE_MS, ctx);
+            refused(pool_state, key, "no room", epoch, ctx);
         }
         OrderReply::Unwell | OrderReply::Refused => {
-            pause(book, worker, UNWELL_PAUSE_MS, ctx);
-            refused(book, key, "worker unwell", epoch, ctx);
+            pause(pool_state, worker, UNWELL_PAUSE_MS, ctx);
+            refused(pool_state, key, "worker unwell", epoch, ctx);
         }
-        OrderReply::OtherLife if is_at_its_address(book, worker) => {
-            worker_over(book, worker, &Evidence::Answer("start"), ctx);
+        OrderReply::OtherLife if is_at_its_address(pool_state, worker) => {
+            worker_over(pool_state, worker, &Evidence::Answer("start"), ctx);
         }
         OrderReply::OtherLife => {
-            pause(book, worker, UNWELL_PAUSE_MS, ctx);
-            refused(book, key, "another life at its address", epoch, ctx);
+            pause(pool_state, worker, UNWELL_PAUSE_MS, ctx);
+            refused(pool_state, key, "another life at its address", epoch, ctx);
         }
-        OrderReply::Fenced if is_fenced_out(book, worker) => return true,
+        OrderReply::Fenced if is_fenced_out(pool_state, worker) => return true,
         OrderReply::Fenced => {
-            refused(book, key, "a later life of its worker is there", epoch, ctx);
+            refused(
+                pool_state,
+                key,
+                "a later life of its worker is there",
+                epoch,
+                ctx,
+            );
         }
     }
     false
 }
 
 /// A refusal speaks of its own sending only: where an earlier one went unanswered, a stop bars the run first.
-fn refused(book: &mut Book, key: TaskKey, why: &str, epoch: u64, ctx: &mut Ctx<'_>) {
-    if book.task(key).is_some_and(|t| t.is_start_open) {
-        stop(book, key, epoch, ctx);
+fn refused(pool_state: &mut PoolState, key: TaskKey, why: &str, epoch: u64, ctx: &mut Ctx<'_>) {
+    if pool_state.task(key).is_some_and(|t| t.is_start_open) {
+        stop(pool_state, key, epoch, ctx);
     } else {
-        note_unbegun(book, key);
-        requeue(book, key, why, ctx);
+        note_unbegun(pool_state, key);
+        requeue(pool_state, key, why, ctx);
     }
 }
 
-fn settle(book: &mut Book, key: TaskKey, ctx: &Ctx<'_>) {
-    if let Some(task) = book.task_mut(key) {
+fn settle(pool_state: &mut PoolState, key: TaskKey, ctx: &Ctx<'_>) {
+    if let Some(task) = pool_state.task_mut(key) {
         task.settled_ms = Some(ctx.now.ms);
     }
 }
 
-fn pause(book: &mut Book, worker: WorkerKey, ms: u64, ctx: &mut Ctx<'_>) {
-    if let Some(w) = book.workers.get_mut(worker) {
+fn pause(pool_state: &mut PoolState, worker: WorkerKey, ms: u64, ctx: &mut Ctx<'_>) {
+    if let Some(w) = pool_state.workers.get_mut(worker) {
         w.suspended_until_ms = w.suspended_until_ms.max(ctx.now.ms + ms);
         ctx.after(ms, Timer::Upkeep);
     }
 }
 
 /// Orders a run stopped.
-pub fn stop(book: &mut Book, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    let Some(task) = book.task(key) else { return };
+pub fn stop(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
+    let Some(task) = pool_state.task(key) else {
+        return;
+    };
     let run = task.run;
     let worker = match task.phase {
         Phase::Starting(w) | Phase::Running(w) | Phase::Suspect(w) | Phase::Stopping(w) => w,
         Phase::Recording(_) => {
             // Never sent: what is on record is overwritten by the next record.
-            note_unbegun(book, key);
-            requeue(book, key, "stopped before it was sent", ctx);
+            note_unbegun(pool_state, key);
+            requeue(pool_state, key, "stopped before it was sent", ctx);
             return;
         }
         _ => return,
     };
     if task.phase != Phase::Stopping(worker) {
-        book.set_phase(key, Phase::Stopping(worker), ctx.now.ms);
+        pool_state.set_phase(key, Phase::Stopping(worker), ctx.now.ms);
     }
-    send_stop(book, key, worker, run, epoch, ctx);
+    send_stop(pool_state, key, worker, run, epoch, ctx);
 }
 
 fn send_stop(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     worker: WorkerKey,
     run: u32,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let (Some(name), Some(order)) = (book.name(key), order(book, worker, epoch, ctx)) else {
+    let (Some(name), Some(order)) = (pool_state.name(key), order(pool_state, worker, epoch, ctx))
+    else {
         return;
     };
     if !ctx.may_send() || order.to.address.port() == 0 {
@@ -208,31 +241,33 @@
 }
 
 /// Sends a stop again that got no answer.
-pub fn restop(book: &mut Book, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
-    if book.left.contains_key(&(key, run)) {
-        stop_left(book, key, run, epoch, ctx);
+pub fn restop(pool_state: &mut PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
+    if pool_state.left.contains_key(&(key, run)) {
+        stop_left(pool_state, key, run, epoch, ctx);
         return;
     }
-    let Some(task) = book.task(key) else { return };
+    let Some(task) = pool_state.task(key) else {
+        return;
+    };
     if let Phase::Stopping(worker) = task.phase {
         if task.run == run && task.settled_ms.is_none() {
-            send_stop(book, key, worker, run, epoch, ctx);
+            send_stop(pool_state, key, worker, run, epoch, ctx);
         }
     }
 }
 
 /// Settles a stop; says whether the pool is lost.
 pub fn stopped(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
     reply: OrderReply,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    if book.left.contains_key(&(key, run)) {
-        return left_stopped(book, key, run, reply, ctx);
+    if pool_state.left.contains_key(&(key, run)) {
+        return left_stopped(pool_state, key, run, reply, ctx);
     }
-    let Some(task) = book.task(key) else {
+    let Some(task) = pool_state.task(key) else {
         return false;
     };
     let Phase::Stopping(worker) = task.phase else {
@@ -242,11 +277,11 @@
         return false;
     }
     match reply {
-        OrderReply::Accepted | OrderReply::Outdated => settle(book, key, ctx),
-        OrderReply::OtherLife if is_at_its_address(book, worker) => {
-            worker_over(book, worker, &Evidence::Answer("stop"), ctx);
+        OrderReply::Accepted | OrderReply::Outdated => settle(pool_state, key, ctx),
+        OrderReply::OtherLife if is_at_its_address(pool_state, worker) => {
+            worker_over(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
-        OrderReply::Fenced if is_fenced_out(book, worker) => return true,
+        OrderReply::Fenced if is_fenced_out(pool_state, worker) => return true,
         _ => ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run)),
     }
     false
@@ -254,126 +289,148 @@
 
 /// Takes in that a task's run never began: the starts that the platform allows are counted by runs, and one that was refused
 /// once used up the last of a task that did no harm.
-fn note_unbegun(book: &mut Book, key: TaskKey) {
-    if let Some(task) = book.task_mut(key) {
+fn note_unbegun(pool_state: &mut PoolState, key: TaskKey) {
+    if let Some(task) = pool_state.task_mut(key) {
         task.ended.note_unbegun();
     }
 }
 
 /// Brings a task whose run is certainly over back into the queue, or to rest.
-pub fn requeue(book: &mut Book, key: TaskKey, why: &str, ctx: &mut Ctx<'_>) {
-    requeue_for(book, key, why, None, ctx);
+pub fn requeue(pool_state: &mut PoolState, key: TaskKey, why: &str, ctx: &mut Ctx<'_>) {
+    requeue_for(pool_state, key, why, None, ctx);
 }
 
 /// The same; `asked_ms` is when the account was asked for that the judgement rests on, if on one.
 pub(super) fn requeue_for(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     why: &str,
     asked_ms: Option<Millis>,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(job) = book.jobs.get(key.job) else {
+    let Some(job) = pool_state.jobs.get(key.job) else {
+        return;
+    };
+    let Some(task) = pool_state.task(key) else {
         return;
     };
-    let Some(task) = book.task(key) else { return };
-    if job.state.is_final() || crashes::is_given_up(book, key) {
-        book.set_phase(key, Phase::Blocked, ctx.now.ms);
-        crashes::leave(book, key);
+    if job.state.is_final() || crashes::is_given_up(pool_state, key) {
+        pool_state.set_phase(key, Phase::Blocked, ctx.now.ms);
+        crashes::leave(pool_state, key);
         return;
     }
     let is_noted = task.ended.is_noted();
-    let decision = told::requeued(book, key, why, asked_ms, ctx.now.ms);
-    book.set_phase(key, Phase::Ready, ctx.now.ms);
+    let decision = told::requeued(pool_state, key, why, asked_ms, ctx.now.ms);
+    pool_state.set_phase(key, Phase::Ready, ctx.now.ms);
     if is_noted {
         // On record it would still be there, and its worker's end counted once more by the next owner.
-        book.mark(key.job, ctx.now.ms);
+        pool_state.mark(key.job, ctx.now.ms);
     }
-    if gang::is_member(book, key) {
-        book.broken_gangs.push(key);
+    if gang::is_member(pool_state, key) {
+        pool_state.broken_gangs.push(key);
     }
-    told::tell_answers(book, ctx);
+    told::tell_answers(pool_state, ctx);
     if let Some(decision) = decision {
         ctx.tell(decision);
     }
 }
 
 /// A worker's life, or everything on it, is certainly over.
-pub fn worker_over(book: &mut Book, worker: WorkerKey, evidence: &Evidence, ctx: &mut Ctx<'_>) {
+pub fn worker_over(
+    pool_state: &mut PoolState,
+    worker: WorkerKey,
+    evidence: &Evidence,
+    ctx: &mut Ctx<'_>,
+) {
     let over = evidence.over();
-    told::tell_answers(book, ctx);
-    let Some(w) = book.workers.get_mut(worker) else {
+    told::tell_answers(pool_state, ctx);
+    let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
     };
     w.answers = false;
     let tasks: Vec<TaskKey> = w.tasks.iter().copied().collect();
     ctx.tell(told::over(w, evidence, ctx.now.ms));
-    crashes::note_end(book, worker, over, ctx);
+    crashes::note_end(pool_state, worker, over, ctx);
     for key in tasks {
         let is_unsent = |task: &Task| matches!(task.phase, Phase::Recording(_));
-        if book.task(key).is_some_and(is_unsent) {
-            note_unbegun(book, key);
+        if pool_state.task(key).is_some_and(is_unsent) {
+            note_unbegun(pool_state, key);
         }
-        requeue(book, key, over.why(), ctx);
+        requeue(pool_state, key, over.why(), ctx);
     }
-    book.drop_left(|left| left.worker == worker);
+    pool_state.drop_left(|left| left.worker == worker);
 }
 
 /// Takes a run's end into the books.
-pub fn take_end(book: &mut Book, worker: WorkerKey, end: &RunEnd, epoch: u64, ctx: &mut Ctx<'_>) {
-    let Some(key) = book.find(&end.task) else {
+pub fn take_end(
+    pool_state: &mut PoolState,
+    worker: WorkerKey,
+    end: &RunEnd,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
+    let Some(key) = pool_state.find(&end.task) else {
+        return;
+    };
+    let Some(task) = pool_state.task(key) else {
         return;
     };
-    let Some(task) = book.task(key) else { return };
     let is_current = task.run == end.run && task.phase.worker() == Some(worker);
-    if book.jobs[key.job].state.is_final() || task.phase == Phase::Done {
+    if pool_state.jobs[key.job].state.is_final() || task.phase == Phase::Done {
         if is_current {
-            book.set_phase(key, Phase::Blocked, ctx.now.ms);
+            pool_state.set_phase(key, Phase::Blocked, ctx.now.ms);
         }
         return;
     }
     match end.kind {
-        EndKind::Done => done(book, key, worker, (end.number, is_current), epoch, ctx),
-        EndKind::Failed => failed(book, key, worker, end.run, epoch, ctx),
+        EndKind::Done => done(
+            pool_state,
+            key,
+            worker,
+            (end.number, is_current),
+            epoch,
+            ctx,
+        ),
+        EndKind::Failed => failed(pool_state, key, worker, end.run, epoch, ctx),
         _ if is_current => {
-            if let Some(task) = book.task_mut(key) {
+            if let Some(task) = pool_state.task_mut(key) {
                 task.checkpoint.clone_from(&end.checkpoint);
             }
-            requeue(book, key, "run ended unfinished", ctx);
+            requeue(pool_state, key, "run ended unfinished", ctx);
         }
         _ => {}
     }
 }
 
 fn done(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     worker: WorkerKey,
     (number, is_current): (u64, bool),
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    if let Some(w) = book.workers.get_mut(worker) {
+    if let Some(w) = pool_state.workers.get_mut(worker) {
         w.fails_in_row = 0;
         w.suspensions = 0;
     }
     // The members of a gang end together: one end stands for all.
-    let done = match gang::is_member(book, key) {
-        true => gang::members(book, key),
+    let done = match gang::is_member(pool_state, key) {
+        true => gang::members(pool_state, key),
         false => vec![key],
     };
     if !is_current {
         for task in &done {
-            leave_other_run(book, *task, (worker, number), epoch, ctx);
+            leave_other_run(pool_state, *task, (worker, number), epoch, ctx);
         }
     }
-    let started_ms = book.task(key).and_then(|t| t.started_ms);
+    let started_ms = pool_state.task(key).and_then(|t| t.started_ms);
     let took_ms = started_ms.map(|at| ctx.now.ms.saturating_sub(at));
     for task in &done {
-        book.set_phase(*task, Phase::Done, ctx.now.ms);
+        pool_state.set_phase(*task, Phase::Done, ctx.now.ms);
     }
-    book.mark(key.job, ctx.now.ms);
-    let job = &mut book.jobs[key.job];
+    pool_state.mark(key.job, ctx.now.ms);
+    let job = &mut pool_state.jobs[key.job];
     let Some(round) = job.rounds.get_mut(&key.round) else {
         return;
     };
@@ -386,17 +443,17 @@
     if step.longest_ms > 0 {
         let estimate_ms = job.spec.steps[usize::from(key.step)].estimate_ms;
         let took_ms = step.longest_ms;
-        book.times.note(&job.spec.queue, estimate_ms, took_ms);
+        pool_state.times.note(&job.spec.queue, estimate_ms, took_ms);
     }
     if round.steps.iter().any(|s| s.left > 0) {
-        book.open_steps(key.job, key.round, ctx.now.ms);
+        pool_state.open_steps(key.job, key.round, ctx.now.ms);
         return;
     }
     job.rounds.remove(&key.round);
     let rounds = job.spec.schedule.map_or(1, |s| s.rounds);
     if job.rounds.is_empty() && job.rounds_begun >= rounds {
         let id = job.id.clone();
-        book.set_state(key.job, JobState::Completed, ctx.now.ms);
+        pool_state.set_state(key.job, JobState::Completed, ctx.now.ms);
         ctx.tell_job(Code::JobEnded, &id, "completed");
     }
 }
@@ -404,42 +461,44 @@
 /// An earlier run turned out to be done while a later one may be at work elsewhere: that one stays in the
 /// books until its stop is answered, since its start may be carried out seconds late.
 fn leave_other_run(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     noticed: (WorkerKey, u64),
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(task) = book.task(key) else { return };
+    let Some(task) = pool_state.task(key) else {
+        return;
+    };
     let worker = match task.phase {
         Phase::Starting(w) | Phase::Running(w) | Phase::Stopping(w) | Phase::Suspect(w) => w,
         // Nothing was sent.
         _ => return,
     };
     let run = task.run;
-    let (Some(name), Some(spec)) = (book.name(key), book.step_spec(key)) else {
+    let (Some(name), Some(spec)) = (pool_state.name(key), pool_state.step_spec(key)) else {
         return;
     };
     let left = LeftRun {
         name,
-        charge: book.charge(key),
+        charge: pool_state.charge(key),
         worker,
         demand: spec.demand(),
         noticed,
         settled_ms: None,
     };
-    book.leave_run(key, run, left);
-    stop_left(book, key, run, epoch, ctx);
+    pool_state.leave_run(key, run, left);
+    stop_left(pool_state, key, run, epoch, ctx);
 }
 
-fn stop_left(book: &Book, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
-    let Some(left) = book.left.get(&(key, run)) else {
+fn stop_left(pool_state: &PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
+    let Some(left) = pool_state.left.get(&(key, run)) else {
         return;
     };
     if left.settled_ms.is_some() {
         return;
     }
-    match order(book, left.worker, epoch, ctx) {
+    match order(pool_state, left.worker, epoch, ctx) {
         Some(order) if ctx.may_send() && order.to.address.port() != 0 => {
             ctx.out
                 .push(Effect::Stop(order, key, left.name.clone(), run));
@@ -449,25 +508,25 @@
 }
 
 fn left_stopped(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
     reply: OrderReply,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    let Some(left) = book.left.get(&(key, run)) else {
+    let Some(left) = pool_state.left.get(&(key, run)) else {
         return false;
     };
-    let is_fenced_out = is_fenced_out(book, left.worker);
-    let is_at_its_address = is_at_its_address(book, left.worker);
-    let Some(left) = book.left.get_mut(&(key, run)) else {
+    let is_fenced_out = is_fenced_out(pool_state, left.worker);
+    let is_at_its_address = is_at_its_address(pool_state, left.worker);
+    let Some(left) = pool_state.left.get_mut(&(key, run)) else {
         return false;
     };
     match reply {
         OrderReply::Accepted | OrderReply::Outdated => left.settled_ms = Some(ctx.now.ms),
         OrderReply::OtherLife if is_at_its_address => {
             let worker = left.worker;
-            worker_over(book, worker, &Evidence::Answer("stop"), ctx);
+            worker_over(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
         OrderReply::Fenced if is_fenced_out => return true,
         _ => ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run)),
@@ -476,16 +535,16 @@
 }
 
 fn failed(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     worker: WorkerKey,
     run: u32,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let lasts = book.step_spec(key).is_some_and(|s| s.lasting);
-    let attempts_max = book.jobs[key.job].policy.attempts_max;
-    let Some(task) = book.task_mut(key) else {
+    let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
+    let attempts_max = pool_state.jobs[key.job].policy.attempts_max;
+    let Some(task) = pool_state.task_mut(key) else {
         return;
     };
     let is_current = task.run == run && task.phase.worker() == Some(worker);
@@ -498,49 +557,51 @@
     task.failed_on = Some(worker);
     task.failed_ms = ctx.now.ms;
     let fails = task.fails();
-    if gang::is_member(book, key) {
+    if gang::is_member(pool_state, key) {
         // The gang has failed: every member counts that run.
-        for member in gang::members(book, key) {
-            if let Some(task) = book.task_mut(member) {
+        for member in gang::members(pool_state, key) {
+            if let Some(task) = pool_state.task_mut(member) {
                 task.note_failure(run);
             }
         }
     }
-    book.mark(key.job, ctx.now.ms);
-    count_failure(book, worker, ctx);
+    pool_state.mark(key.job, ctx.now.ms);
+    count_failure(pool_state, worker, ctx);
     if is_current {
-        requeue(book, key, "run failed", ctx);
+        requeue(pool_state, key, "run failed", ctx);
     }
     if !lasts && fails >= attempts_max {
-        fail_exhausted(book, key, epoch, ctx);
+        fail_exhausted(pool_state, key, epoch, ctx);
     }
 }
 
 /// Whether a task may not be started again. One that is at work may still be done.
-pub(super) fn is_exhausted(book: &Book, key: TaskKey) -> bool {
-    let Some(task) = book.task(key).filter(|t| t.failed_runs > 0) else {
+pub(super) fn is_exhausted(pool_state: &PoolState, key: TaskKey) -> bool {
+    let Some(task) = pool_state.task(key).filter(|t| t.failed_runs > 0) else {
         return false;
     };
-    let lasts = book.step_spec(key).is_none_or(|s| s.lasting);
-    !lasts && task.fails() >= book.jobs[key.job].policy.attempts_max
+    let lasts = pool_state.step_spec(key).is_none_or(|s| s.lasting);
+    !lasts && task.fails() >= pool_state.jobs[key.job].policy.attempts_max
 }
 
 /// Ends the jobs of tasks that wait with no attempt left. Not as a configuration changes: the next one may be there already.
-pub(super) fn end_exhausted(book: &mut Book, epoch: u64, ctx: &mut Ctx<'_>) {
-    let waiting = book.ready.iter().map(|rank| rank.task);
-    let exhausted: Vec<TaskKey> = waiting.filter(|task| is_exhausted(book, *task)).collect();
+pub(super) fn end_exhausted(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+    let waiting = pool_state.ready.iter().map(|rank| rank.task);
+    let exhausted: Vec<TaskKey> = waiting
+        .filter(|task| is_exhausted(pool_state, *task))
+        .collect();
     for task in exhausted {
-        fail_exhausted(book, task, epoch, ctx);
+        fail_exhausted(pool_state, task, epoch, ctx);
     }
 }
 
 /// Ends the job of a task that used up its attempts.
-fn fail_exhausted(book: &mut Book, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    if !end_job(book, key.job, JobState::Failed, epoch, ctx) {
+fn fail_exhausted(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
+    if !end_job(pool_state, key.job, JobState::Failed, epoch, ctx) {
         return;
     }
-    let job = &book.jobs[key.job];
-    let (fails, run) = book.task(key).map_or((0, 0), |t| (t.fails(), t.run));
+    let job = &pool_state.jobs[key.job];
+    let (fails, run) = pool_state.task(key).map_or((0, 0), |t| (t.fails(), t.run));
     ctx.tell(
         Decision::new(
             Code::JobEnded,
@@ -557,8 +618,8 @@
 }
 
 /// Leaves a worker alone for a while on which tasks keep failing.
-fn count_failure(book: &mut Book, worker: WorkerKey, ctx: &mut Ctx<'_>) {
-    let Some(w) = book.workers.get_mut(worker) else {
+fn count_failure(pool_state: &mut PoolState, worker: WorkerKey, ctx: &mut Ctx<'_>) {
+    let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
     };
     w.fails_in_row += 1;
@@ -570,7 +631,7 @@
     // One failure more after the pause is enough to leave it alone again.
     w.fails_in_row = FAILS_IN_A_ROW - 1;
     let id = w.fact.id.clone();
-    pause(book, worker, pause_ms, ctx);
+    pause(pool_state, worker, pause_ms, ctx);
     ctx.tell(
         Decision::new(
             Code::WorkerSuspended,
@@ -583,22 +644,28 @@
 }
 
 /// Ends a job before its tasks are done, and stops what runs of it; says whether it had not ended before.
-fn end_job(book: &mut Book, key: JobKey, state: JobState, epoch: u64, ctx: &mut Ctx<'_>) -> bool {
-    let Some(job) = book.jobs.get(key) else {
+fn end_job(
+    pool_state: &mut PoolState,
+    key: JobKey,
+    state: JobState,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) -> bool {
+    let Some(job) = pool_state.jobs.get(key) else {
         return false;
     };
     if job.state.is_final() {
         return false;
     }
-    book.set_state(key, state, ctx.now.ms);
-    book.mark(key, ctx.now.ms);
-    for task in book.tasks_of(key) {
-        match book.task(task).map(|t| t.phase) {
+    pool_state.set_state(key, state, ctx.now.ms);
+    pool_state.mark(key, ctx.now.ms);
+    for task in pool_state.tasks_of(key) {
+        match pool_state.task(task).map(|t| t.phase) {
             Some(Phase::Ready | Phase::Recording(_)) => {
-                book.set_phase(task, Phase::Blocked, ctx.now.ms);
+                pool_state.set_phase(task, Phase::Blocked, ctx.now.ms);
             }
             Some(Phase::Starting(_) | Phase::Running(_) | Phase::Suspect(_)) => {
-                stop(book, task, epoch, ctx);
+                stop(pool_state, task, epoch, ctx);
             }
             _ => {}
         }
@@ -607,29 +674,33 @@
 }
 
 /// Ends a job that can't be done.
-pub fn fail_job(book: &mut Book, key: JobKey, why: &str, epoch: u64, ctx: &mut Ctx<'_>) {
-    if end_job(book, key, JobState::Failed, epoch, ctx) {
-        ctx.tell_job(Code::JobEnded, &book.jobs[key].id, why);
+pub fn fail_job(pool_state: &mut PoolState, key: JobKey, why: &str, epoch: u64, ctx: &mut Ctx<'_>) {
+    if end_job(pool_state, key, JobState::Failed, epoch, ctx) {
+        ctx.tell_job(Code::JobEnded, &pool_state.jobs[key].id, why);
     }
 }
 
 /// Ends a job that a caller cancelled.
-pub fn cancel(book: &mut Book, key: JobKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    if end_job(book, key, JobState::Cancelled, epoch, ctx) {
-        ctx.tell_job(Code::JobCancelled, &book.jobs[key].id, "cancel on record");
+pub fn cancel(pool_state: &mut PoolState, key: JobKey, epoch: u64, ctx: &mut Ctx<'_>) {
+    if end_job(pool_state, key, JobState::Cancelled, epoch, ctx) {
+        ctx.tell_job(
+            Code::JobCancelled,
+            &pool_state.jobs[key].id,
+            "cancel on record",
+        );
     }
 }
 
 /// Stops a run that a worker lists and the books do not expect there.
 pub fn stop_stray(
-    book: &Book,
+    pool_state: &PoolState,
     worker: WorkerKey,
     name: &TaskName,
     run: u32,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(order) = order(book, worker, epoch, ctx) else {
+    let Some(order) = order(pool_state, worker, epoch, ctx) else {
         return;
     };
     ctx.tell_job(
@@ -641,14 +712,14 @@
 }
 
 /// Begins rounds that fell due.
-pub fn begin_due_rounds(book: &mut Book, ctx: &mut Ctx<'_>) {
-    let timed: Vec<JobKey> = book
+pub fn begin_due_rounds(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+    let timed: Vec<JobKey> = pool_state
         .jobs
         .iter()
         .filter(|(_, job)| job.spec.schedule.is_some() && !job.state.is_final())
         .map(|(key, _)| key)
         .collect();
     for key in timed {
-        load::begin_if_new(book, key, ctx);
+        load::begin_if_new(pool_state, key, ctx);
     }
 }
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -3,11 +3,11 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::book::{Book, Coming};
 use super::keys::WorkerKey;
 use super::limits::PLACE_LOOKS;
 use super::offers::Offers;
 use super::overload::COMING_MS;
+use super::pool_state::{Coming, PoolState};
 use super::slack::Slack;
 use super::state::{Ctx, Effect, Timer};
 use super::tasks::{Class, Job, Outlook, Rank, Task};
@@ -91,7 +91,7 @@
 
 /// Looks at the pool's size; says whether it lacks hosts, or lacked some, and that changed: others wait for it.
 pub fn look(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     sizing: &mut Sizing,
     offers: &mut Offers,
     with: &Look<'_>,
@@ -100,34 +100,45 @@
     ctx.after(LOOK_MS, Timer::Size);
     let now_ms = ctx.now.ms;
     let gives = !offers.row.offered.is_empty();
-    sizing.needs.push_back((now_ms, need(book, gives, now_ms)));
+    sizing
+        .needs
+        .push_back((now_ms, need(pool_state, gives, now_ms)));
     sizing.needs.retain(|(at_ms, _)| now_ms < at_ms + KEEP_MS);
     let most = |hosts: fn(&Need) -> u64| sizing.needs.iter().map(|(_, n)| hosts(n)).max();
     let needed = most(|n| n.in_time).unwrap_or(HOSTS_MIN);
     let for_all = most(|n| n.all).unwrap_or(HOSTS_MIN);
     // Before the first job nothing is known of the load: the pool keeps what it has.
-    let has_load = !book.jobs.is_empty();
+    let has_load = !pool_state.jobs.is_empty();
     sizing.needed = if has_load { needed } else { 0 };
     // Work that is late already waits while another pool lacks hosts for work that can be in time.
     let for_work = if with.pressed { needed } else { for_all };
     sizing.wanted = if has_load { for_work } else { 0 };
     if with.can_park && (has_load || with.pressed) {
-        choose_spare(book, sizing, offers, now_ms);
-        settle_offers(book, sizing, offers, with, ctx);
+        choose_spare(pool_state, sizing, offers, now_ms);
+        settle_offers(pool_state, sizing, offers, with, ctx);
     }
-    sizing.serving = book.workers.values().filter(|w| w.is_open(now_ms)).count() as u64;
-    expect_hosts(book, sizing, now_ms);
+    sizing.serving = pool_state
+        .workers
+        .values()
+        .filter(|w| w.is_open(now_ms))
+        .count() as u64;
+    expect_hosts(pool_state, sizing, now_ms);
     let now_told = (sizing.wanted, sizing.needed);
     if sizing.told == now_told {
         return false;
     }
     ctx.tell(
-        Decision::new(Code::PoolSized, Subject::Pool, &book.name, "need changed")
-            .with("wanted", sizing.wanted)
-            .with("needed", sizing.needed)
-            .with("serving", sizing.serving)
-            .with("offered", offers.row.offered.len() as u64)
-            .with("taken", offers.row.taken.len() as u64),
+        Decision::new(
+            Code::PoolSized,
+            Subject::Pool,
+            &pool_state.name,
+            "need changed",
+        )
+        .with("wanted", sizing.wanted)
+        .with("needed", sizing.needed)
+        .with("serving", sizing.serving)
+        .with("offered", offers.row.offered.len() as u64)
+        .with("taken", offers.row.taken.len() as u64),
     );
     sizing.told = now_told;
     let was_short = std::mem::replace(&mut sizing.is_short, sizing.needed > sizing.serving);
@@ -135,22 +146,22 @@
 }
 
 /// Notes which hosts the pool can expect: those that it lacks, but for a lack that stays.
-fn expect_hosts(book: &mut Book, sizing: &Sizing, now_ms: Millis) {
+fn expect_hosts(pool_state: &mut PoolState, sizing: &Sizing, now_ms: Millis) {
     if sizing.needed <= sizing.serving {
-        book.coming = None;
+        pool_state.coming = None;
         return;
     }
-    let host_cpu = mean_host(book).cpu_milli;
-    let at_ms = book.coming.map_or(now_ms + COMING_MS, |c| c.at_ms);
-    book.coming = Some(Coming {
+    let host_cpu = mean_host(pool_state).cpu_milli;
+    let at_ms = pool_state.coming.map_or(now_ms + COMING_MS, |c| c.at_ms);
+    pool_state.coming = Some(Coming {
         cpu_milli: host_cpu * sizing.needed,
         at_ms,
     });
 }
 
 /// What a listed host of the pool has on the mean; nothing where none is listed.
-fn mean_host(book: &Book) -> Capacity {
-    let listed = book.workers.values().filter(|w| w.is_listed);
+fn mean_host(pool_state: &PoolState) -> Capacity {
+    let listed = pool_state.workers.values().filter(|w| w.is_listed);
     let mut sum = Capacity::default();
     let mut count = 0;
     for worker in listed {
@@ -170,8 +181,8 @@
 ///
 /// A pool that gives hosts away counts what comes less what is chance. By the bare rate, one whose peak was over
 /// asked for 257 hosts in place of 133 for 0.6 s after two large jobs, and took 40 back that another pool needed.
-fn need(book: &Book, gives: bool, now_ms: Millis) -> Need {
-    let host = mean_host(book);
+fn need(pool_state: &PoolState, gives: bool, now_ms: Millis) -> Need {
+    let host = mean_host(pool_state);
     let hosts = |sum: Capacity| {
         if host.cpu_milli == 0 {
             // No host is listed yet that tells how large one is.
@@ -183,22 +194,22 @@
     let mut lasting = Capacity::default();
     let mut in_time = Capacity::default();
     let mut late = Capacity::default();
-    let mut counted = vec![Capacity::default(); book.accounts.len()];
-    for job in book.jobs.values().filter(|job| !job.state.is_final()) {
+    let mut counted = vec![Capacity::default(); pool_state.accounts.len()];
+    for job in pool_state.jobs.values().filter(|job| !job.state.is_final()) {
         let sum = match job.outlook(now_ms) {
             _ if job.spec.is_lasting() => &mut lasting,
             Outlook::InTime if !job.is_excess => &mut in_time,
             _ => &mut late,
         };
-        sum.add(within_quota(book, job, &mut counted));
+        sum.add(within_quota(pool_state, job, &mut counted));
     }
     let arriving_cpu_milli = match gives {
-        true => book.surely_arriving_cpu_milli(now_ms),
-        false => book.arriving_cpu_milli(now_ms),
+        true => pool_state.surely_arriving_cpu_milli(now_ms),
+        false => pool_state.arriving_cpu_milli(now_ms),
     };
     in_time.cpu_milli = in_time.cpu_milli.max(arriving_cpu_milli);
-    let least = (apart(book) + 1).max(HOSTS_MIN);
-    let least = least.max(hosts_for_shapes(book, host, now_ms));
+    let least = (apart(pool_state) + 1).max(HOSTS_MIN);
+    let least = least.max(hosts_for_shapes(pool_state, host, now_ms));
     in_time.add(lasting);
     late.add(in_time);
     Need {
@@ -208,13 +219,13 @@
 }
 
 /// What a job's open steps ask for, as far as its account's quota could allow beside what was `counted` before.
-fn within_quota(book: &Book, job: &Job, counted: &mut [Capacity]) -> Capacity {
+fn within_quota(pool_state: &PoolState, job: &Job, counted: &mut [Capacity]) -> Capacity {
     let demand = job.open_demand();
     let Some(key) = job.account else {
         return demand;
     };
     let (account, counted) = (
-        &book.accounts[usize::from(key.0)],
+        &pool_state.accounts[usize::from(key.0)],
         &mut counted[usize::from(key.0)],
     );
     if account.limit.is_none() {
@@ -238,22 +249,23 @@
 /// Hosts for tasks that have waited for a place though the sums leave room: beside what the open hosts carry, they fit
 /// on none, and an empty one takes them. Without, such a task waited for 14 s beside eight idle hosts. A task that asks for
 /// a label may fit on no other host either, and asks for none.
-fn hosts_for_shapes(book: &Book, host: Capacity, now_ms: Millis) -> u64 {
+fn hosts_for_shapes(pool_state: &PoolState, host: Capacity, now_ms: Millis) -> u64 {
     let waits_long = |rank: &&Rank| {
         let is_late = |t: &Task| now_ms >= t.since_ms + SHAPE_WAIT_MS;
-        book.task(rank.task).is_some_and(is_late) && book.is_within_quota(rank.task, 1)
+        pool_state.task(rank.task).is_some_and(is_late) && pool_state.is_within_quota(rank.task, 1)
     };
-    let first = book.ready.iter().take(PLACE_LOOKS);
+    let first = pool_state.ready.iter().take(PLACE_LOOKS);
     let waiting: Vec<&Rank> = first.filter(waits_long).collect();
     if waiting.is_empty() {
         return 0;
     }
-    let slack = Slack::of(book, now_ms);
+    let slack = Slack::of(pool_state, now_ms);
     let is_stuck = |rank: &&Rank| {
-        book.step_spec(rank.task).is_some_and(|spec| {
+        pool_state.step_spec(rank.task).is_some_and(|spec| {
             let demand = spec.demand();
             let has_room = demand.cpu_milli <= host.cpu_milli && demand.mem_mb <= host.mem_mb;
-            let is_split = rank.class == Class::Lasting || slack.is_split(book, rank.class, demand);
+            let is_split =
+                rank.class == Class::Lasting || slack.is_split(pool_state, rank.class, demand);
             spec.label.is_none() && !spec.gang && has_room && is_split
         })
     };
@@ -264,38 +276,51 @@
     if more == 0 {
         return 0;
     }
-    let open = book.workers.values().filter(|w| w.is_open(now_ms)).count() as u64;
+    let open = pool_state
+        .workers
+        .values()
+        .filter(|w| w.is_open(now_ms))
+        .count() as u64;
     open + more
 }
 
 /// The widest lasting step, by hosts that its tasks must stand on.
-fn apart(book: &Book) -> u64 {
-    let live = book.jobs.values().filter(|job| !job.state.is_final());
+fn apart(pool_state: &PoolState) -> u64 {
+    let live = pool_state.jobs.values().filter(|job| !job.state.is_final());
     let steps = live.flat_map(|job| job.spec.steps.iter().filter(|s| s.lasting));
     let hosts = steps.map(|s| u64::from(s.count) / u64::from(s.per_worker_max.max(1)));
     hosts.max().unwrap_or(0)
 }
 
 /// Closes as many hosts as are not wanted, those with the least work first; opens them again where they are.
-fn choose_spare(book: &mut Book, sizing: &mut Sizing, offers: &Offers, now_ms: Millis) {
-    reopen(book, sizing, offers);
-    let serving = book.workers.values().filter(|w| w.is_open(now_ms)).count() as u64;
+fn choose_spare(pool_state: &mut PoolState, sizing: &mut Sizing, offers: &Offers, now_ms: Millis) {
+    reopen(pool_state, sizing, offers);
+    let serving = pool_state
+        .workers
+        .values()
+        .filter(|w| w.is_open(now_ms))
+        .count() as u64;
     if serving < sizing.wanted {
-        open_some(book, sizing, offers, (sizing.wanted - serving) as usize);
+        open_some(
+            pool_state,
+            sizing,
+            offers,
+            (sizing.wanted - serving) as usize,
+        );
     } else {
         sizing.withdrawn.clear();
-        close_some(book, (serving - sizing.wanted) as usize, now_ms);
+        close_some(pool_state, (serving - sizing.wanted) as usize, now_ms);
     }
 }
 
 /// Hosts that are wanted again serve once they are off the row of offers.
-fn reopen(book: &mut Book, sizing: &mut Sizing, offers: &Offers) {
+fn reopen(pool_state: &mut PoolState, sizing: &mut Sizing, offers: &Offers) {
     let mut is_any = false;
     sizing.withdrawn.retain(|host| {
-        let Some(key) = book.worker_on(host) else {
+        let Some(key) = pool_state.worker_on(host) else {
             return false;
         };
-        let worker = &mut book.workers[key];
+        let worker = &mut pool_state.workers[key];
         let life = &worker.fact.id;
         if offers.is_taken(host, life) {
             return false;
@@ -307,13 +332,13 @@
         }
         !is_off
     });
-    book.wants_placing |= is_any;
+    pool_state.wants_placing |= is_any;
 }
 
-fn open_some(book: &mut Book, sizing: &mut Sizing, offers: &Offers, count: usize) {
+fn open_some(pool_state: &mut PoolState, sizing: &mut Sizing, offers: &Offers, count: usize) {
     let mut left = count;
     let mut offered: Vec<&str> = Vec::new();
-    for worker in book.workers.values_mut().filter(|w| w.is_spare) {
+    for worker in pool_state.workers.values_mut().filter(|w| w.is_spare) {
         let (host, life) = (&worker.fact.host, &worker.fact.id);
         if offers.is_taken(host, life) {
             continue;
@@ -323,7 +348,7 @@
         } else if left > 0 {
             // It was closed and never offered: it can serve at once.
             worker.is_spare = false;
-            book.wants_placing = true;
+            pool_state.wants_placing = true;
             left -= 1;
         }
     }
@@ -338,7 +363,7 @@
 
 /// Puts hosts that are spare and empty on offer, and takes those off that are wanted again.
 fn settle_offers(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     sizing: &mut Sizing,
     offers: &mut Offers,
     with: &Look<'_>,
@@ -348,11 +373,11 @@
         return;
     }
     let mut offered = BTreeMap::new();
-    for (key, worker) in book.workers.iter().filter(|(_, w)| w.is_spare) {
+    for (key, worker) in pool_state.workers.iter().filter(|(_, w)| w.is_spare) {
         let (host, life) = (&worker.fact.host, &worker.fact.id);
-        let is_idle = worker.is_listed && worker.answers && book.is_clear(key);
+        let is_idle = worker.is_listed && worker.answers && pool_state.is_clear(key);
         let is_idle = is_idle && !worker.is_closing;
-        let has_left = book.left.values().any(|left| left.worker == key);
+        let has_left = pool_state.left.values().any(|left| left.worker == key);
         // A host that carries nothing is best taken through its upkeep first.
         let is_kept = worker.is_due && !with.pressed;
         let is_wanted = is_kept || sizing.withdrawn.contains(host);
@@ -360,66 +385,66 @@
             offered.insert(host.clone(), life.clone());
         }
     }
-    let is_known = |life: &str| book.by_life.contains_key(life);
+    let is_known = |life: &str| pool_state.by_life.contains_key(life);
     let pause_ms = (with.answer_ms * OFFERS_APART_ANSWERS).max(OFFERS_APART_MS);
     let is_withdrawn = offers.row.offered.keys().any(|h| !offered.contains_key(h));
     if !is_withdrawn && ctx.now.ms < sizing.offered_ms + pause_ms {
-        mark_offered(book, offers);
+        mark_offered(pool_state, offers);
         return;
     }
     if let Some(tx) = offers.change(with.pool, with.epoch, offered, is_known) {
         sizing.offered_ms = ctx.now.ms;
         ctx.out.push(Effect::SettleOffers(ctx.pool, with.epoch, tx));
     }
-    mark_offered(book, offers);
+    mark_offered(pool_state, offers);
 }
 
 /// Notes which hosts are on offer, or were taken.
-pub fn mark_offered(book: &mut Book, offers: &Offers) {
-    for (_, worker) in &mut book.workers {
+pub fn mark_offered(pool_state: &mut PoolState, offers: &Offers) {
+    for (_, worker) in &mut pool_state.workers {
         let (host, life) = (&worker.fact.host, &worker.fact.id);
         worker.is_offered = offers.is_given(host, life);
     }
 }
 
-fn close_some(book: &mut Book, count: usize, now_ms: Millis) {
-    let mut idle: Vec<(u64, WorkerKey)> = book
+fn close_some(pool_state: &mut PoolState, count: usize, now_ms: Millis) {
+    let mut idle: Vec<(u64, WorkerKey)> = pool_state
         .workers
         .iter()
         .filter(|(key, w)| {
-            w.is_open(now_ms) && !book.reserved.has(*key) && !book.carries_lasting(w)
+            w.is_open(now_ms) && !pool_state.reserved.has(*key) && !pool_state.carries_lasting(w)
         })
         .map(|(key, w)| (w.used.cpu_milli, key))
         .collect();
     idle.sort_unstable();
     for (_, key) in idle.into_iter().take(count) {
-        book.workers[key].is_spare = true;
+        pool_state.workers[key].is_spare = true;
     }
 }
 
 /// Once in a while, how full the pool is.
-pub fn tell_load(book: &mut Book, ctx: &mut Ctx<'_>) {
-    if ctx.now.ms < book.load_told_ms + LOAD_TOLD_MS {
+pub fn tell_load(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+    if ctx.now.ms < pool_state.load_told_ms + LOAD_TOLD_MS {
         return;
     }
-    book.load_told_ms = ctx.now.ms;
-    let open: Vec<_> = book
+    pool_state.load_told_ms = ctx.now.ms;
+    let open: Vec<_> = pool_state
         .workers
         .values()
         .filter(|w| w.is_open(ctx.now.ms))
         .collect();
     let room: u64 = open.iter().map(|w| w.fact.capacity.cpu_milli).sum();
     let used: u64 = open.iter().map(|w| w.used.cpu_milli).sum();
-    let count = |class: Class| book.ready.iter().filter(|r| r.class == class).count() as u64;
+    let count = |class: Class| pool_state.ready.iter().filter(|r| r.class == class).count() as u64;
     let (in_time, behind) = (count(Class::InTime), count(Class::Behind));
-    let name = book.name.clone();
+    let name = pool_state.name.clone();
     ctx.tell(
         Decision::new(Code::PoolLoad, Subject::Pool, &name, "the last second")
             .with("open", open.len() as u64)
-            .with("workers", book.workers.len() as u64)
+            .with("workers", pool_state.workers.len() as u64)
             .with("room_cpu_milli", room)
             .with("used_cpu_milli", used)
-            .with("waiting", book.ready.len() as u64)
+            .with("waiting", pool_state.ready.len() as u64)
             .with("in_time", in_time)
             .with("behind", behind),
     );
--- a/src/core/sched/slack.rs
+++ b/src/core/sched/slack.rs
@@ -1,6 +1,6 @@
 //! Whether a pool has room that is only split up: enough of it in all, and too little on any one host.
 
-use super::book::Book;
+use super::pool_state::PoolState;
 use super::tasks::Class;
 use crate::clock::Millis;
 use crate::port::fleet::Capacity;
@@ -27,14 +27,14 @@
 
 impl Slack {
     /// Of this pool.
-    pub(super) fn of(book: &Book, now_ms: Millis) -> Self {
+    pub(super) fn of(pool_state: &PoolState, now_ms: Millis) -> Self {
         let mut slack = Self {
             now_ms,
             hosts: 0,
             room: Capacity::default(),
             free: Capacity::default(),
         };
-        for worker in book.workers.values().filter(|w| w.is_open(now_ms)) {
+        for worker in pool_state.workers.values().filter(|w| w.is_open(now_ms)) {
             slack.hosts += 1;
             slack.room.add(worker.fact.capacity);
             slack.free.add(worker.free());
@@ -43,11 +43,13 @@
     }
 
     /// Whether a task of this class waits only since no host alone has what is free in all.
-    pub(super) fn is_split(&self, book: &Book, class: Class, demand: Capacity) -> bool {
+    pub(super) fn is_split(&self, pool_state: &PoolState, class: Class, demand: Capacity) -> bool {
         let used_percent = self.used_percent();
         let is_wide = || class <= Class::InTime && self.is_wide(demand);
         let is_due = used_percent <= IDLE_PERCENT || used_percent <= WIDE_PERCENT && is_wide();
-        is_due && self.free.holds(demand.times(ROOM_FACTOR)) && !has_host(book, demand, self.now_ms)
+        is_due
+            && self.free.holds(demand.times(ROOM_FACTOR))
+            && !has_host(pool_state, demand, self.now_ms)
     }
 
     fn used_percent(&self) -> u64 {
@@ -62,9 +64,9 @@
 }
 
 /// Whether some open host that is reserved for no other task has that much free.
-fn has_host(book: &Book, demand: Capacity, now_ms: Millis) -> bool {
-    let slots = book.room.with_free(demand.cpu_milli);
-    let slots = slots.filter(|slot| !book.reserved.has(slot.worker));
-    let mut open = slots.map(|slot| &book.workers[slot.worker]);
+fn has_host(pool_state: &PoolState, demand: Capacity, now_ms: Millis) -> bool {
+    let slots = pool_state.room.with_free(demand.cpu_milli);
+    let slots = slots.filter(|slot| !pool_state.reserved.has(slot.worker));
+    let mut open = slots.map(|slot| &pool_state.workers[slot.worker]);
     open.any(|w| w.is_open(now_ms) && w.fits(demand))
 }
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::book::Book;
 use super::hosts::{HostController, HostTask};
-use super::keys::{BookId, JobKey, TaskKey, WorkerKey};
+use super::keys::{JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::CPU_FULL_MILLI;
 use super::lives::ListNews;
 use super::offers::Offers;
 use super::owner_lease::OwnerLease;
+use super::pool_state::PoolState;
 use super::quota::QuotaController;
 use super::rows::{WaveRow, SHARDS};
 use super::sizing::Sizing;
@@ -32,7 +32,7 @@
     /// Its epoch: the fence of all its orders.
     pub epoch: u64,
     /// The books, once they are read.
-    pub book: Option<Book>,
+    pub pool_state: Option<PoolState>,
     /// How often they were.
     pub readings: u32,
     /// Revisions of the owner's rows, by shard: each write carries its shard's as a condition.
@@ -63,20 +63,23 @@
 impl Ownership {
     /// Drops what is left of an earlier reading, and gives the id of the books to be built; what looks at them now and then
     /// is set anew.
-    pub(super) fn next_book(&mut self, ctx: &mut Ctx<'_>) -> BookId {
-        self.drop_book(ctx);
+    pub(super) fn begin_reading(&mut self, ctx: &mut Ctx<'_>) -> PoolStateId {
+        self.drop_pool_state(ctx);
         ctx.drop_timers(|timer| !matches!(timer, Timer::Claim | Timer::Renew));
         self.readings += 1;
-        BookId {
+        PoolStateId {
             epoch: self.epoch,
             reading: self.readings,
         }
     }
 
     /// Puts jobs of books that were just read, and that are not on record, into the shards of their first records.
-    pub(super) fn keep_shards(&mut self, book: &mut Book) {
+    pub(super) fn keep_shards(&mut self, pool_state: &mut PoolState) {
         for (id, shard) in std::mem::take(&mut self.first_shards) {
-            let job = book.by_id.get(&id).and_then(|key| book.jobs.get_mut(*key));
+            let job = pool_state
+                .by_id
+                .get(&id)
+                .and_then(|key| pool_state.jobs.get_mut(*key));
             if let Some(job) = job {
                 job.shard.get_or_insert(shard);
             }
@@ -92,16 +95,19 @@
     }
 
     /// Drops the books, and all that holds keys of them.
-    pub(super) fn drop_book(&mut self, ctx: &mut Ctx<'_>) {
-        if let Some(book) = self.book.take() {
-            let open = book.jobs.values().filter(|job| job.revision == ABSENT);
+    pub(super) fn drop_pool_state(&mut self, ctx: &mut Ctx<'_>) {
+        if let Some(pool_state) = self.pool_state.take() {
+            let open = pool_state
+                .jobs
+                .values()
+                .filter(|job| job.revision == ABSENT);
             let shards = open.filter_map(|job| Some((job.id.clone(), job.shard?)));
             self.first_shards.extend(shards);
         }
         self.batches = Default::default();
         self.removing = None;
         self.removable.clear();
-        ctx.drop_timers(Timer::is_of_book);
+        ctx.drop_timers(Timer::is_of_pool_state);
     }
 }
 
@@ -212,7 +218,7 @@
 
 impl Timer {
     /// Whether it names a worker or a task by its key, or a batch with such keys.
-    fn is_of_book(self) -> bool {
+    fn is_of_pool_state(self) -> bool {
         matches!(
             self,
             Timer::Resend(_)
@@ -249,15 +255,15 @@
     /// A row of intake changed.
     Intake(StoredRow),
     /// The batch of a shard was answered.
-    Recorded(PoolKey, BookId, usize, TxOutcome),
+    Recorded(PoolKey, PoolStateId, usize, TxOutcome),
     /// A start was answered.
-    Started(PoolKey, BookId, TaskKey, u32, OrderReply),
+    Started(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
     /// A stop was answered.
-    Stopped(PoolKey, BookId, TaskKey, u32, OrderReply),
+    Stopped(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
     /// A hold was answered; it was sent at that time.
     Held(
         PoolKey,
-        BookId,
+        PoolStateId,
         WorkerKey,
         Millis,
         Result<HoldReport, OrderReply>,
@@ -269,7 +275,7 @@
     /// The record of hosts that are out was changed, or not: epoch.
     OrderedSettled(PoolKey, u64, TxOutcome),
     /// Rows of intake were removed, or not.
-    IntakeRemoved(PoolKey, BookId, TxOutcome),
+    IntakeRemoved(PoolKey, PoolStateId, TxOutcome),
     /// A change of the pool's offers was answered: epoch.
     OffersSettled(PoolKey, u64, TxOutcome),
     /// Hosts on offer were taken, or not: epoch, the pool that offered them.
@@ -315,7 +321,7 @@
     /// The pool.
     pub pool: PoolKey,
     /// The books that it is of.
-    pub book: BookId,
+    pub pool_state: PoolStateId,
     /// To whom, with which fence.
     pub to: Addressee,
     /// The owner's lease ends then; later it must not be sent.
@@ -338,7 +344,7 @@
     /// Read an account's row: epoch, account.
     ReadQuota(PoolKey, u64, String),
     /// Record progress in a shard.
-    Record(PoolKey, BookId, usize, RowTx),
+    Record(PoolKey, PoolStateId, usize, RowTx),
     /// Start a run.
     Start(Order, TaskKey, RunStart),
     /// Stop a run that the books know.
@@ -358,7 +364,7 @@
     /// Change the record of hosts that are out: epoch.
     SettleOrdered(PoolKey, u64, RowTx),
     /// Remove rows of intake.
-    RemoveIntake(PoolKey, BookId, RowTx),
+    RemoveIntake(PoolKey, PoolStateId, RowTx),
     /// Change the pool's offers.
     SettleOffers(PoolKey, u64, RowTx),
     /// Take hosts that a pool offers, by its name.
--- a/src/core/sched/told.rs
+++ b/src/core/sched/told.rs
@@ -5,9 +5,9 @@
 
 use std::fmt::{Display, Write};
 
-use super::book::Book;
 use super::crashes::Evidence;
 use super::keys::{TaskKey, WorkerKey};
+use super::pool_state::PoolState;
 use super::state::{Batch, Ctx, Ownership};
 use super::tasks::Phase;
 use super::worker::Worker;
@@ -75,18 +75,22 @@
 }
 
 /// The id of a worker's life.
-fn life(book: &Book, worker: WorkerKey) -> &str {
-    book.workers.get(worker).map_or("-", |w| &w.fact.id)
+fn life(pool_state: &PoolState, worker: WorkerKey) -> &str {
+    pool_state.workers.get(worker).map_or("-", |w| &w.fact.id)
 }
 
 /// What the books think of a task as something is told of one of its runs on a worker: its phase, and its run and
 /// worker where they are others.
-fn standing(book: &Book, task: &TaskName, run: u32, worker: WorkerKey) -> String {
-    let Some(job) = book.by_id.get(&task.job).and_then(|k| book.jobs.get(*k)) else {
+fn standing(pool_state: &PoolState, task: &TaskName, run: u32, worker: WorkerKey) -> String {
+    let Some(job) = pool_state
+        .by_id
+        .get(&task.job)
+        .and_then(|k| pool_state.jobs.get(*k))
+    else {
         return "JobUnknown".to_string();
     };
     let over = if job.state.is_final() { "JobOver," } else { "" };
-    let Some(known) = book.find(task).and_then(|key| book.task(key)) else {
+    let Some(known) = pool_state.find(task).and_then(|key| pool_state.task(key)) else {
         return format!("{over}RoundOver");
     };
     let name = phase_name(known.phase);
@@ -95,7 +99,7 @@
         return format!("{over}{name}");
     }
     match on {
-        Some(on) => format!("{over}{name}#{}@{}", known.run, life(book, on)),
+        Some(on) => format!("{over}{name}#{}@{}", known.run, life(pool_state, on)),
         None => format!("{over}{name}#{}", known.run),
     }
 }
@@ -116,12 +120,17 @@
 
 impl Ends {
     /// Of an account asked for at `asked_ms`.
-    pub(super) fn new(book: &Book, worker: WorkerKey, asked_ms: Millis, epoch: u64) -> Self {
+    pub(super) fn new(
+        pool_state: &PoolState,
+        worker: WorkerKey,
+        asked_ms: Millis,
+        epoch: u64,
+    ) -> Self {
         Self {
             worker,
             epoch,
             asked_ms,
-            taken: book.workers[worker].taken,
+            taken: pool_state.workers[worker].taken,
             again: 0,
             again_list: List::default(),
             list: List::default(),
@@ -129,12 +138,12 @@
     }
 
     /// An end that is about to be taken in.
-    pub(super) fn add(&mut self, book: &Book, end: &RunEnd, ctx: &mut Ctx<'_>) {
+    pub(super) fn add(&mut self, pool_state: &PoolState, end: &RunEnd, ctx: &mut Ctx<'_>) {
         if self.list.is_full() {
-            self.tell(book, ctx);
+            self.tell(pool_state, ctx);
         }
         let name = RunName(&end.task, end.run);
-        let standing = standing(book, &end.task, end.run, self.worker);
+        let standing = standing(pool_state, &end.task, end.run, self.worker);
         self.list.add(format_args!(
             "{}={name}:{:?}/{standing}",
             end.number, end.kind
@@ -151,14 +160,14 @@
     }
 
     /// Tells what is not told yet.
-    pub(super) fn finish(mut self, book: &Book, ctx: &mut Ctx<'_>) {
+    pub(super) fn finish(mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
         if self.list.count > 0 || self.again > 0 {
-            self.tell(book, ctx);
+            self.tell(pool_state, ctx);
         }
     }
 
-    fn tell(&mut self, book: &Book, ctx: &mut Ctx<'_>) {
-        let w = &book.workers[self.worker];
+    fn tell(&mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
+        let w = &pool_state.workers[self.worker];
         let why = "listed in its account";
         let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.fact.id, why)
             .naming("on", &*w.fact.host)
@@ -190,67 +199,67 @@
 /// Notes what a start was answered; `since_ms` is when the run was on record. The worker is the one that the books have the
 /// task on.
 pub(super) fn note_answer(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
     reply: OrderReply,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(name) = book.name(key) else {
+    let Some(name) = pool_state.name(key) else {
         return;
     };
-    let Some(task) = book.task(key) else {
+    let Some(task) = pool_state.task(key) else {
         return;
     };
     let name = RunName(&name, run);
     let took_ms = ctx.now.ms.saturating_sub(task.since_ms);
     let text = match task.phase {
         Phase::Starting(on) if task.run == run => {
-            format!("{name}@{}:{reply:?},{took_ms}", life(book, on))
+            format!("{name}@{}:{reply:?},{took_ms}", life(pool_state, on))
         }
         // The books have gone on since.
         phase => format!("{name}:{reply:?}/{}#{}", phase_name(phase), task.run),
     };
-    book.answers.waiting.push((ctx.now.ms, text));
-    if book.answers.waiting.len() >= LISTED_MAX {
-        tell_answers(book, ctx);
+    pool_state.answers.waiting.push((ctx.now.ms, text));
+    if pool_state.answers.waiting.len() >= LISTED_MAX {
+        tell_answers(pool_state, ctx);
     }
 }
 
 /// Tells answers that have waited for long enough.
-pub(super) fn tell_old_answers(book: &mut Book, ctx: &mut Ctx<'_>) {
-    let first = book.answers.waiting.first();
+pub(super) fn tell_old_answers(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+    let first = pool_state.answers.waiting.first();
     if first.is_some_and(|(at, _)| ctx.now.ms >= at + ANSWERS_MS) {
-        tell_answers(book, ctx);
+        tell_answers(pool_state, ctx);
     }
 }
 
 /// Tells all answers: before a judgement that may rest on them, and before the books are dropped.
-pub(super) fn tell_answers(book: &mut Book, ctx: &mut Ctx<'_>) {
-    if book.answers.waiting.is_empty() {
+pub(super) fn tell_answers(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+    if pool_state.answers.waiting.is_empty() {
         return;
     }
     let mut list = List::default();
-    for (at_ms, text) in book.answers.waiting.drain(..) {
+    for (at_ms, text) in pool_state.answers.waiting.drain(..) {
         let ago_ms = ctx.now.ms.saturating_sub(at_ms);
         list.add(format_args!("{text},{ago_ms}"));
     }
     let why = "workers answered";
-    let decision = Decision::new(Code::StartsAnswered, Subject::Pool, &book.name, why);
+    let decision = Decision::new(Code::StartsAnswered, Subject::Pool, &pool_state.name, why);
     ctx.tell(decision.naming(RUNS, list.take()));
 }
 
 /// Tells all answers of books that are about to be dropped.
 pub(super) fn tell_last_answers(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
-    if let Some(book) = &mut ownership.book {
-        tell_answers(book, ctx);
+    if let Some(pool_state) = &mut ownership.pool_state {
+        tell_answers(pool_state, ctx);
     }
 }
 
 /// A batch that is on record. Its jobs are listed in full, since an end counts as recorded with the batch of its job.
 pub(super) fn recorded(
     batch: &Batch,
-    book: &Book,
+    pool_state: &PoolState,
     revision: Revision,
     epoch: u64,
     ctx: &mut Ctx<'_>,
@@ -262,7 +271,7 @@
     let changed = batch.jobs.iter().map(|(key, _)| key);
     let keys = changed.chain(&batch.removed);
     let mut list = List::default();
-    for job in keys.filter_map(|key| book.jobs.get(*key)) {
+    for job in keys.filter_map(|key| pool_state.jobs.get(*key)) {
         list.add(&job.id);
     }
     if list.count == 0 {
@@ -282,15 +291,15 @@
 /// What a new owner found on record: tasks that are done, and those that were started, by worker.
 pub(super) fn loaded(
     name: &str,
-    book: &Book,
+    pool_state: &PoolState,
     ownership: &Ownership,
     config_version: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let rounds = book.jobs.values().flat_map(|job| job.rounds.values());
+    let rounds = pool_state.jobs.values().flat_map(|job| job.rounds.values());
     let tasks = rounds.flat_map(|round| round.steps.iter().flat_map(|step| &step.tasks));
     let done = tasks.filter(|task| task.phase == Phase::Done).count() as u64;
-    let carrying = book.workers.values().filter(|w| !w.tasks.is_empty());
+    let carrying = pool_state.workers.values().filter(|w| !w.tasks.is_empty());
     let started: usize = carrying.clone().map(|w| w.tasks.len()).sum();
     let mut on = List::default();
     for w in carrying.take(LOADED_MAX) {
@@ -305,8 +314,8 @@
             .naming("started_on", on.text)
             .with("epoch", ownership.epoch)
             .with("reads", u64::from(ownership.readings))
-            .with("jobs", book.jobs.len() as u64)
-            .with("workers", book.workers.len() as u64)
+            .with("jobs", pool_state.jobs.len() as u64)
+            .with("workers", pool_state.workers.len() as u64)
             .with("started", started as u64)
             .with("done", done)
             .with("config", config_version)
@@ -354,14 +363,14 @@
 /// A task that goes back to wait: what the judgement on its run rests on. `asked_ms` is when the account was asked for that
 /// lacks it.
 pub(super) fn requeued(
-    book: &Book,
+    pool_state: &PoolState,
     key: TaskKey,
     why: &str,
     asked_ms: Option<Millis>,
     now_ms: Millis,
 ) -> Option<Decision> {
-    let task = book.task(key)?;
-    let job = &book.jobs.get(key.job)?.id;
+    let task = pool_state.task(key)?;
+    let job = &pool_state.jobs.get(key.job)?.id;
     // On a worker's end these tell the run that may have caused it from those that had long been at work.
     let mut decision = Decision::new(Code::TaskRequeued, Subject::Job, job, why)
         .with("round", u64::from(key.round))
@@ -371,7 +380,7 @@
         .with("answered", u64::from(task.begun_ms.is_some()))
         .with("since_ms", now_ms.saturating_sub(task.since_ms))
         .naming("phase", phase_name(task.phase));
-    if let Some(w) = task.phase.worker().and_then(|w| book.workers.get(w)) {
+    if let Some(w) = task.phase.worker().and_then(|w| pool_state.workers.get(w)) {
         decision = decision
             .naming("worker", &*w.fact.id)
             .naming("on", &*w.fact.host);
