--- a/src/core/sched/waits.rs
+++ b/src/core/sched/waits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::book::Book;
+use super::pool_state::PoolState;
 use super::state::{Ctx, WaveKnown};
 use super::wave::{self, Turn, WaveController, TURN_MS};
 use crate::clock::Millis;
@@ -64,7 +64,7 @@
 
 /// Tells what a wave waits for in this pool, if that takes too long.
 pub(super) fn tell(
-    book: &Book,
+    pool_state: &PoolState,
     controller: &mut WaveController,
     wave: &WaveKnown,
     due: &BTreeSet<&str>,
@@ -80,7 +80,7 @@
     let ours = ours.filter_map(|host| {
         Some((
             host,
-            reason(book, controller, wave, host, pool, ctx.now.ms)?,
+            reason(pool_state, controller, wave, host, pool, ctx.now.ms)?,
         ))
     });
     let told: Vec<(&str, &str)> = ours.take(HOSTS_TOLD).collect();
@@ -98,7 +98,7 @@
 
 /// What a host of this pool waits for in a wave; nothing for one of another pool, or one that is gone.
 fn reason(
-    book: &Book,
+    pool_state: &PoolState,
     controller: &WaveController,
     wave: &WaveKnown,
     host: &str,
@@ -129,7 +129,7 @@
             (Turn::Away(_), _) => "it was ordered out, and the list does not name it as up since",
         });
     }
-    let Some(key) = book.worker_on(host) else {
+    let Some(key) = pool_state.worker_on(host) else {
         let record = controller.hosts.get(host).filter(|h| h.pool == pool)?;
         return Some(match record.state {
             HostState::Up if record.life.is_empty() => "hosts before it have their turns",
@@ -137,14 +137,14 @@
             _ => "the list of hosts does not name it as up",
         });
     };
-    let worker = &book.workers[key];
+    let worker = &pool_state.workers[key];
     Some(if !worker.answers {
         "its worker does not answer"
     } else if worker.fact.draining {
         "its worker is draining"
     } else if worker.is_offered {
         "it is on offer to other pools"
-    } else if !wave::can_clear(book, key, now_ms) {
+    } else if !wave::can_clear(pool_state, key, now_ms) {
         "what lasts there can't move"
     } else {
         "hosts before it have their turns, or its own was broken off"
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -7,10 +7,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-use super::book::Book;
 use super::keys::{TaskKey, WorkerKey};
 use super::listing::HostList;
 use super::place;
+use super::pool_state::PoolState;
 use super::rows::{self, SlotRow, WaveRow};
 use super::runs;
 use super::state::{Ctx, Effect, Timer, WaveKnown};
@@ -95,7 +95,7 @@
 
 /// Looks at all waves that are not done.
 pub fn look(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     controller: &mut WaveController,
     known: &mut BTreeMap<u64, WaveKnown>,
     pool: &str,
@@ -108,7 +108,7 @@
         if is_complete(wave, &due_hosts(wave), controller) {
             wave.is_done = true;
             let number = wave.order.wave;
-            end_turns(book, controller, number);
+            end_turns(pool_state, controller, number);
             ctx.out.push(Effect::TellWave(number, WaveState::Completed));
             let id = number.to_string();
             ctx.tell(Decision::new(
@@ -120,11 +120,11 @@
             continue;
         }
         let due = due_hosts(wave);
-        recover(book, controller, wave, pool);
-        mark_due(book, &due);
-        advance(book, controller, wave, pool, epoch, ctx);
-        begin_turns(book, controller, wave, &due, pool, ctx);
-        waits::tell(book, controller, wave, &due, pool, ctx);
+        recover(pool_state, controller, wave, pool);
+        mark_due(pool_state, &due);
+        advance(pool_state, controller, wave, pool, epoch, ctx);
+        begin_turns(pool_state, controller, wave, &due, pool, ctx);
+        waits::tell(pool_state, controller, wave, &due, pool, ctx);
     }
     if !is_any {
         return;
@@ -141,7 +141,7 @@
 }
 
 /// Opens hosts whose turn in a wave is left when that is done: they left the fleet meanwhile, and may come back.
-fn end_turns(book: &mut Book, controller: &mut WaveController, wave: u64) {
+fn end_turns(pool_state: &mut PoolState, controller: &mut WaveController, wave: u64) {
     let left = controller
         .turns
         .iter()
@@ -149,7 +149,7 @@
     let left: Vec<String> = left.map(|(host, _)| host.clone()).collect();
     for host in left {
         controller.turns.remove(&host);
-        book.set_closing(&host, false);
+        pool_state.set_closing(&host, false);
     }
 }
 
@@ -174,7 +174,12 @@
 
 /// Slots that this pool's former owner took, or this one without an answer. Their hosts are about to be ordered out and get
 /// nothing new: what lasts would be ended there beside what this owner moves elsewhere.
-fn recover(book: &mut Book, controller: &mut WaveController, wave: &WaveKnown, pool: &str) {
+fn recover(
+    pool_state: &mut PoolState,
+    controller: &mut WaveController,
+    wave: &WaveKnown,
+    pool: &str,
+) {
     for (host, slot) in wave.row.out.iter().filter(|(_, slot)| slot.pool == pool) {
         let turn = controller.turns.get(host).map(|(_, turn)| turn);
         if matches!(turn, None | Some(Turn::Closing(_))) {
@@ -184,13 +189,13 @@
         if slot.is_ordered {
             continue;
         }
-        book.set_closing(host, true);
-        book.set_going(host);
+        pool_state.set_closing(host, true);
+        pool_state.set_going(host);
     }
 }
 
 /// Closes the hosts that are on their way out in books that were just read.
-pub(super) fn close_leaving(book: &mut Book, controller: &WaveController) {
+pub(super) fn close_leaving(pool_state: &mut PoolState, controller: &WaveController) {
     let asked = controller
         .pending
         .as_ref()
@@ -199,21 +204,21 @@
         if matches!(turn, Turn::Away(_)) {
             continue;
         }
-        book.set_closing(host, true);
+        pool_state.set_closing(host, true);
         if *turn == Turn::Holding || asked.is_some_and(|pending| pending.host == *host) {
-            book.set_going(host);
+            pool_state.set_going(host);
         }
     }
 }
 
-fn mark_due(book: &mut Book, due: &BTreeSet<&str>) {
-    for (_, worker) in &mut book.workers {
+fn mark_due(pool_state: &mut PoolState, due: &BTreeSet<&str>) {
+    for (_, worker) in &mut pool_state.workers {
         worker.is_due = due.contains(worker.fact.host.as_str());
     }
 }
 
 fn advance(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     controller: &mut WaveController,
     wave: &WaveKnown,
     pool: &str,
@@ -228,22 +233,22 @@
         .collect();
     for (host, turn) in turns {
         match turn {
-            Turn::Closing(_) if !has_host(book, controller, &host, pool) => {
+            Turn::Closing(_) if !has_host(pool_state, controller, &host, pool) => {
                 controller.turns.remove(&host);
-                book.set_closing(&host, false);
+                pool_state.set_closing(&host, false);
             }
             // A former owner, or the next one, took it through.
             Turn::Closing(_) if wave.row.back.contains(&host) => {
-                reopen(book, controller, &host, "it has been through", ctx);
+                reopen(pool_state, controller, &host, "it has been through", ctx);
             }
             Turn::Closing(since_ms) => {
-                if clear(book, &host, since_ms, epoch, ctx) {
+                if clear(pool_state, &host, since_ms, epoch, ctx) {
                     if take_slot(controller, wave, &host, (pool, epoch), ctx) {
-                        book.set_going(&host);
+                        pool_state.set_going(&host);
                     }
                 } else if ctx.now.ms >= since_ms + CLOSE_MAX_MS {
                     reopen(
-                        book,
+                        pool_state,
                         controller,
                         &host,
                         "what lasts there could not move, or its ends are not on record",
@@ -251,58 +256,68 @@
                     );
                 }
             }
-            Turn::Holding => go_out(book, controller, wave, &host, ctx),
+            Turn::Holding => go_out(pool_state, controller, wave, &host, ctx),
             Turn::Away(since_ms) => give_back(controller, wave, &host, since_ms, epoch, ctx),
         }
     }
 }
 
 /// Moves what lasts and waits for the rest; says whether the host may go.
-fn clear(book: &mut Book, host: &str, since_ms: Millis, epoch: u64, ctx: &mut Ctx<'_>) -> bool {
-    let Some(worker) = book.worker_on(host) else {
+fn clear(
+    pool_state: &mut PoolState,
+    host: &str,
+    since_ms: Millis,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) -> bool {
+    let Some(worker) = pool_state.worker_on(host) else {
         // A life that left the list may serve on for seconds, and what it carries would end with it.
-        return book.lives_on(host).all(|(life, _)| book.is_clear(life));
+        return pool_state
+            .lives_on(host)
+            .all(|(life, _)| pool_state.is_clear(life));
     };
-    let tasks: Vec<TaskKey> = book.workers[worker].tasks.iter().copied().collect();
+    let tasks: Vec<TaskKey> = pool_state.workers[worker].tasks.iter().copied().collect();
     let is_patient = ctx.now.ms < since_ms + CLOSE_MS;
     let mut lasting_left = 0;
     for key in &tasks {
-        if !book.step_spec(*key).is_some_and(|s| s.lasting) {
+        if !pool_state.step_spec(*key).is_some_and(|s| s.lasting) {
             if !is_patient {
-                stop_short(book, *key, epoch, ctx);
+                stop_short(pool_state, *key, epoch, ctx);
             }
             continue;
         }
         lasting_left += 1;
-        let is_running = book
+        let is_running = pool_state
             .task(*key)
             .is_some_and(|t| matches!(t.phase, Phase::Running(_)));
-        if is_running && may_miss(book, *key, ctx.now.ms) {
-            runs::stop(book, *key, epoch, ctx);
+        if is_running && may_miss(pool_state, *key, ctx.now.ms) {
+            runs::stop(pool_state, *key, epoch, ctx);
         }
     }
-    lasting_left == 0 && book.is_clear(worker)
+    lasting_left == 0 && pool_state.is_clear(worker)
 }
 
 /// Stops a task that ends by itself, but not in time. Left at work as its host went, it could be done behind its owner's back:
 /// 32 of 40 such tasks were started again by the next one.
-fn stop_short(book: &mut Book, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    let phase = book.task(key).map(|task| task.phase);
+fn stop_short(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
+    let phase = pool_state.task(key).map(|task| task.phase);
     if matches!(phase, Some(Phase::Starting(_) | Phase::Running(_))) {
-        runs::stop(book, key, epoch, ctx);
+        runs::stop(pool_state, key, epoch, ctx);
     }
 }
 
 /// Whether everything that lasts on a worker could go elsewhere now.
-pub(super) fn can_clear(book: &Book, worker: WorkerKey, now_ms: Millis) -> bool {
-    let tasks = book.workers[worker].tasks.iter();
-    let mut lasting = tasks.filter(|key| book.step_spec(**key).is_some_and(|s| s.lasting));
-    lasting.all(|key| may_miss(book, *key, now_ms) && place::has_other(book, *key, worker, now_ms))
+pub(super) fn can_clear(pool_state: &PoolState, worker: WorkerKey, now_ms: Millis) -> bool {
+    let tasks = pool_state.workers[worker].tasks.iter();
+    let mut lasting = tasks.filter(|key| pool_state.step_spec(**key).is_some_and(|s| s.lasting));
+    lasting.all(|key| {
+        may_miss(pool_state, *key, now_ms) && place::has_other(pool_state, *key, worker, now_ms)
+    })
 }
 
 /// Gives a host back to its pool for a while.
 fn reopen(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     controller: &mut WaveController,
     host: &str,
     why: &str,
@@ -311,13 +326,13 @@
     controller.turns.remove(host);
     let again_ms = ctx.now.ms + REOPENED_MS;
     controller.reopened.insert(host.to_string(), again_ms);
-    book.set_closing(host, false);
+    pool_state.set_closing(host, false);
     ctx.tell(Decision::new(Code::HostReopened, Subject::Host, host, why));
 }
 
 /// Whether the system may take a lasting task away now: few enough of its step are away already.
-pub fn may_miss(book: &Book, key: TaskKey, now_ms: Millis) -> bool {
-    let Some(spec) = book.step_spec(key) else {
+pub fn may_miss(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
+    let Some(spec) = pool_state.step_spec(key) else {
         return false;
     };
     let most = spec.away_max.map_or(1, usize::from);
@@ -327,17 +342,17 @@
             index: *index,
             ..key
         };
-        !is_at_work(book, other, now_ms)
+        !is_at_work(pool_state, other, now_ms)
     });
     away.count() < most
 }
 
 /// Whether a task is at work, by an account that is not old.
-fn is_at_work(book: &Book, key: TaskKey, now_ms: Millis) -> bool {
-    let Some(task) = book.task(key).filter(|t| t.is_at_work) else {
+fn is_at_work(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
+    let Some(task) = pool_state.task(key).filter(|t| t.is_at_work) else {
         return false;
     };
-    let worker = task.phase.worker().and_then(|w| book.workers.get(w));
+    let worker = task.phase.worker().and_then(|w| pool_state.workers.get(w));
     worker.is_some_and(|w| w.answers && now_ms < w.heard_ms + HEARD_MS)
 }
 
@@ -431,14 +446,14 @@
 }
 
 /// Whether a host is still this pool's.
-fn has_host(book: &Book, controller: &WaveController, host: &str, pool: &str) -> bool {
+fn has_host(pool_state: &PoolState, controller: &WaveController, host: &str, pool: &str) -> bool {
     let record = controller.hosts.get(host);
-    book.worker_on(host).is_some() || record.is_none_or(|h| h.pool == pool)
+    pool_state.worker_on(host).is_some() || record.is_none_or(|h| h.pool == pool)
 }
 
 /// Takes note that the host of a slot was ordered out, or that its slot was given up for it.
 fn go_out(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     controller: &mut WaveController,
     wave: &WaveKnown,
     host: &str,
@@ -446,15 +461,15 @@
 ) {
     let Some(slot) = wave.row.out.get(host) else {
         let why = "its slot was given up";
-        reopen(book, controller, host, why, ctx);
+        reopen(pool_state, controller, host, why, ctx);
         return;
     };
     if !slot.is_ordered {
         return;
     }
     // The life that was there is over; the next one is open once its slot was given back, or at once.
-    book.closing.remove(host);
-    book.going.remove(host);
+    pool_state.closing.remove(host);
+    pool_state.going.remove(host);
     let turn = Turn::Away(ctx.now.ms);
     controller
         .turns
@@ -463,7 +478,7 @@
 
 /// Takes in what became of a change of a wave's row; books that are being read close and open hosts by its row later.
 pub fn settled(
-    book: Option<&mut Book>,
+    pool_state: Option<&mut PoolState>,
     controller: &mut WaveController,
     known: &mut BTreeMap<u64, WaveKnown>,
     outcome: TxOutcome,
@@ -510,8 +525,8 @@
             .with("left", left as u64),
         );
         controller.turns.remove(&pending.host);
-        if let Some(book) = book {
-            book.set_closing(&pending.host, false);
+        if let Some(pool_state) = pool_state {
+            pool_state.set_closing(&pending.host, false);
         }
     }
 }
@@ -532,25 +547,25 @@
 
 /// Closes as many hosts as the wave's time asks for.
 fn begin_turns(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     controller: &mut WaveController,
     wave: &WaveKnown,
     due: &BTreeSet<&str>,
     pool: &str,
     ctx: &mut Ctx<'_>,
 ) {
-    let candidates = candidates(book, controller, wave, due, pool, ctx.now.ms);
+    let candidates = candidates(pool_state, controller, wave, due, pool, ctx.now.ms);
     let in_turn = controller
         .turns
         .values()
         .filter(|(n, _)| *n == wave.order.wave)
         .count();
     let left = candidates.len() + in_turn;
-    let listed = book.workers.values().filter(|w| w.is_listed).count();
+    let listed = pool_state.workers.values().filter(|w| w.is_listed).count();
     let most = (listed / POOL_PART).max(1);
     let allowed = side_by_side(wave, left, ctx.now.ms).min(most);
     for (host, _) in candidates.into_iter().take(allowed.saturating_sub(in_turn)) {
-        book.set_closing(&host, true);
+        pool_state.set_closing(&host, true);
         let turn = Turn::Closing(ctx.now.ms);
         ctx.tell(
             Decision::new(Code::HostClosing, Subject::Host, &host, "its wave is due")
@@ -573,7 +588,7 @@
 
 /// Hosts of the pool whose turn may begin, those with the least work first.
 fn candidates(
-    book: &Book,
+    pool_state: &PoolState,
     controller: &WaveController,
     wave: &WaveKnown,
     due: &BTreeSet<&str>,
@@ -590,9 +605,10 @@
     };
     let mut found: Vec<(String, u64)> = Vec::new();
     for host in due.iter().copied().filter(|h| may_begin(h)) {
-        if let Some(key) = book.worker_on(host) {
-            let w = &book.workers[key];
-            if w.answers && !w.fact.draining && !w.is_offered && can_clear(book, key, now_ms) {
+        if let Some(key) = pool_state.worker_on(host) {
+            let w = &pool_state.workers[key];
+            if w.answers && !w.fact.draining && !w.is_offered && can_clear(pool_state, key, now_ms)
+            {
                 found.push((host.to_string(), w.used.cpu_milli + w.tasks.len() as u64));
             }
             continue;
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -211,9 +211,9 @@
                 let rows = load(&shared, &platform, &name).await.ok();
                 Some(Event::Loaded(pool, epoch, rows))
             }),
-            Effect::Record(pool, book, shard, tx) => self.spawn(async move {
+            Effect::Record(pool, pool_state, shard, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
-                Some(Event::Recorded(pool, book, shard, outcome))
+                Some(Event::Recorded(pool, pool_state, shard, outcome))
             }),
             Effect::Start(order, task, start) => {
                 self.spawn(async move {
@@ -223,7 +223,11 @@
                         OrderReply::Silent
                     };
                     Some(Event::Started(
-                        order.pool, order.book, task, start.run, reply,
+                        order.pool,
+                        order.pool_state,
+                        task,
+                        start.run,
+                        reply,
                     ))
                 });
             }
@@ -234,7 +238,13 @@
                     } else {
                         OrderReply::Silent
                     };
-                    Some(Event::Stopped(order.pool, order.book, task, run, reply))
+                    Some(Event::Stopped(
+                        order.pool,
+                        order.pool_state,
+                        task,
+                        run,
+                        reply,
+                    ))
                 });
             }
             Effect::StopStray(order, name, run) => {
@@ -266,8 +276,8 @@
                     } else {
                         Err(OrderReply::Silent)
                     };
-                    let (pool, book) = (order.pool, order.book);
-                    Some(Event::Held(pool, book, worker, sent_ms, result))
+                    let (pool, pool_state) = (order.pool, order.pool_state);
+                    Some(Event::Held(pool, pool_state, worker, sent_ms, result))
                 });
             }
             Effect::SettleWave(pool, epoch, tx) => self.spawn(async move {
@@ -278,9 +288,9 @@
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
                 Some(Event::OrderedSettled(pool, epoch, outcome))
             }),
-            Effect::RemoveIntake(pool, book, tx) => self.spawn(async move {
+            Effect::RemoveIntake(pool, pool_state, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
-                Some(Event::IntakeRemoved(pool, book, outcome))
+                Some(Event::IntakeRemoved(pool, pool_state, outcome))
             }),
             Effect::SettleOffers(pool, epoch, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,11 +1,11 @@
 //! What a single decision is called with in tests: a clock that stands still, and effects to look at.
 
 use rockwick::clock::Now;
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::hosts::PoolNeed;
 use rockwick::core::sched::keys::WorkerKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::state::{Ctx, Effect, PoolKey, Timers};
 use rockwick::core::sched::worker::ClockSample;
 use rockwick::port::fleet::{FleetConfig, PoolConfig, WorkerFact};
@@ -31,9 +31,9 @@
 }
 
 /// Adds a worker that has answered a hold, and so may get work.
-pub(crate) fn answering(book: &mut Book, fact: WorkerFact) -> WorkerKey {
-    let key = load::add_worker(book, fact, 0);
-    let worker = &mut book.workers[key];
+pub(crate) fn answering(pool_state: &mut PoolState, fact: WorkerFact) -> WorkerKey {
+    let key = load::add_worker(pool_state, fact, 0);
+    let worker = &mut pool_state.workers[key];
     worker.answers = true;
     worker.clock = Some(ClockSample {
         local_ms: 0,
--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -1,9 +1,9 @@
 //! A task that one worker is barred for, or that has no place at all, and what waits behind it.
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
 use rockwick::core::sched::limits::PLACE_LOOKS;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::tasks::Phase;
 use rockwick::core::sched::{load, place, rows, runs};
 use rockwick::port::fleet::{EndKind, OrderReply, RunEnd, StoredRow, WorkerFact};
@@ -38,19 +38,21 @@
 }
 
 /// Books with these workers.
-fn book(facts: &[WorkerFact]) -> (Book, Vec<WorkerKey>) {
-    let mut book = Book::default();
-    let keys = facts.iter().map(|fact| answering(&mut book, fact.clone()));
+fn pool_state(facts: &[WorkerFact]) -> (PoolState, Vec<WorkerKey>) {
+    let mut pool_state = PoolState::default();
+    let keys = facts
+        .iter()
+        .map(|fact| answering(&mut pool_state, fact.clone()));
     let keys = keys.collect();
-    (book, keys)
+    (pool_state, keys)
 }
 
 /// Two workers of 16 cores, alike.
-fn pair() -> (Book, Vec<WorkerKey>) {
-    book(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r1")])
+fn pair() -> (PoolState, Vec<WorkerKey>) {
+    pool_state(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r1")])
 }
 
-fn submit(book: &mut Book, id: &str, spec: &JobSpec) -> TaskKey {
+fn submit(pool_state: &mut PoolState, id: &str, spec: &JobSpec) -> TaskKey {
     let row = StoredRow {
         part: POOL.to_string(),
         key: id.to_string(),
@@ -58,10 +60,10 @@
         revision: EPOCH + 1,
     };
     decide(NOW_MS, |ctx| {
-        load::apply_intake(book, &row, &config(1), EPOCH, ctx);
+        load::apply_intake(pool_state, &row, &config(1), EPOCH, ctx);
     });
     TaskKey {
-        job: book.by_id[id],
+        job: pool_state.by_id[id],
         round: 0,
         step: 0,
         index: 0,
@@ -69,99 +71,104 @@
 }
 
 /// Where a task is after a look at what waits.
-fn placed(book: &mut Book, task: TaskKey, now_ms: u64) -> Option<WorkerKey> {
-    decide(now_ms, |ctx| place::place(book, ctx));
-    book.task(task).and_then(|t| t.phase.worker())
+fn placed(pool_state: &mut PoolState, task: TaskKey, now_ms: u64) -> Option<WorkerKey> {
+    decide(now_ms, |ctx| place::place(pool_state, ctx));
+    pool_state.task(task).and_then(|t| t.phase.worker())
 }
 
 /// The task runs, and its run fails; gives the worker.
-fn fail(book: &mut Book, task: TaskKey) -> WorkerKey {
-    let worker = placed(book, task, NOW_MS).expect("there is room for it");
-    let run = book.task(task).map_or(0, |t| t.run);
+fn fail(pool_state: &mut PoolState, task: TaskKey) -> WorkerKey {
+    let worker = placed(pool_state, task, NOW_MS).expect("there is room for it");
+    let run = pool_state.task(task).map_or(0, |t| t.run);
     let end = RunEnd {
         number: 1,
-        task: book.name(task).expect("its job is there"),
+        task: pool_state.name(task).expect("its job is there"),
         run,
         kind: EndKind::Failed,
         checkpoint: String::new(),
     };
     decide(NOW_MS, |ctx| {
-        runs::send_start(book, task, run, EPOCH, ctx);
-        runs::started(book, task, run, OrderReply::Accepted, EPOCH, ctx);
-        runs::take_end(book, worker, &end, EPOCH, ctx);
+        runs::send_start(pool_state, task, run, EPOCH, ctx);
+        runs::started(pool_state, task, run, OrderReply::Accepted, EPOCH, ctx);
+        runs::take_end(pool_state, worker, &end, EPOCH, ctx);
     });
-    assert_eq!(book.task(task).map(|t| t.phase), Some(Phase::Ready));
+    assert_eq!(pool_state.task(task).map(|t| t.phase), Some(Phase::Ready));
     worker
 }
 
 /// What others take of a worker.
-fn fill(book: &mut Book, worker: WorkerKey, cores: u64) {
-    book.workers[worker].used.cpu_milli += cores * 1_000;
-    book.note_room(worker);
+fn fill(pool_state: &mut PoolState, worker: WorkerKey, cores: u64) {
+    pool_state.workers[worker].used.cpu_milli += cores * 1_000;
+    pool_state.note_room(worker);
 }
 
 #[test]
 fn barred_by_size() {
-    let (mut book, _) = book(&[fact("w1", 16, "a", "r1"), fact("w2", 4, "a", "r1")]);
-    let task = submit(&mut book, "a", &job(1, 8_000, 500));
-    let worker = fail(&mut book, task);
-    assert_eq!(placed(&mut book, task, NOW_MS), Some(worker));
+    let (mut pool_state, _) = pool_state(&[fact("w1", 16, "a", "r1"), fact("w2", 4, "a", "r1")]);
+    let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
+    let worker = fail(&mut pool_state, task);
+    assert_eq!(placed(&mut pool_state, task, NOW_MS), Some(worker));
 }
 
 #[test]
 fn barred_by_label() {
-    let (mut book, _) = book(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "b", "r1")]);
+    let (mut pool_state, _) = pool_state(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "b", "r1")]);
     let mut spec = job(1, 8_000, 500);
     spec.steps[0].label = Some("a".to_string());
-    let task = submit(&mut book, "a", &spec);
-    let worker = fail(&mut book, task);
-    assert_eq!(placed(&mut book, task, NOW_MS), Some(worker));
+    let task = submit(&mut pool_state, "a", &spec);
+    let worker = fail(&mut pool_state, task);
+    assert_eq!(placed(&mut pool_state, task, NOW_MS), Some(worker));
 }
 
 #[test]
 fn barred_by_copies() {
-    let (mut book, _) = pair();
-    let task = submit(&mut book, "a", &lasting(2, 1));
-    let worker = fail(&mut book, task);
-    assert_eq!(placed(&mut book, task, NOW_MS), Some(worker));
+    let (mut pool_state, _) = pair();
+    let task = submit(&mut pool_state, "a", &lasting(2, 1));
+    let worker = fail(&mut pool_state, task);
+    assert_eq!(placed(&mut pool_state, task, NOW_MS), Some(worker));
 }
 
 /// A rack where the data lies is a preference: the other rack will do.
 #[test]
 fn barred_not_by_rack() {
-    let (mut book, keys) = book(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r2")]);
+    let (mut pool_state, keys) =
+        pool_state(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r2")]);
     let mut spec = job(1, 8_000, 500);
     spec.steps[0].data_rack = Some("r1".to_string());
-    let task = submit(&mut book, "a", &spec);
-    assert_eq!(fail(&mut book, task), keys[0]);
-    assert_eq!(placed(&mut book, task, NOW_MS), Some(keys[1]));
+    let task = submit(&mut pool_state, "a", &spec);
+    assert_eq!(fail(&mut pool_state, task), keys[0]);
+    assert_eq!(placed(&mut pool_state, task, NOW_MS), Some(keys[1]));
 }
 
 /// The other worker is full: the task waits for it, but not for good.
 #[test]
 fn barred_while_full() {
-    let (mut book, keys) = pair();
-    let task = submit(&mut book, "a", &job(1, 8_000, 500));
-    let worker = fail(&mut book, task);
+    let (mut pool_state, keys) = pair();
+    let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
+    let worker = fail(&mut pool_state, task);
     let other = keys.into_iter().find(|key| *key != worker);
-    fill(&mut book, other.expect("there are two"), 16);
-    assert_eq!(placed(&mut book, task, NOW_MS), None, "it may come free");
+    fill(&mut pool_state, other.expect("there are two"), 16);
+    assert_eq!(
+        placed(&mut pool_state, task, NOW_MS),
+        None,
+        "it may come free"
+    );
     let late_ms = NOW_MS + WAIT_MAX_MS;
-    assert_eq!(placed(&mut book, task, late_ms), Some(worker));
+    assert_eq!(placed(&mut pool_state, task, late_ms), Some(worker));
 }
 
 /// The other worker is left alone for a moment, and opens again in time.
 #[test]
 fn barred_while_suspended() {
-    let (mut book, keys) = pair();
-    let task = submit(&mut book, "a", &job(1, 8_000, 500));
-    let worker = fail(&mut book, task);
+    let (mut pool_state, keys) = pair();
+    let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
+    let worker = fail(&mut pool_state, task);
     let other = keys.into_iter().find(|key| *key != worker);
     let other = other.expect("there are two");
-    book.workers[other].suspended_until_ms = NOW_MS + 2 * LOOK_MS;
-    assert_eq!(placed(&mut book, task, NOW_MS), None);
+    pool_state.workers[other].suspended_until_ms = NOW_MS + 2 * LOOK_MS;
+    assert_eq!(placed(&mut pool_state, task, NOW_MS), None);
     assert_eq!(
-        placed(&mut book, task, NOW_MS + 2 * LOOK_MS),
+        placed(&mut pool_state, task, NOW_MS + 2 * LOOK_MS),
         Some(other),
         "it failed on the first one"
     );
@@ -170,40 +177,40 @@
 /// What bars one task from a worker holds up no other one of its size.
 #[test]
 fn barred_alone() {
-    let (mut book, keys) = pair();
-    let task = submit(&mut book, "a", &job(1, 8_000, 500));
-    let worker = fail(&mut book, task);
+    let (mut pool_state, keys) = pair();
+    let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
+    let worker = fail(&mut pool_state, task);
     let other = keys.into_iter().find(|key| *key != worker);
-    fill(&mut book, other.expect("there are two"), 16);
-    let next = submit(&mut book, "b", &job(1, 8_000, 500));
-    assert_eq!(placed(&mut book, next, NOW_MS), Some(worker));
-    assert_eq!(book.task(task).map(|t| t.phase), Some(Phase::Ready));
+    fill(&mut pool_state, other.expect("there are two"), 16);
+    let next = submit(&mut pool_state, "b", &job(1, 8_000, 500));
+    assert_eq!(placed(&mut pool_state, next, NOW_MS), Some(worker));
+    assert_eq!(pool_state.task(task).map(|t| t.phase), Some(Phase::Ready));
 }
 
 /// More tasks than a look takes in have no place; one behind them has.
 #[test]
 fn barred_prefix() {
-    let (mut book, _) = pair();
+    let (mut pool_state, _) = pair();
     let mut spec = lasting(PLACE_LOOKS as u16 + 1, 1);
     spec.steps[0].cpu_milli = 17_000;
-    submit(&mut book, "a", &spec);
-    let task = submit(&mut book, "b", &job(1, 1_000, 500));
+    submit(&mut pool_state, "a", &spec);
+    let task = submit(&mut pool_state, "b", &job(1, 1_000, 500));
     let looks = 0..WAIT_MAX_MS / LOOK_MS;
     let mut looks = looks.map(|n| NOW_MS + n * LOOK_MS);
-    assert!(looks.any(|now_ms| placed(&mut book, task, now_ms).is_some()));
+    assert!(looks.any(|now_ms| placed(&mut pool_state, task, now_ms).is_some()));
 }
 
 /// The same with more tasks than two looks take in.
 #[test]
 fn barred_long_prefix() {
-    let (mut book, _) = pair();
+    let (mut pool_state, _) = pair();
     let mut spec = lasting(4 * PLACE_LOOKS as u16, 1);
     spec.steps[0].label = Some("none".to_string());
-    submit(&mut book, "a", &spec);
-    let task = submit(&mut book, "b", &job(1, 1_000, 500));
+    submit(&mut pool_state, "a", &spec);
+    let task = submit(&mut pool_state, "b", &job(1, 1_000, 500));
     let looks = 0..WAIT_MAX_MS / LOOK_MS;
     let mut looks = looks.map(|n| NOW_MS + n * LOOK_MS);
-    assert!(looks.any(|now_ms| placed(&mut book, task, now_ms).is_some()));
+    assert!(looks.any(|now_ms| placed(&mut pool_state, task, now_ms).is_some()));
 }
 
 /// Three of four workers are too small for a task whose first run fails on the fourth.
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -5,9 +5,9 @@
 //! the tasks as started on a worker that was gone. In the first test below the job's partition is away for 6 s, the upkeep
 //! comes 2.4 s after the last end, and each of the six tasks is started twice (12 starts).
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows::{self, shard_part};
 use rockwick::core::sched::sizing::{self, Look, Sizing};
 use rockwick::core::sched::state::Effect;
@@ -53,7 +53,7 @@
 }
 
 /// Whether a look at the pool's size changes what is on offer.
-fn offers(book: &mut Book) -> bool {
+fn offers(pool_state: &mut PoolState) -> bool {
     let with = Look {
         pool: POOL,
         epoch: 1,
@@ -63,7 +63,7 @@
     };
     let effects = decide(100_000, |ctx| {
         let mut sizing = Sizing::default();
-        sizing::look(book, &mut sizing, &mut Offers::default(), &with, ctx);
+        sizing::look(pool_state, &mut sizing, &mut Offers::default(), &with, ctx);
     });
     effects
         .iter()
@@ -73,9 +73,9 @@
 /// Four hosts, of which the pool's only job needs fewer; the first has told an end of that job, which is not on record.
 #[test]
 fn ends_outlive_offer() {
-    let mut book = Book::default();
+    let mut pool_state = PoolState::default();
     let hosts = (0..4).map(|n| worker_fact(&format!("life-{n}"), &format!("host-{n}")));
-    let workers: Vec<_> = hosts.map(|fact| answering(&mut book, fact)).collect();
+    let workers: Vec<_> = hosts.map(|fact| answering(&mut pool_state, fact)).collect();
     let row = StoredRow {
         part: POOL.to_string(),
         key: "job".to_string(),
@@ -84,16 +84,16 @@
     };
     // Long ago enough to tell of no rate at which more will come.
     decide(90_000, |ctx| {
-        load::apply_intake(&mut book, &row, &config(1), 1, ctx)
+        load::apply_intake(&mut pool_state, &row, &config(1), 1, ctx)
     });
-    let key = book.by_id["job"];
+    let key = pool_state.by_id["job"];
     for worker in &workers {
-        book.mark(key, 100_000);
-        book.note_taken(*worker, 1, Some(key));
+        pool_state.mark(key, 100_000);
+        pool_state.note_taken(*worker, 1, Some(key));
     }
-    assert!(!offers(&mut book), "no host's ends are on record");
-    book.jobs[key].recorded_changes = book.jobs[key].changes;
-    assert!(offers(&mut book), "all are");
+    assert!(!offers(&mut pool_state), "no host's ends are on record");
+    pool_state.jobs[key].recorded_changes = pool_state.jobs[key].changes;
+    assert!(offers(&mut pool_state), "all are");
 }
 
 /// An owner that is told to stop hands its pool over; what it has just taken in is on record then, or a worker that is gone
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -124,17 +124,25 @@
             found.push(format!("wave {wave} stands still: {known:?}"));
         }
     }
-    let Some(book) = world.owner_book() else {
+    let Some(pool_state) = world.owner_book() else {
         return vec!["nobody owns the pool".to_string()];
     };
-    let closed = book
+    let closed = pool_state
         .workers
         .values()
         .filter(|w| w.is_closing || w.is_offered);
     found.extend(closed.map(|w| format!("{} of {} is closed", w.fact.id, w.fact.host)));
-    found.extend(book.closing.iter().map(|host| format!("{host} is closed")));
+    found.extend(
+        pool_state
+            .closing
+            .iter()
+            .map(|host| format!("{host} is closed")),
+    );
     let up = world.lives();
-    let gone = book.workers.values().filter(|w| !up.contains(&w.fact.id));
+    let gone = pool_state
+        .workers
+        .values()
+        .filter(|w| !up.contains(&w.fact.id));
     let held = gone.filter(|w| !w.tasks.is_empty() || w.suspended_until_ms > world.now_ms);
     found.extend(held.map(|w| format!("tasks are held for {}, which is gone", w.fact.id)));
     found
@@ -227,8 +235,8 @@
     world.wave(WAVES[0], 20_000, 1);
     world.run(500);
     let closing = |world: &World| {
-        let book = world.owner_book().expect("it has books");
-        let mut workers = book.workers.values();
+        let pool_state = world.owner_book().expect("it has books");
+        let mut workers = pool_state.workers.values();
         workers.find(|w| w.is_closing).map(|w| w.fact.host.clone())
     };
     let host = closing(&world).expect("a host is closing");
--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -1,7 +1,7 @@
 //! Which workers are lives of one host, and what shows that one of them is over.
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::holds;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::port::fleet::{HoldReport, OrderReply};
 
 use crate::decide::{answering, decide};
@@ -13,10 +13,10 @@
 /// Platforms without a list of hosts name none: their workers are not lives of one host.
 #[test]
 fn lives_no_host() {
-    let mut book = Book::default();
-    let one = answering(&mut book, worker_fact("one", ""));
-    let other = answering(&mut book, worker_fact("other", ""));
-    book.workers[one].heard_ms = 1_000;
+    let mut pool_state = PoolState::default();
+    let one = answering(&mut pool_state, worker_fact("one", ""));
+    let other = answering(&mut pool_state, worker_fact("other", ""));
+    pool_state.workers[one].heard_ms = 1_000;
     let report = HoldReport {
         born_wall_ms: None,
         clock_ms: 2_000,
@@ -25,9 +25,9 @@
         ended: Vec::new(),
     };
     decide(2_000, |ctx| {
-        holds::held(&mut book, other, 1_500, Ok(report), EPOCH, ctx);
+        holds::held(&mut pool_state, other, 1_500, Ok(report), EPOCH, ctx);
     });
-    let answers = book.workers.get(one).map(|w| w.answers);
+    let answers = pool_state.workers.get(one).map(|w| w.answers);
     assert_eq!(
         answers,
         Some(true),
@@ -102,15 +102,15 @@
 /// One that left the list while it answered serves on like one that states that it drains.
 #[test]
 fn lives_withdrawn() {
-    let mut book = Book::default();
-    let one = answering(&mut book, worker_fact("one", "host"));
-    let other = answering(&mut book, worker_fact("other", "host"));
-    book.workers[one].heard_ms = 1_000;
-    book.workers[one].is_withdrawn = true;
-    book.workers[one].lease_over_ms = 9_000;
+    let mut pool_state = PoolState::default();
+    let one = answering(&mut pool_state, worker_fact("one", "host"));
+    let other = answering(&mut pool_state, worker_fact("other", "host"));
+    pool_state.workers[one].heard_ms = 1_000;
+    pool_state.workers[one].is_withdrawn = true;
+    pool_state.workers[one].lease_over_ms = 9_000;
     decide(1_400, |ctx| {
         let broken = Err(OrderReply::Broken);
-        holds::held(&mut book, one, 1_200, broken, EPOCH, ctx);
+        holds::held(&mut pool_state, one, 1_200, broken, EPOCH, ctx);
     });
     let report = HoldReport {
         born_wall_ms: None,
@@ -120,8 +120,8 @@
         ended: Vec::new(),
     };
     decide(2_000, |ctx| {
-        holds::held(&mut book, other, 1_500, Ok(report), EPOCH, ctx);
+        holds::held(&mut pool_state, other, 1_500, Ok(report), EPOCH, ctx);
     });
-    let over_ms = book.workers.get(one).map(|w| w.lease_over_ms);
+    let over_ms = pool_state.workers.get(one).map(|w| w.lease_over_ms);
     assert_eq!(over_ms, Some(9_000), "its lease counts");
 }
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -4,12 +4,12 @@
 
 use fastrand::Rng;
 use rockwick::clock::Millis;
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::hosts::{self, HostController, HostTask, Look};
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::{Offers, OffersRow, OFFERS_KEY};
 use rockwick::core::sched::owner_lease::FormerOrders;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::sizing::{self, Sizing};
 use rockwick::core::sched::state::{Ctx, Effect};
@@ -50,7 +50,7 @@
 struct Pair {
     rng: Rng,
     now_ms: Millis,
-    book: Book,
+    pool_state: PoolState,
     sizing: Sizing,
     offers: Offers,
     controller: HostController,
@@ -68,11 +68,11 @@
 
 impl Pair {
     fn new(seed: u64) -> Self {
-        let mut book = Book::default();
+        let mut pool_state = PoolState::default();
         for n in 0..HOSTS {
             let host = format!("host-{n}");
             let fact = worker_fact(&format!("life-{n}"), &host);
-            answering(&mut book, fact);
+            answering(&mut pool_state, fact);
         }
         let mut controller = HostController::default();
         decide(0, |ctx| {
@@ -82,7 +82,7 @@
         Self {
             rng: Rng::with_seed(seed),
             now_ms: 100_000,
-            book,
+            pool_state,
             sizing,
             offers: Offers::default(),
             controller,
@@ -181,10 +181,10 @@
     }
 
     fn check_idle(&self, host: &str) {
-        let Some(key) = self.book.worker_on(host) else {
+        let Some(key) = self.pool_state.worker_on(host) else {
             return;
         };
-        let worker = &self.book.workers[key];
+        let worker = &self.pool_state.workers[key];
         assert!(
             !worker.is_open(self.now_ms) && worker.tasks.is_empty(),
             "{host} is ordered away while its pool uses it"
@@ -193,7 +193,7 @@
 
     fn owner_looks(&mut self) {
         let open = |pair: &Self| {
-            let workers = pair.book.workers.values();
+            let workers = pair.pool_state.workers.values();
             workers.filter(|w| w.is_open(pair.now_ms)).count()
         };
         let before = open(self);
@@ -207,7 +207,7 @@
         };
         let effects = decide(self.now_ms, |ctx| {
             sizing::look(
-                &mut self.book,
+                &mut self.pool_state,
                 &mut self.sizing,
                 &mut self.offers,
                 &with,
@@ -224,10 +224,10 @@
         if self.rng.u32(0..4) > 0 {
             return;
         }
-        let keys: Vec<_> = self.book.jobs.keys().collect();
+        let keys: Vec<_> = self.pool_state.jobs.keys().collect();
         if keys.len() > 2 || self.rng.bool() {
             for key in keys.into_iter().skip(1) {
-                self.book.forget(key, self.now_ms);
+                self.pool_state.forget(key, self.now_ms);
             }
             return;
         }
@@ -238,13 +238,13 @@
             revision: EPOCH + 1,
         };
         decide(self.now_ms, |ctx| {
-            load::apply_intake(&mut self.book, &row, &config(1), EPOCH, ctx);
+            load::apply_intake(&mut self.pool_state, &row, &config(1), EPOCH, ctx);
         });
     }
 
     /// Work comes to some host that is open, and ends on others.
     fn work(&mut self) {
-        let keys: Vec<_> = self.book.workers.keys().collect();
+        let keys: Vec<_> = self.pool_state.workers.keys().collect();
         let key = keys[self.rng.usize(0..keys.len())];
         let demand = Capacity {
             cpu_milli: 100,
@@ -256,8 +256,8 @@
             step: 0,
             index: 0,
         };
-        let is_open = self.book.workers[key].is_open(self.now_ms);
-        let worker = &mut self.book.workers[key];
+        let is_open = self.pool_state.workers[key].is_open(self.now_ms);
+        let worker = &mut self.pool_state.workers[key];
         if is_open && self.rng.bool() {
             worker.take(task, demand);
         } else {
@@ -352,8 +352,8 @@
             self.leaving.remove(&host);
             self.gone.insert(host.clone());
             self.moved += 1;
-            if let Some(key) = self.book.worker_on(&host) {
-                self.book.workers[key].is_listed = false;
+            if let Some(key) = self.pool_state.worker_on(&host) {
+                self.pool_state.workers[key].is_listed = false;
             }
         }
         if now_ms.is_multiple_of(100) {
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -5,8 +5,8 @@
 
 use std::collections::BTreeMap;
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::offers::{Offers, OffersRow, OFFERS_KEY};
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows::{self, SlotRow, WaveRow};
 use rockwick::core::sched::state::{Effect, WaveKnown};
 use rockwick::core::sched::wave::{self, WaveController};
@@ -65,7 +65,7 @@
 
 /// An owner that gives a host back, and another entry that takes a slot in the wave's row right after.
 struct Turn {
-    book: Book,
+    pool_state: PoolState,
     controller: WaveController,
     waves: BTreeMap<u64, WaveKnown>,
     /// As this owner writes it, on condition of revision 10.
@@ -100,7 +100,7 @@
             ..WaveKnown::default()
         };
         let mut turn = Self {
-            book: Book::default(),
+            pool_state: PoolState::default(),
             controller: WaveController::default(),
             waves: BTreeMap::from([(1, known)]),
             ours,
@@ -127,9 +127,10 @@
 
     /// Looks at the wave; whether a change of its row goes out.
     fn look(&mut self, now_ms: u64) -> bool {
-        let (book, controller, waves) = (&mut self.book, &mut self.controller, &mut self.waves);
+        let (pool_state, controller, waves) =
+            (&mut self.pool_state, &mut self.controller, &mut self.waves);
         let effects = decide(now_ms, |ctx| {
-            wave::look(book, controller, waves, POOL, 7, ctx)
+            wave::look(pool_state, controller, waves, POOL, 7, ctx)
         });
         let is_change = |effect: &Effect| matches!(effect, Effect::SettleWave(..));
         effects.iter().any(is_change)
@@ -142,9 +143,10 @@
     }
 
     fn answer(&mut self, outcome: TxOutcome) {
-        let (book, controller, waves) = (&mut self.book, &mut self.controller, &mut self.waves);
+        let (pool_state, controller, waves) =
+            (&mut self.pool_state, &mut self.controller, &mut self.waves);
         decide(2_000, |ctx| {
-            wave::settled(Some(book), controller, waves, outcome, ctx);
+            wave::settled(Some(pool_state), controller, waves, outcome, ctx);
         });
     }
 }
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use fastrand::Rng;
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::job::JobState;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::quota::{self, Look, QuotaController};
 use rockwick::core::sched::state::{Effect, Timer};
 use rockwick::port::fleet::{
@@ -45,7 +45,7 @@
 struct Owner {
     pool: String,
     epoch: u64,
-    book: Book,
+    pool_state: PoolState,
     controller: QuotaController,
     /// Its configuration: version, and quota in cores.
     quota: (u64, u64),
@@ -53,23 +53,23 @@
 
 impl Owner {
     fn new(pool: &str, epoch: u64, used: u64, quota: (u64, u64)) -> Self {
-        let mut book = Book {
+        let mut pool_state = PoolState {
             name: pool.to_string(),
-            ..Book::default()
+            ..PoolState::default()
         };
-        book.account_key(ACCOUNT, config(1, quota.1).accounts.get(ACCOUNT), 1);
-        book.accounts[0].used = cores(used);
+        pool_state.account_key(ACCOUNT, config(1, quota.1).accounts.get(ACCOUNT), 1);
+        pool_state.accounts[0].used = cores(used);
         Self {
             pool: pool.to_string(),
             epoch,
-            book,
+            pool_state,
             controller: QuotaController::default(),
             quota,
         }
     }
 
     fn used(&self) -> u64 {
-        self.book.accounts[0].used.cpu_milli / 1_000
+        self.pool_state.accounts[0].used.cpu_milli / 1_000
     }
 
     fn act(
@@ -77,7 +77,7 @@
         now_ms: u64,
         short_elsewhere: &BTreeSet<String>,
         work: impl FnOnce(
-            &mut Book,
+            &mut PoolState,
             &mut QuotaController,
             &Look<'_>,
             &mut rockwick::core::sched::state::Ctx<'_>,
@@ -91,13 +91,13 @@
             short_elsewhere,
         };
         decide(now_ms, |ctx| {
-            work(&mut self.book, &mut self.controller, &with, ctx)
+            work(&mut self.pool_state, &mut self.controller, &with, ctx)
         })
     }
 
     /// Starts a task of a core, if it may.
     fn start(&mut self) -> bool {
-        let account = &mut self.book.accounts[0];
+        let account = &mut self.pool_state.accounts[0];
         let limit = account.limit.expect("it has a quota").cpu_milli;
         let may = account.waiting.cpu_milli > 0 && account.used.cpu_milli + 1_000 <= limit;
         if may {
@@ -222,17 +222,21 @@
             if owner.epoch != answer.epoch {
                 continue;
             }
-            let effects =
-                owner.act(
-                    now_ms,
-                    &BTreeSet::new(),
-                    |book, controller, with, ctx| match answer.what {
-                        Some(outcome) => {
-                            quota::settled(Some(book), controller, with.pool, ACCOUNT, outcome, ctx)
-                        }
-                        None => quota::read(book, controller, ACCOUNT, row, ctx),
-                    },
-                );
+            let effects = owner.act(
+                now_ms,
+                &BTreeSet::new(),
+                |pool_state, controller, with, ctx| match answer.what {
+                    Some(outcome) => quota::settled(
+                        Some(pool_state),
+                        controller,
+                        with.pool,
+                        ACCOUNT,
+                        outcome,
+                        ctx,
+                    ),
+                    None => quota::read(pool_state, controller, ACCOUNT, row, ctx),
+                },
+            );
             self.carry(answer.owner, effects);
         }
     }
@@ -256,7 +260,7 @@
 
     /// An owner looks at its grants, every 0.1 s and where it wants to.
     fn look(&mut self, n: usize) {
-        if self.now_ms % 100 >= 10 && !self.owners[n].book.wants_quota {
+        if self.now_ms % 100 >= 10 && !self.owners[n].pool_state.wants_quota {
             return;
         }
         let others = self.owners.iter().enumerate();
@@ -284,7 +288,7 @@
                 self.revision += 1;
                 self.owners[n] = Owner::new(&pool, self.revision, used, newest);
             }
-            let account = &mut self.owners[n].book.accounts[0];
+            let account = &mut self.owners[n].pool_state.accounts[0];
             // Peaks turn from pool to pool.
             let is_peak = (self.now_ms / 3_000) as usize % 3 == n;
             if self.rng.u32(0..100) < if is_peak { 30 } else { 2 } {
@@ -333,7 +337,7 @@
             race.now_ms += 10;
             race.deliver();
             for (n, waiting) in waits.iter().enumerate() {
-                let account = &mut race.owners[n].book.accounts[0];
+                let account = &mut race.owners[n].pool_state.accounts[0];
                 account.waiting = cores(*waiting);
                 if race.rng.u32(0..10) == 0 && account.used.cpu_milli > 0 {
                     account.used.sub(cores(1));
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -5,7 +5,6 @@
 //! day, of a worker that had restarted 5 s before: `ends-taken` "again 6, taken_before 9, told_seen 9, runs ''", and in the same
 //! moment `task-requeued` "not among what the worker runs, answered 1, settled_ago_ms 1596" for four tasks.
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::holds;
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
@@ -13,6 +12,7 @@
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
 use rockwick::core::sched::place;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::runs;
 use rockwick::core::sched::state::Effect;
@@ -108,15 +108,15 @@
 
 /// Books with a worker that has been heard, and two tasks on it: the first one's start was answered, the second one's not.
 struct Scene {
-    book: Book,
+    pool_state: PoolState,
     earlier: WorkerKey,
 }
 
 impl Scene {
     fn new() -> Self {
-        let mut book = Book::default();
-        let earlier = load::add_worker(&mut book, fact(BORN_MS[0]), 0);
-        let w = &mut book.workers[earlier];
+        let mut pool_state = PoolState::default();
+        let earlier = load::add_worker(&mut pool_state, fact(BORN_MS[0]), 0);
+        let w = &mut pool_state.workers[earlier];
         w.answers = true;
         w.heard_ms = HEARD_MS;
         w.taken = 9;
@@ -132,23 +132,28 @@
             revision: EPOCH + 1,
         };
         decide(HEARD_MS, |ctx| {
-            load::apply_intake(&mut book, &row, &config(1), EPOCH, ctx);
-            place::place(&mut book, ctx);
-            for (task, run) in std::mem::take(&mut book.unsent) {
-                runs::send_start(&mut book, task, run, EPOCH, ctx);
+            load::apply_intake(&mut pool_state, &row, &config(1), EPOCH, ctx);
+            place::place(&mut pool_state, ctx);
+            for (task, run) in std::mem::take(&mut pool_state.unsent) {
+                runs::send_start(&mut pool_state, task, run, EPOCH, ctx);
             }
         });
-        let mut scene = Scene { book, earlier };
+        let mut scene = Scene {
+            pool_state,
+            earlier,
+        };
         scene.answered(0, HEARD_MS + 5, OrderReply::Accepted);
         scene
     }
 
     fn task(&self, index: u16) -> TaskKey {
-        self.book.find(&name(index)).expect("the task is there")
+        self.pool_state
+            .find(&name(index))
+            .expect("the task is there")
     }
 
     fn phase(&self, index: u16) -> Phase {
-        let task = self.book.task(self.task(index));
+        let task = self.pool_state.task(self.task(index));
         task.expect("the task is there").phase
     }
 
@@ -156,7 +161,7 @@
         let task = self.task(index);
         let mut is_lost = false;
         decide(now_ms, |ctx| {
-            is_lost = runs::started(&mut self.book, task, 1, reply, EPOCH, ctx);
+            is_lost = runs::started(&mut self.pool_state, task, 1, reply, EPOCH, ctx);
         });
         is_lost
     }
@@ -165,14 +170,14 @@
     fn held(&mut self, key: WorkerKey, now_ms: u64, report: HoldReport) -> Vec<Effect> {
         decide(now_ms, |ctx| {
             let sent_ms = now_ms - 5;
-            let is_lost = holds::held(&mut self.book, key, sent_ms, Ok(report), EPOCH, ctx);
+            let is_lost = holds::held(&mut self.pool_state, key, sent_ms, Ok(report), EPOCH, ctx);
             assert!(!is_lost, "the pool is not lost");
         })
     }
 
     /// The later life's entry is read, and it answers; gives its key and the fence of its second hold.
     fn prove_later(&mut self, now_ms: u64) -> (WorkerKey, u64) {
-        let later = load::add_worker(&mut self.book, fact(BORN_MS[1]), now_ms);
+        let later = load::add_worker(&mut self.pool_state, fact(BORN_MS[1]), now_ms);
         let effects = self.held(later, now_ms + 10, report(BORN_MS[1], now_ms));
         let (fence, ask) = only_hold(&effects);
         assert_eq!((ask.seen, ask.lease_until_ms), (0, None));
@@ -273,7 +278,7 @@
 fn restarts_raise_fence() {
     let mut scene = Scene::new();
     let first = decide(HEARD_MS + 20, |ctx| {
-        holds::next(&mut scene.book, scene.earlier, EPOCH, ctx);
+        holds::next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
     let (before, _) = only_hold(&first);
     let (_, after) = scene.prove_later(3_000);
@@ -292,12 +297,12 @@
 fn restarts_keep_seen() {
     let mut scene = Scene::new();
     let soon = decide(HEARD_MS + 100, |ctx| {
-        holds::next(&mut scene.book, scene.earlier, EPOCH, ctx);
+        holds::next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
     assert_eq!(only_hold(&soon).1.seen, 9);
     let mut scene = Scene::new();
     let late = decide(HEARD_MS + 400, |ctx| {
-        holds::next(&mut scene.book, scene.earlier, EPOCH, ctx);
+        holds::next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
     let (_, ask) = only_hold(&late);
     assert_eq!(ask.seen, 0);
@@ -320,20 +325,22 @@
 fn restarts_longest_lease() {
     let mut scene = Scene::new();
     let (later, _) = scene.prove_later(3_000);
-    assert!(scene.book.workers[later].lease_over_ms >= 13_000);
+    assert!(scene.pool_state.workers[later].lease_over_ms >= 13_000);
 }
 
 /// The same for an owner that comes later: a life that began of late may hold such a deadline, sent by the former owner.
 #[test]
 fn restarts_young_life() {
     let lease_over_ms = |born_wall_ms: u64| {
-        let mut book = Book::default();
+        let mut pool_state = PoolState::default();
         decide(100_000, |ctx| {
             let offers = Offers::default();
-            lives::note_present(&mut book, &fact(born_wall_ms), &offers, EPOCH, ctx);
+            lives::note_present(&mut pool_state, &fact(born_wall_ms), &offers, EPOCH, ctx);
         });
-        let key = book.life(ID, Some(born_wall_ms)).expect("it is listed");
-        book.workers[key].lease_over_ms - 100_000
+        let key = pool_state
+            .life(ID, Some(born_wall_ms))
+            .expect("it is listed");
+        pool_state.workers[key].lease_over_ms - 100_000
     };
     assert!(lease_over_ms(70_000) < 5_000);
     assert!(lease_over_ms(98_000) >= 10_000);
@@ -352,7 +359,7 @@
     let earlier = scene.earlier;
     let effects = scene.held(earlier, 3_030, account);
     assert_eq!(scene.phase(0), Phase::Done);
-    assert!(!scene.book.workers[earlier].answers);
+    assert!(!scene.pool_state.workers[earlier].answers);
     assert!(!effects.iter().any(|e| matches!(e, Effect::Hold(..))));
 }
 
@@ -362,7 +369,7 @@
     let mut scene = Scene::new();
     let earlier = scene.earlier;
     scene.held(earlier, 3_000, report(BORN_MS[1], 20));
-    assert!(scene.book.workers[earlier].is_superseded);
+    assert!(scene.pool_state.workers[earlier].is_superseded);
     assert_eq!(
         scene.phase(0),
         Phase::Running(earlier),
@@ -376,11 +383,14 @@
     let mut scene = Scene::new();
     let (later, _) = scene.prove_later(3_000);
     scene.held(later, 3_020, report(BORN_MS[1], 20));
-    let stale = load::add_worker(&mut scene.book, fact(BORN_MS[0]), 3_100);
+    let stale = load::add_worker(&mut scene.pool_state, fact(BORN_MS[0]), 3_100);
     scene.held(stale, 3_120, report(BORN_MS[1], 120));
-    assert!(scene.book.workers.get(stale).is_none(), "it is not there");
-    assert!(scene.book.workers[later].answers);
-    assert!(!scene.book.workers[later].is_superseded);
+    assert!(
+        scene.pool_state.workers.get(stale).is_none(),
+        "it is not there"
+    );
+    assert!(scene.pool_state.workers[later].answers);
+    assert!(!scene.pool_state.workers[later].is_superseded);
 }
 
 /// Where the platform tells no start, a life is known by its id.
@@ -396,31 +406,31 @@
     scene.held(earlier, 2_900, account);
     assert_eq!(scene.phase(0), Phase::Running(earlier));
     assert_eq!(scene.phase(1), Phase::Running(earlier));
-    assert_eq!(scene.book.life(ID, None), Some(earlier));
+    assert_eq!(scene.pool_state.life(ID, None), Some(earlier));
 }
 
 /// What was held against a worker ends with its life.
 #[test]
 fn restarts_clean_slate() {
     let mut scene = Scene::new();
-    let w = &mut scene.book.workers[scene.earlier];
+    let w = &mut scene.pool_state.workers[scene.earlier];
     w.fails_in_row = 2;
     w.suspensions = 3;
     w.suspended_until_ms = 60_000;
     let (later, _) = scene.prove_later(3_000);
     scene.held(later, 3_020, report(BORN_MS[1], 20));
-    let w = &scene.book.workers[later];
+    let w = &scene.pool_state.workers[later];
     assert_eq!((w.fails_in_row, w.suspensions, w.taken), (0, 0, 0));
     assert!(w.is_open(3_020));
-    assert!(scene.book.workers.get(scene.earlier).is_none());
+    assert!(scene.pool_state.workers.get(scene.earlier).is_none());
 }
 
 /// The record names lives, so that the next owner, who has met the later one alone, takes no run of the earlier one for its.
 #[test]
 fn restarts_on_record() {
     let scene = Scene::new();
-    let key = scene.book.by_id["a"];
-    let row = scene.book.progress(key).expect("the job is there");
+    let key = scene.pool_state.by_id["a"];
+    let row = scene.pool_state.progress(key).expect("the job is there");
     let named: Vec<_> = row.lives().collect();
     assert_eq!(named, [(ID, "host", Some(BORN_MS[0]))]);
     let read: rows::ProgressRow = rows::decode(&rows::encode(&row)).expect("it decodes");
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -1,10 +1,10 @@
 //! The index of workers by free room finds the place that a walk over all workers finds.
 
 use fastrand::Rng;
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
 use rockwick::core::sched::load;
 use rockwick::core::sched::place;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::tasks::Phase;
 use rockwick::port::fleet::{Capacity, StoredRow};
@@ -13,12 +13,12 @@
 use crate::world::{config, job, worker_fact, POOL};
 
 /// A worker of a made-up size on one of three racks, with some room taken.
-fn add_worker(book: &mut Book, n: usize, rng: &mut Rng) {
+fn add_worker(pool_state: &mut PoolState, n: usize, rng: &mut Rng) {
     let mut fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
     fact.labels = vec!["kind".to_string(), format!("r{}", rng.u32(0..3))];
     fact.capacity.cpu_milli = rng.u64(1..5) * 4_000;
-    let key = answering(book, fact);
-    let worker = &mut book.workers[key];
+    let key = answering(pool_state, fact);
+    let worker = &mut pool_state.workers[key];
     worker.answers = rng.u32(0..5) > 0;
     worker.fails_in_row = rng.u32(0..3);
     let taken = Capacity {
@@ -26,21 +26,21 @@
         ..Capacity::default()
     };
     worker.take(TaskKey::default(), taken);
-    book.note_room(key);
+    pool_state.note_room(key);
 }
 
 /// The least cost of a place, by a walk: what stays free, failures, and 1,000 where the data lies elsewhere.
-fn least_cost(book: &Book, cpu_milli: u64, rack: Option<&str>) -> Option<u64> {
-    let fits = book.workers.keys().filter(|key| {
-        let w = &book.workers[*key];
+fn least_cost(pool_state: &PoolState, cpu_milli: u64, rack: Option<&str>) -> Option<u64> {
+    let fits = pool_state.workers.keys().filter(|key| {
+        let w = &pool_state.workers[*key];
         let free = w.fact.capacity.cpu_milli - w.used.cpu_milli;
         w.is_open(1_000) && free >= cpu_milli
     });
-    fits.map(|key| cost(book, key, rack)).min()
+    fits.map(|key| cost(pool_state, key, rack)).min()
 }
 
-fn cost(book: &Book, key: WorkerKey, rack: Option<&str>) -> u64 {
-    let w = &book.workers[key];
+fn cost(pool_state: &PoolState, key: WorkerKey, rack: Option<&str>) -> u64 {
+    let w = &pool_state.workers[key];
     let room = w.fact.capacity.cpu_milli;
     let far = rack.is_some_and(|rack| rack != w.rack());
     let free = room.saturating_sub(w.used.cpu_milli);
@@ -52,16 +52,16 @@
     let mut placed = 0;
     for seed in 0..400 {
         let mut rng = Rng::with_seed(seed);
-        let mut book = Book::default();
+        let mut pool_state = PoolState::default();
         for n in 0..rng.usize(1..40) {
-            add_worker(&mut book, n, &mut rng);
+            add_worker(&mut pool_state, n, &mut rng);
         }
         let mut spec = job(1, rng.u64(0..9) * 1_000, 500);
         let racks = [None, Some("r0"), Some("r1"), Some("r9")];
         let rack = racks[rng.usize(0..racks.len())];
         spec.steps[0].data_rack = rack.map(str::to_string);
-        let expected = least_cost(&book, spec.steps[0].cpu_milli, rack);
-        let before = book.clone();
+        let expected = least_cost(&pool_state, spec.steps[0].cpu_milli, rack);
+        let before = pool_state.clone();
         let row = StoredRow {
             part: POOL.to_string(),
             key: "a".to_string(),
@@ -69,12 +69,12 @@
             revision: 8,
         };
         decide(1_000, |ctx| {
-            load::apply_intake(&mut book, &row, &config(1), 7, ctx);
-            place::place(&mut book, ctx);
+            load::apply_intake(&mut pool_state, &row, &config(1), 7, ctx);
+            place::place(&mut pool_state, ctx);
         });
-        let task = book.ready.first().map(|rank| rank.task);
-        let chosen = book.unsent.first().and_then(|(task, _)| {
-            let Phase::Recording(worker) = book.task(*task)?.phase else {
+        let task = pool_state.ready.first().map(|rank| rank.task);
+        let chosen = pool_state.unsent.first().and_then(|(task, _)| {
+            let Phase::Recording(worker) = pool_state.task(*task)?.phase else {
                 return None;
             };
             Some(cost(&before, worker, rack))
@@ -88,19 +88,19 @@
 /// What a task gives back can be had at once, by tasks that need all of it, too.
 #[test]
 fn room_given_back() {
-    let mut book = Book::default();
+    let mut pool_state = PoolState::default();
     let mut rng = Rng::with_seed(1);
-    add_worker(&mut book, 0, &mut rng);
-    let key = book.life("life-0", None).expect("it was added");
-    let worker = &mut book.workers[key];
+    add_worker(&mut pool_state, 0, &mut rng);
+    let key = pool_state.life("life-0", None).expect("it was added");
+    let worker = &mut pool_state.workers[key];
     worker.answers = true;
     let taken = worker.used;
     worker.release(TaskKey::default(), taken);
-    book.note_room(key);
-    let whole = book.workers[key].fact.capacity.cpu_milli;
-    assert_eq!(book.room.with_free(whole).count(), 1);
-    assert_eq!(book.room.with_free(2 * whole).count(), 0);
-    book.remove_worker(key, 0);
-    assert_eq!(book.room.with_free(0).count(), 0);
-    assert!(book.worker_on("host-0").is_none());
+    pool_state.note_room(key);
+    let whole = pool_state.workers[key].fact.capacity.cpu_milli;
+    assert_eq!(pool_state.room.with_free(whole).count(), 1);
+    assert_eq!(pool_state.room.with_free(2 * whole).count(), 0);
+    pool_state.remove_worker(key, 0);
+    assert_eq!(pool_state.room.with_free(0).count(), 0);
+    assert!(pool_state.worker_on("host-0").is_none());
 }
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -1,9 +1,9 @@
 //! How many hosts a pool wants, by what its work can still earn.
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::job::JobSpec;
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::offers::Offers;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::sizing::{self, Look, Sizing};
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::core::sched::worker::ClockSample;
@@ -15,7 +15,7 @@
 
 /// A pool of hosts with 16 cores each, and nothing to do.
 struct Bench {
-    book: Book,
+    pool_state: PoolState,
     sizing: Sizing,
     now_ms: u64,
     jobs: u64,
@@ -23,23 +23,23 @@
 
 impl Bench {
     fn new(hosts: u16) -> Self {
-        let mut book = Book::default();
+        let mut pool_state = PoolState::default();
         for n in 0..hosts {
             let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
-            load::add_worker(&mut book, fact, 0);
+            load::add_worker(&mut pool_state, fact, 0);
         }
         let sizing = Sizing::default();
         Self {
-            book,
+            pool_state,
             sizing,
             now_ms: 100_000,
             jobs: 0,
         }
     }
 
-    fn with_ctx(&mut self, work: impl FnOnce(&mut Book, &mut Sizing, &mut Ctx<'_>)) {
+    fn with_ctx(&mut self, work: impl FnOnce(&mut PoolState, &mut Sizing, &mut Ctx<'_>)) {
         decide(self.now_ms, |ctx| {
-            work(&mut self.book, &mut self.sizing, ctx);
+            work(&mut self.pool_state, &mut self.sizing, ctx);
         });
     }
 
@@ -55,7 +55,9 @@
             value: Some(rows::encode(&spec)),
             revision: self.jobs,
         };
-        self.with_ctx(|book, _, ctx| load::apply_intake(book, &row, &config(1), 1, ctx));
+        self.with_ctx(|pool_state, _, ctx| {
+            load::apply_intake(pool_state, &row, &config(1), 1, ctx)
+        });
     }
 
     /// Hosts needed and wanted, looked at for a second in which nothing changes.
@@ -63,8 +65,8 @@
         let with = calm(pressed);
         for _ in 0..10 {
             self.now_ms += 100;
-            self.with_ctx(|book, sizing, ctx| {
-                sizing::look(book, sizing, &mut Offers::default(), &with, ctx);
+            self.with_ctx(|pool_state, sizing, ctx| {
+                sizing::look(pool_state, sizing, &mut Offers::default(), &with, ctx);
             });
         }
         (self.sizing.needed, self.sizing.wanted)
@@ -135,8 +137,8 @@
         bench.now_ms += 10;
     }
     let with = calm(true);
-    bench.with_ctx(|book, sizing, ctx| {
-        sizing::look(book, sizing, &mut Offers::default(), &with, ctx);
+    bench.with_ctx(|pool_state, sizing, ctx| {
+        sizing::look(pool_state, sizing, &mut Offers::default(), &with, ctx);
     });
     // What came takes 80 cores; at that rate it will take 400.
     assert_eq!(bench.sizing.needed, 32);
@@ -145,12 +147,12 @@
 /// Hosts that come free one by one go on offer together: between two changes of the row they can be taken.
 #[test]
 fn sizing_offers_apart() {
-    let mut book = Book::default();
+    let mut pool_state = PoolState::default();
     let mut sizing = Sizing::default();
     let mut offers = Offers::default();
     for n in 0..12 {
         let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
-        answering(&mut book, fact);
+        answering(&mut pool_state, fact);
     }
     let row = StoredRow {
         part: POOL.to_string(),
@@ -164,19 +166,19 @@
     };
     let mut changes = Vec::new();
     decide(100_000, |ctx| {
-        load::apply_intake(&mut book, &row, &config(1), 1, ctx);
+        load::apply_intake(&mut pool_state, &row, &config(1), 1, ctx);
     });
-    let keys: Vec<_> = book.workers.keys().collect();
+    let keys: Vec<_> = pool_state.workers.keys().collect();
     // All carry something; one host more is empty at each look.
     let task = TaskKey::default();
     for key in &keys {
-        book.workers[*key].take(task, Capacity::default());
+        pool_state.workers[*key].take(task, Capacity::default());
     }
     for (n, key) in keys.iter().enumerate() {
-        book.workers[*key].release(task, Capacity::default());
+        pool_state.workers[*key].release(task, Capacity::default());
         let now_ms = 100_000 + n as u64 * 100;
         let effects = decide(now_ms, |ctx| {
-            sizing::look(&mut book, &mut sizing, &mut offers, &with, ctx);
+            sizing::look(&mut pool_state, &mut sizing, &mut offers, &with, ctx);
         });
         if effects
             .iter()
@@ -204,8 +206,8 @@
         let given = ("host-0".to_string(), "life-0".to_string());
         offers.row.offered = [given].into();
         let with = calm(true);
-        bench.with_ctx(|book, sizing, ctx| {
-            sizing::look(book, sizing, &mut offers, &with, ctx);
+        bench.with_ctx(|pool_state, sizing, ctx| {
+            sizing::look(pool_state, sizing, &mut offers, &with, ctx);
         });
         bench.sizing.needed
     };
@@ -222,7 +224,7 @@
 #[test]
 fn sizing_waiting_shape() {
     let mut bench = Bench::new(4);
-    for worker in bench.book.workers.values_mut() {
+    for worker in bench.pool_state.workers.values_mut() {
         worker.answers = true;
         worker.clock = Some(ClockSample {
             local_ms: 0,
@@ -234,9 +236,9 @@
         spec.steps[0].per_worker_max = 4;
         spec.steps[0].mem_mb = mem_mb;
         bench.submit(&spec, bench.now_ms);
-        bench.with_ctx(|book, _, ctx| place::place(book, ctx));
+        bench.with_ctx(|pool_state, _, ctx| place::place(pool_state, ctx));
     }
-    assert_eq!(bench.book.ready.len(), 1, "one fits nowhere");
+    assert_eq!(bench.pool_state.ready.len(), 1, "one fits nowhere");
     let (needed, _) = bench.look(false);
     assert!(needed > 4, "{needed} hosts, and one task waits for another");
 }
--- a/tests/test_starts.rs
+++ b/tests/test_starts.rs
@@ -1,9 +1,9 @@
 //! A start that went unanswered may be carried out seconds later: a refusal of the next sending says nothing of it.
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
 use rockwick::core::sched::load;
 use rockwick::core::sched::place;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::runs;
 use rockwick::core::sched::state::Effect;
 use rockwick::core::sched::tasks::Phase;
@@ -19,9 +19,9 @@
 const SETTLE_MS: u64 = 8_000;
 
 /// Books with one worker, and one task whose start is out.
-fn starting() -> (Book, TaskKey, WorkerKey) {
-    let mut book = Book::default();
-    let worker = answering(&mut book, worker_fact("life", "host"));
+fn starting() -> (PoolState, TaskKey, WorkerKey) {
+    let mut pool_state = PoolState::default();
+    let worker = answering(&mut pool_state, worker_fact("life", "host"));
     let row = StoredRow {
         part: POOL.to_string(),
         key: "a".to_string(),
@@ -29,19 +29,19 @@
         revision: EPOCH + 1,
     };
     decide(1_000, |ctx| {
-        load::apply_intake(&mut book, &row, &config(1), EPOCH, ctx);
-        place::place(&mut book, ctx);
-        let (task, run) = book.unsent[0];
-        runs::send_start(&mut book, task, run, EPOCH, ctx);
+        load::apply_intake(&mut pool_state, &row, &config(1), EPOCH, ctx);
+        place::place(&mut pool_state, ctx);
+        let (task, run) = pool_state.unsent[0];
+        runs::send_start(&mut pool_state, task, run, EPOCH, ctx);
     });
-    let (task, _) = book.unsent[0];
-    (book, task, worker)
+    let (task, _) = pool_state.unsent[0];
+    (pool_state, task, worker)
 }
 
-fn answered(book: &mut Book, task: TaskKey, replies: &[OrderReply]) -> Vec<Effect> {
+fn answered(pool_state: &mut PoolState, task: TaskKey, replies: &[OrderReply]) -> Vec<Effect> {
     decide(2_000, |ctx| {
         for reply in replies {
-            runs::started(book, task, 1, *reply, EPOCH, ctx);
+            runs::started(pool_state, task, 1, *reply, EPOCH, ctx);
         }
     })
 }
@@ -49,9 +49,9 @@
 #[test]
 fn starts_refused_at_once() {
     for refusal in [OrderReply::Unwell, OrderReply::NoRoom] {
-        let (mut book, task, _) = starting();
-        answered(&mut book, task, &[refusal]);
-        let phase = book.task(task).map(|t| t.phase);
+        let (mut pool_state, task, _) = starting();
+        answered(&mut pool_state, task, &[refusal]);
+        let phase = pool_state.task(task).map(|t| t.phase);
         assert_eq!(phase, Some(Phase::Ready), "{refusal:?}: it never ran");
     }
 }
@@ -59,9 +59,9 @@
 #[test]
 fn starts_refused_after_silence() {
     for refusal in [OrderReply::Unwell, OrderReply::NoRoom] {
-        let (mut book, task, worker) = starting();
-        let effects = answered(&mut book, task, &[OrderReply::Silent, refusal]);
-        let phase = book.task(task).map(|t| t.phase);
+        let (mut pool_state, task, worker) = starting();
+        let effects = answered(&mut pool_state, task, &[OrderReply::Silent, refusal]);
+        let phase = pool_state.task(task).map(|t| t.phase);
         assert_eq!(phase, Some(Phase::Stopping(worker)), "{refusal:?}");
         let is_stop = |e: &Effect| matches!(e, Effect::Stop(_, _, _, 1));
         assert!(effects.iter().any(is_stop), "the run is barred first");
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -2,12 +2,12 @@
 //! judgement rests on that a run is over.
 
 use http_types::Method;
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::crashes::Evidence;
 use rockwick::core::sched::holds;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
 use rockwick::core::sched::load;
 use rockwick::core::sched::place;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::runs;
 use rockwick::core::sched::state::{Ctx, Effect};
@@ -32,9 +32,9 @@
 const SETTLE_MS: u64 = 8_000;
 
 /// Books with one worker, and `tasks` tasks of job `a` whose starts are out.
-fn starting(tasks: u16) -> (Book, WorkerKey) {
-    let mut book = Book::default();
-    let worker = answering(&mut book, worker_fact("life-1", "host"));
+fn starting(tasks: u16) -> (PoolState, WorkerKey) {
+    let mut pool_state = PoolState::default();
+    let worker = answering(&mut pool_state, worker_fact("life-1", "host"));
     let row = StoredRow {
         part: POOL.to_string(),
         key: "a".to_string(),
@@ -42,17 +42,17 @@
         revision: EPOCH + 1,
     };
     decide(SENT_MS, |ctx| {
-        load::apply_intake(&mut book, &row, &config(1), EPOCH, ctx);
-        send_placed(&mut book, ctx);
+        load::apply_intake(&mut pool_state, &row, &config(1), EPOCH, ctx);
+        send_placed(&mut pool_state, ctx);
     });
-    (book, worker)
+    (pool_state, worker)
 }
 
 /// Places what waits, and sends its starts as if that were on record.
-fn send_placed(book: &mut Book, ctx: &mut Ctx<'_>) {
-    place::place(book, ctx);
-    for (task, run) in std::mem::take(&mut book.unsent) {
-        runs::send_start(book, task, run, EPOCH, ctx);
+fn send_placed(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+    place::place(pool_state, ctx);
+    for (task, run) in std::mem::take(&mut pool_state.unsent) {
+        runs::send_start(pool_state, task, run, EPOCH, ctx);
     }
 }
 
@@ -65,14 +65,16 @@
     }
 }
 
-fn key(book: &Book, index: u16) -> TaskKey {
-    book.find(&name("a", index)).expect("the task is there")
+fn key(pool_state: &PoolState, index: u16) -> TaskKey {
+    pool_state
+        .find(&name("a", index))
+        .expect("the task is there")
 }
 
-fn answer(book: &mut Book, now_ms: u64, reply: OrderReply) -> Vec<Effect> {
-    let task = key(book, 0);
+fn answer(pool_state: &mut PoolState, now_ms: u64, reply: OrderReply) -> Vec<Effect> {
+    let task = key(pool_state, 0);
     decide(now_ms, |ctx| {
-        runs::started(book, task, 1, reply, EPOCH, ctx);
+        runs::started(pool_state, task, 1, reply, EPOCH, ctx);
     })
 }
 
@@ -88,7 +90,7 @@
 
 /// An account that was asked for 40 ms before.
 fn account(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     worker: WorkerKey,
     now_ms: u64,
     ended: Vec<RunEnd>,
@@ -109,7 +111,7 @@
         unreadable: 0,
     };
     decide(now_ms, |ctx| {
-        holds::held(book, worker, now_ms - 40, Ok(report), EPOCH, ctx);
+        holds::held(pool_state, worker, now_ms - 40, Ok(report), EPOCH, ctx);
     })
 }
 
@@ -139,10 +141,10 @@
 
 #[test]
 fn told_end_of_current_run() {
-    let (mut book, worker) = starting(1);
-    answer(&mut book, 1_030, OrderReply::Accepted);
+    let (mut pool_state, worker) = starting(1);
+    answer(&mut pool_state, 1_030, OrderReply::Accepted);
     let done = end(1, name("a", 0), 1, EndKind::Done);
-    let effects = account(&mut book, worker, 1_500, vec![done], &[]);
+    let effects = account(&mut pool_state, worker, 1_500, vec![done], &[]);
     let told = only(&effects, Code::EndsTaken);
     assert_eq!((told.subject, &*told.id), (Subject::Host, "life-1"));
     assert_eq!(named(told, "runs"), "1=a.0.0.0#1:Done/Running");
@@ -156,10 +158,10 @@
 
 #[test]
 fn told_end_listed_again() {
-    let (mut book, worker) = starting(1);
+    let (mut pool_state, worker) = starting(1);
     let done = end(1, name("a", 0), 1, EndKind::Done);
-    account(&mut book, worker, 1_500, vec![done.clone()], &[]);
-    let effects = account(&mut book, worker, 2_600, vec![done], &[]);
+    account(&mut pool_state, worker, 1_500, vec![done.clone()], &[]);
+    let effects = account(&mut pool_state, worker, 2_600, vec![done], &[]);
     let told = only(&effects, Code::EndsTaken);
     assert_eq!(named(told, "runs"), "", "it is not taken in again");
     assert_eq!(figure(told, "again"), Some(1));
@@ -169,15 +171,15 @@
 
 #[test]
 fn told_restart() {
-    let (mut book, worker) = starting(1);
-    book.workers[worker].fact.born_wall_ms = Some(5_000);
+    let (mut pool_state, worker) = starting(1);
+    pool_state.workers[worker].fact.born_wall_ms = Some(5_000);
     let report = HoldReport {
         born_wall_ms: Some(9_000),
         clock_ms: 10,
         ..HoldReport::default()
     };
     let effects = decide(1_500, |ctx| {
-        holds::held(&mut book, worker, 1_460, Ok(report), EPOCH, ctx);
+        holds::held(&mut pool_state, worker, 1_460, Ok(report), EPOCH, ctx);
     });
     let told = only(&effects, Code::WorkerRestarted);
     assert_eq!((told.subject, &*told.id), (Subject::Host, "life-1"));
@@ -188,23 +190,23 @@
 
 #[test]
 fn told_end_of_done_task() {
-    let (mut book, worker) = starting(2);
+    let (mut pool_state, worker) = starting(2);
     let first = end(1, name("a", 0), 1, EndKind::Done);
-    account(&mut book, worker, 1_500, vec![first], &[(1, 1)]);
+    account(&mut pool_state, worker, 1_500, vec![first], &[(1, 1)]);
     let second = end(2, name("a", 0), 1, EndKind::Done);
-    let effects = account(&mut book, worker, 1_600, vec![second], &[(1, 1)]);
+    let effects = account(&mut pool_state, worker, 1_600, vec![second], &[(1, 1)]);
     let told = only(&effects, Code::EndsTaken);
     assert_eq!(named(told, "runs"), "2=a.0.0.0#1:Done/Done#1");
 }
 
 #[test]
 fn told_end_of_unknown_job() {
-    let (mut book, worker) = starting(1);
+    let (mut pool_state, worker) = starting(1);
     let ends = vec![
         end(1, name("b", 3), 2, EndKind::Done),
         end(2, name("a", 9), 1, EndKind::Failed),
     ];
-    let effects = account(&mut book, worker, 1_500, ends, &[]);
+    let effects = account(&mut pool_state, worker, 1_500, ends, &[]);
     let told = only(&effects, Code::EndsTaken);
     let runs = "1=b.0.0.3#2:Done/JobUnknown 2=a.0.0.9#1:Failed/RoundOver";
     assert_eq!(named(told, "runs"), runs);
@@ -213,11 +215,11 @@
 /// The case itself: a run is taken for over, the next one is out elsewhere, and the first one's end comes.
 #[test]
 fn told_end_of_earlier_run() {
-    let (mut book, worker) = starting(1);
-    answer(&mut book, 1_030, OrderReply::Accepted);
-    let other = answering(&mut book, worker_fact("life-2", "host-2"));
-    book.workers[worker].suspended_until_ms = u64::MAX;
-    let effects = account(&mut book, worker, 1_100, Vec::new(), &[]);
+    let (mut pool_state, worker) = starting(1);
+    answer(&mut pool_state, 1_030, OrderReply::Accepted);
+    let other = answering(&mut pool_state, worker_fact("life-2", "host-2"));
+    pool_state.workers[worker].suspended_until_ms = u64::MAX;
+    let effects = account(&mut pool_state, worker, 1_100, Vec::new(), &[]);
     let told = only(&effects, Code::TaskRequeued);
     assert_eq!(told.why, "not among what the worker runs");
     assert_eq!(named(told, "worker"), "life-1");
@@ -226,12 +228,14 @@
     assert_eq!(figure(told, "run"), Some(1));
     assert_eq!(figure(told, "asked_ago_ms"), Some(40));
     assert_eq!(figure(told, "settled_ago_ms"), Some(70));
-    let effects = decide(1_200, |ctx| send_placed(&mut book, ctx));
+    let effects = decide(1_200, |ctx| send_placed(&mut pool_state, ctx));
     let told = only(&effects, Code::TaskPlaced);
     assert_eq!((&*told.why, named(told, "on")), ("life-2", "host-2"));
-    assert!(book.workers[other].tasks.contains(&key(&book, 0)));
+    assert!(pool_state.workers[other]
+        .tasks
+        .contains(&key(&pool_state, 0)));
     let done = end(1, name("a", 0), 1, EndKind::Done);
-    let effects = account(&mut book, worker, 1_300, vec![done], &[]);
+    let effects = account(&mut pool_state, worker, 1_300, vec![done], &[]);
     let told = only(&effects, Code::EndsTaken);
     let runs = "1=a.0.0.0#1:Done/Starting#2@life-2";
     assert_eq!(named(told, "runs"), runs);
@@ -239,11 +243,11 @@
 
 #[test]
 fn told_end_of_cancelled_job() {
-    let (mut book, worker) = starting(1);
-    let job = key(&book, 0).job;
-    decide(1_100, |ctx| runs::cancel(&mut book, job, EPOCH, ctx));
+    let (mut pool_state, worker) = starting(1);
+    let job = key(&pool_state, 0).job;
+    decide(1_100, |ctx| runs::cancel(&mut pool_state, job, EPOCH, ctx));
     let done = end(1, name("a", 0), 1, EndKind::Done);
-    let effects = account(&mut book, worker, 1_500, vec![done], &[]);
+    let effects = account(&mut pool_state, worker, 1_500, vec![done], &[]);
     let told = only(&effects, Code::EndsTaken);
     assert_eq!(named(told, "runs"), "1=a.0.0.0#1:Done/JobOver,Stopping");
 }
@@ -251,10 +255,10 @@
 /// A line stays short, and none of the ends is left out.
 #[test]
 fn told_many_ends() {
-    let (mut book, worker) = starting(40);
+    let (mut pool_state, worker) = starting(40);
     let ends = (0..40).map(|n| end(u64::from(n) + 1, name("a", n), 1, EndKind::Done));
     let ends: Vec<RunEnd> = ends.collect();
-    let effects = account(&mut book, worker, 1_500, ends, &[]);
+    let effects = account(&mut pool_state, worker, 1_500, ends, &[]);
     let told = lines(&effects, Code::EndsTaken);
     let lists = told.iter().map(|line| named(line, "runs"));
     let lists: Vec<Vec<&str>> = lists.map(|runs| runs.split(' ').collect()).collect();
@@ -269,10 +273,10 @@
 /// Answers are told before the judgement that rests on them.
 #[test]
 fn told_answers_first() {
-    let (mut book, _) = starting(1);
-    let effects = answer(&mut book, 1_030, OrderReply::Silent);
+    let (mut pool_state, _) = starting(1);
+    let effects = answer(&mut pool_state, 1_030, OrderReply::Silent);
     assert!(lines(&effects, Code::StartsAnswered).is_empty(), "gathered");
-    let effects = answer(&mut book, 1_080, OrderReply::OtherLife);
+    let effects = answer(&mut pool_state, 1_080, OrderReply::OtherLife);
     let codes = effects.iter().filter_map(|effect| match effect {
         Effect::Log(decision) => Some(decision.code),
         _ => None,
@@ -291,11 +295,11 @@
 /// Also an answer that is not awaited any more.
 #[test]
 fn told_late_answer() {
-    let (mut book, worker) = starting(1);
-    answer(&mut book, 1_030, OrderReply::Accepted);
-    answer(&mut book, 1_050, OrderReply::Accepted);
+    let (mut pool_state, worker) = starting(1);
+    answer(&mut pool_state, 1_030, OrderReply::Accepted);
+    answer(&mut pool_state, 1_050, OrderReply::Accepted);
     let effects = decide(1_200, |ctx| {
-        runs::worker_over(&mut book, worker, &Evidence::Lapse, ctx);
+        runs::worker_over(&mut pool_state, worker, &Evidence::Lapse, ctx);
     });
     let told = only(&effects, Code::StartsAnswered);
     let runs = "a.0.0.0#1@life-1:Accepted,30,170 a.0.0.0#1:Accepted/Running#1,150";
@@ -304,11 +308,13 @@
 
 #[test]
 fn told_lease_over() {
-    let (mut book, worker) = starting(1);
-    book.workers[worker].answers = false;
-    book.workers[worker].heard_ms = 900;
-    let over_ms = book.workers[worker].lease_over_ms;
-    let effects = decide(over_ms, |ctx| holds::lease_over(&mut book, worker, ctx));
+    let (mut pool_state, worker) = starting(1);
+    pool_state.workers[worker].answers = false;
+    pool_state.workers[worker].heard_ms = 900;
+    let over_ms = pool_state.workers[worker].lease_over_ms;
+    let effects = decide(over_ms, |ctx| {
+        holds::lease_over(&mut pool_state, worker, ctx)
+    });
     let told = only(&effects, Code::WorkerOver);
     assert_eq!(told.why, "its lease is over");
     assert_eq!(named(told, "on"), "host");
@@ -323,16 +329,16 @@
 
 #[test]
 fn told_later_life() {
-    let (mut book, worker) = starting(1);
-    book.workers[worker].heard_ms = 900;
-    let left_ms = book.workers[worker].lease_over_ms - 1_500;
-    let later = load::add_worker(&mut book, worker_fact("life-2", "host"), 0);
+    let (mut pool_state, worker) = starting(1);
+    pool_state.workers[worker].heard_ms = 900;
+    let left_ms = pool_state.workers[worker].lease_over_ms - 1_500;
+    let later = load::add_worker(&mut pool_state, worker_fact("life-2", "host"), 0);
     let effects = decide(1_400, |ctx| {
         let refused = Err(OrderReply::Refused);
-        holds::held(&mut book, worker, 1_300, refused, EPOCH, ctx);
+        holds::held(&mut pool_state, worker, 1_300, refused, EPOCH, ctx);
     });
     assert!(lines(&effects, Code::WorkerOver).is_empty());
-    let effects = account(&mut book, later, 1_500, Vec::new(), &[]);
+    let effects = account(&mut pool_state, later, 1_500, Vec::new(), &[]);
     let told = only(&effects, Code::WorkerOver);
     assert_eq!(told.why, "a later life of its host answers");
     assert_eq!((&*told.id, named(told, "by")), ("life-1", "life-2"));
@@ -343,10 +349,10 @@
 
 #[test]
 fn told_other_life() {
-    let (mut book, worker) = starting(1);
+    let (mut pool_state, worker) = starting(1);
     let effects = decide(1_500, |ctx| {
         holds::held(
-            &mut book,
+            &mut pool_state,
             worker,
             1_460,
             Err(OrderReply::OtherLife),
@@ -362,9 +368,9 @@
 /// `explain job` finds the lines that name the job in a list, and no other job's.
 #[test]
 fn told_of_a_job() {
-    let (mut book, worker) = starting(1);
+    let (mut pool_state, worker) = starting(1);
     let done = end(1, name("a", 0), 1, EndKind::Done);
-    let effects = account(&mut book, worker, 1_500, vec![done], &[]);
+    let effects = account(&mut pool_state, worker, 1_500, vec![done], &[]);
     let told = only(&effects, Code::EndsTaken);
     assert!(told.is_about(Subject::Job, "a"));
     assert!(told.is_about(Subject::Host, "life-1"));
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::load;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows::{self, shard_of_part, HEARTBEAT_KEY};
 use rockwick::core::sched::state::{Effect, Event, WaveKnown};
 use rockwick::core::sched::wave::{self, WaveController};
@@ -209,8 +209,8 @@
 /// A wave of hosts that came up since the list was last read is told completed before any of them was out.
 #[test]
 fn wave_older_list() {
-    let mut book = Book::default();
-    load::add_worker(&mut book, worker_fact("life-2", "new"), 0);
+    let mut pool_state = PoolState::default();
+    load::add_worker(&mut pool_state, worker_fact("life-2", "new"), 0);
     let mut controller = WaveController::default();
     let old = HostRecord {
         host: "old".to_string(),
@@ -232,7 +232,7 @@
     };
     let mut waves = BTreeMap::from([(1, known)]);
     let effects = decide(10_000, |ctx| {
-        wave::look(&mut book, &mut controller, &mut waves, POOL, 7, ctx);
+        wave::look(&mut pool_state, &mut controller, &mut waves, POOL, 7, ctx);
     });
     let is_told = |e: &Effect| matches!(e, Effect::TellWave(1, WaveState::Completed));
     assert!(!effects.iter().any(is_told));
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::load;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows::{SlotRow, WaveRow};
 use rockwick::core::sched::state::{Effect, WaveKnown};
 use rockwick::core::sched::wave::{self, WaveController};
@@ -17,7 +17,7 @@
 
 /// A pool with one host, whose order to go for upkeep was accepted.
 struct Out {
-    book: Book,
+    pool_state: PoolState,
     controller: WaveController,
     waves: BTreeMap<u64, WaveKnown>,
     now_ms: u64,
@@ -25,8 +25,8 @@
 
 impl Out {
     fn new() -> Self {
-        let mut book = Book::default();
-        load::add_worker(&mut book, worker_fact("life-2", HOST), 0);
+        let mut pool_state = PoolState::default();
+        load::add_worker(&mut pool_state, worker_fact("life-2", HOST), 0);
         let slot = SlotRow {
             pool: POOL.to_string(),
             is_ordered: true,
@@ -46,7 +46,7 @@
             ..WaveKnown::default()
         };
         Self {
-            book,
+            pool_state,
             controller: WaveController::default(),
             waves: BTreeMap::from([(1, wave)]),
             now_ms: 10_000,
@@ -68,7 +68,7 @@
         self.now_ms += 100;
         decide(self.now_ms, |ctx| {
             wave::look(
-                &mut self.book,
+                &mut self.pool_state,
                 &mut self.controller,
                 &mut self.waves,
                 POOL,
@@ -120,8 +120,8 @@
     let slot = wave.row.out.get_mut(HOST).expect("the host holds it");
     slot.is_ordered = false;
     out.look();
-    let key = out.book.worker_on(HOST).expect("the host is listed");
-    assert!(out.book.workers[key].is_closing);
+    let key = out.pool_state.worker_on(HOST).expect("the host is listed");
+    assert!(out.pool_state.workers[key].is_closing);
 }
 
 /// A host that stays away is told of once its wave has waited for long, and seldom again; by its name and its wave's.
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -1,8 +1,8 @@
 //! Tasks that need most of a host, in pools where every host carries something.
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::offers::Offers;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::sizing::{self, Look, Sizing};
 use rockwick::core::sched::state::Effect;
 use rockwick::core::sched::worker::Worker;
@@ -188,7 +188,7 @@
     assert_eq!(world.running("all"), usize::from(HOSTS), "{id} is reserved");
 }
 
-fn submit(book: &mut Book, id: &str, spec: &JobSpec) {
+fn submit(pool_state: &mut PoolState, id: &str, spec: &JobSpec) {
     let row = StoredRow {
         part: POOL.to_string(),
         key: id.to_string(),
@@ -196,14 +196,14 @@
         revision: 1,
     };
     decide(NOW_MS, |ctx| {
-        load::apply_intake(book, &row, &config(1), 1, ctx);
-        place::place(book, ctx);
+        load::apply_intake(pool_state, &row, &config(1), 1, ctx);
+        place::place(pool_state, ctx);
     });
 }
 
 /// What a round of placing tells of reservations: event, host, reason.
-fn place_at(book: &mut Book, now_ms: u64) -> Vec<(Code, String, String)> {
-    let effects = decide(now_ms, |ctx| place::place(book, ctx));
+fn place_at(pool_state: &mut PoolState, now_ms: u64) -> Vec<(Code, String, String)> {
+    let effects = decide(now_ms, |ctx| place::place(pool_state, ctx));
     let told = effects.into_iter().filter_map(|effect| match effect {
         Effect::Log(d) if d.code != Code::TaskPlaced => Some(d),
         _ => None,
@@ -214,18 +214,18 @@
 }
 
 /// Books of so many hosts with a task each that takes 2 s, and `task`, which fits beside none of them.
-fn split_up(hosts: u16, cpu_milli: u64, task: &JobSpec) -> Book {
-    let mut book = Book::default();
+fn split_up(hosts: u16, cpu_milli: u64, task: &JobSpec) -> PoolState {
+    let mut pool_state = PoolState::default();
     for n in 0..hosts {
         let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
-        answering(&mut book, fact);
+        answering(&mut pool_state, fact);
     }
     let mut apart = job(hosts, cpu_milli, 2_000);
     apart.steps[0].per_worker_max = 1;
-    submit(&mut book, "apart", &apart);
-    submit(&mut book, "wide", task);
-    assert_eq!(book.ready.len(), 1, "one fits nowhere");
-    book
+    submit(&mut pool_state, "apart", &apart);
+    submit(&mut pool_state, "wide", task);
+    assert_eq!(pool_state.ready.len(), 1, "one fits nowhere");
+    pool_state
 }
 
 /// A task of nearly a host.
@@ -238,16 +238,16 @@
 
 /// Why the reserved host is given up after `fault` struck it, and whether another one is reserved then.
 fn given_up_after(fault: impl Fn(&mut Worker)) -> (String, bool) {
-    let mut book = split_up(4, 4_000, &wide(NOW_MS));
-    let told = place_at(&mut book, NOW_MS + 999);
+    let mut pool_state = split_up(4, 4_000, &wide(NOW_MS));
+    let told = place_at(&mut pool_state, NOW_MS + 999);
     assert_eq!(told, [], "it waits for a second");
-    let told = place_at(&mut book, NOW_MS + 1_250);
+    let told = place_at(&mut pool_state, NOW_MS + 1_250);
     let [(Code::HostReserved, host, _)] = &told[..] else {
         panic!("{told:?}");
     };
-    let key = book.worker_on(host).expect("it is there");
-    fault(&mut book.workers[key]);
-    let told = place_at(&mut book, NOW_MS + 1_500);
+    let key = pool_state.worker_on(host).expect("it is there");
+    fault(&mut pool_state.workers[key]);
+    let told = place_at(&mut pool_state, NOW_MS + 1_500);
     let [(Code::ReservationDropped, dropped, why), (Code::HostReserved, next, _)] = &told[..]
     else {
         panic!("{told:?}");
@@ -273,20 +273,20 @@
 
 #[test]
 fn wide_host_slow() {
-    let mut book = split_up(4, 4_000, &wide(NOW_MS));
-    let told = place_at(&mut book, NOW_MS + 1_250);
+    let mut pool_state = split_up(4, 4_000, &wide(NOW_MS));
+    let told = place_at(&mut pool_state, NOW_MS + 1_250);
     let [(Code::HostReserved, host, _)] = &told[..] else {
         panic!("{told:?}");
     };
     // Twice the 750 ms that its task has left, and a lease.
     let until_ms = NOW_MS + 1_250 + 1_500 + 4_500;
-    assert_eq!(place_at(&mut book, until_ms - 1), []);
-    let told = place_at(&mut book, until_ms);
+    assert_eq!(place_at(&mut pool_state, until_ms - 1), []);
+    let told = place_at(&mut pool_state, until_ms);
     let [(Code::ReservationDropped, dropped, why)] = &told[..] else {
         panic!("{told:?}");
     };
     assert_eq!((dropped, &**why), (host, "it takes too long"));
-    let told = place_at(&mut book, until_ms + 250);
+    let told = place_at(&mut pool_state, until_ms + 250);
     let [(Code::HostReserved, next, _)] = &told[..] else {
         panic!("{told:?}");
     };
@@ -298,8 +298,8 @@
 #[test]
 fn wide_full_pool() {
     let reserved = |hosts, cpu_milli, task: &JobSpec| {
-        let mut book = split_up(hosts, cpu_milli, task);
-        place_at(&mut book, NOW_MS + 1_250).len()
+        let mut pool_state = split_up(hosts, cpu_milli, task);
+        place_at(&mut pool_state, NOW_MS + 1_250).len()
     };
     let late_ms = NOW_MS - 60_000;
     assert_eq!(reserved(8, 9_600, &wide(late_ms)), 1, "late, 60%");
@@ -317,17 +317,17 @@
 /// Hosts that a pool of six needs, whose hosts carry a task that lasts each, once a task of nearly a host has waited. What
 /// lasts is as much as room for three hosts.
 fn needed_beside_lasting(wide: &JobSpec) -> u64 {
-    let mut book = Book::default();
+    let mut pool_state = PoolState::default();
     for n in 0..6 {
         let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
-        answering(&mut book, fact);
+        answering(&mut pool_state, fact);
     }
     let mut lasts = lasting(3, 1);
     lasts.steps[0].cpu_milli = 8_100;
     for (id, spec) in [("a", &lasts), ("b", &lasts), ("wide", wide)] {
-        submit(&mut book, id, spec);
+        submit(&mut pool_state, id, spec);
     }
-    assert_eq!(book.ready.len(), 1, "one fits nowhere");
+    assert_eq!(pool_state.ready.len(), 1, "one fits nowhere");
     let mut sizing = Sizing::default();
     let with = Look {
         pool: POOL,
@@ -338,7 +338,13 @@
     };
     for n in 0..10 {
         decide(NOW_MS + n * 100, |ctx| {
-            sizing::look(&mut book, &mut sizing, &mut Offers::default(), &with, ctx);
+            sizing::look(
+                &mut pool_state,
+                &mut sizing,
+                &mut Offers::default(),
+                &with,
+                ctx,
+            );
         });
     }
     sizing.needed
--- a/tests/world/carry.rs
+++ b/tests/world/carry.rs
@@ -29,9 +29,13 @@
                     Event::Renewed(pool, epoch, shard, sent_ms, outcome),
                 );
             }
-            Effect::Record(pool, book, shard, tx) => {
+            Effect::Record(pool, pool_state, shard, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::Recorded(pool, book, shard, outcome));
+                self.reply(
+                    n,
+                    after_ms,
+                    Event::Recorded(pool, pool_state, shard, outcome),
+                );
             }
             Effect::Release(tx) => {
                 self.store_call(n, &tx);
@@ -65,11 +69,11 @@
                 } else {
                     (ORDER_TIMEOUT_MS, OrderReply::Silent)
                 };
-                let book = order.book;
+                let pool_state = order.pool_state;
                 self.reply(
                     n,
                     after_ms,
-                    Event::Started(order.pool, book, task, run, reply),
+                    Event::Started(order.pool, pool_state, task, run, reply),
                 );
             }
             Effect::Stop(order, task, name, run) => {
@@ -82,11 +86,11 @@
                 } else {
                     (ORDER_TIMEOUT_MS, OrderReply::Silent)
                 };
-                let book = order.book;
+                let pool_state = order.pool_state;
                 self.reply(
                     n,
                     after_ms,
-                    Event::Stopped(order.pool, book, task, run, reply),
+                    Event::Stopped(order.pool, pool_state, task, run, reply),
                 );
             }
             Effect::StopStray(order, name, run) => {
@@ -108,17 +112,17 @@
                 } else {
                     (ask.wait_ms + ORDER_TIMEOUT_MS, Err(OrderReply::Silent))
                 };
-                let book = order.book;
-                let event = Event::Held(order.pool, book, worker, sent_ms, result);
+                let pool_state = order.pool_state;
+                let event = Event::Held(order.pool, pool_state, worker, sent_ms, result);
                 self.reply(n, after_ms, event);
             }
             Effect::SettleOrdered(pool, epoch, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
                 self.reply(n, after_ms, Event::OrderedSettled(pool, epoch, outcome));
             }
-            Effect::RemoveIntake(pool, book, tx) => {
+            Effect::RemoveIntake(pool, pool_state, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::IntakeRemoved(pool, book, outcome));
+                self.reply(n, after_ms, Event::IntakeRemoved(pool, pool_state, outcome));
             }
             Effect::SettleOffers(pool, epoch, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -66,14 +66,19 @@
     }
 
     /// The owner's books on the pool, once it has read them.
-    pub(crate) fn owner_book(&self) -> Option<&Book> {
-        self.owner()?.pool(POOL)?.ownership.as_ref()?.book.as_ref()
+    pub(crate) fn owner_book(&self) -> Option<&PoolState> {
+        self.owner()?
+            .pool(POOL)?
+            .ownership
+            .as_ref()?
+            .pool_state
+            .as_ref()
     }
 
     /// Whether a job has ended by its owner's books, whatever is on record.
     pub(crate) fn is_over_by_books(&self, id: &str) -> bool {
-        let book = self.owner_book();
-        book.is_some_and(|book| book.jobs[book.by_id[id]].state.is_final())
+        let pool_state = self.owner_book();
+        pool_state.is_some_and(|pool_state| pool_state.jobs[pool_state.by_id[id]].state.is_final())
     }
 
     /// The entry that owns the pool.
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -23,9 +23,9 @@
 
 use fastrand::Rng;
 use rockwick::clock::Now;
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::hosts::HostTask;
 use rockwick::core::sched::job::{JobSpec, JobState, QueuePolicy, Schedule, StepSpec};
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::quota::quota_part;
 use rockwick::core::sched::reduce;
 use rockwick::core::sched::rows::{
@@ -483,15 +483,19 @@
 
     /// How a job stands in its owner's books, for messages.
     pub(crate) fn describe(&self, id: &str) -> String {
-        let Some(book) = self.owner_book() else {
+        let Some(pool_state) = self.owner_book() else {
             return "no owner has books".to_string();
         };
-        let job = book.by_id.get(id).map(|key| &book.jobs[*key]);
-        let lives = book
+        let job = pool_state.by_id.get(id).map(|key| &pool_state.jobs[*key]);
+        let lives = pool_state
             .workers
             .values()
             .map(|w| (&w.fact.id, w.is_listed, w.answers, w.used));
-        format!("{job:?}\n{:?}\n{:?}", lives.collect::<Vec<_>>(), book.ready)
+        format!(
+            "{job:?}\n{:?}\n{:?}",
+            lives.collect::<Vec<_>>(),
+            pool_state.ready
+        )
     }
 
     /// The same as [`World::tell`]; gives what is logged by it.
