--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -9,9 +9,9 @@
 use super::pool_state::PoolState;
 use super::remove;
 use super::rows::{self, shard_part, SHARDS};
+use super::run_log;
 use super::runs;
 use super::state::{Batch, Ctx, Effect, Ownership, Pool, Timer};
-use super::told;
 use super::worker::HoldPhase;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
@@ -214,7 +214,7 @@
     else {
         return Settled::Fine;
     };
-    told::recorded(&batch, pool_state, revision, epoch, ctx);
+    run_log::log_batch(&batch, pool_state, revision, epoch, ctx);
     // Sent again, it may have taken effect the first time: the lease counts from then.
     if batch.has_heartbeat {
         lease.note_renewed(batch.sent_ms, ctx.now.ms);
--- a/src/core/sched/holds.rs
+++ b/src/core/sched/holds.rs
@@ -13,10 +13,10 @@
 };
 use super::pool_state::PoolState;
 use super::restarts;
+use super::run_log;
 use super::runs;
 use super::state::{Ctx, Effect, Timer};
 use super::tasks::Phase;
-use super::told;
 use super::worker::{ClockSample, HoldPhase, Worker};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
@@ -250,7 +250,7 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let mut told = told::Ends::new(pool_state, key, sent_ms, epoch);
+    let mut told = run_log::EndsLog::new(pool_state, key, sent_ms, epoch);
     for end in &report.ended {
         if end.number <= pool_state.workers[key].taken {
             told.add_again(end);
--- a/src/core/sched/lives.rs
+++ b/src/core/sched/lives.rs
@@ -11,8 +11,8 @@
 use super::load;
 use super::offers::Offers;
 use super::pool_state::PoolState;
+use super::run_log;
 use super::state::{Ctx, Effect, State, Timer};
-use super::told;
 use super::worker::Worker;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
@@ -186,14 +186,18 @@
         return;
     }
     if let Some((_, earlier)) = pool_state.lives_of(&fact.id).last() {
-        ctx.tell(told::restarted(earlier, fact.born_wall_ms, "its entry"));
+        ctx.tell(run_log::worker_restarted(
+            earlier,
+            fact.born_wall_ms,
+            "its entry",
+        ));
     }
     let key = load::add_listed(pool_state, fact.clone(), ctx.now.ms, ctx.now);
     let is_given = offers.is_given(&fact.host, &fact.id);
     pool_state.workers[key].is_spare = is_given;
     pool_state.workers[key].is_offered = is_given;
     let found = Decision::new(Code::WorkerFound, Subject::Host, &fact.id, &*fact.host);
-    ctx.tell(found.with("born_wall_ms", told::born(fact.born_wall_ms)));
+    ctx.tell(found.with("born_wall_ms", run_log::born_or_zero(fact.born_wall_ms)));
     greet(pool_state, key, epoch, ctx);
 }
 
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -16,8 +16,8 @@
     SHARD_PAUSE_MS, SLOW_ANSWER_MS, TX_RETRY_MS,
 };
 use super::rows::{self, shard_part, HeartbeatRow, OwnerRow, HEARTBEAT_KEY, OWNER_KEY, SHARDS};
+use super::run_log;
 use super::state::{Ctx, Effect, Ownership, Pool, Timer};
-use super::told;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{Guard, Revision, RowTx, StoredRow, Table, TxOutcome, Write};
@@ -452,7 +452,7 @@
 /// Gives the pool up in the store, so that another may take it at once.
 pub fn release(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     if let Some(mut ownership) = pool.ownership.take() {
-        told::tell_last_answers(&mut ownership, ctx);
+        run_log::log_last_start_answers(&mut ownership, ctx);
         send_release(&pool.name, ownership.epoch, ctx);
     }
 }
@@ -473,7 +473,7 @@
     let Some(mut ownership) = pool.ownership.take() else {
         return;
     };
-    told::tell_last_answers(&mut ownership, ctx);
+    run_log::log_last_start_answers(&mut ownership, ctx);
     ctx.tell(
         Decision::new(Code::PoolLost, Subject::Pool, &pool.name, why)
             .with("epoch", ownership.epoch),
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -11,9 +11,9 @@
 use super::limits::{ARRIVALS_MS, CALM_MS, FORGOTTEN_KEPT_MS, HELD_MAX_MS};
 use super::order::LookCursor;
 use super::room::Room;
+use super::run_log::StartAnswers;
 use super::tasks::{Job, Phase, Rank, Round, Seen, StepRun, Task};
 use super::times::Times;
-use super::told::Answers;
 use super::worker::{TakenEnd, Worker};
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, TaskName};
@@ -118,7 +118,7 @@
     /// Room or work came since tasks were last placed.
     pub wants_placing: bool,
     /// Answers to starts that are not told yet.
-    pub answers: Answers,
+    pub answers: StartAnswers,
 }
 
 impl PoolState {
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -27,10 +27,10 @@
 use super::quota;
 use super::remove;
 use super::rows::{cancelled_job, pool_of_part, shard_of_part, HEARTBEAT_KEY, OWNER_KEY};
+use super::run_log;
 use super::runs;
 use super::sizing;
 use super::state::{Ctx, Effect, Event, LoadedRows, PoolKey, State, Timer, WaveKnown};
-use super::told;
 use super::wave;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
@@ -335,7 +335,7 @@
         for row in std::mem::take(&mut ownership.early) {
             load::apply_intake(&mut pool_state, &row, facts.config, epoch, ctx);
         }
-        told::loaded(&name, &pool_state, ownership, facts.config.version, ctx);
+        run_log::log_loaded_pool(&name, &pool_state, ownership, facts.config.version, ctx);
         let workers: Vec<WorkerKey> = pool_state.workers.keys().collect();
         for worker in workers {
             greet(&mut pool_state, worker, epoch, ctx);
@@ -418,7 +418,7 @@
             Settled::Fine => {}
             Settled::PoolLost => owner_lease::lose(pool, "its row changed", ctx),
             Settled::Diverged => {
-                told::tell_last_answers(ownership, ctx);
+                run_log::log_last_start_answers(ownership, ctx);
                 ownership.drop_pool_state(ctx);
                 ctx.out
                     .push(Effect::Load(ctx.pool, id.epoch, pool.name.clone()));
@@ -643,7 +643,7 @@
                 if pool_state.wants_placing && ctx.may_send() {
                     place::place(pool_state, ctx);
                 }
-                told::tell_old_answers(pool_state, ctx);
+                run_log::log_old_start_answers(pool_state, ctx);
             }
             commit::flush(pool, ctx);
         });
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -9,10 +9,10 @@
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::STRAY_LEASE_MS;
 use super::pool_state::PoolState;
+use super::run_log;
 use super::runs;
 use super::state::{Ctx, Timer};
 use super::tasks::Phase;
-use super::told;
 use crate::clock::Millis;
 use crate::port::fleet::{HoldReport, TaskName};
 
@@ -49,7 +49,7 @@
     let Some(w) = pool_state.workers.get_mut(key).filter(|w| !w.is_superseded) else {
         return;
     };
-    ctx.tell(told::restarted(w, born_wall_ms, "its account"));
+    ctx.tell(run_log::worker_restarted(w, born_wall_ms, "its account"));
     w.is_superseded = true;
     w.is_listed = false;
     w.answers = false;
--- a/src/core/sched/told.rs
+++ b/src/core/sched/run_log.rs
@@ -105,7 +105,7 @@
 }
 
 /// The ends of one account, as they are taken into the books.
-pub(super) struct Ends {
+pub(super) struct EndsLog {
     worker: WorkerKey,
     epoch: u64,
     asked_ms: Millis,
@@ -118,7 +118,7 @@
     list: List,
 }
 
-impl Ends {
+impl EndsLog {
     /// Of an account asked for at `asked_ms`.
     pub(super) fn new(
         pool_state: &PoolState,
@@ -140,7 +140,7 @@
     /// An end that is about to be taken in.
     pub(super) fn add(&mut self, pool_state: &PoolState, end: &RunEnd, ctx: &mut Ctx<'_>) {
         if self.list.is_full() {
-            self.tell(pool_state, ctx);
+            self.log(pool_state, ctx);
         }
         let name = RunName(&end.task, end.run);
         let standing = standing(pool_state, &end.task, end.run, self.worker);
@@ -162,11 +162,11 @@
     /// Tells what is not told yet.
     pub(super) fn finish(mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
         if self.list.count > 0 || self.again > 0 {
-            self.tell(pool_state, ctx);
+            self.log(pool_state, ctx);
         }
     }
 
-    fn tell(&mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
+    fn log(&mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
         let w = &pool_state.workers[self.worker];
         let why = "listed in its account";
         let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.fact.id, why)
@@ -177,7 +177,7 @@
         }
         ctx.tell(
             decision
-                .with("born_wall_ms", born(w.fact.born_wall_ms))
+                .with("born_wall_ms", born_or_zero(w.fact.born_wall_ms))
                 .with("epoch", self.epoch)
                 .with("asked_ago_ms", ctx.now.ms.saturating_sub(self.asked_ms))
                 .with("taken_before", self.taken)
@@ -191,14 +191,14 @@
 
 /// Answers to starts that are not told yet.
 #[derive(Clone, Debug, Default)]
-pub struct Answers {
+pub struct StartAnswers {
     /// Each with when it came.
     waiting: Vec<(Millis, String)>,
 }
 
 /// Notes what a start was answered; `since_ms` is when the run was on record. The worker is the one that the books have the
 /// task on.
-pub(super) fn note_answer(
+pub(super) fn add_start_answer(
     pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
@@ -222,20 +222,20 @@
     };
     pool_state.answers.waiting.push((ctx.now.ms, text));
     if pool_state.answers.waiting.len() >= LISTED_MAX {
-        tell_answers(pool_state, ctx);
+        log_start_answers(pool_state, ctx);
     }
 }
 
 /// Tells answers that have waited for long enough.
-pub(super) fn tell_old_answers(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+pub(super) fn log_old_start_answers(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     let first = pool_state.answers.waiting.first();
     if first.is_some_and(|(at, _)| ctx.now.ms >= at + ANSWERS_MS) {
-        tell_answers(pool_state, ctx);
+        log_start_answers(pool_state, ctx);
     }
 }
 
 /// Tells all answers: before a judgement that may rest on them, and before the books are dropped.
-pub(super) fn tell_answers(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+pub(super) fn log_start_answers(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     if pool_state.answers.waiting.is_empty() {
         return;
     }
@@ -250,14 +250,14 @@
 }
 
 /// Tells all answers of books that are about to be dropped.
-pub(super) fn tell_last_answers(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
+pub(super) fn log_last_start_answers(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
     if let Some(pool_state) = &mut ownership.pool_state {
-        tell_answers(pool_state, ctx);
+        log_start_answers(pool_state, ctx);
     }
 }
 
 /// A batch that is on record. Its jobs are listed in full, since an end counts as recorded with the batch of its job.
-pub(super) fn recorded(
+pub(super) fn log_batch(
     batch: &Batch,
     pool_state: &PoolState,
     revision: Revision,
@@ -289,7 +289,7 @@
 }
 
 /// What a new owner found on record: tasks that are done, and those that were started, by worker.
-pub(super) fn loaded(
+pub(super) fn log_loaded_pool(
     name: &str,
     pool_state: &PoolState,
     ownership: &Ownership,
@@ -324,22 +324,22 @@
 }
 
 /// A life's start for the log; 0 where the platform tells none.
-pub(super) fn born(wall_ms: Option<Millis>) -> Millis {
+pub(super) fn born_or_zero(wall_ms: Option<Millis>) -> Millis {
     wall_ms.unwrap_or(0)
 }
 
 /// A worker that tells of another start than the one known; `by` is what tells it.
-pub(super) fn restarted(w: &Worker, told: Option<Millis>, by: &'static str) -> Decision {
+pub(super) fn worker_restarted(w: &Worker, told: Option<Millis>, by: &'static str) -> Decision {
     Decision::new(Code::WorkerRestarted, Subject::Host, &w.fact.id, by)
         .naming("on", &*w.fact.host)
-        .with("born_wall_ms", born(told))
-        .with("known_born_wall_ms", born(w.fact.born_wall_ms))
+        .with("born_wall_ms", born_or_zero(told))
+        .with("known_born_wall_ms", born_or_zero(w.fact.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
         .with("taken", w.taken)
 }
 
 /// A worker whose runs are over: what that rests on, and where its ends and its lease stand.
-pub(super) fn over(w: &Worker, evidence: &Evidence, now_ms: Millis) -> Decision {
+pub(super) fn worker_over(w: &Worker, evidence: &Evidence, now_ms: Millis) -> Decision {
     let why = evidence.over().why();
     let decision = Decision::new(Code::WorkerOver, Subject::Host, &w.fact.id, why);
     let decision = match evidence {
@@ -351,7 +351,7 @@
     };
     decision
         .naming("on", &*w.fact.host)
-        .with("born_wall_ms", born(w.fact.born_wall_ms))
+        .with("born_wall_ms", born_or_zero(w.fact.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
         .with("unheard_ms", now_ms.saturating_sub(w.heard_ms))
         .with("lease_left_ms", w.lease_over_ms.saturating_sub(now_ms))
@@ -362,7 +362,7 @@
 
 /// A task that goes back to wait: what the judgement on its run rests on. `asked_ms` is when the account was asked for that
 /// lacks it.
-pub(super) fn requeued(
+pub(super) fn task_requeued(
     pool_state: &PoolState,
     key: TaskKey,
     why: &str,
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -13,9 +13,9 @@
 };
 use super::load;
 use super::pool_state::{LeftRun, PoolState};
+use super::run_log;
 use super::state::{Ctx, Effect, Order, Timer};
 use super::tasks::{Phase, Task};
-use super::told;
 use super::worker::Worker;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
@@ -117,7 +117,7 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    told::note_answer(pool_state, key, run, reply, ctx);
+    run_log::add_start_answer(pool_state, key, run, reply, ctx);
     let Some(task) = pool_state.task(key) else {
         return false;
     };
@@ -320,7 +320,7 @@
         return;
     }
     let is_noted = task.ended.is_noted();
-    let decision = told::requeued(pool_state, key, why, asked_ms, ctx.now.ms);
+    let decision = run_log::task_requeued(pool_state, key, why, asked_ms, ctx.now.ms);
     pool_state.set_phase(key, Phase::Ready, ctx.now.ms);
     if is_noted {
         // On record it would still be there, and its worker's end counted once more by the next owner.
@@ -329,7 +329,7 @@
     if gang::is_member(pool_state, key) {
         pool_state.broken_gangs.push(key);
     }
-    told::tell_answers(pool_state, ctx);
+    run_log::log_start_answers(pool_state, ctx);
     if let Some(decision) = decision {
         ctx.tell(decision);
     }
@@ -343,13 +343,13 @@
     ctx: &mut Ctx<'_>,
 ) {
     let over = evidence.over();
-    told::tell_answers(pool_state, ctx);
+    run_log::log_start_answers(pool_state, ctx);
     let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
     };
     w.answers = false;
     let tasks: Vec<TaskKey> = w.tasks.iter().copied().collect();
-    ctx.tell(told::over(w, evidence, ctx.now.ms));
+    ctx.tell(run_log::worker_over(w, evidence, ctx.now.ms));
     crashes::note_end(pool_state, worker, over, ctx);
     for key in tasks {
         let is_unsent = |task: &Task| matches!(task.phase, Phase::Recording(_));
