--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -282,7 +282,7 @@
     pool.offers.unsure.clear();
     let silent_ms = sent_ms.saturating_sub(pool.lease.claim_after_ms);
     let why = format!("before: {:?}", pool.lease.claim_after);
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::PoolOwned, Subject::Pool, &pool.name, why)
             .with("epoch", epoch)
             .with("silent_ms", silent_ms),
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -264,7 +264,7 @@
     if !matches!(verdict, Verdict::Done(_)) {
         let why = format!("{verdict:?}");
         let decision = Decision::new(Code::LostRace, Subject::Pool, &part, why);
-        ctx.tell(decision.naming("row", odd).with("epoch", ownership.epoch));
+        ctx.log(decision.naming("row", odd).with("epoch", ownership.epoch));
     }
     verdict
 }
--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -295,7 +295,7 @@
     leave(pool_state, key);
     if one.blamed > 0 || ended.all >= NOTED_FROM || is_given_up {
         let id = &pool_state.jobs[key.job].id;
-        ctx.tell(
+        ctx.log(
             Decision::new(Code::TaskSuspected, Subject::Job, id, "its worker's end")
                 .with("step", u64::from(key.step))
                 .with("task", u64::from(key.index))
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -27,7 +27,7 @@
 ) {
     for row in rows {
         if let Err(e) = offers.observe(row) {
-            ctx.tell(Decision::new(Code::BadRow, Subject::Pool, pool, e));
+            ctx.log(Decision::new(Code::BadRow, Subject::Pool, pool, e));
         }
     }
 }
@@ -61,7 +61,7 @@
 fn observe_found(offers: &mut Offers, pool: &str, found: &[(Table, StoredRow)], ctx: &mut Ctx<'_>) {
     let Some(row) = offers_in(found) else { return };
     if let Err(e) = offers.observe_found(row) {
-        ctx.tell(Decision::new(Code::BadRow, Subject::Pool, pool, e));
+        ctx.log(Decision::new(Code::BadRow, Subject::Pool, pool, e));
     }
 }
 
--- a/src/core/sched/gather.rs
+++ b/src/core/sched/gather.rs
@@ -93,12 +93,12 @@
         match held.outcome(pool_state, now_ms) {
             Outcome::Waits => pool_state.reserved.held.push(held),
             Outcome::Fits => {
-                held.tell(pool_state, Code::ReservationUsed, "the task fits", ctx);
+                held.log(pool_state, Code::ReservationUsed, "the task fits", ctx);
                 place::assign(pool_state, held.task, held.worker, ctx);
             }
-            Outcome::Over(why) => held.tell(pool_state, Code::ReservationDropped, why, ctx),
+            Outcome::Over(why) => held.log(pool_state, Code::ReservationDropped, why, ctx),
             Outcome::TooLong => {
-                held.tell(
+                held.log(
                     pool_state,
                     Code::ReservationDropped,
                     "it takes too long",
@@ -175,7 +175,7 @@
     };
     pool_state.reserved.held.push(held);
     pool_state.reserved.avoided = None;
-    held.tell(
+    held.log(
         pool_state,
         Code::HostReserved,
         "no host has room for it",
@@ -221,7 +221,7 @@
         }
     }
 
-    fn tell(&self, pool_state: &PoolState, code: Code, why: &'static str, ctx: &mut Ctx<'_>) {
+    fn log(&self, pool_state: &PoolState, code: Code, why: &'static str, ctx: &mut Ctx<'_>) {
         let id = pool_state.jobs.get(self.task.job).map_or("", |job| &job.id);
         let demand = pool_state.step_spec(self.task).map(StepSpec::demand);
         let mut told = Decision::new(code, Subject::Job, id, why)
@@ -238,7 +238,7 @@
                 .naming("on", &*worker.fact.host)
                 .with("used_cpu_milli", worker.used.cpu_milli);
         }
-        ctx.tell(told);
+        ctx.log(told);
     }
 }
 
--- a/src/core/sched/holds.rs
+++ b/src/core/sched/holds.rs
@@ -138,7 +138,7 @@
         w.answers = false;
         w.broke_ms = is_broken.then_some(ctx.now.ms);
         w.is_heard_through = is_broken && sent_ms <= w.heard_ms + HEARD_ON_MS;
-        ctx.tell(
+        ctx.log(
             Decision::new(
                 Code::WorkerSilent,
                 Subject::Host,
@@ -215,7 +215,7 @@
     if w.clock.is_none_or(|c| c.worker_ms <= sample.worker_ms) {
         w.clock = Some(sample);
     }
-    tell_unreadable(&mut pool_state.workers[key], report.unreadable, ctx);
+    log_unreadable(&mut pool_state.workers[key], report.unreadable, ctx);
     let is_whole = report.ended.len() < ENDS_LISTED_MAX;
     take_ends(pool_state, key, sent_ms, &report, epoch, ctx);
     compare(
@@ -265,14 +265,14 @@
 }
 
 /// Tells once how much of a worker's account can't be read.
-fn tell_unreadable(worker: &mut Worker, unreadable: usize, ctx: &mut Ctx<'_>) {
+fn log_unreadable(worker: &mut Worker, unreadable: usize, ctx: &mut Ctx<'_>) {
     let before = std::mem::replace(&mut worker.unreadable, unreadable);
     if unreadable == 0 || unreadable == before {
         return;
     }
     let why = "its account names tasks that can't be read";
     let decision = Decision::new(Code::BadRow, Subject::Host, &worker.fact.id, why);
-    ctx.tell(decision.with("entries", unreadable as u64));
+    ctx.log(decision.with("entries", unreadable as u64));
 }
 
 /// Runs left behind whose stop was answered before this account was asked for, and that it lacks, are over.
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -170,7 +170,7 @@
                     .extend(row.hosts.into_iter().map(|host| (host, over_ms))),
                 Err(e) => {
                     controller.all_quiet_ms = over_ms;
-                    ctx.tell(Decision::new(Code::BadRow, Subject::Host, &row.key, e));
+                    ctx.log(Decision::new(Code::BadRow, Subject::Host, &row.key, e));
                 }
             }
         }
@@ -431,7 +431,7 @@
     let waiting = waiting.filter(|order| order.offered_by.as_deref() == Some(pool));
     let dropped = waiting.count() as u64;
     let decision = Decision::new(Code::OffersNotTaken, Subject::Pool, pool, why);
-    ctx.tell(decision.with("orders_dropped", dropped));
+    ctx.log(decision.with("orders_dropped", dropped));
 }
 
 /// Puts on record which hosts are about to be ordered about.
@@ -566,7 +566,7 @@
         HostTask::Move(to) => (Code::MoveOrdered, format!("to {to}")),
         HostTask::Upkeep(wave) => (Code::UpkeepOrdered, format!("wave {wave}")),
     };
-    ctx.tell(Decision::new(code, Subject::Host, host, why).with("epoch", epoch));
+    ctx.log(Decision::new(code, Subject::Host, host, why).with("epoch", epoch));
     let until_ms = ctx.until_ms;
     ctx.out.push(Effect::OrderHost(
         ctx.pool,
@@ -666,7 +666,7 @@
         return;
     };
     let why = format!("{:?}: {reply:?}", order.task);
-    ctx.tell(Decision::new(Code::HostAnswered, Subject::Host, host, why));
+    ctx.log(Decision::new(Code::HostAnswered, Subject::Host, host, why));
     match reply {
         HostReply::Accepted => {
             order.again_ms = None;
--- a/src/core/sched/lives.rs
+++ b/src/core/sched/lives.rs
@@ -170,7 +170,7 @@
         if w.is_superseded {
             return;
         }
-        tell_resized(w, fact, ctx);
+        log_resized(w, fact, ctx);
         if w.fact.address != fact.address {
             w.moved_ms = Some(ctx.now.ms);
         }
@@ -186,7 +186,7 @@
         return;
     }
     if let Some((_, earlier)) = pool_state.lives_of(&fact.id).last() {
-        ctx.tell(run_log::worker_restarted(
+        ctx.log(run_log::worker_restarted(
             earlier,
             fact.born_wall_ms,
             "its entry",
@@ -197,18 +197,18 @@
     pool_state.workers[key].is_spare = is_given;
     pool_state.workers[key].is_offered = is_given;
     let found = Decision::new(Code::WorkerFound, Subject::Host, &fact.id, &*fact.host);
-    ctx.tell(found.with("born_wall_ms", run_log::born_or_zero(fact.born_wall_ms)));
+    ctx.log(found.with("born_wall_ms", run_log::born_or_zero(fact.born_wall_ms)));
     greet(pool_state, key, epoch, ctx);
 }
 
 /// Tells that a worker's room is another one. What runs there and does not fit any more is left till it ends: nothing new
 /// is started beside it.
-fn tell_resized(worker: &Worker, fact: &WorkerFact, ctx: &mut Ctx<'_>) {
+fn log_resized(worker: &Worker, fact: &WorkerFact, ctx: &mut Ctx<'_>) {
     let (before, room) = (worker.fact.capacity, fact.capacity);
     if before == room {
         return;
     }
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::WorkerResized, Subject::Host, &fact.id, &*fact.host)
             .with("cpu_milli", room.cpu_milli)
             .with("before_cpu_milli", before.cpu_milli)
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -125,7 +125,7 @@
         return;
     }
     if is_stale(pool_state, row, epoch) {
-        ctx.tell_job(Code::JobStale, &row.key, "its rows have left the store");
+        ctx.log_job(Code::JobStale, &row.key, "its rows have left the store");
         return;
     }
     if let Some(key) = add_job(pool_state, row, config, ctx) {
@@ -168,7 +168,7 @@
         Ok(spec) => spec,
         Err(e) => {
             let why = format!("intake row: {e}");
-            ctx.tell(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
+            ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
             pool_state.unread.insert(row.key.clone());
             return None;
         }
@@ -236,7 +236,7 @@
 ) {
     let Some((_, shard)) = shard_of_part(&row.part) else {
         let why = "progress in a part that is no shard's";
-        ctx.tell(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
+        ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
         return;
     };
     let Some(key) = pool_state.by_id.get(&row.key).copied() else {
@@ -249,7 +249,7 @@
         Ok(progress) => progress,
         Err(e) => {
             let why = format!("progress row: {e}");
-            ctx.tell(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
+            ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
             // Begun anew, it might run twice, and its record would be refused for ever, with all others of the batch.
             pool_state.set_state(key, JobState::Running, ctx.now.ms);
             let job = &mut pool_state.jobs[key];
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -465,7 +465,7 @@
     };
     ctx.out.push(Effect::Release(tx));
     let decision = Decision::new(Code::PoolReleased, Subject::Pool, pool, "stopping");
-    ctx.tell(decision.with("epoch", epoch));
+    ctx.log(decision.with("epoch", epoch));
 }
 
 /// Drops the books of a pool that another entry owns now.
@@ -474,7 +474,7 @@
         return;
     };
     run_log::log_last_start_answers(&mut ownership, ctx);
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::PoolLost, Subject::Pool, &pool.name, why)
             .with("epoch", ownership.epoch),
     );
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -288,7 +288,7 @@
     }
     pool_state.mark(key.job, ctx.now.ms);
     let w = &pool_state.workers[worker];
-    ctx.tell(
+    ctx.log(
         Decision::new(
             Code::TaskPlaced,
             Subject::Job,
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -106,7 +106,7 @@
     /// Jobs that came of late: when, and their work in core-milliseconds.
     pub arrivals: VecDeque<(Millis, u64)>,
     /// When the pool's load was last told.
-    pub load_told_ms: Millis,
+    pub load_logged_ms: Millis,
     /// Hosts on their way, if some are.
     pub coming: Option<Coming>,
     /// Client accounts that have or had jobs here.
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -458,7 +458,7 @@
                 self.row = grants;
                 self.revision = row.revision;
             }
-            Err(e) => ctx.tell(Decision::new(Code::BadRow, Subject::Pool, account, e)),
+            Err(e) => ctx.log(Decision::new(Code::BadRow, Subject::Pool, account, e)),
         }
     }
 }
@@ -466,7 +466,7 @@
 fn tell_granted(ledger: &Ledger, pool: &str, account: &str, ctx: &mut Ctx<'_>) {
     let granted = ledger.held(pool).unwrap_or_default();
     let decision = Decision::new(Code::QuotaGranted, Subject::Pool, pool, account);
-    ctx.tell(
+    ctx.log(
         decision
             .with("revision", ledger.revision)
             .with("quota_cpu_milli", ledger.quota.cpu_milli)
@@ -489,7 +489,7 @@
         return;
     }
     ledger.told_ms = ctx.now.ms;
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::QuotaHeld, Subject::Pool, with.pool, &*account.name)
             .with("config", with.config.version)
             .with("quota_cpu_milli", ledger.quota.cpu_milli)
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -267,7 +267,7 @@
     let nonce = state.nonce;
     with_pool(state, key, now, out, |pool, ctx, _| {
         if let Err(e) = owner_lease::observe(pool, shard, row, now.ms) {
-            ctx.tell(Decision::new(Code::BadRow, Subject::Pool, &pool.name, e));
+            ctx.log(Decision::new(Code::BadRow, Subject::Pool, &pool.name, e));
         }
         let is_ours = pool.lease.is_ours(&me, nonce);
         let is_newer = pool
@@ -382,7 +382,7 @@
     else {
         return;
     };
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::JobTaken, Subject::Job, id, taken_for(&job.spec))
             .with("work_core_ms", job.spec.work(&job.step_ms))
             .with("chain_ms", job.spec.longest_ms(&job.step_ms, |_| true))
@@ -547,7 +547,7 @@
         Timer::Restop(task, run) => runs::restop(pool_state, task, run, epoch, ctx),
         Timer::Upkeep => {
             pool_state.resort(ctx.now.ms);
-            sizing::tell_load(pool_state, ctx);
+            sizing::log_load(pool_state, ctx);
             runs::begin_due_rounds(pool_state, ctx);
             runs::end_exhausted(pool_state, epoch, ctx);
             holds::hold_stuck(pool_state, epoch, ctx);
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -49,7 +49,7 @@
     let Some(w) = pool_state.workers.get_mut(key).filter(|w| !w.is_superseded) else {
         return;
     };
-    ctx.tell(run_log::worker_restarted(w, born_wall_ms, "its account"));
+    ctx.log(run_log::worker_restarted(w, born_wall_ms, "its account"));
     w.is_superseded = true;
     w.is_listed = false;
     w.answers = false;
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -175,7 +175,7 @@
         if self.again_list.count > 0 {
             decision = decision.naming("again_runs", self.again_list.take());
         }
-        ctx.tell(
+        ctx.log(
             decision
                 .with("born_wall_ms", born_or_zero(w.fact.born_wall_ms))
                 .with("epoch", self.epoch)
@@ -246,7 +246,7 @@
     }
     let why = "workers answered";
     let decision = Decision::new(Code::StartsAnswered, Subject::Pool, &pool_state.name, why);
-    ctx.tell(decision.naming(RUNS, list.take()));
+    ctx.log(decision.naming(RUNS, list.take()));
 }
 
 /// Tells all answers of books that are about to be dropped.
@@ -278,7 +278,7 @@
         return;
     }
     let part = &batch.tx.part;
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::BatchRecorded, Subject::Pool, part, why)
             .naming(RUNS, list.text)
             .with("epoch", epoch)
@@ -309,7 +309,7 @@
         1 => "rows read",
         _ => "rows read again, within the tenure",
     };
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::PoolLoaded, Subject::Pool, name, why)
             .naming("started_on", on.text)
             .with("epoch", ownership.epoch)
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -331,7 +331,7 @@
     }
     run_log::log_start_answers(pool_state, ctx);
     if let Some(decision) = decision {
-        ctx.tell(decision);
+        ctx.log(decision);
     }
 }
 
@@ -349,7 +349,7 @@
     };
     w.answers = false;
     let tasks: Vec<TaskKey> = w.tasks.iter().copied().collect();
-    ctx.tell(run_log::worker_over(w, evidence, ctx.now.ms));
+    ctx.log(run_log::worker_over(w, evidence, ctx.now.ms));
     crashes::note_end(pool_state, worker, over, ctx);
     for key in tasks {
         let is_unsent = |task: &Task| matches!(task.phase, Phase::Recording(_));
@@ -454,7 +454,7 @@
     if job.rounds.is_empty() && job.rounds_begun >= rounds {
         let id = job.id.clone();
         pool_state.set_state(key.job, JobState::Completed, ctx.now.ms);
-        ctx.tell_job(Code::JobEnded, &id, "completed");
+        ctx.log_job(Code::JobEnded, &id, "completed");
     }
 }
 
@@ -602,7 +602,7 @@
     }
     let job = &pool_state.jobs[key.job];
     let (fails, run) = pool_state.task(key).map_or((0, 0), |t| (t.fails(), t.run));
-    ctx.tell(
+    ctx.log(
         Decision::new(
             Code::JobEnded,
             Subject::Job,
@@ -632,7 +632,7 @@
     w.fails_in_row = FAILS_IN_A_ROW - 1;
     let id = w.fact.id.clone();
     pause(pool_state, worker, pause_ms, ctx);
-    ctx.tell(
+    ctx.log(
         Decision::new(
             Code::WorkerSuspended,
             Subject::Host,
@@ -676,14 +676,14 @@
 /// Ends a job that can't be done.
 pub fn fail_job(pool_state: &mut PoolState, key: JobKey, why: &str, epoch: u64, ctx: &mut Ctx<'_>) {
     if end_job(pool_state, key, JobState::Failed, epoch, ctx) {
-        ctx.tell_job(Code::JobEnded, &pool_state.jobs[key].id, why);
+        ctx.log_job(Code::JobEnded, &pool_state.jobs[key].id, why);
     }
 }
 
 /// Ends a job that a caller cancelled.
 pub fn cancel(pool_state: &mut PoolState, key: JobKey, epoch: u64, ctx: &mut Ctx<'_>) {
     if end_job(pool_state, key, JobState::Cancelled, epoch, ctx) {
-        ctx.tell_job(
+        ctx.log_job(
             Code::JobCancelled,
             &pool_state.jobs[key].id,
             "cancel on record",
@@ -703,7 +703,7 @@
     let Some(order) = order(pool_state, worker, epoch, ctx) else {
         return;
     };
-    ctx.tell_job(
+    ctx.log_job(
         Code::StrayRun,
         &name.job,
         format!("run {run} on {}", order.to.worker),
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -127,7 +127,7 @@
     if sizing.told == now_told {
         return false;
     }
-    ctx.tell(
+    ctx.log(
         Decision::new(
             Code::PoolSized,
             Subject::Pool,
@@ -423,11 +423,11 @@
 }
 
 /// Once in a while, how full the pool is.
-pub fn tell_load(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
-    if ctx.now.ms < pool_state.load_told_ms + LOAD_TOLD_MS {
+pub fn log_load(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
+    if ctx.now.ms < pool_state.load_logged_ms + LOAD_TOLD_MS {
         return;
     }
-    pool_state.load_told_ms = ctx.now.ms;
+    pool_state.load_logged_ms = ctx.now.ms;
     let open: Vec<_> = pool_state
         .workers
         .values()
@@ -438,7 +438,7 @@
     let count = |class: Class| pool_state.ready.iter().filter(|r| r.class == class).count() as u64;
     let (in_time, behind) = (count(Class::InTime), count(Class::Behind));
     let name = pool_state.name.clone();
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::PoolLoad, Subject::Pool, &name, "the last second")
             .with("open", open.len() as u64)
             .with("workers", pool_state.workers.len() as u64)
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -481,13 +481,13 @@
     }
 
     /// Logs a decision.
-    pub fn tell(&mut self, decision: Decision) {
+    pub fn log(&mut self, decision: Decision) {
         self.out.push(Effect::Log(decision));
     }
 
     /// Logs a decision on a job.
-    pub fn tell_job(&mut self, code: Code, id: &str, why: impl Into<String>) {
-        self.tell(Decision::new(code, Subject::Job, id, why));
+    pub fn log_job(&mut self, code: Code, id: &str, why: impl Into<String>) {
+        self.log(Decision::new(code, Subject::Job, id, why));
     }
 
     /// Whether orders may be sent now.
--- a/src/core/sched/waits.rs
+++ b/src/core/sched/waits.rs
@@ -63,7 +63,7 @@
 }
 
 /// Tells what a wave waits for in this pool, if that takes too long.
-pub(super) fn tell(
+pub(super) fn log(
     pool_state: &PoolState,
     controller: &mut WaveController,
     wave: &WaveKnown,
@@ -89,10 +89,10 @@
     };
     let decision = Decision::new(Code::WaveWaits, Subject::Wave, &number.to_string(), *why);
     let decision = decision.with("waited_ms", waited_ms);
-    ctx.tell(decision.with("left", due.len() as u64).naming("on", *first));
+    ctx.log(decision.with("left", due.len() as u64).naming("on", *first));
     for (host, why) in told {
         let decision = Decision::new(Code::HostWaits, Subject::Host, host, why);
-        ctx.tell(decision.with("wave", number).with("waited_ms", waited_ms));
+        ctx.log(decision.with("wave", number).with("waited_ms", waited_ms));
     }
 }
 
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -111,7 +111,7 @@
             end_turns(pool_state, controller, number);
             ctx.out.push(Effect::TellWave(number, WaveState::Completed));
             let id = number.to_string();
-            ctx.tell(Decision::new(
+            ctx.log(Decision::new(
                 Code::WaveDone,
                 Subject::Wave,
                 &id,
@@ -124,7 +124,7 @@
         mark_due(pool_state, &due);
         advance(pool_state, controller, wave, pool, epoch, ctx);
         begin_turns(pool_state, controller, wave, &due, pool, ctx);
-        waits::tell(pool_state, controller, wave, &due, pool, ctx);
+        waits::log(pool_state, controller, wave, &due, pool, ctx);
     }
     if !is_any {
         return;
@@ -327,7 +327,7 @@
     let again_ms = ctx.now.ms + REOPENED_MS;
     controller.reopened.insert(host.to_string(), again_ms);
     pool_state.set_closing(host, false);
-    ctx.tell(Decision::new(Code::HostReopened, Subject::Host, host, why));
+    ctx.log(Decision::new(Code::HostReopened, Subject::Host, host, why));
 }
 
 /// Whether the system may take a lasting task away now: few enough of its step are away already.
@@ -515,7 +515,7 @@
     } else {
         let id = pending.wave.to_string();
         let left = wave.order.hosts.len().saturating_sub(wave.row.back.len());
-        ctx.tell(
+        ctx.log(
             Decision::new(
                 Code::HostBack,
                 Subject::Host,
@@ -536,7 +536,7 @@
     let Some(value) = &row.value else { return };
     match rows::decode(value) {
         Ok(decoded) => wave.read(decoded, row.revision),
-        Err(e) => ctx.tell(Decision::new(Code::BadRow, Subject::Wave, &row.key, e)),
+        Err(e) => ctx.log(Decision::new(Code::BadRow, Subject::Wave, &row.key, e)),
     }
 }
 
@@ -567,7 +567,7 @@
     for (host, _) in candidates.into_iter().take(allowed.saturating_sub(in_turn)) {
         pool_state.set_closing(&host, true);
         let turn = Turn::Closing(ctx.now.ms);
-        ctx.tell(
+        ctx.log(
             Decision::new(Code::HostClosing, Subject::Host, &host, "its wave is due")
                 .with("wave", wave.order.wave)
                 .with("left", left as u64),
