--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -138,7 +138,7 @@
             ..Capacity::default()
         };
         worker.take(TaskKey::default(), taken);
-        pool_state.note_room(key);
+        pool_state.update_free_index(key);
     }
     decide(|ctx| load::apply_intake(&mut pool_state, &job("a"), &config(), 1, ctx));
     pool_state
@@ -160,7 +160,7 @@
         let keys: Vec<_> = pool_state.workers.keys().collect();
         for key in keys {
             pool_state.workers[key].used.cpu_milli = 16_000;
-            pool_state.note_room(key);
+            pool_state.update_free_index(key);
         }
         pool_state
     };
--- a/src/core/sched/slack.rs
+++ b/src/core/sched/fragmentation.rs
@@ -17,29 +17,29 @@
 
 /// What the open hosts of a pool have, and have free.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Slack {
+pub(super) struct Fragmentation {
     now_ms: Millis,
     /// The open hosts.
     pub(super) hosts: u64,
-    room: Capacity,
+    capacity: Capacity,
     free: Capacity,
 }
 
-impl Slack {
+impl Fragmentation {
     /// Of this pool.
     pub(super) fn of(pool_state: &PoolState, now_ms: Millis) -> Self {
-        let mut slack = Self {
+        let mut fragmentation = Self {
             now_ms,
             hosts: 0,
-            room: Capacity::default(),
+            capacity: Capacity::default(),
             free: Capacity::default(),
         };
         for worker in pool_state.workers.values().filter(|w| w.is_open(now_ms)) {
-            slack.hosts += 1;
-            slack.room.add(worker.fact.capacity);
-            slack.free.add(worker.free());
+            fragmentation.hosts += 1;
+            fragmentation.capacity.add(worker.fact.capacity);
+            fragmentation.free.add(worker.free());
         }
-        slack
+        fragmentation
     }
 
     /// Whether a task of this class waits only since no host alone has what is free in all.
@@ -53,19 +53,19 @@
     }
 
     fn used_percent(&self) -> u64 {
-        let used_cpu_milli = self.room.cpu_milli.saturating_sub(self.free.cpu_milli);
-        (used_cpu_milli * 100).div_ceil(self.room.cpu_milli.max(1))
+        let used_cpu_milli = self.capacity.cpu_milli.saturating_sub(self.free.cpu_milli);
+        (used_cpu_milli * 100).div_ceil(self.capacity.cpu_milli.max(1))
     }
 
     /// Whether a task takes more than half of a mean host.
     fn is_wide(&self, demand: Capacity) -> bool {
-        !self.room.holds(demand.times(2 * self.hosts))
+        !self.capacity.holds(demand.times(2 * self.hosts))
     }
 }
 
 /// Whether some open host that is reserved for no other task has that much free.
 fn has_host(pool_state: &PoolState, demand: Capacity, now_ms: Millis) -> bool {
-    let slots = pool_state.room.with_free(demand.cpu_milli);
+    let slots = pool_state.free_index.workers_with_free(demand.cpu_milli);
     let slots = slots.filter(|slot| !pool_state.reserved.has(slot.worker));
     let mut open = slots.map(|slot| &pool_state.workers[slot.worker]);
     open.any(|w| w.is_open(now_ms) && w.fits(demand))
--- a/src/core/sched/room.rs
+++ b/src/core/sched/free_index.rs
@@ -23,7 +23,7 @@
 
 /// The index.
 #[derive(Clone, Debug, Default)]
-pub struct Room {
+pub struct FreeIndex {
     all: BTreeSet<Slot>,
     by_rack: HashMap<String, BTreeSet<Slot>>,
     known: SecondaryMap<WorkerKey, (Slot, String)>,
@@ -31,7 +31,7 @@
     largest_cpu_milli: u64,
 }
 
-impl Room {
+impl FreeIndex {
     /// Takes in what a worker has free now.
     pub fn note(&mut self, key: WorkerKey, worker: &Worker) {
         let room = worker.fact.capacity.cpu_milli;
@@ -67,13 +67,17 @@
     }
 
     /// Workers that may have so many thousandths of a core free, the fullest first.
-    pub fn with_free(&self, cpu_milli: u64) -> impl Iterator<Item = Slot> + '_ {
+    pub fn workers_with_free(&self, cpu_milli: u64) -> impl Iterator<Item = Slot> + '_ {
         let range = (self.first(cpu_milli), Bound::Unbounded);
         self.all.range(range).copied()
     }
 
     /// The same in one rack.
-    pub fn with_free_in(&self, rack: &str, cpu_milli: u64) -> impl Iterator<Item = Slot> + '_ {
+    pub fn rack_workers_with_free(
+        &self,
+        rack: &str,
+        cpu_milli: u64,
+    ) -> impl Iterator<Item = Slot> + '_ {
         let range = (self.first(cpu_milli), Bound::Unbounded);
         let in_rack = self.by_rack.get(rack).into_iter();
         in_rack.flat_map(move |slots| slots.range(range).copied())
--- a/src/core/sched/lives.rs
+++ b/src/core/sched/lives.rs
@@ -180,7 +180,7 @@
         };
         w.is_listed = true;
         w.is_withdrawn = false;
-        pool_state.note_room(key);
+        pool_state.update_free_index(key);
         pool_state.wants_placing = true;
         holds::next(pool_state, key, epoch, ctx);
         return;
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -3,13 +3,13 @@
 use std::cell::Cell;
 use std::collections::HashSet;
 
+use super::free_index::Slot;
 use super::gang;
-use super::gather;
 use super::job::{JobState, StepSpec};
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{SUSPEND_MAX_MS, SUSPEND_MS};
 use super::pool_state::PoolState;
-use super::room::Slot;
+use super::reservations;
 use super::state::Ctx;
 use super::tasks::{Phase, Rank, Task};
 use crate::clock::Millis;
@@ -28,7 +28,7 @@
 /// Gives places to waiting tasks, in their order, as far as there is room.
 pub fn place(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     pool_state.wants_placing = false;
-    gather::settle(pool_state, ctx);
+    reservations::settle(pool_state, ctx);
     let mut too_large: Vec<Capacity> = Vec::new();
     let mut tried_gangs: HashSet<TaskKey> = HashSet::new();
     for Rank { task: key, .. } in pool_state.next_to_place(ctx.now.ms) {
@@ -52,7 +52,7 @@
             Choice::Barred => {}
         }
     }
-    gather::reserve(pool_state, ctx);
+    reservations::reserve(pool_state, ctx);
 }
 
 /// What a look for a task's place came to.
@@ -70,8 +70,8 @@
     let cpu_milli = search.spec.demand().cpu_milli;
     let slots = search
         .pool_state
-        .room
-        .with_free(cpu_milli)
+        .free_index
+        .workers_with_free(cpu_milli)
         .map(|s| s.worker);
     let open = slots.filter(|worker| search.may_take(*worker));
     open.min_by_key(|worker| {
@@ -108,14 +108,14 @@
 
 /// The place of least cost: in the rack where the data lies if one there fits, else anywhere.
 fn choose_cheapest(search: &Search<'_>) -> Option<WorkerKey> {
-    let room = &search.pool_state.room;
+    let room = &search.pool_state.free_index;
     let cpu_milli = search.spec.demand().cpu_milli;
     let Some(rack) = search.spec.data_rack.as_deref() else {
-        let best = search.best(room.with_free(cpu_milli), 0, None);
+        let best = search.best(room.workers_with_free(cpu_milli), 0, None);
         return best.map(|(_, worker)| worker);
     };
-    let near = search.best(room.with_free_in(rack, cpu_milli), 0, None);
-    let best = search.best(room.with_free(cpu_milli), FAR_MILLI, near);
+    let near = search.best(room.rack_workers_with_free(rack, cpu_milli), 0, None);
+    let best = search.best(room.workers_with_free(cpu_milli), FAR_MILLI, near);
     best.map(|(_, worker)| worker)
 }
 
@@ -167,7 +167,11 @@
 
     /// Whether a worker is reserved for another task. What lasts goes there all the same where it finds no other place.
     fn is_reserved(&self, key: WorkerKey) -> bool {
-        !self.takes_reserved && self.pool_state.reserved.bars(key, self.key)
+        !self.takes_reserved
+            && self
+                .pool_state
+                .reserved
+                .is_reserved_for_other(key, self.key)
     }
 
     fn may_take(&self, key: WorkerKey) -> bool {
@@ -220,7 +224,7 @@
         return false;
     };
     let demand = spec.demand();
-    let slots = pool_state.room.with_free(demand.cpu_milli);
+    let slots = pool_state.free_index.workers_with_free(demand.cpu_milli);
     let mut others = slots.map(|slot| slot.worker).filter(|w| *w != worker);
     others.any(|other| {
         let w = &pool_state.workers[other];
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -5,12 +5,12 @@
 use slotmap::SlotMap;
 
 use super::accounts::AccountUse;
-use super::gather::Reservations;
+use super::free_index::FreeIndex;
 use super::job::{JobState, StepSpec};
 use super::keys::{AccountKey, JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::{ARRIVALS_MS, CALM_MS, FORGOTTEN_KEPT_MS, HELD_MAX_MS};
 use super::order::LookCursor;
-use super::room::Room;
+use super::reservations::Reservations;
 use super::run_log::StartAnswers;
 use super::tasks::{Job, Phase, Rank, Round, Seen, StepRun, Task};
 use super::times::Times;
@@ -68,7 +68,7 @@
     /// Those of them whose slot was asked for: from then on they may be ordered out.
     pub going: BTreeSet<String>,
     /// Workers by what they have free.
-    pub room: Room,
+    pub free_index: FreeIndex,
     /// Workers that are reserved for tasks which need most of one.
     pub reserved: Reservations,
     /// Workers whose ends are being recorded.
@@ -225,7 +225,7 @@
             }
             left.into_iter()
                 .chain(taken)
-                .for_each(|w| self.note_room(w));
+                .for_each(|w| self.update_free_index(w));
             if let Some((account, charge)) = self.charge(key) {
                 let account = self.account_mut(account);
                 if left.is_some() {
@@ -466,7 +466,7 @@
         if let Some((account, charge)) = left.charge {
             self.account_mut(account).used.add(charge);
         }
-        self.note_room(left.worker);
+        self.update_free_index(left.worker);
         self.left.insert((key, run), left);
     }
 
@@ -484,8 +484,8 @@
         if let Some(w) = self.workers.get_mut(to) {
             w.used.add(demand);
         }
-        self.note_room(from);
-        self.note_room(to);
+        self.update_free_index(from);
+        self.update_free_index(to);
     }
 
     /// Drops the runs left behind that `is_over` names, with their room.
@@ -503,7 +503,7 @@
             if let Some((account, charge)) = left.charge {
                 self.account_mut(account).used.sub(charge);
             }
-            self.note_room(left.worker);
+            self.update_free_index(left.worker);
         }
     }
 
--- a/src/core/sched/gather.rs
+++ b/src/core/sched/reservations.rs
@@ -4,13 +4,13 @@
 //! Small tasks that come all the time are placed as soon as they fit somewhere, so that none of a pool's hosts need ever
 //! become empty by itself. Tasks that last are not moved: hosts on which they leave too little room are passed over.
 
+use super::fragmentation::Fragmentation;
 use super::job::StepSpec;
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{PLACE_LOOKS, RESORT_MS, WORKER_LEASE_MS};
 use super::place;
 use super::pool_state::PoolState;
 use super::runs;
-use super::slack::Slack;
 use super::state::Ctx;
 use super::tasks::{Phase, Rank, Task};
 use super::worker::Worker;
@@ -62,7 +62,7 @@
 
 impl Reservations {
     /// Whether a worker is reserved for another task than this one.
-    pub fn bars(&self, worker: WorkerKey, task: TaskKey) -> bool {
+    pub fn is_reserved_for_other(&self, worker: WorkerKey, task: TaskKey) -> bool {
         let mut held = self.held.iter();
         held.any(|r| r.worker == worker && r.task != task)
     }
@@ -121,8 +121,8 @@
     if waiting.is_empty() {
         return;
     }
-    let slack = Slack::of(pool_state, now_ms);
-    let most = (slack.hosts / HOSTS_PER_RESERVATION).max(1);
+    let fragmentation = Fragmentation::of(pool_state, now_ms);
+    let most = (fragmentation.hosts / HOSTS_PER_RESERVATION).max(1);
     let mut in_vain: Vec<Capacity> = Vec::new();
     for rank in waiting {
         if pool_state.reserved.held.len() as u64 >= most || in_vain.len() >= SEARCHES_MAX {
@@ -133,7 +133,7 @@
         };
         let demand = spec.demand();
         let is_known = in_vain.iter().any(|d| demand.holds(*d));
-        if is_known || !slack.is_split(pool_state, rank.class, demand) {
+        if is_known || !fragmentation.is_split(pool_state, rank.class, demand) {
             continue;
         }
         match Search::new(pool_state, rank.task, spec, now_ms).best() {
--- a/src/core/sched/roster.rs
+++ b/src/core/sched/roster.rs
@@ -27,7 +27,7 @@
         if !host.is_empty() {
             self.by_host.entry(host).or_default().push(key);
         }
-        self.note_room(key);
+        self.update_free_index(key);
         key
     }
 
@@ -51,15 +51,15 @@
             *dropped = (dropped.0.max(worker.restarts), now_ms);
         }
         self.recording.remove(&key);
-        self.room.remove(key);
+        self.free_index.remove(key);
         drop_life(&mut self.by_life, &worker.fact.id, key);
         drop_life(&mut self.by_host, &worker.fact.host, key);
     }
 
     /// Takes note of what a worker has free now.
-    pub fn note_room(&mut self, key: WorkerKey) {
+    pub fn update_free_index(&mut self, key: WorkerKey) {
         if let Some(worker) = self.workers.get(key) {
-            self.room.note(key, worker);
+            self.free_index.note(key, worker);
         }
     }
 
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -3,12 +3,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+use super::fragmentation::Fragmentation;
 use super::keys::WorkerKey;
 use super::limits::PLACE_LOOKS;
 use super::offers::Offers;
 use super::overload::COMING_MS;
 use super::pool_state::{Coming, PoolState};
-use super::slack::Slack;
 use super::state::{Ctx, Effect, Timer};
 use super::tasks::{Class, Job, Outlook, Rank, Task};
 use crate::clock::Millis;
@@ -259,7 +259,7 @@
     if waiting.is_empty() {
         return 0;
     }
-    let slack = Slack::of(pool_state, now_ms);
+    let slack = Fragmentation::of(pool_state, now_ms);
     let is_stuck = |rank: &&Rank| {
         pool_state.step_spec(rank.task).is_some_and(|spec| {
             let demand = spec.demand();
--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -99,7 +99,7 @@
 /// What others take of a worker.
 fn fill(pool_state: &mut PoolState, worker: WorkerKey, cores: u64) {
     pool_state.workers[worker].used.cpu_milli += cores * 1_000;
-    pool_state.note_room(worker);
+    pool_state.update_free_index(worker);
 }
 
 #[test]
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -26,7 +26,7 @@
         ..Capacity::default()
     };
     worker.take(TaskKey::default(), taken);
-    pool_state.note_room(key);
+    pool_state.update_free_index(key);
 }
 
 /// The least cost of a place, by a walk: what stays free, failures, and 1,000 where the data lies elsewhere.
@@ -96,11 +96,14 @@
     worker.answers = true;
     let taken = worker.used;
     worker.release(TaskKey::default(), taken);
-    pool_state.note_room(key);
+    pool_state.update_free_index(key);
     let whole = pool_state.workers[key].fact.capacity.cpu_milli;
-    assert_eq!(pool_state.room.with_free(whole).count(), 1);
-    assert_eq!(pool_state.room.with_free(2 * whole).count(), 0);
+    assert_eq!(pool_state.free_index.workers_with_free(whole).count(), 1);
+    assert_eq!(
+        pool_state.free_index.workers_with_free(2 * whole).count(),
+        0
+    );
     pool_state.remove_worker(key, 0);
-    assert_eq!(pool_state.room.with_free(0).count(), 0);
+    assert_eq!(pool_state.free_index.workers_with_free(0).count(), 0);
     assert!(pool_state.worker_on("host-0").is_none());
 }
