--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -11,7 +11,6 @@
 //! workers and 938 runs of others lost, 1 of 2,319 other jobs given up. Not apart: 1,574 runs, 30 jobs given up. On the
 //! third crash: 243 workers, 1,080 runs, no job.
 
-use super::blame::LivesEnded;
 use super::gang;
 use super::job::StepSpec;
 use super::keys::{TaskKey, WorkerKey};
@@ -21,6 +20,7 @@
 use super::state::Ctx;
 use super::tasks::{Phase, Seen, Task};
 use super::worker::Worker;
+use super::worker_losses::WorkerLosses;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 
@@ -109,11 +109,11 @@
     }
 
     /// What it counts for a task that was there.
-    fn count(self, task: &Task, spec: &StepSpec, among: Among, now_ms: Millis) -> LivesEnded {
+    fn count(self, task: &Task, spec: &StepSpec, among: Among, now_ms: Millis) -> WorkerLosses {
         let has_begun = task.seen > Seen::Nothing;
         let may_have_begun = has_begun || task.is_start_broken;
         if !may_have_begun && !matches!(task.phase, Phase::Suspect(_)) {
-            return LivesEnded::NONE;
+            return WorkerLosses::NONE;
         }
         let begun_ms = task.begun_ms.unwrap_or(task.since_ms);
         let is_young = self.heard_ms < begun_ms + YOUNG_MS;
@@ -126,12 +126,12 @@
         let is_likely = may_be_crash && !is_certain && is_young && is_told && !was_stopped(task);
         let is_fresh = task.seen == Seen::GoneFresh || self.broke_within(task, FRESH_MS);
         let is_blamed = is_certain && (spec.lasting || is_fresh);
-        LivesEnded {
+        WorkerLosses {
             blamed: u8::from(is_blamed),
             crashed: u8::from(is_certain),
             likely: u8::from(is_likely),
             all: u8::from(is_young),
-            ..LivesEnded::NONE
+            ..WorkerLosses::NONE
         }
     }
 
@@ -283,7 +283,7 @@
     };
     task.lost_ms = Some(end.lost_ms());
     let one = end.count(task, &spec, among, ctx.now.ms);
-    if one == LivesEnded::NONE {
+    if one == WorkerLosses::NONE {
         return;
     }
     task.ended.add(one, task.run);
@@ -361,8 +361,8 @@
     let ran_ms = sent_ms.saturating_sub(begun_ms);
     // What lasts meets many ends that it has nothing to do with; others end first.
     let is_sound = lasts && (ran_ms >= SOUND_MS || task.is_at_work);
-    if is_sound && task.ended != LivesEnded::NONE {
-        task.ended = LivesEnded::NONE;
+    if is_sound && task.ended != WorkerLosses::NONE {
+        task.ended = WorkerLosses::NONE;
         pool_state.mark(key.job, now_ms);
     }
     if ran_ms >= FRESH_MS && pool_state.watched.remove(&key).is_some() {
--- a/src/core/sched/holds.rs
+++ b/src/core/sched/holds.rs
@@ -206,7 +206,7 @@
         crashes::note_back(pool_state, key);
     }
     restarts::adopt(pool_state, key, &report, epoch, ctx);
-    end_earlier_lives(pool_state, key, sent_ms, ctx);
+    end_earlier_instances(pool_state, key, sent_ms, ctx);
     let w = &mut pool_state.workers[key];
     let sample = ClockSample {
         local_ms: ctx.now.ms,
@@ -289,13 +289,13 @@
 
 /// An id carries one life at a time: those that were last heard before this one was asked are over, and so are those that a
 /// former owner gave work to. Those of its host are over where this one came after their crash.
-fn end_earlier_lives(
+fn end_earlier_instances(
     pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
     ctx: &mut Ctx<'_>,
 ) {
-    let mut earlier = pool_state.lives_beside(key);
+    let mut earlier = pool_state.sibling_instances(key);
     let later = &pool_state.workers[key];
     earlier.retain(|other| {
         let w = &pool_state.workers[*other];
@@ -315,7 +315,7 @@
         return;
     };
     let found = pool_state
-        .lives_on(&w.fact.host)
+        .instances_on(&w.fact.host)
         .find(|(_, other)| w.is_succeeded_by(other))
         .map(|(other, life)| (other, life.first_asked_ms.unwrap_or(life.heard_ms)));
     if let Some((other, asked_ms)) = found {
--- a/src/core/sched/roster.rs
+++ b/src/core/sched/instances.rs
@@ -22,7 +22,7 @@
             worker.is_unproven = true;
         }
         let key = self.workers.insert(worker);
-        self.by_life.entry(id).or_default().push(key);
+        self.workers_by_id.entry(id).or_default().push(key);
         // Workers that name no host share none: taken for lives of one, each account ended all others.
         if !host.is_empty() {
             self.by_host.entry(host).or_default().push(key);
@@ -33,7 +33,7 @@
 
     /// How often an id has begun anew, if these books have met it.
     pub fn restarts(&self, id: &str) -> Option<u32> {
-        let met = self.lives_of(id).filter(|(_, w)| w.is_known());
+        let met = self.instances_of(id).filter(|(_, w)| w.is_known());
         let dropped = self.dropped.get(id).map(|(restarts, _)| *restarts);
         met.map(|(_, w)| w.restarts).chain(dropped).max()
     }
@@ -52,8 +52,8 @@
         }
         self.recording.remove(&key);
         self.free_index.remove(key);
-        drop_life(&mut self.by_life, &worker.fact.id, key);
-        drop_life(&mut self.by_host, &worker.fact.host, key);
+        drop_instance(&mut self.workers_by_id, &worker.fact.id, key);
+        drop_instance(&mut self.by_host, &worker.fact.host, key);
     }
 
     /// Takes note of what a worker has free now.
@@ -64,15 +64,15 @@
     }
 
     /// Lives of a worker's id, those that are over and not forgotten included.
-    pub fn lives_of(&self, id: &str) -> impl Iterator<Item = (WorkerKey, &Worker)> {
-        let keys = self.by_life.get(id).into_iter().flatten();
+    pub fn instances_of(&self, id: &str) -> impl Iterator<Item = (WorkerKey, &Worker)> {
+        let keys = self.workers_by_id.get(id).into_iter().flatten();
         keys.filter_map(|key| Some((*key, self.workers.get(*key)?)))
     }
 
     /// The life of an id that began at that time. Where one of the two tells no time, the id alone names it.
-    pub fn life(&self, id: &str, born_wall_ms: Option<Millis>) -> Option<WorkerKey> {
+    pub fn find_instance(&self, id: &str, born_wall_ms: Option<Millis>) -> Option<WorkerKey> {
         let same = |w: &Worker| w.fact.born_wall_ms == born_wall_ms;
-        let lives = || self.lives_of(id);
+        let lives = || self.instances_of(id);
         let exact = lives().find(|(_, w)| same(w));
         let answering = lives().find(|(_, w)| w.answers && w.is_born(born_wall_ms));
         let found = exact.or(answering);
@@ -81,12 +81,12 @@
     }
 
     /// Other lives of a life's id or host.
-    pub fn lives_beside(&self, key: WorkerKey) -> Vec<WorkerKey> {
+    pub fn sibling_instances(&self, key: WorkerKey) -> Vec<WorkerKey> {
         let Some(worker) = self.workers.get(key) else {
             return Vec::new();
         };
-        let on_host = self.lives_on(&worker.fact.host);
-        let of_id = self.lives_of(&worker.fact.id);
+        let on_host = self.instances_on(&worker.fact.host);
+        let of_id = self.instances_of(&worker.fact.id);
         let beside = on_host.chain(of_id).map(|(other, _)| other);
         let mut others: Vec<WorkerKey> = beside.filter(|other| *other != key).collect();
         others.sort_unstable();
@@ -95,20 +95,20 @@
     }
 
     /// Lives on a host, ended ones that are not forgotten included.
-    pub fn lives_on(&self, host: &str) -> impl Iterator<Item = (WorkerKey, &Worker)> {
+    pub fn instances_on(&self, host: &str) -> impl Iterator<Item = (WorkerKey, &Worker)> {
         let keys = self.by_host.get(host).into_iter().flatten();
         keys.filter_map(|key| Some((*key, self.workers.get(*key)?)))
     }
 
     /// The worker on a host: the life that answers, else one that is listed.
     pub fn worker_on(&self, host: &str) -> Option<WorkerKey> {
-        let on_host = || self.lives_on(host).filter(|(_, w)| w.is_listed);
+        let on_host = || self.instances_on(host).filter(|(_, w)| w.is_listed);
         let answering = on_host().find(|(_, w)| w.answers);
         answering.or_else(|| on_host().next()).map(|(key, _)| key)
     }
 }
 
-fn drop_life(lives: &mut HashMap<String, Vec<WorkerKey>>, name: &str, key: WorkerKey) {
+fn drop_instance(lives: &mut HashMap<String, Vec<WorkerKey>>, name: &str, key: WorkerKey) {
     let Some(named) = lives.get_mut(name) else {
         return;
     };
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -11,7 +11,7 @@
 use super::rows::{self, cancelled_job, shard_of_part, ProgressRow, RoundRow, Standing, TaskRow};
 use super::runs;
 use super::state::{Ctx, LoadedRows, State};
-use super::tasks::{Job, LivesEnded, Phase, Round, Seen, StepRun, Task};
+use super::tasks::{Job, Phase, Round, Seen, StepRun, Task, WorkerLosses};
 use super::times::Times;
 use super::worker::Worker;
 use crate::clock::{Millis, Now};
@@ -269,7 +269,7 @@
     }
     pool_state.jobs[key].renew_policy(progress.policy, ctx.now);
     let lives: Vec<WorkerKey> = progress
-        .lives()
+        .instances()
         .map(|(id, host, born)| known_or_ghost(pool_state, (id, born), host, began_ms, ctx.now))
         .collect();
     for round in &progress.rounds {
@@ -286,7 +286,7 @@
     began_ms: Millis,
     now: Now,
 ) -> WorkerKey {
-    if let Some(key) = pool_state.life(id, born_wall_ms) {
+    if let Some(key) = pool_state.find_instance(id, born_wall_ms) {
         return key;
     }
     let fact = WorkerFact {
@@ -361,7 +361,7 @@
         },
         run: row.0,
         failed_runs: row.1,
-        ended: LivesEnded {
+        ended: WorkerLosses {
             seen: Seen::Nothing,
             ..row.3
         },
--- a/src/core/sched/mod.rs
+++ b/src/core/sched/mod.rs
@@ -5,7 +5,6 @@
 
 mod access;
 pub mod accounts;
-pub mod blame;
 pub mod claim;
 pub mod commit;
 pub mod conflict;
@@ -19,11 +18,11 @@
 mod handover;
 pub mod holds;
 pub mod hosts;
+mod instances;
 pub mod job;
 pub mod keys;
 pub mod limits;
 pub mod listing;
-pub mod lives;
 pub mod load;
 mod moves;
 pub mod offers;
@@ -40,7 +39,6 @@
 mod remove;
 pub mod reservations;
 mod restarts;
-mod roster;
 pub mod routing;
 pub mod rows;
 pub mod run_log;
@@ -52,6 +50,8 @@
 pub mod waits;
 pub mod wave;
 pub mod worker;
+pub mod worker_list;
+pub mod worker_losses;
 
 pub use reduce::reduce;
 pub use state::{Effect, Event, State};
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -58,7 +58,7 @@
     /// The workers.
     pub workers: SlotMap<WorkerKey, Worker>,
     /// Workers' lives by id; an id may come again.
-    pub by_life: HashMap<String, Vec<WorkerKey>>,
+    pub workers_by_id: HashMap<String, Vec<WorkerKey>>,
     /// Restarts of ids whose workers were dropped, and when that was: orders to these may still be on their way.
     pub dropped: HashMap<String, (u32, Millis)>,
     /// Workers' lives by host.
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -5,7 +5,7 @@
 use super::keys::{JobKey, WorkerKey};
 use super::pool_state::PoolState;
 use super::rows::{ProgressRow, RoundRow, Standing, TaskRow};
-use super::tasks::{LivesEnded, Phase, Seen, Task};
+use super::tasks::{Phase, Seen, Task, WorkerLosses};
 
 impl PoolState {
     /// A job's progress as its row holds it.
@@ -65,7 +65,7 @@
             _ => Standing::Idle,
         };
         let is_told = task.ended.is_noted() || task.seen >= Seen::Gone;
-        let ended = LivesEnded {
+        let ended = WorkerLosses {
             seen: if is_told { task.seen } else { Seen::Nothing },
             ..task.ended
         };
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -17,7 +17,6 @@
 use super::job::JobSpec;
 use super::keys::{PoolStateId, WorkerKey};
 use super::limits::RESORT_MS;
-use super::lives::{greet, worker_word, workers_loaded, workers_read};
 use super::load;
 use super::offers::OFFERS_KEY;
 use super::owner_lease;
@@ -32,9 +31,10 @@
 use super::sizing;
 use super::state::{Ctx, Effect, Event, LoadedRows, PoolKey, State, Timer, WaveKnown};
 use super::wave;
+use super::worker_list::{greet, worker_event, workers_loaded, workers_read};
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{FleetConfig, OperatorWord, StoredRow, TxOutcome};
+use crate::port::fleet::{FleetConfig, OperatorEvent, StoredRow, TxOutcome};
 
 /// Pause before a pool's rows are read again after that failed.
 const LOAD_RETRY_MS: Millis = 100;
@@ -45,7 +45,7 @@
     match event {
         Event::Tick => {}
         Event::Operator(word) => operator(state, word, now, &mut out),
-        Event::Worker(word) => worker_word(state, word, now, &mut out),
+        Event::Worker(word) => worker_event(state, word, now, &mut out),
         Event::WorkersRead(all) => workers_read(state, all, now, &mut out),
         Event::Owner(row) => owner_row(state, &row, now, &mut out),
         Event::Claimed(pool, shard, sent_ms, outcome) => {
@@ -196,10 +196,10 @@
     wave::observe(wave, row, &mut ctx);
 }
 
-fn operator(state: &mut State, word: OperatorWord, now: Now, out: &mut Vec<Effect>) {
+fn operator(state: &mut State, word: OperatorEvent, now: Now, out: &mut Vec<Effect>) {
     match word {
-        OperatorWord::Config(config) => adopt(state, config, now, out),
-        OperatorWord::Wave(order) => {
+        OperatorEvent::Config(config) => adopt(state, config, now, out),
+        OperatorEvent::Wave(order) => {
             let known = WaveKnown {
                 order,
                 seen_ms: now.ms,
@@ -210,8 +210,8 @@
                 state.timers.insert((now.ms, key, Timer::Wave));
             }
         }
-        OperatorWord::Other(_) => {}
-        OperatorWord::Unreadable(key, why) => {
+        OperatorEvent::Other(_) => {}
+        OperatorEvent::Unreadable(key, why) => {
             let decision = Decision::new(Code::BadRow, Subject::Config, &key, why);
             out.push(Effect::Log(decision));
         }
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -29,7 +29,7 @@
     let born_wall_ms = w.fact.born_wall_ms;
     let id = w.fact.id.clone();
     let others = pool_state
-        .lives_of(&id)
+        .instances_of(&id)
         .filter(|(other, w)| *other != key && w.was_there());
     let earlier: Vec<WorkerKey> = others.map(|(other, _)| other).collect();
     for other in earlier {
@@ -71,7 +71,7 @@
     let Some(w) = pool_state.workers.get(key) else {
         return;
     };
-    let lives = pool_state.lives_of(&w.fact.id).map(|(life, _)| life);
+    let lives = pool_state.instances_of(&w.fact.id).map(|(life, _)| life);
     let earlier: Vec<WorkerKey> = lives.filter(|life| *life != key).collect();
     if earlier.is_empty() {
         return;
--- a/src/core/sched/rows.rs
+++ b/src/core/sched/rows.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::job::{JobState, QueuePolicy};
-use super::tasks::LivesEnded;
+use super::tasks::WorkerLosses;
 use super::times::Times;
 use crate::clock::Millis;
 use crate::port::fleet::Revision;
@@ -110,7 +110,7 @@
     }
 
     /// The lives that tasks name: id, host, and when each began, where that is known.
-    pub fn lives(&self) -> impl Iterator<Item = (&str, &str, Option<Millis>)> {
+    pub fn instances(&self) -> impl Iterator<Item = (&str, &str, Option<Millis>)> {
         let born = self.born_wall_ms.iter().copied().map(Some);
         let born = born.chain(std::iter::repeat(None));
         let lives = self.workers.iter().zip(born);
@@ -147,7 +147,7 @@
     pub u32,
     pub u64,
     pub Standing,
-    #[serde(default, skip_serializing_if = "is_default")] pub LivesEnded,
+    #[serde(default, skip_serializing_if = "is_default")] pub WorkerLosses,
 );
 
 /// Where a task stands on record.
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -385,7 +385,7 @@
             offered.insert(host.clone(), life.clone());
         }
     }
-    let is_known = |life: &str| pool_state.by_life.contains_key(life);
+    let is_known = |life: &str| pool_state.workers_by_id.contains_key(life);
     let pause_ms = (with.answer_ms * OFFERS_APART_ANSWERS).max(OFFERS_APART_MS);
     let is_withdrawn = offers.row.offered.keys().any(|h| !offered.contains_key(h));
     if !is_withdrawn && ctx.now.ms < sizing.offered_ms + pause_ms {
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -6,7 +6,6 @@
 use super::hosts::{HostController, HostTask};
 use super::keys::{JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::CPU_FULL_MILLI;
-use super::lives::ListNews;
 use super::offers::Offers;
 use super::owner_lease::OwnerLease;
 use super::pool_state::PoolState;
@@ -14,12 +13,13 @@
 use super::rows::{WaveRow, SHARDS};
 use super::sizing::Sizing;
 use super::wave::WaveController;
+use super::worker_list::ListNews;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
-    Addressee, FleetConfig, HoldAsk, HoldReport, HostRecord, HostReply, OperatorWord, OrderReply,
-    Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder, WaveState, WorkerFact,
-    WorkerWord, ABSENT,
+    Addressee, FleetConfig, HoldAsk, HoldReport, HostRecord, HostReply, OperatorEvent, OrderReply,
+    Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder, WaveState, WorkerEvent,
+    WorkerFact, ABSENT,
 };
 
 /// A pool, by its place in [`State::pools`]; pools are never removed.
@@ -239,9 +239,9 @@
     /// Time passed; timers that are due fire.
     Tick,
     /// The operator said something.
-    Operator(OperatorWord),
+    Operator(OperatorEvent),
     /// The list of workers changed.
-    Worker(WorkerWord),
+    Worker(WorkerEvent),
     /// All workers, read anew.
     WorkersRead(Vec<WorkerFact>),
     /// A row of owners changed.
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-pub use super::blame::{LivesEnded, Seen};
 use super::job::{JobSpec, JobState, QueuePolicy};
 use super::keys::{AccountKey, JobKey, TaskKey, WorkerKey};
 use super::limits::{APART_MS, WEIGHT_MAX_MS, WORK_PER_MS};
 use super::overload::{Behind, Contender};
+pub use super::worker_losses::{Seen, WorkerLosses};
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, Revision};
 
@@ -80,7 +80,7 @@
     /// The worker said that it is past its start-up.
     pub is_at_work: bool,
     /// Lives that ended under it.
-    pub ended: LivesEnded,
+    pub ended: WorkerLosses,
     /// When the worker of its last run went, if it did.
     pub lost_ms: Option<Millis>,
     /// It gets no place before: its workers crashed as they started it.
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -273,7 +273,7 @@
     let Some(worker) = pool_state.worker_on(host) else {
         // A life that left the list may serve on for seconds, and what it carries would end with it.
         return pool_state
-            .lives_on(host)
+            .instances_on(host)
             .all(|(life, _)| pool_state.is_clear(life));
     };
     let tasks: Vec<TaskKey> = pool_state.workers[worker].tasks.iter().copied().collect();
--- a/src/core/sched/lives.rs
+++ b/src/core/sched/worker_list.rs
@@ -16,7 +16,7 @@
 use super::worker::Worker;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{WorkerFact, WorkerWord};
+use crate::port::fleet::{WorkerEvent, WorkerFact};
 
 /// What the feed of the list told is compared with readings that were asked for up to so long ago.
 const NEWS_KEPT_MS: Millis = 60_000;
@@ -60,19 +60,19 @@
 /// Entries that can't be read are told up to this number, until they are gone or good again.
 const UNREADABLE_TOLD: usize = 256;
 
-pub(super) fn worker_word(state: &mut State, word: WorkerWord, now: Now, out: &mut Vec<Effect>) {
+pub(super) fn worker_event(state: &mut State, word: WorkerEvent, now: Now, out: &mut Vec<Effect>) {
     let id = match &word {
-        WorkerWord::Present(fact) => &fact.id,
-        WorkerWord::Gone(id) | WorkerWord::Unreadable(id, _) => id,
+        WorkerEvent::Present(fact) => &fact.id,
+        WorkerEvent::Gone(id) | WorkerEvent::Unreadable(id, _) => id,
     };
     state.list_news.note(id, now.ms);
     match word {
-        WorkerWord::Present(fact) => present(state, fact, now, out),
-        WorkerWord::Gone(id) => {
+        WorkerEvent::Present(fact) => present(state, fact, now, out),
+        WorkerEvent::Gone(id) => {
             state.unreadable.remove(&id);
             gone(state, &id, now, out);
         }
-        WorkerWord::Unreadable(id, why) => unreadable(state, id, why, now, out),
+        WorkerEvent::Unreadable(id, why) => unreadable(state, id, why, now, out),
     }
 }
 
@@ -165,7 +165,7 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    if let Some(key) = pool_state.life(&fact.id, fact.born_wall_ms) {
+    if let Some(key) = pool_state.find_instance(&fact.id, fact.born_wall_ms) {
         let w = &mut pool_state.workers[key];
         if w.is_superseded {
             return;
@@ -185,7 +185,7 @@
         holds::next(pool_state, key, epoch, ctx);
         return;
     }
-    if let Some((_, earlier)) = pool_state.lives_of(&fact.id).last() {
+    if let Some((_, earlier)) = pool_state.instances_of(&fact.id).last() {
         ctx.log(run_log::worker_restarted(
             earlier,
             fact.born_wall_ms,
@@ -232,7 +232,7 @@
 }
 
 fn note_gone(pool_state: &mut PoolState, id: &str, ctx: &Ctx<'_>) {
-    let lives: Vec<WorkerKey> = pool_state.lives_of(id).map(|(key, _)| key).collect();
+    let lives: Vec<WorkerKey> = pool_state.instances_of(id).map(|(key, _)| key).collect();
     for key in lives {
         let w = &mut pool_state.workers[key];
         w.is_listed = false;
--- a/src/core/sched/blame.rs
+++ b/src/core/sched/worker_losses.rs
@@ -17,7 +17,7 @@
 
 /// Lives of workers that ended under a task, but for those whose end was planned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LivesEnded {
+pub struct WorkerLosses {
     /// Those that crashed as they had just started it: it may be the cause.
     #[serde(rename = "b", default, skip_serializing_if = "is_default")]
     pub blamed: u8,
@@ -62,7 +62,7 @@
     *value == T::default()
 }
 
-impl LivesEnded {
+impl WorkerLosses {
     /// Of a task that met none.
     pub const NONE: Self = Self {
         blamed: 0,
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -235,7 +235,7 @@
 
 /// A change of what the operator says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OperatorWord {
+pub enum OperatorEvent {
     /// A configuration in full.
     Config(Arc<FleetConfig>),
     /// A wave of upkeep.
@@ -312,7 +312,7 @@
 
 /// A change in the list of workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WorkerWord {
+pub enum WorkerEvent {
     /// It is there, as stated.
     Present(WorkerFact),
     /// Its entry was removed; the id.
@@ -324,21 +324,21 @@
 /// What the operator and the workers say through the store.
 pub trait Directory {
     /// Everything the operator says, and where to go on.
-    fn operator(&self) -> impl Future<Output = Result<Feed<OperatorWord>, ReadError>>;
+    fn operator(&self) -> impl Future<Output = Result<Feed<OperatorEvent>, ReadError>>;
     /// Changes of it.
     fn operator_feed(
         &self,
         since: Revision,
         wait_ms: Millis,
-    ) -> impl Future<Output = Result<Feed<OperatorWord>, ReadError>>;
+    ) -> impl Future<Output = Result<Feed<OperatorEvent>, ReadError>>;
     /// All workers, and where to go on.
-    fn workers(&self) -> impl Future<Output = Result<Feed<WorkerWord>, ReadError>>;
+    fn workers(&self) -> impl Future<Output = Result<Feed<WorkerEvent>, ReadError>>;
     /// Changes of the list.
     fn workers_feed(
         &self,
         since: Revision,
         wait_ms: Millis,
-    ) -> impl Future<Output = Result<Feed<WorkerWord>, ReadError>>;
+    ) -> impl Future<Output = Result<Feed<WorkerEvent>, ReadError>>;
 }
 
 /// Names one task of one job.
--- a/src/serve/feeds.rs
+++ b/src/serve/feeds.rs
@@ -16,7 +16,7 @@
 use crate::core::sched::state::Event;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
-    Directory, Feed, OperatorWord, Range, ReadError, Revision, Rows, Table, WorkerWord,
+    Directory, Feed, OperatorEvent, Range, ReadError, Revision, Rows, Table, WorkerEvent,
 };
 use crate::util::join_all;
 
@@ -181,9 +181,9 @@
     true
 }
 
-async fn adopt(shared: &Shared, events: &Sender<Event>, feed: &Feed<OperatorWord>) {
+async fn adopt(shared: &Shared, events: &Sender<Event>, feed: &Feed<OperatorEvent>) {
     for word in &feed.changes {
-        if let OperatorWord::Config(config) = word {
+        if let OperatorEvent::Config(config) = word {
             shared.adopt(config);
         }
         send(events, Event::Operator(word.clone())).await;
@@ -208,8 +208,8 @@
                 if since.is_none() {
                     send(&events, Event::WorkersRead(present(&feed))).await;
                 }
-                let is_news = |word: &WorkerWord| {
-                    since.is_some() || matches!(word, WorkerWord::Unreadable(..))
+                let is_news = |word: &WorkerEvent| {
+                    since.is_some() || matches!(word, WorkerEvent::Unreadable(..))
                 };
                 for word in feed.changes.into_iter().filter(is_news) {
                     send(&events, Event::Worker(word)).await;
@@ -256,9 +256,9 @@
     }
 }
 
-pub(super) fn present(feed: &Feed<WorkerWord>) -> Vec<crate::port::fleet::WorkerFact> {
+pub(super) fn present(feed: &Feed<WorkerEvent>) -> Vec<crate::port::fleet::WorkerFact> {
     let facts = feed.changes.iter().filter_map(|word| match word {
-        WorkerWord::Present(fact) => Some(fact.clone()),
+        WorkerEvent::Present(fact) => Some(fact.clone()),
         _ => None,
     });
     facts.collect()
--- a/tests/test_crashes.rs
+++ b/tests/test_crashes.rs
@@ -6,7 +6,7 @@
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::rows::{self, Standing, TaskRow};
-use rockwick::core::sched::tasks::LivesEnded;
+use rockwick::core::sched::tasks::WorkerLosses;
 
 use crate::world::{job, lasting, World};
 
@@ -127,13 +127,13 @@
 #[test]
 fn crashes_on_record() {
     let old: TaskRow = rows::decode(br#"[3,1,"i"]"#).expect("it decodes");
-    assert_eq!(old, TaskRow(3, 1, Standing::Idle, LivesEnded::NONE));
+    assert_eq!(old, TaskRow(3, 1, Standing::Idle, WorkerLosses::NONE));
     assert_eq!(rows::encode(&old), br#"[3,1,"i"]"#);
-    let ended = LivesEnded {
+    let ended = WorkerLosses {
         blamed: 1,
         crashed: 1,
         all: 2,
-        ..LivesEnded::NONE
+        ..WorkerLosses::NONE
     };
     let row = TaskRow(4, 0, Standing::Started(2), ended);
     let again: TaskRow = rows::decode(&rows::encode(&row)).expect("it decodes");
--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -4,7 +4,7 @@
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::state::Event;
 use rockwick::platform::Platform;
-use rockwick::port::fleet::{Directory, OperatorWord, WorkerWord};
+use rockwick::port::fleet::{Directory, OperatorEvent, WorkerEvent};
 use serde_json::{json, Value};
 use standin::fleet::Fleet;
 
@@ -73,14 +73,16 @@
         for (n, value) in bad.iter().enumerate() {
             let text = String::from_utf8_lossy(value);
             let id = format!("x-{n}");
-            let is_told = |w: &WorkerWord| matches!(w, WorkerWord::Unreadable(k, _) if *k == id);
+            let is_told = |w: &WorkerEvent| matches!(w, WorkerEvent::Unreadable(k, _) if *k == id);
             assert!(
                 words.iter().any(is_told),
                 "{}",
                 text.get(..200).unwrap_or(&text)
             );
         }
-        let present = words.iter().filter(|w| matches!(w, WorkerWord::Present(_)));
+        let present = words
+            .iter()
+            .filter(|w| matches!(w, WorkerEvent::Present(_)));
         assert_eq!(present.count(), 3, "the good ones");
     });
 }
@@ -95,14 +97,14 @@
     world.submit("first", job(2, 1_000, 3_000));
     world.run(500);
     assert_eq!(world.running_on(&life), 2);
-    let bad = WorkerWord::Unreadable(life.clone(), "not JSON".to_string());
+    let bad = WorkerEvent::Unreadable(life.clone(), "not JSON".to_string());
     world.tell(0, Event::Worker(bad));
     world.submit("second", job(2, 1_000, 500));
     world.run(600);
     assert_eq!(world.running("second"), 0, "it names no worker to use");
     assert_eq!(world.running("first"), 2, "what runs there goes on");
     let good = world.fact(&life);
-    world.tell(0, Event::Worker(WorkerWord::Present(good)));
+    world.tell(0, Event::Worker(WorkerEvent::Present(good)));
     world.run(300);
     assert_eq!(world.running("second"), 2);
 }
@@ -178,10 +180,10 @@
         let words = platform.workers().await.expect("read").changes;
         assert_eq!(words.len(), 600 + 6 + 2);
         let is_good =
-            |w: &&WorkerWord| matches!(w, WorkerWord::Present(f) if f.id.starts_with("good"));
+            |w: &&WorkerEvent| matches!(w, WorkerEvent::Present(f) if f.id.starts_with("good"));
         assert_eq!(words.iter().filter(is_good).count(), 6);
         let said = platform.operator().await.expect("read").changes;
-        assert!(said.iter().any(|w| matches!(w, OperatorWord::Config(_))));
+        assert!(said.iter().any(|w| matches!(w, OperatorEvent::Config(_))));
         assert!(said.len() > 600, "{}", said.len());
     });
 }
@@ -194,7 +196,7 @@
         world.run(SETTLE_MS);
         for n in 0..20 {
             if is_foreign {
-                let bad = WorkerWord::Unreadable(format!("x-{n}"), "not JSON".to_string());
+                let bad = WorkerEvent::Unreadable(format!("x-{n}"), "not JSON".to_string());
                 world.tell(n % 2, Event::Worker(bad));
             }
             world.submit(&format!("job-{n}"), job(3, 900, 700));
--- a/tests/test_late_claim.rs
+++ b/tests/test_late_claim.rs
@@ -7,7 +7,7 @@
 use rockwick::core::sched::reduce;
 use rockwick::core::sched::rows::{self, OwnerRow, OWNER_KEY};
 use rockwick::core::sched::state::{Effect, Event, PoolKey, State};
-use rockwick::port::fleet::{OperatorWord, StoredRow, TxOutcome};
+use rockwick::port::fleet::{OperatorEvent, StoredRow, TxOutcome};
 
 use crate::world::{config, POOL};
 
@@ -41,7 +41,7 @@
 /// An entry whose claim at revision 20 is out; another took the pool at 23, and the answer names `told`.
 fn claims_after(told: u64) -> Vec<usize> {
     let mut state = State::new("a", 1);
-    let word = OperatorWord::Config(Arc::new(config(1)));
+    let word = OperatorEvent::Config(Arc::new(config(1)));
     reduce(&mut state, Event::Operator(word), at(1_000));
     let effects = reduce(&mut state, Event::Tick, at(9_000));
     assert_eq!(claims(&effects), [0], "the pool has no owner");
--- a/tests/test_leases.rs
+++ b/tests/test_leases.rs
@@ -7,7 +7,7 @@
 use rockwick::core::sched::rows::{encode, shard_part, HeartbeatRow, OwnerRow};
 use rockwick::core::sched::rows::{HEARTBEAT_KEY, OWNER_KEY, SHARDS};
 use rockwick::core::sched::state::{Effect, Event, PoolKey, State};
-use rockwick::port::fleet::{OperatorWord, StoredRow, TxOutcome};
+use rockwick::port::fleet::{OperatorEvent, StoredRow, TxOutcome};
 
 use crate::world::{config, POOL};
 
@@ -20,7 +20,7 @@
 /// An entry that knows the configuration and reaches the store.
 fn entry() -> State {
     let mut state = State::new("entry", 7);
-    let word = OperatorWord::Config(Arc::new(config(1)));
+    let word = OperatorEvent::Config(Arc::new(config(1)));
     reduce(&mut state, Event::Operator(word), now(10));
     reduce(&mut state, Event::Store(true), now(20));
     state
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -5,7 +5,7 @@
 //! "another life answered"; "left 1" for both waves from then on.)
 
 use rockwick::core::sched::state::Event;
-use rockwick::port::fleet::{WorkerFact, WorkerWord};
+use rockwick::port::fleet::{WorkerEvent, WorkerFact};
 
 use crate::world::{worker_fact, World};
 
@@ -13,7 +13,7 @@
 const SETTLE_MS: u64 = 8_000;
 
 /// Words of the feed are told to an entry after it asked for its rows, and before these are here.
-fn told_between(words: Vec<WorkerWord>) -> Vec<String> {
+fn told_between(words: Vec<WorkerEvent>) -> Vec<String> {
     let mut world = World::new(1, 1, 2);
     world.run(SETTLE_MS);
     let rows = world.read_rows();
@@ -32,7 +32,7 @@
 
 #[test]
 fn listing_outlives_reading() {
-    let listed = told_between(vec![WorkerWord::Present(young())]);
+    let listed = told_between(vec![WorkerEvent::Present(young())]);
     assert!(listed.contains(&"young".to_string()), "{listed:?}");
 }
 
@@ -40,6 +40,6 @@
 #[test]
 fn listing_stays_gone() {
     let id = World::new(1, 1, 2).lives()[0].clone();
-    let listed = told_between(vec![WorkerWord::Gone(id.clone())]);
+    let listed = told_between(vec![WorkerEvent::Gone(id.clone())]);
     assert!(!listed.contains(&id), "{listed:?}");
 }
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -3,8 +3,8 @@
 use rockwick::platform::Platform;
 use rockwick::port::fleet::{
     Addressee, Directory, Guard, HoldAsk, HostAuthority, HostMoves, HostReply, HostState,
-    OperatorWord, OrderReply, Range, ReadError, RowTx, Rows, RunStart, Table, TaskName, TxOutcome,
-    WaveState, WaveStatus, WorkerOrders, WorkerWord, Write, ABSENT,
+    OperatorEvent, OrderReply, Range, ReadError, RowTx, Rows, RunStart, Table, TaskName, TxOutcome,
+    WaveState, WaveStatus, WorkerEvent, WorkerOrders, Write, ABSENT,
 };
 use serde_json::json;
 use standin::fleet::{Fleet, StoreFault};
@@ -151,7 +151,7 @@
     smol::block_on(async {
         let words = platform.operator().await.expect("read").changes;
         let config = words.iter().find_map(|w| match w {
-            OperatorWord::Config(config) => Some(config),
+            OperatorEvent::Config(config) => Some(config),
             _ => None,
         });
         let config = config.expect("a configuration");
@@ -161,11 +161,11 @@
         );
         assert!(words
             .iter()
-            .any(|w| matches!(w, OperatorWord::Wave(o) if o.duration_ms == 20_500)));
+            .any(|w| matches!(w, OperatorEvent::Wave(o) if o.duration_ms == 20_500)));
         assert!(words
             .iter()
-            .any(|w| matches!(w, OperatorWord::Unreadable(k, _) if k == "wave/4")));
-        let other = OperatorWord::Other("unheard".to_string());
+            .any(|w| matches!(w, OperatorEvent::Unreadable(k, _) if k == "wave/4")));
+        let other = OperatorEvent::Other("unheard".to_string());
         assert!(
             words.contains(&other),
             "a key that nobody knows is told as such"
@@ -174,10 +174,10 @@
         let workers = platform.workers().await.expect("read").changes;
         assert!(workers
             .iter()
-            .any(|w| matches!(w, WorkerWord::Unreadable(k, _) if k == "i-9")));
+            .any(|w| matches!(w, WorkerEvent::Unreadable(k, _) if k == "i-9")));
         let present = workers
             .iter()
-            .filter(|w| matches!(w, WorkerWord::Present(_)));
+            .filter(|w| matches!(w, WorkerEvent::Present(_)));
         assert_eq!(present.count(), 2);
     });
 }
@@ -202,7 +202,7 @@
     let (_fleet, platform) = fleet();
     smol::block_on(async {
         let workers = platform.workers().await.expect("read").changes;
-        let Some(WorkerWord::Present(fact)) = workers.into_iter().next() else {
+        let Some(WorkerEvent::Present(fact)) = workers.into_iter().next() else {
             panic!("a worker");
         };
         let to = |fence, worker: &str| Addressee {
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -8,7 +8,6 @@
 use rockwick::core::sched::holds;
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
-use rockwick::core::sched::lives;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
 use rockwick::core::sched::place;
@@ -18,6 +17,7 @@
 use rockwick::core::sched::state::Effect;
 use rockwick::core::sched::tasks::Phase;
 use rockwick::core::sched::worker::ClockSample;
+use rockwick::core::sched::worker_list;
 use rockwick::port::fleet::{
     EndKind, HoldAsk, HoldReport, OrderReply, RunEnd, RunningTask, StoredRow, TaskName, WorkerFact,
 };
@@ -335,10 +335,10 @@
         let mut pool_state = PoolState::default();
         decide(100_000, |ctx| {
             let offers = Offers::default();
-            lives::note_present(&mut pool_state, &fact(born_wall_ms), &offers, EPOCH, ctx);
+            worker_list::note_present(&mut pool_state, &fact(born_wall_ms), &offers, EPOCH, ctx);
         });
         let key = pool_state
-            .life(ID, Some(born_wall_ms))
+            .find_instance(ID, Some(born_wall_ms))
             .expect("it is listed");
         pool_state.workers[key].lease_over_ms - 100_000
     };
@@ -406,7 +406,7 @@
     scene.held(earlier, 2_900, account);
     assert_eq!(scene.phase(0), Phase::Running(earlier));
     assert_eq!(scene.phase(1), Phase::Running(earlier));
-    assert_eq!(scene.pool_state.life(ID, None), Some(earlier));
+    assert_eq!(scene.pool_state.find_instance(ID, None), Some(earlier));
 }
 
 /// What was held against a worker ends with its life.
@@ -431,13 +431,13 @@
     let scene = Scene::new();
     let key = scene.pool_state.by_id["a"];
     let row = scene.pool_state.progress(key).expect("the job is there");
-    let named: Vec<_> = row.lives().collect();
+    let named: Vec<_> = row.instances().collect();
     assert_eq!(named, [(ID, "host", Some(BORN_MS[0]))]);
     let read: rows::ProgressRow = rows::decode(&rows::encode(&row)).expect("it decodes");
     assert_eq!(read, row);
     let before = r#"{"state":"Running","workers":[["i-1","host"]]}"#;
     let before: rows::ProgressRow = rows::decode(before.as_bytes()).expect("it decodes");
-    assert_eq!(before.lives().collect::<Vec<_>>(), [(ID, "host", None)]);
+    assert_eq!(before.instances().collect::<Vec<_>>(), [(ID, "host", None)]);
 }
 
 /// Hosts come back from their upkeep under the ids that their workers had, and so does one that only crashes as it is about to
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -91,7 +91,9 @@
     let mut pool_state = PoolState::default();
     let mut rng = Rng::with_seed(1);
     add_worker(&mut pool_state, 0, &mut rng);
-    let key = pool_state.life("life-0", None).expect("it was added");
+    let key = pool_state
+        .find_instance("life-0", None)
+        .expect("it was added");
     let worker = &mut pool_state.workers[key];
     worker.answers = true;
     let taken = worker.used;
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -7,7 +7,7 @@
 use rockwick::core::sched::reduce;
 use rockwick::core::sched::rows::SHARDS;
 use rockwick::core::sched::state::{Effect, Event, PoolKey, State};
-use rockwick::port::fleet::{OperatorWord, TxOutcome, WorkerWord};
+use rockwick::port::fleet::{OperatorEvent, TxOutcome, WorkerEvent};
 
 use crate::world::{config, job, lasting, World, POOL};
 
@@ -94,13 +94,13 @@
     world.run(2_000);
     let facts: Vec<_> = world.lives().iter().map(|id| world.fact(id)).collect();
     for fact in &facts {
-        world.tell(0, Event::Worker(WorkerWord::Gone(fact.id.clone())));
+        world.tell(0, Event::Worker(WorkerEvent::Gone(fact.id.clone())));
     }
     world.submit("a", job(1, 1_000, 200));
     world.run(1_500);
     assert_eq!((world.starts, world.running("lasts")), (2, 2));
     for fact in facts {
-        world.tell(0, Event::Worker(WorkerWord::Present(fact)));
+        world.tell(0, Event::Worker(WorkerEvent::Present(fact)));
     }
     world.run(2_000);
     assert_eq!(world.recorded("a"), JobState::Completed);
@@ -190,7 +190,7 @@
 fn sched_stop_while_claiming() {
     let mut state = State::new("entry", 7);
     let now = |ms| Now { ms, wall_ms: ms };
-    let word = OperatorWord::Config(Arc::new(config(1)));
+    let word = OperatorEvent::Config(Arc::new(config(1)));
     reduce(&mut state, Event::Operator(word), now(10));
     let effects = reduce(&mut state, Event::Tick, now(2_500));
     let is_claim = |e: &Effect| matches!(e, Effect::Claim(..));
@@ -290,7 +290,7 @@
     };
     assert_eq!(world.running_on(&there), 1);
     let before = world.starts;
-    world.tell(0, Event::Worker(WorkerWord::Present(told)));
+    world.tell(0, Event::Worker(WorkerEvent::Present(told)));
     world.run(2_000);
     assert_eq!(
         world.starts, before,
--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -5,7 +5,7 @@
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::state::Event;
 use rockwick::event::Code;
-use rockwick::port::fleet::WorkerWord;
+use rockwick::port::fleet::WorkerEvent;
 
 use crate::world::{job, lasting, World};
 
@@ -60,7 +60,7 @@
     world.run(SETTLE_MS);
     let mut fact = world.fact(&world.lives()[0].clone());
     fact.capacity.cpu_milli = 4_000;
-    let told = world.told(0, Event::Worker(WorkerWord::Present(fact)));
+    let told = world.told(0, Event::Worker(WorkerEvent::Present(fact)));
     let lines: Vec<_> = told
         .iter()
         .filter(|d| d.code == Code::WorkerResized)
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -9,7 +9,7 @@
 use rockwick::core::sched::rows::{self, shard_of_part, HEARTBEAT_KEY};
 use rockwick::core::sched::state::{Effect, Event, WaveKnown};
 use rockwick::core::sched::wave::{self, WaveController};
-use rockwick::port::fleet::{HostRecord, HostState, OperatorWord, Table, WaveOrder, WaveState};
+use rockwick::port::fleet::{HostRecord, HostState, OperatorEvent, Table, WaveOrder, WaveState};
 
 use crate::decide::decide;
 use crate::world::{config, job, worker_fact, World, POOL, QUEUE};
@@ -80,7 +80,7 @@
             queue.attempts_max = 5;
         }
         let owner = world.owner_entry().expect("it settled");
-        let newer = OperatorWord::Config(Arc::new(newer));
+        let newer = OperatorEvent::Config(Arc::new(newer));
         world.tell(owner, Event::Operator(newer));
         world.submit("job", job(1, 1_000, 2_000));
         world.fail_runs("job", 3);
@@ -121,7 +121,7 @@
             for queue in passing.queues.values_mut() {
                 queue.attempts_max = attempts_max;
             }
-            let word = OperatorWord::Config(Arc::new(passing));
+            let word = OperatorEvent::Config(Arc::new(passing));
             world.tell(owner, Event::Operator(word));
         }
         world.resize(&worker, 16_000);
--- a/tests/world/callers.rs
+++ b/tests/world/callers.rs
@@ -49,7 +49,7 @@
     fn tell_config(&mut self) {
         self.config.version += 1;
         let config = Arc::new(self.config.clone());
-        self.broadcast(&Event::Operator(OperatorWord::Config(config)));
+        self.broadcast(&Event::Operator(OperatorEvent::Config(config)));
     }
 
     /// Thousandths of a core that an account's tasks take now.
@@ -97,6 +97,6 @@
             out_max,
         };
         self.waves.push(order.clone());
-        self.broadcast(&Event::Operator(OperatorWord::Wave(order)));
+        self.broadcast(&Event::Operator(OperatorEvent::Wave(order)));
     }
 }
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -188,12 +188,12 @@
     /// What an entry reads when it starts, or comes back to the store.
     pub(super) fn tell_all(&mut self, n: usize) {
         let life = self.entries[n].life;
-        let config = Event::Operator(OperatorWord::Config(Arc::new(self.config.clone())));
+        let config = Event::Operator(OperatorEvent::Config(Arc::new(self.config.clone())));
         let config_ms = 3 + self.config_late_ms;
         self.at(config_ms, Happening::Deliver(n, life, config));
         let mut events = Vec::new();
         for wave in &self.waves {
-            events.push(Event::Operator(OperatorWord::Wave(wave.clone())));
+            events.push(Event::Operator(OperatorEvent::Wave(wave.clone())));
         }
         // The list holds entries of lives that have ended for some heartbeats.
         let facts = self.listed();
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -14,7 +14,7 @@
     /// The list of workers lacks an entry for a while; the life runs on.
     pub(crate) fn unlist(&mut self, id: &str, ms: u64) {
         self.unlisted.insert(id.to_string());
-        self.broadcast(&Event::Worker(WorkerWord::Gone(id.to_string())));
+        self.broadcast(&Event::Worker(WorkerEvent::Gone(id.to_string())));
         self.at(ms, Happening::Beat(id.to_string()));
     }
 
@@ -56,7 +56,7 @@
         w.fact.draining = true;
         let fact = w.fact.clone();
         let host = fact.host.clone();
-        self.broadcast(&Event::Worker(WorkerWord::Present(fact)));
+        self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
         self.new_life(&host);
         self.at(ms, Happening::LifeOver(id.to_string()));
     }
@@ -78,7 +78,7 @@
             address: self.workers[other].fact.address,
             ..self.fact(id)
         };
-        self.broadcast(&Event::Worker(WorkerWord::Present(fact)));
+        self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
         self.at(ms, Happening::Beat(id.to_string()));
     }
 
--- a/tests/world/happenings.rs
+++ b/tests/world/happenings.rs
@@ -130,7 +130,7 @@
                 self.unlisted.remove(&id);
                 let up = self.workers.get(&id).filter(|w| w.is_up);
                 if let Some(fact) = up.map(|w| w.fact.clone()) {
-                    self.broadcast(&Event::Worker(WorkerWord::Present(fact)));
+                    self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
                 }
             }
             Happening::Lapse(id) => self.lapse(&id),
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -35,9 +35,9 @@
 use rockwick::event::Decision;
 use rockwick::port::fleet::{
     AccountConfig, Capacity, EndKind, FleetConfig, HoldAsk, HoldReport, HostRecord, HostReply,
-    HostState, OperatorWord, OrderReply, PoolConfig, QueueConfig, RowTx, RunEnd, RunStart,
-    RunningTask, StoredRow, Table, TaskName, TxOutcome, WaveOrder, WaveState, WorkerFact,
-    WorkerWord,
+    HostState, OperatorEvent, OrderReply, PoolConfig, QueueConfig, RowTx, RunEnd, RunStart,
+    RunningTask, StoredRow, Table, TaskName, TxOutcome, WaveOrder, WaveState, WorkerEvent,
+    WorkerFact,
 };
 
 use happenings::{Happening, LateOrder, Queued};
@@ -396,7 +396,7 @@
             let life = self.entries[n].life;
             let late_ms = match event {
                 Event::Worker(_) => self.word_late_ms,
-                Event::Operator(OperatorWord::Config(_)) => self.config_late_ms,
+                Event::Operator(OperatorEvent::Config(_)) => self.config_late_ms,
                 _ => 0,
             };
             let delay_ms = self.delay() + 20 + late_ms;
@@ -441,7 +441,7 @@
             .collect();
         if !ended.is_empty() {
             let fact = ended[self.rng.usize(0..ended.len())].clone();
-            self.broadcast(&Event::Worker(WorkerWord::Present(fact)));
+            self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
         }
     }
 
--- a/tests/world/restart.rs
+++ b/tests/world/restart.rs
@@ -69,7 +69,7 @@
         let n = self.restarts.usize(0..self.former.len());
         let fact = self.former[n].fact.clone();
         let id = fact.id.clone();
-        self.broadcast(&Event::Worker(WorkerWord::Present(fact)));
+        self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
         self.at(BEAT_MS, Happening::Beat(id));
     }
 }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -34,7 +34,7 @@
             ..Worker::new(fact.clone(), self.next_life)
         };
         self.workers.insert(id, worker);
-        self.broadcast(&Event::Worker(WorkerWord::Present(fact)));
+        self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
     }
 
     /// Carries out a start. One that is refused for want of room, or is there already, still carries a lease, which is over
