--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -2,17 +2,17 @@
 //! ends count as seen.
 
 use super::conflict::{self, Verdict};
-use super::holds;
 use super::keys::{JobKey, TaskKey, WorkerKey};
 use super::limits::{BATCH_JOBS, GATHER_MS, SHARD_BUSY_MS, TX_RETRY_MS};
 use super::owner_lease::{self, epoch_guard, OwnerLease};
 use super::pool_state::PoolState;
 use super::remove;
+use super::renewal;
 use super::rows::{self, shard_part, SHARDS};
 use super::run_log;
 use super::runs;
 use super::state::{Batch, Ctx, Effect, Ownership, Pool, Timer};
-use super::worker::HoldPhase;
+use super::worker::RenewalPhase;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{Guard, RowTx, StoredRow, Table, TxOutcome, Write};
@@ -173,9 +173,9 @@
         let Some(w) = pool_state.workers.get_mut(key) else {
             continue;
         };
-        if matches!(w.hold, HoldPhase::Recording(_)) {
-            w.hold = HoldPhase::Idle;
-            holds::next(pool_state, key, epoch, ctx);
+        if matches!(w.renewal, RenewalPhase::Recording(_)) {
+            w.renewal = RenewalPhase::Idle;
+            renewal::send_next(pool_state, key, epoch, ctx);
         }
     }
 }
--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -58,7 +58,7 @@
     /// An order of this kind was answered by another life.
     Answer(&'static str),
     /// A life of its host answered a hold.
-    Account {
+    Report {
         /// That life.
         life: String,
         /// When the hold was sent.
@@ -73,7 +73,7 @@
     pub fn over(&self) -> Over {
         match self {
             Evidence::Answer(_) => Over::OtherLife,
-            Evidence::Account { .. } => Over::LaterLife,
+            Evidence::Report { .. } => Over::LaterLife,
             Evidence::Lapse => Over::Lease,
         }
     }
--- a/src/core/sched/limits.rs
+++ b/src/core/sched/limits.rs
@@ -99,23 +99,23 @@
 pub const YOUNG_LIFE_MS: Millis = 2 * WORKER_LEASE_MAX_MS;
 
 /// How long a worker with work may keep a hold open waiting for an end.
-pub const HOLD_WAIT_MS: Millis = 1_000;
+pub const RENEWAL_WAIT_MS: Millis = 1_000;
 
 /// The same for a worker without work; less than half of its lease.
-pub const HOLD_IDLE_WAIT_MS: Millis = 2_000;
+pub const RENEWAL_IDLE_WAIT_MS: Millis = 2_000;
 
 /// A worker whose ends can't be recorded is held all the same after so long, and its ends stay unseen: its lease of
 /// 4.5 s allows three tries.
 pub const RECORDING_WAIT_MS: Millis = 1_000;
 
 /// On top of the wait, for the way there and back.
-pub const HOLD_SLACK_MS: Millis = 500;
+pub const RENEWAL_SLACK_MS: Millis = 500;
 
 /// What was sent to a worker's former address has been answered or given up by then: the longest hold.
-pub const ADDRESS_SETTLED_MS: Millis = HOLD_IDLE_WAIT_MS + HOLD_SLACK_MS;
+pub const ADDRESS_SETTLED_MS: Millis = RENEWAL_IDLE_WAIT_MS + RENEWAL_SLACK_MS;
 
 /// Pause before a worker that did not answer is asked again.
-pub const HOLD_RETRY_MS: Millis = 250;
+pub const RENEWAL_RETRY_MS: Millis = 250;
 
 /// For one sending of an order to a worker.
 pub const ORDER_TIMEOUT_MS: Millis = 400;
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -12,7 +12,6 @@
 use super::exchange::{close_given, hosts_taken, observe_offers, offers_settled};
 use super::gang;
 use super::handover;
-use super::holds;
 use super::hosts;
 use super::job::JobSpec;
 use super::keys::{PoolStateId, WorkerKey};
@@ -25,6 +24,7 @@
 use super::pool_state::PoolState;
 use super::quota;
 use super::remove;
+use super::renewal;
 use super::rows::{cancelled_job, pool_of_part, shard_of_part, HEARTBEAT_KEY, OWNER_KEY};
 use super::run_log;
 use super::runs;
@@ -75,10 +75,10 @@
             });
         }
         // The worker tells it to the next owner; taken in here it would put the handover off.
-        Event::Held(..) if state.is_stopping() => {}
-        Event::Held(pool, id, worker, sent_ms, result) => {
+        Event::WorkerRenewed(..) if state.is_stopping() => {}
+        Event::WorkerRenewed(pool, id, worker, sent_ms, result) => {
             with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
-                holds::held(pool_state, worker, sent_ms, result, id.epoch, ctx)
+                renewal::settle(pool_state, worker, sent_ms, result, id.epoch, ctx)
             });
         }
         Event::WaveRow(row) => wave_row(state, &row, now, &mut out),
@@ -541,8 +541,8 @@
 
 fn fire_in_pool_state(pool_state: &mut PoolState, timer: Timer, epoch: u64, ctx: &mut Ctx<'_>) {
     match timer {
-        Timer::Hold(worker) => holds::next(pool_state, worker, epoch, ctx),
-        Timer::LeaseOver(worker) => holds::lease_over(pool_state, worker, ctx),
+        Timer::RenewWorker(worker) => renewal::send_next(pool_state, worker, epoch, ctx),
+        Timer::LeaseOver(worker) => renewal::expire_lease(pool_state, worker, ctx),
         Timer::Restart(task, run) => runs::send_start(pool_state, task, run, epoch, ctx),
         Timer::Restop(task, run) => runs::restop(pool_state, task, run, epoch, ctx),
         Timer::Upkeep => {
@@ -550,7 +550,7 @@
             sizing::log_load(pool_state, ctx);
             runs::begin_due_rounds(pool_state, ctx);
             runs::end_exhausted(pool_state, epoch, ctx);
-            holds::hold_stuck(pool_state, epoch, ctx);
+            renewal::renew_stuck(pool_state, epoch, ctx);
             pool_state.wants_placing = true;
             // Timers at the same moment are one: this one alone keeps the round going.
             let is_set =
--- a/src/core/sched/holds.rs
+++ b/src/core/sched/renewal.rs
@@ -8,8 +8,8 @@
 use super::crashes::{self, Evidence};
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{
-    HEARD_ON_MS, HOLD_IDLE_WAIT_MS, HOLD_RETRY_MS, HOLD_WAIT_MS, RECORDING_WAIT_MS, SAME_LIFE_MS,
-    WORKER_LEASE_MS,
+    HEARD_ON_MS, RECORDING_WAIT_MS, RENEWAL_IDLE_WAIT_MS, RENEWAL_RETRY_MS, RENEWAL_WAIT_MS,
+    SAME_LIFE_MS, WORKER_LEASE_MS,
 };
 use super::pool_state::PoolState;
 use super::restarts;
@@ -17,16 +17,16 @@
 use super::runs;
 use super::state::{Ctx, Effect, Timer};
 use super::tasks::Phase;
-use super::worker::{ClockSample, HoldPhase, Worker};
+use super::worker::{ClockSample, RenewalPhase, Worker};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{HoldAsk, HoldReport, OrderReply, RunningTask, TaskName};
+use crate::port::fleet::{OrderReply, RenewalReport, RenewalRequest, RunningTask, TaskName};
 
 /// Ends that a worker lists at a time; with so many there may be more.
 const ENDS_LISTED_MAX: usize = 500;
 
 /// Sends the next hold to a worker, unless one is out.
-pub fn next(pool_state: &mut PoolState, key: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
+pub fn send_next(pool_state: &mut PoolState, key: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
     let seen = pool_state.seen_up_to(key);
     let Some(w) = pool_state.workers.get_mut(key) else {
         return;
@@ -34,17 +34,17 @@
     if w.is_superseded {
         return;
     }
-    let is_free = match w.hold {
-        HoldPhase::Idle => true,
-        HoldPhase::Out(_) => false,
+    let is_free = match w.renewal {
+        RenewalPhase::Idle => true,
+        RenewalPhase::Out(_) => false,
         // What can't be recorded must not cost the worker its lease.
-        HoldPhase::Recording(since_ms) => ctx.now.ms >= since_ms + RECORDING_WAIT_MS,
+        RenewalPhase::Recording(since_ms) => ctx.now.ms >= since_ms + RECORDING_WAIT_MS,
     };
     if !is_free || w.fact.address.port() == 0 {
         return;
     }
     if !ctx.may_send() {
-        ctx.after(HOLD_RETRY_MS, Timer::Hold(key));
+        ctx.after(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
         return;
     }
     // A worker that did not answer is only asked: renewing would put off the end of its lease.
@@ -60,55 +60,55 @@
         (None, _) => 0,
         // It would answer at once with the ends that are not on record.
         _ if !w.unrecorded.is_empty() => 0,
-        (Some(_), true) => HOLD_IDLE_WAIT_MS,
-        (Some(_), false) => HOLD_WAIT_MS,
+        (Some(_), true) => RENEWAL_IDLE_WAIT_MS,
+        (Some(_), false) => RENEWAL_WAIT_MS,
     };
-    let ask = HoldAsk {
+    let ask = RenewalRequest {
         lease_until_ms,
         seen,
         wait_ms,
     };
-    w.hold = HoldPhase::Out(ctx.now.ms);
+    w.renewal = RenewalPhase::Out(ctx.now.ms);
     w.told_seen = w.told_seen.max(seen);
     if let Some(order) = runs::order(pool_state, key, epoch, ctx) {
-        ctx.out.push(Effect::Hold(order, key, ask));
+        ctx.out.push(Effect::RenewWorker(order, key, ask));
     }
 }
 
 /// Holds workers whose ends could not be recorded for long. By a look now and then: a timer for each account would be
 /// thousands a second at a peak.
-pub fn hold_stuck(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+pub fn renew_stuck(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     let stuck: Vec<WorkerKey> = pool_state.recording.iter().copied().collect();
     for key in stuck {
-        next(pool_state, key, epoch, ctx);
+        send_next(pool_state, key, epoch, ctx);
     }
 }
 
 /// Takes in a worker's account; says whether the pool is lost.
-pub fn held(
+pub fn settle(
     pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
-    result: Result<HoldReport, OrderReply>,
+    result: Result<RenewalReport, OrderReply>,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) -> bool {
     let Some(w) = pool_state.workers.get_mut(key) else {
         return false;
     };
-    w.hold = HoldPhase::Idle;
+    w.renewal = RenewalPhase::Idle;
     match result {
         Ok(report) if !w.is_born(report.born_wall_ms) => {
             restarts::supersede(pool_state, key, report.born_wall_ms, ctx);
         }
         Ok(_) if w.is_unproven => {
             restarts::prove(pool_state, key, ctx);
-            next(pool_state, key, epoch, ctx);
+            send_next(pool_state, key, epoch, ctx);
         }
         Ok(report) if w.is_superseded => {
             take_ends(pool_state, key, sent_ms, &report, epoch, ctx);
         }
-        Ok(report) => account(pool_state, key, sent_ms, report, epoch, ctx),
+        Ok(report) => apply_report(pool_state, key, sent_ms, report, epoch, ctx),
         Err(OrderReply::Fenced) if !w.has_restarted() => return true,
         Err(OrderReply::OtherLife) if w.is_at_its_address() => {
             w.is_listed = false;
@@ -153,12 +153,12 @@
         }
     }
     ctx.after(left_ms, Timer::LeaseOver(key));
-    ctx.after(HOLD_RETRY_MS, Timer::Hold(key));
+    ctx.after(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
     end_if_succeeded(pool_state, key, ctx);
 }
 
 /// Everything ordered to a worker that is not heard has lapsed.
-pub fn lease_over(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
+pub fn expire_lease(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
     let Some(w) = pool_state.workers.get(key) else {
         return;
     };
@@ -183,11 +183,11 @@
     pool_state.remove_worker(key, ctx.now.ms);
 }
 
-fn account(
+fn apply_report(
     pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
-    report: HoldReport,
+    report: RenewalReport,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
@@ -231,13 +231,13 @@
     let is_recorded = pool_state.settle_ends(key);
     let is_blocked = pool_state.seen_up_to(key) < pool_state.workers[key].recorded;
     if !is_recorded {
-        pool_state.workers[key].hold = HoldPhase::Recording(ctx.now.ms);
+        pool_state.workers[key].renewal = RenewalPhase::Recording(ctx.now.ms);
         pool_state.recording.insert(key);
     } else if is_blocked {
         // It would answer at once with the ends that may not count as seen yet.
-        ctx.after(HOLD_RETRY_MS, Timer::Hold(key));
+        ctx.after(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
     } else {
-        next(pool_state, key, epoch, ctx);
+        send_next(pool_state, key, epoch, ctx);
     }
 }
 
@@ -246,7 +246,7 @@
     pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
-    report: &HoldReport,
+    report: &RenewalReport,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
@@ -333,7 +333,7 @@
 ) {
     let life = pool_state.workers[later].fact.id.clone();
     pool_state.workers[key].is_listed = false;
-    let evidence = Evidence::Account { life, asked_ms };
+    let evidence = Evidence::Report { life, asked_ms };
     runs::worker_over(pool_state, key, &evidence, ctx);
     end_lease(pool_state, key);
     forget_if_over(pool_state, key, ctx);
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -5,16 +5,16 @@
 
 use std::collections::HashSet;
 
-use super::holds;
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::STRAY_LEASE_MS;
 use super::pool_state::PoolState;
+use super::renewal;
 use super::run_log;
 use super::runs;
 use super::state::{Ctx, Timer};
 use super::tasks::Phase;
 use crate::clock::Millis;
-use crate::port::fleet::{HoldReport, TaskName};
+use crate::port::fleet::{RenewalReport, TaskName};
 
 /// Takes in that a life answers where earlier ones of its id were known. Its next hold bars all that is on its way to them:
 /// the account that it gives then is the first to count.
@@ -57,14 +57,14 @@
     let left_ms = if is_empty { 0 } else { STRAY_LEASE_MS };
     w.lease_over_ms = ctx.now.ms + left_ms;
     ctx.after(left_ms, Timer::LeaseOver(key));
-    holds::forget_if_over(pool_state, key, ctx);
+    renewal::forget_if_over(pool_state, key, ctx);
 }
 
 /// Runs that a life tells of although the books have them on an earlier life of its id: their starts reached this one.
 pub(super) fn adopt(
     pool_state: &mut PoolState,
     key: WorkerKey,
-    report: &HoldReport,
+    report: &RenewalReport,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -345,7 +345,7 @@
     let decision = match evidence {
         Evidence::Lapse => decision,
         Evidence::Answer(order) => decision.naming("to", *order),
-        Evidence::Account { life, asked_ms } => decision
+        Evidence::Report { life, asked_ms } => decision
             .naming("by", life)
             .with("asked_ago_ms", now_ms.saturating_sub(*asked_ms)),
     };
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -17,9 +17,9 @@
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
-    Addressee, FleetConfig, HoldAsk, HoldReport, HostRecord, HostReply, OperatorEvent, OrderReply,
-    Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder, WaveState, WorkerEvent,
-    WorkerFact, ABSENT,
+    Addressee, FleetConfig, HostRecord, HostReply, OperatorEvent, OrderReply, RenewalReport,
+    RenewalRequest, Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder,
+    WaveState, WorkerEvent, WorkerFact, ABSENT,
 };
 
 /// A pool, by its place in [`State::pools`]; pools are never removed.
@@ -197,7 +197,7 @@
     /// Remove jobs that finished long ago.
     Remove,
     /// Ask a worker for its account.
-    Hold(WorkerKey),
+    RenewWorker(WorkerKey),
     /// A worker's lease may be over.
     LeaseOver(WorkerKey),
     /// Send a start again.
@@ -222,7 +222,7 @@
         matches!(
             self,
             Timer::Resend(_)
-                | Timer::Hold(_)
+                | Timer::RenewWorker(_)
                 | Timer::LeaseOver(_)
                 | Timer::Restart(..)
                 | Timer::Restop(..)
@@ -261,12 +261,12 @@
     /// A stop was answered.
     Stopped(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
     /// A hold was answered; it was sent at that time.
-    Held(
+    WorkerRenewed(
         PoolKey,
         PoolStateId,
         WorkerKey,
         Millis,
-        Result<HoldReport, OrderReply>,
+        Result<RenewalReport, OrderReply>,
     ),
     /// A wave's row changed or was read.
     WaveRow(StoredRow),
@@ -354,7 +354,7 @@
     /// Let a run work at a share of full speed.
     Pace(Order, TaskName, u32, u32),
     /// Renew a worker's lease.
-    Hold(Order, WorkerKey, HoldAsk),
+    RenewWorker(Order, WorkerKey, RenewalRequest),
     /// Change a wave's row: epoch.
     SettleWave(PoolKey, u64, RowTx),
     /// Tell the operator how a wave is.
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -25,7 +25,7 @@
 
 /// What is known of a worker's hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HoldPhase {
+pub enum RenewalPhase {
     /// None is out; the next goes at once or by a timer.
     #[default]
     Idle,
@@ -60,7 +60,7 @@
     /// Everything ordered there before is over by then, heard or not.
     pub lease_over_ms: Millis,
     /// Its hold.
-    pub hold: HoldPhase,
+    pub renewal: RenewalPhase,
     /// Whether it answered the last hold.
     pub answers: bool,
     /// When it last answered one.
@@ -122,7 +122,7 @@
             tasks: BTreeSet::new(),
             clock: None,
             lease_over_ms,
-            hold: HoldPhase::Idle,
+            renewal: RenewalPhase::Idle,
             answers: false,
             heard_ms: 0,
             first_asked_ms: None,
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 
 use super::access::{owned_pools, with_pool};
-use super::holds;
 use super::keys::WorkerKey;
 use super::load;
 use super::offers::Offers;
 use super::pool_state::PoolState;
+use super::renewal;
 use super::run_log;
 use super::state::{Ctx, Effect, State, Timer};
 use super::worker::Worker;
@@ -182,7 +182,7 @@
         w.is_withdrawn = false;
         pool_state.update_free_index(key);
         pool_state.wants_placing = true;
-        holds::next(pool_state, key, epoch, ctx);
+        renewal::send_next(pool_state, key, epoch, ctx);
         return;
     }
     if let Some((_, earlier)) = pool_state.instances_of(&fact.id).last() {
@@ -237,7 +237,7 @@
         let w = &mut pool_state.workers[key];
         w.is_listed = false;
         w.is_withdrawn = w.answers;
-        holds::forget_if_over(pool_state, key, ctx);
+        renewal::forget_if_over(pool_state, key, ctx);
     }
 }
 
@@ -247,5 +247,5 @@
         .lease_over_ms
         .saturating_sub(ctx.now.ms);
     ctx.after(left_ms, Timer::LeaseOver(worker));
-    holds::next(pool_state, worker, epoch, ctx);
+    renewal::send_next(pool_state, worker, epoch, ctx);
 }
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -454,7 +454,7 @@
 
 /// Renews a worker's lease and asks what runs there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HoldAsk {
+pub struct RenewalRequest {
     /// Until when everything there may run, on the worker's clock; none asks only.
     pub lease_until_ms: Option<Millis>,
     /// Ends up to this number are recorded and may be forgotten.
@@ -465,7 +465,7 @@
 
 /// A worker's account.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HoldReport {
+pub struct RenewalReport {
     /// The life that answered, as in [`WorkerFact::born_wall_ms`].
     pub born_wall_ms: Option<Millis>,
     /// The worker's clock, which counts from the start of its life.
@@ -505,12 +505,12 @@
         timeout_ms: Millis,
     ) -> impl Future<Output = OrderReply>;
     /// Renews the lease and asks for the account.
-    fn hold(
+    fn renew_lease(
         &self,
         to: &Addressee,
-        ask: HoldAsk,
+        ask: RenewalRequest,
         timeout_ms: Millis,
-    ) -> impl Future<Output = Result<HoldReport, OrderReply>>;
+    ) -> impl Future<Output = Result<RenewalReport, OrderReply>>;
 }
 
 /// On whose authority a host is ordered about.
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -15,7 +15,7 @@
 use crate::clock::Millis;
 use crate::core::sched::hosts::{controller_pool, HostTask};
 use crate::core::sched::limits::{
-    HOLD_SLACK_MS, ORDER_TIMEOUT_MS, TX_RETRY_MS, TX_TIMEOUT_MAX_MS, TX_TIMEOUT_MS,
+    ORDER_TIMEOUT_MS, RENEWAL_SLACK_MS, TX_RETRY_MS, TX_TIMEOUT_MAX_MS, TX_TIMEOUT_MS,
 };
 use crate::core::sched::quota::quota_part;
 use crate::core::sched::state::{Effect, Event, LoadedRows, Order, State};
@@ -268,16 +268,18 @@
                     None
                 });
             }
-            Effect::Hold(order, worker, ask) => {
+            Effect::RenewWorker(order, worker, ask) => {
                 self.spawn(async move {
                     let result = if may_send(&shared, &order) {
-                        let timeout_ms = ask.wait_ms + HOLD_SLACK_MS;
-                        platform.hold(&order.to, ask, timeout_ms).await
+                        let timeout_ms = ask.wait_ms + RENEWAL_SLACK_MS;
+                        platform.renew_lease(&order.to, ask, timeout_ms).await
                     } else {
                         Err(OrderReply::Silent)
                     };
                     let (pool, pool_state) = (order.pool, order.pool_state);
-                    Some(Event::Held(pool, pool_state, worker, sent_ms, result))
+                    Some(Event::WorkerRenewed(
+                        pool, pool_state, worker, sent_ms, result,
+                    ))
                 });
             }
             Effect::SettleWave(pool, epoch, tx) => self.spawn(async move {
--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -1,8 +1,8 @@
 //! Which workers are lives of one host, and what shows that one of them is over.
 
-use rockwick::core::sched::holds;
 use rockwick::core::sched::pool_state::PoolState;
-use rockwick::port::fleet::{HoldReport, OrderReply};
+use rockwick::core::sched::renewal;
+use rockwick::port::fleet::{OrderReply, RenewalReport};
 
 use crate::decide::{answering, decide};
 use crate::world::{job, worker_fact, World};
@@ -17,7 +17,7 @@
     let one = answering(&mut pool_state, worker_fact("one", ""));
     let other = answering(&mut pool_state, worker_fact("other", ""));
     pool_state.workers[one].heard_ms = 1_000;
-    let report = HoldReport {
+    let report = RenewalReport {
         born_wall_ms: None,
         clock_ms: 2_000,
         unreadable: 0,
@@ -25,7 +25,7 @@
         ended: Vec::new(),
     };
     decide(2_000, |ctx| {
-        holds::held(&mut pool_state, other, 1_500, Ok(report), EPOCH, ctx);
+        renewal::settle(&mut pool_state, other, 1_500, Ok(report), EPOCH, ctx);
     });
     let answers = pool_state.workers.get(one).map(|w| w.answers);
     assert_eq!(
@@ -110,9 +110,9 @@
     pool_state.workers[one].lease_over_ms = 9_000;
     decide(1_400, |ctx| {
         let broken = Err(OrderReply::Broken);
-        holds::held(&mut pool_state, one, 1_200, broken, EPOCH, ctx);
+        renewal::settle(&mut pool_state, one, 1_200, broken, EPOCH, ctx);
     });
-    let report = HoldReport {
+    let report = RenewalReport {
         born_wall_ms: None,
         clock_ms: 2_000,
         unreadable: 0,
@@ -120,7 +120,7 @@
         ended: Vec::new(),
     };
     decide(2_000, |ctx| {
-        holds::held(&mut pool_state, other, 1_500, Ok(report), EPOCH, ctx);
+        renewal::settle(&mut pool_state, other, 1_500, Ok(report), EPOCH, ctx);
     });
     let over_ms = pool_state.workers.get(one).map(|w| w.lease_over_ms);
     assert_eq!(over_ms, Some(9_000), "its lease counts");
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -2,9 +2,9 @@
 
 use rockwick::platform::Platform;
 use rockwick::port::fleet::{
-    Addressee, Directory, Guard, HoldAsk, HostAuthority, HostMoves, HostReply, HostState,
-    OperatorEvent, OrderReply, Range, ReadError, RowTx, Rows, RunStart, Table, TaskName, TxOutcome,
-    WaveState, WaveStatus, WorkerEvent, WorkerOrders, Write, ABSENT,
+    Addressee, Directory, Guard, HostAuthority, HostMoves, HostReply, HostState, OperatorEvent,
+    OrderReply, Range, ReadError, RenewalRequest, RowTx, Rows, RunStart, Table, TaskName,
+    TxOutcome, WaveState, WaveStatus, WorkerEvent, WorkerOrders, Write, ABSENT,
 };
 use serde_json::json;
 use standin::fleet::{Fleet, StoreFault};
@@ -211,7 +211,7 @@
             fence,
         };
         let far_ms = 1_000_000;
-        let ask = HoldAsk {
+        let ask = RenewalRequest {
             lease_until_ms: None,
             seen: 0,
             wait_ms: 0,
@@ -232,7 +232,7 @@
             );
         }
         let held = platform
-            .hold(&to(5, &fact.id), ask, TIMEOUT_MS)
+            .renew_lease(&to(5, &fact.id), ask, TIMEOUT_MS)
             .await
             .expect("an account");
         assert_eq!(held.running[0].task, start(1, 0).task);
@@ -242,11 +242,13 @@
             .await;
         assert_eq!(stop, OrderReply::Accepted);
         let held = platform
-            .hold(&to(6, &fact.id), ask, TIMEOUT_MS)
+            .renew_lease(&to(6, &fact.id), ask, TIMEOUT_MS)
             .await
             .expect("an account");
         assert_eq!((held.running.len(), held.ended.len()), (0, 1));
-        let old = platform.hold(&to(5, &fact.id), ask, TIMEOUT_MS).await;
+        let old = platform
+            .renew_lease(&to(5, &fact.id), ask, TIMEOUT_MS)
+            .await;
         assert_eq!(old.err(), Some(OrderReply::Fenced));
     });
 }
@@ -274,19 +276,19 @@
         address,
         fence: 1,
     };
-    let ask = HoldAsk {
+    let ask = RenewalRequest {
         lease_until_ms: None,
         seen: 0,
         wait_ms: 1_000,
     };
     smol::block_on(async {
-        let broken = platform.hold(&to, ask, TIMEOUT_MS).await;
+        let broken = platform.renew_lease(&to, ask, TIMEOUT_MS).await;
         assert_eq!(broken.err(), Some(OrderReply::Broken));
-        let silent = platform.hold(&to, ask, SHORT_MS).await;
+        let silent = platform.renew_lease(&to, ask, SHORT_MS).await;
         assert_eq!(silent.err(), Some(OrderReply::Silent));
         done.send(()).expect("the worker waits");
         worker.join().expect("no panic");
-        let refused = platform.hold(&to, ask, TIMEOUT_MS).await;
+        let refused = platform.renew_lease(&to, ask, TIMEOUT_MS).await;
         assert_eq!(refused.err(), Some(OrderReply::Refused));
     });
 }
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -5,13 +5,13 @@
 //! day, of a worker that had restarted 5 s before: `ends-taken` "again 6, taken_before 9, told_seen 9, runs ''", and in the same
 //! moment `task-requeued` "not among what the worker runs, answered 1, settled_ago_ms 1596" for four tasks.
 
-use rockwick::core::sched::holds;
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
 use rockwick::core::sched::place;
 use rockwick::core::sched::pool_state::PoolState;
+use rockwick::core::sched::renewal;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::runs;
 use rockwick::core::sched::state::Effect;
@@ -19,7 +19,8 @@
 use rockwick::core::sched::worker::ClockSample;
 use rockwick::core::sched::worker_list;
 use rockwick::port::fleet::{
-    EndKind, HoldAsk, HoldReport, OrderReply, RunEnd, RunningTask, StoredRow, TaskName, WorkerFact,
+    EndKind, OrderReply, RenewalReport, RenewalRequest, RunEnd, RunningTask, StoredRow, TaskName,
+    WorkerFact,
 };
 
 use crate::decide::decide;
@@ -167,10 +168,11 @@
     }
 
     /// A worker's account, asked for 5 ms before.
-    fn held(&mut self, key: WorkerKey, now_ms: u64, report: HoldReport) -> Vec<Effect> {
+    fn held(&mut self, key: WorkerKey, now_ms: u64, report: RenewalReport) -> Vec<Effect> {
         decide(now_ms, |ctx| {
             let sent_ms = now_ms - 5;
-            let is_lost = holds::held(&mut self.pool_state, key, sent_ms, Ok(report), EPOCH, ctx);
+            let is_lost =
+                renewal::settle(&mut self.pool_state, key, sent_ms, Ok(report), EPOCH, ctx);
             assert!(!is_lost, "the pool is not lost");
         })
     }
@@ -185,11 +187,11 @@
     }
 }
 
-fn report(born_wall_ms: u64, clock_ms: u64) -> HoldReport {
-    HoldReport {
+fn report(born_wall_ms: u64, clock_ms: u64) -> RenewalReport {
+    RenewalReport {
         born_wall_ms: Some(born_wall_ms),
         clock_ms,
-        ..HoldReport::default()
+        ..RenewalReport::default()
     }
 }
 
@@ -213,9 +215,9 @@
     }
 }
 
-fn only_hold(effects: &[Effect]) -> (u64, HoldAsk) {
+fn only_hold(effects: &[Effect]) -> (u64, RenewalRequest) {
     let holds = effects.iter().filter_map(|effect| match effect {
-        Effect::Hold(order, _, ask) => Some((order.to.fence, *ask)),
+        Effect::RenewWorker(order, _, ask) => Some((order.to.fence, *ask)),
         _ => None,
     });
     let holds: Vec<_> = holds.collect();
@@ -229,7 +231,7 @@
     let mut scene = Scene::new();
     let (later, _) = scene.prove_later(3_000);
     let ended = vec![end(1, 0)];
-    let account = HoldReport {
+    let account = RenewalReport {
         ended,
         ..report(BORN_MS[1], 20)
     };
@@ -253,7 +255,7 @@
         Phase::Running(earlier),
         "its account is awaited"
     );
-    let account = HoldReport {
+    let account = RenewalReport {
         running: vec![running(1)],
         ..report(BORN_MS[1], 20)
     };
@@ -278,7 +280,7 @@
 fn restarts_raise_fence() {
     let mut scene = Scene::new();
     let first = decide(HEARD_MS + 20, |ctx| {
-        holds::next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
+        renewal::send_next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
     let (before, _) = only_hold(&first);
     let (_, after) = scene.prove_later(3_000);
@@ -297,12 +299,12 @@
 fn restarts_keep_seen() {
     let mut scene = Scene::new();
     let soon = decide(HEARD_MS + 100, |ctx| {
-        holds::next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
+        renewal::send_next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
     assert_eq!(only_hold(&soon).1.seen, 9);
     let mut scene = Scene::new();
     let late = decide(HEARD_MS + 400, |ctx| {
-        holds::next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
+        renewal::send_next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
     let (_, ask) = only_hold(&late);
     assert_eq!(ask.seen, 0);
@@ -352,7 +354,7 @@
 fn restarts_late_account() {
     let mut scene = Scene::new();
     scene.prove_later(3_000);
-    let account = HoldReport {
+    let account = RenewalReport {
         ended: vec![end(10, 0)],
         ..report(BORN_MS[0], EARLIER_CLOCK_MS + 900)
     };
@@ -360,7 +362,7 @@
     let effects = scene.held(earlier, 3_030, account);
     assert_eq!(scene.phase(0), Phase::Done);
     assert!(!scene.pool_state.workers[earlier].answers);
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Hold(..))));
+    assert!(!effects.iter().any(|e| matches!(e, Effect::RenewWorker(..))));
 }
 
 /// The answer to a hold tells of the later life before its entry is read: the earlier one gets no more orders.
@@ -398,7 +400,7 @@
 fn restarts_no_born() {
     let mut scene = Scene::new();
     let earlier = scene.earlier;
-    let account = HoldReport {
+    let account = RenewalReport {
         born_wall_ms: None,
         running: vec![running(0), running(1)],
         ..report(0, EARLIER_CLOCK_MS + 900)
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -3,17 +3,17 @@
 
 use http_types::Method;
 use rockwick::core::sched::crashes::Evidence;
-use rockwick::core::sched::holds;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
 use rockwick::core::sched::load;
 use rockwick::core::sched::place;
 use rockwick::core::sched::pool_state::PoolState;
+use rockwick::core::sched::renewal;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::runs;
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::event::{Code, Decision, Subject};
 use rockwick::port::fleet::{
-    EndKind, HoldReport, OrderReply, RunEnd, RunningTask, StoredRow, TaskName,
+    EndKind, OrderReply, RenewalReport, RunEnd, RunningTask, StoredRow, TaskName,
 };
 use serde_json::json;
 use standin::fleet::Fleet;
@@ -103,7 +103,7 @@
         percent: 0,
         gauge: 0,
     });
-    let report = HoldReport {
+    let report = RenewalReport {
         born_wall_ms: None,
         clock_ms: now_ms,
         running: running.collect(),
@@ -111,7 +111,7 @@
         unreadable: 0,
     };
     decide(now_ms, |ctx| {
-        holds::held(pool_state, worker, now_ms - 40, Ok(report), EPOCH, ctx);
+        renewal::settle(pool_state, worker, now_ms - 40, Ok(report), EPOCH, ctx);
     })
 }
 
@@ -173,13 +173,13 @@
 fn told_restart() {
     let (mut pool_state, worker) = starting(1);
     pool_state.workers[worker].fact.born_wall_ms = Some(5_000);
-    let report = HoldReport {
+    let report = RenewalReport {
         born_wall_ms: Some(9_000),
         clock_ms: 10,
-        ..HoldReport::default()
+        ..RenewalReport::default()
     };
     let effects = decide(1_500, |ctx| {
-        holds::held(&mut pool_state, worker, 1_460, Ok(report), EPOCH, ctx);
+        renewal::settle(&mut pool_state, worker, 1_460, Ok(report), EPOCH, ctx);
     });
     let told = only(&effects, Code::WorkerRestarted);
     assert_eq!((told.subject, &*told.id), (Subject::Host, "life-1"));
@@ -313,7 +313,7 @@
     pool_state.workers[worker].heard_ms = 900;
     let over_ms = pool_state.workers[worker].lease_over_ms;
     let effects = decide(over_ms, |ctx| {
-        holds::lease_over(&mut pool_state, worker, ctx)
+        renewal::expire_lease(&mut pool_state, worker, ctx)
     });
     let told = only(&effects, Code::WorkerOver);
     assert_eq!(told.why, "its lease is over");
@@ -335,7 +335,7 @@
     let later = load::add_worker(&mut pool_state, worker_fact("life-2", "host"), 0);
     let effects = decide(1_400, |ctx| {
         let refused = Err(OrderReply::Refused);
-        holds::held(&mut pool_state, worker, 1_300, refused, EPOCH, ctx);
+        renewal::settle(&mut pool_state, worker, 1_300, refused, EPOCH, ctx);
     });
     assert!(lines(&effects, Code::WorkerOver).is_empty());
     let effects = account(&mut pool_state, later, 1_500, Vec::new(), &[]);
@@ -351,7 +351,7 @@
 fn told_other_life() {
     let (mut pool_state, worker) = starting(1);
     let effects = decide(1_500, |ctx| {
-        holds::held(
+        renewal::settle(
             &mut pool_state,
             worker,
             1_460,
--- a/tests/world/carry.rs
+++ b/tests/world/carry.rs
@@ -100,7 +100,7 @@
                     self.stop_run(&order.to.worker, order.to.fence, &name, run);
                 }
             }
-            Effect::Hold(order, worker, ask) => {
+            Effect::RenewWorker(order, worker, ask) => {
                 let sent_ms = self.now_ms;
                 let late = LateOrder::Hold(order.to.fence, ask);
                 let (after_ms, result) = if let Some(reply) = self.astray(&order.to) {
@@ -113,7 +113,7 @@
                     (ask.wait_ms + ORDER_TIMEOUT_MS, Err(OrderReply::Silent))
                 };
                 let pool_state = order.pool_state;
-                let event = Event::Held(order.pool, pool_state, worker, sent_ms, result);
+                let event = Event::WorkerRenewed(order.pool, pool_state, worker, sent_ms, result);
                 self.reply(n, after_ms, event);
             }
             Effect::SettleOrdered(pool, epoch, tx) => {
--- a/tests/world/happenings.rs
+++ b/tests/world/happenings.rs
@@ -27,7 +27,7 @@
 pub(super) enum LateOrder {
     Start(u64, RunStart),
     Stop(u64, TaskName, u32),
-    Hold(u64, HoldAsk),
+    Hold(u64, RenewalRequest),
 }
 
 pub(super) struct Queued {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -34,8 +34,8 @@
 use rockwick::core::sched::state::{Effect, Event, LoadedRows, PoolKey, State};
 use rockwick::event::Decision;
 use rockwick::port::fleet::{
-    AccountConfig, Capacity, EndKind, FleetConfig, HoldAsk, HoldReport, HostRecord, HostReply,
-    HostState, OperatorEvent, OrderReply, PoolConfig, QueueConfig, RowTx, RunEnd, RunStart,
+    AccountConfig, Capacity, EndKind, FleetConfig, HostRecord, HostReply, HostState, OperatorEvent,
+    OrderReply, PoolConfig, QueueConfig, RenewalReport, RenewalRequest, RowTx, RunEnd, RunStart,
     RunningTask, StoredRow, Table, TaskName, TxOutcome, WaveOrder, WaveState, WorkerEvent,
     WorkerFact,
 };
@@ -63,7 +63,7 @@
 const FEED_MS: u64 = 5;
 
 /// A lease that a worker accepts at most.
-const HOLD_MAX_MS: u64 = 10_000;
+const RENEWAL_MAX_MS: u64 = 10_000;
 
 /// An order that got no answer by then is given up by its sender.
 const ORDER_TIMEOUT_MS: u64 = 400;
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -66,7 +66,7 @@
         if start.lease_until_ms <= w.clock(now_ms) {
             return OrderReply::TooLate;
         }
-        let cap_ms = w.clock(now_ms) + HOLD_MAX_MS;
+        let cap_ms = w.clock(now_ms) + RENEWAL_MAX_MS;
         w.lease_until_ms = w.lease_until_ms.max(start.lease_until_ms.min(cap_ms));
         if w.running
             .get(&start.task)
@@ -236,8 +236,8 @@
         &mut self,
         id: &str,
         fence: u64,
-        ask: HoldAsk,
-    ) -> Result<HoldReport, OrderReply> {
+        ask: RenewalRequest,
+    ) -> Result<RenewalReport, OrderReply> {
         let now_ms = self.now_ms;
         let w = self.workers.get_mut(id).filter(|w| w.is_up);
         let w = w.ok_or(OrderReply::Refused)?;
@@ -247,13 +247,13 @@
         w.fence = fence;
         w.note_lapse(now_ms);
         if let Some(until_ms) = ask.lease_until_ms {
-            let cap_ms = w.clock(now_ms) + HOLD_MAX_MS;
+            let cap_ms = w.clock(now_ms) + RENEWAL_MAX_MS;
             w.lease_until_ms = w.lease_until_ms.max(until_ms.min(cap_ms));
         }
         let (seen, rest): (Vec<RunEnd>, Vec<RunEnd>) =
             w.ended.drain(..).partition(|e| e.number <= ask.seen);
         w.ended = rest;
-        let report = HoldReport {
+        let report = RenewalReport {
             born_wall_ms: w.fact.born_wall_ms,
             clock_ms: w.clock(now_ms),
             unreadable: 0,
