--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -10,7 +10,7 @@
 use divan::Bencher;
 use rockwick::auth::TokenHash;
 use rockwick::clock::Now;
-use rockwick::core::sched::hosts::{self, HostController, Look, PoolNeed};
+use rockwick::core::sched::hosts::{self, HostController, Inputs, PoolNeed};
 use rockwick::core::sched::job::{JobSpec, StepSpec};
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
@@ -229,7 +229,7 @@
             heard_ms: NOW_MS,
         })
         .collect();
-    let look = Look {
+    let look = Inputs {
         config: &config,
         needs: &needs,
         pool: "pool-4",
@@ -238,7 +238,7 @@
     let controller = || {
         let new = |ctx: &mut Ctx<'_>| {
             let mut controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
-            hosts::look(&mut controller, &BTreeMap::new(), &look, ctx);
+            hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
             hosts::list_read(&mut controller, list.clone());
             controller
         };
@@ -247,7 +247,7 @@
     bencher
         .with_inputs(controller)
         .bench_local_refs(|controller| {
-            decide(|ctx| hosts::look(controller, &BTreeMap::new(), &look, ctx))
+            decide(|ctx| hosts::reconcile(controller, &BTreeMap::new(), &look, ctx))
         });
 }
 
--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -82,7 +82,7 @@
     work: impl FnOnce(
         &mut HostController,
         &mut BTreeMap<u64, WaveKnown>,
-        &hosts::Look<'_>,
+        &hosts::Inputs<'_>,
         &mut Ctx<'_>,
     ),
 ) -> bool {
@@ -99,7 +99,7 @@
     // Lent out, so that what all pools offer is looked at where it is: there may be hundreds of hosts.
     let mut controller = std::mem::take(&mut ownership.hosts);
     let needs: Vec<PoolNeed<'_>> = state.pools.iter().map(PoolNeed::of).collect();
-    let look = hosts::Look {
+    let inputs = hosts::Inputs {
         config: &state.config,
         needs: &needs,
         pool: &state.pools[usize::from(key.0)].name,
@@ -114,7 +114,7 @@
         timers: &mut state.timers,
         out,
     };
-    work(&mut controller, &mut state.waves, &look, &mut ctx);
+    work(&mut controller, &mut state.waves, &inputs, &mut ctx);
     let pool = &mut state.pools[usize::from(key.0)];
     if let Some(ownership) = &mut pool.ownership {
         ownership.hosts = controller;
@@ -161,7 +161,7 @@
     epoch: u64,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(&mut PoolState, &mut QuotaController, &quota::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(&mut PoolState, &mut QuotaController, &quota::Inputs<'_>, &mut Ctx<'_>),
 ) {
     with_grant_controller(
         state,
@@ -184,14 +184,14 @@
     epoch: u64,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(Option<&mut PoolState>, &mut QuotaController, &quota::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(Option<&mut PoolState>, &mut QuotaController, &quota::Inputs<'_>, &mut Ctx<'_>),
 ) {
     let short_elsewhere = short_elsewhere(state, key, now);
     with_pool(state, key, now, out, |pool, ctx, facts| {
         let Some(ownership) = pool.ownership.as_mut().filter(|t| t.epoch == epoch) else {
             return;
         };
-        let with = quota::Look {
+        let with = quota::Inputs {
             pool: &pool.name,
             epoch,
             config: facts.config,
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -82,8 +82,8 @@
     out: &mut Vec<Effect>,
 ) {
     let mut written = None;
-    with_host_controller(state, key, now, out, |controller, _, look, ctx| {
-        if look.epoch == epoch {
+    with_host_controller(state, key, now, out, |controller, _, inputs, ctx| {
+        if inputs.epoch == epoch {
             written = hosts::taken(controller, from, &outcome, epoch, ctx);
         }
     });
@@ -101,8 +101,8 @@
         }
     });
     if is_conflict {
-        with_host_controller(state, key, now, out, |controller, waves, look, ctx| {
-            hosts::retake(controller, waves, look, ctx);
+        with_host_controller(state, key, now, out, |controller, waves, inputs, ctx| {
+            hosts::retake(controller, waves, inputs, ctx);
         });
     }
 }
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -21,10 +21,10 @@
 };
 
 /// How often orders to hosts are looked at.
-pub const LOOK_MS: Millis = 100;
+pub const RECONCILE_MS: Millis = 100;
 
 /// How often an owner looks whether its pool carries the orders now.
-pub const IDLE_LOOK_MS: Millis = 1_000;
+pub const IDLE_RECONCILE_MS: Millis = 1_000;
 
 /// How often the list of hosts is read.
 const LIST_MS: Millis = 600;
@@ -245,7 +245,7 @@
 }
 
 /// What a look is made with.
-pub struct Look<'a> {
+pub struct Inputs<'a> {
     /// The configuration.
     pub config: &'a FleetConfig,
     /// What owners said.
@@ -256,7 +256,7 @@
     pub epoch: u64,
 }
 
-impl Look<'_> {
+impl Inputs<'_> {
     /// Whether nobody may need a host where it is: its pool is parked, or it was taken from it.
     fn is_given(&self, host: &str, record: Option<&HostRecord>) -> bool {
         let Some(record) = record else { return false };
@@ -269,13 +269,13 @@
 }
 
 /// Looks at what hosts are to do.
-pub fn look(
+pub fn reconcile(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    ctx.after(LOOK_MS, Timer::Hosts);
+    ctx.after(RECONCILE_MS, Timer::Hosts);
     if controller.list.ask(ctx.now.ms, LIST_MS) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, with.epoch));
     }
@@ -295,7 +295,7 @@
 pub fn retake(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     if controller.retakes >= RETAKES_MAX || !controller.is_ready || !ctx.may_send() {
@@ -308,7 +308,7 @@
 fn send_hosts(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     moves::move_hosts(controller, waves, with, ctx);
@@ -318,7 +318,7 @@
 
 /// Takes the hosts that are about to be moved from those that offer them, and gives back what was taken and is
 /// not moved.
-fn take_hosts(controller: &mut HostController, with: &Look<'_>, ctx: &mut Ctx<'_>) {
+fn take_hosts(controller: &mut HostController, with: &Inputs<'_>, ctx: &mut Ctx<'_>) {
     for need in with.needs {
         if controller.taking.contains_key(need.pool) {
             continue;
@@ -435,7 +435,7 @@
 }
 
 /// Puts on record which hosts are about to be ordered about.
-fn record_orders(controller: &mut HostController, with: &Look<'_>, ctx: &mut Ctx<'_>) {
+fn record_orders(controller: &mut HostController, with: &Inputs<'_>, ctx: &mut Ctx<'_>) {
     let fresh = controller
         .orders
         .iter()
@@ -511,7 +511,7 @@
 fn settle_orders(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     let now_ms = ctx.now.ms;
@@ -671,7 +671,7 @@
         HostReply::Accepted => {
             order.again_ms = None;
             order.since_ms = ctx.now.ms;
-            controller.list.hasten(ctx.now.ms + LOOK_MS);
+            controller.list.hasten(ctx.now.ms + RECONCILE_MS);
         }
         HostReply::Silent | HostReply::TooMany => {
             order.again_ms = Some(ctx.now.ms + RETRY_MS);
--- a/src/core/sched/limits.rs
+++ b/src/core/sched/limits.rs
@@ -203,7 +203,7 @@
 
 /// Most waiting tasks that one round of placement looks at from the first one on. Once each [`RESORT_MS`] it looks at as many of
 /// those behind them, by turns: of n tasks each is looked at within n / 400 times that.
-pub const PLACE_LOOKS: usize = 400;
+pub const PLACE_SCAN_MAX: usize = 400;
 
 /// Past so many times its objective a job earns nothing and waits behind others.
 pub const HOPELESS_FACTOR: u64 = 3;
--- a/src/core/sched/moves.rs
+++ b/src/core/sched/moves.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::hosts::{HostController, HostTask, Look, PoolNeed, NEED_KEPT_MS, RETRY_SENT_MS};
+use super::hosts::{HostController, HostTask, Inputs, PoolNeed, NEED_KEPT_MS, RETRY_SENT_MS};
 use super::state::{Ctx, WaveKnown};
 use crate::clock::Millis;
 use crate::port::fleet::HostState;
@@ -38,7 +38,7 @@
 pub(super) fn move_hosts(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &Ctx<'_>,
 ) {
     let Some(parked) = with.config.pools.values().find(|p| p.is_parked) else {
@@ -61,7 +61,7 @@
 fn fill(
     controller: &mut HostController,
     fleet: &Fleet<'_>,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     parked: &str,
     spare: &mut Vec<Spare>,
     ctx: &Ctx<'_>,
@@ -130,7 +130,7 @@
 }
 
 /// Notes since when hosts are on offer.
-fn note_offers(controller: &mut HostController, with: &Look<'_>, now_ms: Millis) {
+fn note_offers(controller: &mut HostController, with: &Inputs<'_>, now_ms: Millis) {
     let is_offered = |host: &str| {
         let mut rows = with.needs.iter().map(|need| &need.offers.row);
         rows.any(|row| row.offered.contains_key(host))
--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -4,7 +4,7 @@
 use std::ops::Bound;
 
 use super::keys::{JobKey, TaskKey};
-use super::limits::{PLACE_LOOKS, RESORT_MS};
+use super::limits::{PLACE_SCAN_MAX, RESORT_MS};
 use super::overload::{self, Supply};
 use super::pool_state::PoolState;
 use super::runs;
@@ -13,7 +13,7 @@
 
 /// Where the looks at tasks behind the first ones have come to.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LookCursor {
+pub struct ScanCursor {
     /// The last task looked at; nothing where the next look begins right behind the first ones.
     after: Option<Rank>,
     /// When that was.
@@ -24,14 +24,14 @@
     /// Waiting tasks that a round of placement looks at: the first ones, and now and then some of those behind, by turns.
     pub(super) fn next_to_place(&mut self, now_ms: Millis) -> Vec<Rank> {
         let mut ranks = self.placeable(None, now_ms);
-        let is_cut = ranks.len() == PLACE_LOOKS;
-        if !is_cut || now_ms < self.look_cursor.at_ms + RESORT_MS {
+        let is_cut = ranks.len() == PLACE_SCAN_MAX;
+        if !is_cut || now_ms < self.scan_cursor.at_ms + RESORT_MS {
             return ranks;
         }
-        let after = self.look_cursor.after.max(ranks.last().copied());
+        let after = self.scan_cursor.after.max(ranks.last().copied());
         let behind = self.placeable(after, now_ms);
-        let is_cut = behind.len() == PLACE_LOOKS;
-        self.look_cursor = LookCursor {
+        let is_cut = behind.len() == PLACE_SCAN_MAX;
+        self.scan_cursor = ScanCursor {
             after: behind.last().copied().filter(|_| is_cut),
             at_ms: now_ms,
         };
@@ -47,7 +47,7 @@
             .filter(|r| r.class > Class::Lasting || !self.is_held(r.task, now_ms))
             .filter(|r| !runs::is_exhausted(self, r.task))
             .filter(|r| self.is_within_quota(r.task, 1))
-            .take(PLACE_LOOKS)
+            .take(PLACE_SCAN_MAX)
             .copied()
             .collect()
     }
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -9,7 +9,7 @@
 use super::job::{JobState, StepSpec};
 use super::keys::{AccountKey, JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::{ARRIVALS_MS, CALM_MS, FORGOTTEN_KEPT_MS, HELD_MAX_MS};
-use super::order::LookCursor;
+use super::order::ScanCursor;
 use super::reservations::Reservations;
 use super::run_log::StartAnswers;
 use super::tasks::{Job, Phase, Rank, Round, Seen, StepRun, Task};
@@ -76,7 +76,7 @@
     /// Tasks that wait for a place.
     pub ready: BTreeSet<Rank>,
     /// Where looks at tasks far back in that order have come to.
-    pub look_cursor: LookCursor,
+    pub scan_cursor: ScanCursor,
     /// Jobs whose progress is to be recorded.
     pub dirty: BTreeSet<JobKey>,
     /// When the first of them became so.
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -28,10 +28,10 @@
 use crate::util::fnv1a;
 
 /// How often grants are looked at: as often as a pool's size.
-const LOOK_MS: Millis = 100;
+const RECONCILE_MS: Millis = 100;
 
 /// The same where no account is configured.
-const IDLE_LOOK_MS: Millis = 1_000;
+const IDLE_RECONCILE_MS: Millis = 1_000;
 
 /// What a pool does not need is given back after so long, if nobody asks for it sooner: jobs come one by one, and a
 /// grant that follows each would cost a call each.
@@ -146,7 +146,7 @@
 
 /// What a look is made with.
 #[derive(Clone, Copy, Debug)]
-pub struct Look<'a> {
+pub struct Inputs<'a> {
     /// The pool.
     pub pool: &'a str,
     /// The owner's epoch.
@@ -158,15 +158,15 @@
 }
 
 /// Looks at the grants of all accounts that have work here, or had some.
-pub fn look(
+pub fn reconcile(
     pool_state: &mut PoolState,
     controller: &mut QuotaController,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     let pause_ms = match with.config.accounts.is_empty() {
-        true => IDLE_LOOK_MS,
-        false => LOOK_MS,
+        true => IDLE_RECONCILE_MS,
+        false => RECONCILE_MS,
     };
     ctx.after(pause_ms, Timer::Quota);
     adjust(pool_state, controller, with, ctx);
@@ -176,7 +176,7 @@
 pub fn adjust(
     pool_state: &mut PoolState,
     controller: &mut QuotaController,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     pool_state.wants_quota = false;
@@ -236,7 +236,7 @@
     account: &AccountUse,
     ledger: &mut Ledger,
     quota: Capacity,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     if !ctx.may_send() {
@@ -284,7 +284,7 @@
     ledger: &mut Ledger,
     raised: Capacity,
     current: Capacity,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     // Who has an older configuration than the row may know a quota that was lowered since.
@@ -304,7 +304,7 @@
     ledger: &mut Ledger,
     account: &AccountUse,
     granted: Capacity,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     let mut row = ledger.row.clone();
@@ -423,13 +423,13 @@
     }
 
     /// Whether the row, as it is known, holds a grant of this owner that any later one must reckon with.
-    fn is_ours(&self, with: &Look<'_>) -> bool {
+    fn is_ours(&self, with: &Inputs<'_>) -> bool {
         let held = self.held(with.pool);
         held.is_some_and(|grant| grant.epoch == with.epoch) && self.row.config >= self.lowered_by
     }
 
     /// What may run in the pool now: the lesser of what is granted and of what is being written.
-    fn limit(&self, with: &Look<'_>, quota: Capacity) -> Capacity {
+    fn limit(&self, with: &Inputs<'_>, quota: Capacity) -> Capacity {
         let held = self.held(with.pool).filter(|_| self.is_ours(with));
         let Some(held) = held else {
             return limited(Capacity::default(), quota);
@@ -481,7 +481,7 @@
     account: &AccountUse,
     ledger: &mut Ledger,
     limit: Capacity,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     let is_told = ledger.told_ms > 0 && ctx.now.ms < ledger.told_ms + SURPLUS_KEPT_MS;
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -101,8 +101,8 @@
                 pool,
                 now,
                 &mut out,
-                |controller, waves, look, ctx| {
-                    if look.epoch == epoch {
+                |controller, waves, inputs, ctx| {
+                    if inputs.epoch == epoch {
                         hosts::settled(controller, waves, outcome, ctx);
                     }
                 },
@@ -146,15 +146,15 @@
             );
         }
         Event::HostOrdersRecorded(pool, epoch, outcome) => {
-            with_host_controller(state, pool, now, &mut out, |controller, _, look, ctx| {
-                if look.epoch == epoch {
+            with_host_controller(state, pool, now, &mut out, |controller, _, inputs, ctx| {
+                if inputs.epoch == epoch {
                     hosts::recorded(controller, &outcome, epoch, ctx);
                 }
             });
         }
         Event::HostOrdered(pool, epoch, host, reply) => {
-            with_host_controller(state, pool, now, &mut out, |controller, _, look, ctx| {
-                if look.epoch == epoch {
+            with_host_controller(state, pool, now, &mut out, |controller, _, inputs, ctx| {
+                if inputs.epoch == epoch {
                     hosts::ordered(controller, &host, reply, ctx);
                 }
             });
@@ -165,8 +165,8 @@
                     wave::hosts_read(controller, list.clone());
                 }
             });
-            with_host_controller(state, pool, now, &mut out, |controller, _, look, _| {
-                if look.epoch == epoch {
+            with_host_controller(state, pool, now, &mut out, |controller, _, inputs, _| {
+                if inputs.epoch == epoch {
                     hosts::list_read(controller, list);
                 }
             });
@@ -487,15 +487,16 @@
             .ownership
             .as_ref()
             .map(|t| t.epoch);
-        with_quota_controller(state, key, epoch.unwrap_or(0), now, out, quota::look);
+        with_quota_controller(state, key, epoch.unwrap_or(0), now, out, quota::reconcile);
         return;
     }
     if timer == Timer::Hosts {
-        let is_ours = with_host_controller(state, key, now, out, |controller, waves, look, ctx| {
-            hosts::look(controller, waves, look, ctx);
-        });
+        let is_ours =
+            with_host_controller(state, key, now, out, |controller, waves, inputs, ctx| {
+                hosts::reconcile(controller, waves, inputs, ctx);
+            });
         if !is_ours {
-            let at_ms = now.ms + hosts::IDLE_LOOK_MS;
+            let at_ms = now.ms + hosts::IDLE_RECONCILE_MS;
             state.timers.insert((at_ms, key, timer));
         }
         return;
@@ -508,7 +509,7 @@
             out,
             |pool_state, controller, waves, (epoch, name), ctx| {
                 if let Some(pool_state) = pool_state {
-                    wave::look(pool_state, controller, waves, name, epoch, ctx);
+                    wave::reconcile(pool_state, controller, waves, name, epoch, ctx);
                 }
             },
         );
@@ -529,7 +530,7 @@
                     .push(Effect::Load(ctx.pool, epoch, pool.name.clone()));
             }
             Timer::Resend(shard) => commit::resend(ownership, &mut pool.lease, shard, ctx),
-            Timer::Remove => remove::look(ownership, ctx),
+            Timer::Remove => remove::remove_finished_jobs(ownership, ctx),
             _ => {
                 if let Some(pool_state) = &mut ownership.pool_state {
                     fire_in_pool_state(pool_state, timer, epoch, ctx);
@@ -593,14 +594,14 @@
         let Some(pool_state) = &mut ownership.pool_state else {
             return;
         };
-        let with = sizing::Look {
+        let with = sizing::Inputs {
             pool: &pool.name,
             epoch,
             can_park,
             pressed,
             answer_ms: pool.lease.answer_ms,
         };
-        if sizing::look(
+        if sizing::reconcile(
             pool_state,
             &mut ownership.sizing,
             &mut pool.offers,
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -14,7 +14,7 @@
 use crate::port::fleet::{RowTx, Table, TxOutcome, Write};
 
 /// Removes what was submitted, of the part with the most jobs that are old.
-pub(super) fn look(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
+pub(super) fn remove_finished_jobs(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
     ctx.after(REMOVE_MS, Timer::Remove);
     let Some(pool_state) = &ownership.pool_state else {
         return;
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -7,7 +7,7 @@
 use super::fragmentation::Fragmentation;
 use super::job::StepSpec;
 use super::keys::{TaskKey, WorkerKey};
-use super::limits::{PLACE_LOOKS, RESORT_MS, WORKER_LEASE_MS};
+use super::limits::{PLACE_SCAN_MAX, RESORT_MS, WORKER_LEASE_MS};
 use super::place;
 use super::pool_state::PoolState;
 use super::runs;
@@ -158,7 +158,7 @@
     let ready = pool_state.ready.iter();
     let ready = ready.filter(|rank| !runs::is_exhausted(pool_state, rank.task));
     let ready = ready.filter(|rank| pool_state.is_within_quota(rank.task, 1));
-    let waiting = ready.take(PLACE_LOOKS).filter(waits_long);
+    let waiting = ready.take(PLACE_SCAN_MAX).filter(waits_long);
     waiting.copied().collect()
 }
 
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -5,7 +5,7 @@
 
 use super::fragmentation::Fragmentation;
 use super::keys::WorkerKey;
-use super::limits::PLACE_LOOKS;
+use super::limits::PLACE_SCAN_MAX;
 use super::offers::Offers;
 use super::overload::COMING_MS;
 use super::pool_state::{Coming, PoolState};
@@ -16,7 +16,7 @@
 use crate::port::fleet::Capacity;
 
 /// How often a pool's size is looked at.
-pub const LOOK_MS: Millis = 100;
+pub const RECONCILE_MS: Millis = 100;
 
 /// Hosts are kept so long after they were last needed: a few looks, against the noise of single jobs. One that
 /// is on offer comes back within an answer of the store.
@@ -76,7 +76,7 @@
 
 /// What a look is made with.
 #[derive(Clone, Copy, Debug)]
-pub struct Look<'a> {
+pub struct Inputs<'a> {
     /// The pool's name, which is also the partition of its rows.
     pub pool: &'a str,
     /// The owner's epoch.
@@ -90,14 +90,14 @@
 }
 
 /// Looks at the pool's size; says whether it lacks hosts, or lacked some, and that changed: others wait for it.
-pub fn look(
+pub fn reconcile(
     pool_state: &mut PoolState,
     sizing: &mut Sizing,
     offers: &mut Offers,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    ctx.after(LOOK_MS, Timer::Size);
+    ctx.after(RECONCILE_MS, Timer::Size);
     let now_ms = ctx.now.ms;
     let gives = !offers.row.offered.is_empty();
     sizing
@@ -254,7 +254,7 @@
         let is_late = |t: &Task| now_ms >= t.since_ms + SHAPE_WAIT_MS;
         pool_state.task(rank.task).is_some_and(is_late) && pool_state.is_within_quota(rank.task, 1)
     };
-    let first = pool_state.ready.iter().take(PLACE_LOOKS);
+    let first = pool_state.ready.iter().take(PLACE_SCAN_MAX);
     let waiting: Vec<&Rank> = first.filter(waits_long).collect();
     if waiting.is_empty() {
         return 0;
@@ -366,7 +366,7 @@
     pool_state: &mut PoolState,
     sizing: &mut Sizing,
     offers: &mut Offers,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     if !ctx.may_send() {
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -23,7 +23,7 @@
 };
 
 /// How often a wave is looked at.
-pub const LOOK_MS: Millis = 150;
+pub const RECONCILE_MS: Millis = 150;
 
 /// How often the list of hosts is read while a wave runs.
 const HOSTS_MS: Millis = 700;
@@ -94,7 +94,7 @@
 }
 
 /// Looks at all waves that are not done.
-pub fn look(
+pub fn reconcile(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
     known: &mut BTreeMap<u64, WaveKnown>,
@@ -137,7 +137,7 @@
     if controller.hosts.ask(ctx.now.ms, pause_ms) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, epoch));
     }
-    ctx.after(LOOK_MS, Timer::Wave);
+    ctx.after(RECONCILE_MS, Timer::Wave);
 }
 
 /// Opens hosts whose turn in a wave is left when that is done: they left the fleet meanwhile, and may come back.
--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -2,7 +2,7 @@
 
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
-use rockwick::core::sched::limits::PLACE_LOOKS;
+use rockwick::core::sched::limits::PLACE_SCAN_MAX;
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::tasks::Phase;
 use rockwick::core::sched::{load, place, rows, runs};
@@ -21,7 +21,7 @@
 const WAIT_MAX_MS: u64 = 3_000;
 
 /// Owners look at what waits so often at the least.
-const LOOK_MS: u64 = 250;
+const RECONCILE_MS: u64 = 250;
 
 /// Long enough for an owner to be found.
 const SETTLE_MS: u64 = 8_000;
@@ -165,10 +165,10 @@
     let worker = fail(&mut pool_state, task);
     let other = keys.into_iter().find(|key| *key != worker);
     let other = other.expect("there are two");
-    pool_state.workers[other].suspended_until_ms = NOW_MS + 2 * LOOK_MS;
+    pool_state.workers[other].suspended_until_ms = NOW_MS + 2 * RECONCILE_MS;
     assert_eq!(placed(&mut pool_state, task, NOW_MS), None);
     assert_eq!(
-        placed(&mut pool_state, task, NOW_MS + 2 * LOOK_MS),
+        placed(&mut pool_state, task, NOW_MS + 2 * RECONCILE_MS),
         Some(other),
         "it failed on the first one"
     );
@@ -191,12 +191,12 @@
 #[test]
 fn barred_prefix() {
     let (mut pool_state, _) = pair();
-    let mut spec = lasting(PLACE_LOOKS as u16 + 1, 1);
+    let mut spec = lasting(PLACE_SCAN_MAX as u16 + 1, 1);
     spec.steps[0].cpu_milli = 17_000;
     submit(&mut pool_state, "a", &spec);
     let task = submit(&mut pool_state, "b", &job(1, 1_000, 500));
-    let looks = 0..WAIT_MAX_MS / LOOK_MS;
-    let mut looks = looks.map(|n| NOW_MS + n * LOOK_MS);
+    let looks = 0..WAIT_MAX_MS / RECONCILE_MS;
+    let mut looks = looks.map(|n| NOW_MS + n * RECONCILE_MS);
     assert!(looks.any(|now_ms| placed(&mut pool_state, task, now_ms).is_some()));
 }
 
@@ -204,12 +204,12 @@
 #[test]
 fn barred_long_prefix() {
     let (mut pool_state, _) = pair();
-    let mut spec = lasting(4 * PLACE_LOOKS as u16, 1);
+    let mut spec = lasting(4 * PLACE_SCAN_MAX as u16, 1);
     spec.steps[0].label = Some("none".to_string());
     submit(&mut pool_state, "a", &spec);
     let task = submit(&mut pool_state, "b", &job(1, 1_000, 500));
-    let looks = 0..WAIT_MAX_MS / LOOK_MS;
-    let mut looks = looks.map(|n| NOW_MS + n * LOOK_MS);
+    let looks = 0..WAIT_MAX_MS / RECONCILE_MS;
+    let mut looks = looks.map(|n| NOW_MS + n * RECONCILE_MS);
     assert!(looks.any(|now_ms| placed(&mut pool_state, task, now_ms).is_some()));
 }
 
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -9,7 +9,7 @@
 use rockwick::core::sched::offers::Offers;
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows::{self, shard_part};
-use rockwick::core::sched::sizing::{self, Look, Sizing};
+use rockwick::core::sched::sizing::{self, Inputs, Sizing};
 use rockwick::core::sched::state::Effect;
 use rockwick::port::fleet::StoredRow;
 
@@ -54,7 +54,7 @@
 
 /// Whether a look at the pool's size changes what is on offer.
 fn offers(pool_state: &mut PoolState) -> bool {
-    let with = Look {
+    let with = Inputs {
         pool: POOL,
         epoch: 1,
         can_park: true,
@@ -63,7 +63,7 @@
     };
     let effects = decide(100_000, |ctx| {
         let mut sizing = Sizing::default();
-        sizing::look(pool_state, &mut sizing, &mut Offers::default(), &with, ctx);
+        sizing::reconcile(pool_state, &mut sizing, &mut Offers::default(), &with, ctx);
     });
     effects
         .iter()
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use rockwick::core::sched::hosts::{self, HostController, HostTask, Look};
+use rockwick::core::sched::hosts::{self, HostController, HostTask, Inputs};
 use rockwick::core::sched::offers::{Offers, OffersRow, Taken};
 use rockwick::core::sched::owner_lease::FormerOrders;
 use rockwick::core::sched::rows::{encode, HostOrdersRow};
@@ -66,14 +66,14 @@
 
     fn with_ctx(
         &mut self,
-        work: impl FnOnce(&mut HostController, &Look<'_>, &mut Ctx<'_>),
+        work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>),
     ) -> Vec<Effect> {
         let none = Offers::default();
         let needs = [
             need("busy", 1, &none, self.now_ms),
             need("idle", 1, &self.offers, self.now_ms),
         ];
-        let look = Look {
+        let look = Inputs {
             config: &self.config,
             needs: &needs,
             pool: "off",
@@ -83,7 +83,9 @@
     }
 
     fn look(&mut self) -> Vec<Effect> {
-        self.with_ctx(|controller, look, ctx| hosts::look(controller, &BTreeMap::new(), look, ctx))
+        self.with_ctx(|controller, look, ctx| {
+            hosts::reconcile(controller, &BTreeMap::new(), look, ctx)
+        })
     }
 
     fn recorded(&mut self) -> Vec<Effect> {
@@ -190,11 +192,11 @@
     holder.offers.row.taken = by_former;
     let effects = holder.with_ctx(|controller, look, ctx| {
         let needs = [look.needs[1]];
-        let calm = Look {
+        let calm = Inputs {
             needs: &needs,
             ..*look
         };
-        hosts::look(controller, &BTreeMap::new(), &calm, ctx);
+        hosts::reconcile(controller, &BTreeMap::new(), &calm, ctx);
     });
     // Nobody lacks a host: the former holder's mark goes.
     assert_eq!((takes(&effects), moves(&effects).len()), (1, 0));
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -4,7 +4,7 @@
 
 use fastrand::Rng;
 use rockwick::clock::Millis;
-use rockwick::core::sched::hosts::{self, HostController, HostTask, Look};
+use rockwick::core::sched::hosts::{self, HostController, HostTask, Inputs};
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::{Offers, OffersRow, OFFERS_KEY};
@@ -198,7 +198,7 @@
         };
         let before = open(self);
         self.change_load();
-        let with = sizing::Look {
+        let with = sizing::Inputs {
             pool: POOL,
             epoch: EPOCH,
             can_park: true,
@@ -206,7 +206,7 @@
             answer_ms: 5,
         };
         let effects = decide(self.now_ms, |ctx| {
-            sizing::look(
+            sizing::reconcile(
                 &mut self.pool_state,
                 &mut self.sizing,
                 &mut self.offers,
@@ -265,13 +265,13 @@
         }
     }
 
-    fn holder(&mut self, work: impl FnOnce(&mut HostController, &Look<'_>, &mut Ctx<'_>)) {
+    fn holder(&mut self, work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>)) {
         let none = Offers::default();
         let needs = [
             need("busy", self.lacks, &none, self.now_ms),
             need(POOL, 0, &self.seen, self.now_ms),
         ];
-        let look = Look {
+        let look = Inputs {
             config: &self.config,
             needs: &needs,
             pool: "off",
@@ -364,7 +364,7 @@
             let list = self.list();
             self.holder(|controller, look, ctx| {
                 hosts::list_read(controller, list);
-                hosts::look(controller, &BTreeMap::new(), look, ctx);
+                hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
             });
         }
     }
@@ -408,7 +408,7 @@
         need("busy", 1, &none, 100_000),
         need(POOL, 0, &offered, 100_000),
     ];
-    let look = Look {
+    let look = Inputs {
         config: &config,
         needs: &needs,
         pool: "off",
@@ -417,9 +417,9 @@
     let mut controller = HostController::default();
     let effects = decide(100_000, |ctx| {
         controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
-        hosts::look(&mut controller, &BTreeMap::new(), &look, ctx);
+        hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
         hosts::list_read(&mut controller, Pair::new(1).list());
-        hosts::look(&mut controller, &BTreeMap::new(), &look, ctx);
+        hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
     });
     let is_take = |e: &Effect| matches!(e, Effect::TakeHosts(..));
     assert!(effects.iter().any(is_take), "{effects:?}");
@@ -456,7 +456,7 @@
             &offers,
             now_ms,
             |controller, look, ctx| {
-                hosts::look(controller, &BTreeMap::new(), look, ctx);
+                hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
                 hosts::list_read(controller, Pair::new(1).list());
             },
             &mut controller,
@@ -507,11 +507,11 @@
     none: &Offers,
     offers: &Offers,
     now_ms: Millis,
-    work: impl FnOnce(&mut HostController, &Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>),
     controller: &mut HostController,
 ) -> Vec<Effect> {
     let needs = [need("busy", 6, none, now_ms), need(POOL, 0, offers, now_ms)];
-    let look = Look {
+    let look = Inputs {
         config,
         needs: &needs,
         pool: "off",
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -130,7 +130,7 @@
         let (pool_state, controller, waves) =
             (&mut self.pool_state, &mut self.controller, &mut self.waves);
         let effects = decide(now_ms, |ctx| {
-            wave::look(pool_state, controller, waves, POOL, 7, ctx)
+            wave::reconcile(pool_state, controller, waves, POOL, 7, ctx)
         });
         let is_change = |effect: &Effect| matches!(effect, Effect::SettleWave(..));
         effects.iter().any(is_change)
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use rockwick::core::sched::job::JobSpec;
 use rockwick::core::sched::limits::{
-    OWNER_LEASE_MS, PLACE_LOOKS, RESORT_MS, STRAY_LEASE_MS, SUSPEND_MAX_MS, WORKER_LEASE_MAX_MS,
+    OWNER_LEASE_MS, PLACE_SCAN_MAX, RESORT_MS, STRAY_LEASE_MS, SUSPEND_MAX_MS, WORKER_LEASE_MAX_MS,
 };
 use rockwick::core::sched::rows::shard_parts;
 
@@ -50,7 +50,7 @@
     + STRAY_LEASE_MS
     + WORKER_LEASE_MAX_MS
     + 2 * SUSPEND_MAX_MS
-    + RESORT_MS * (1 + TASKS_MAX / PLACE_LOOKS as u64);
+    + RESORT_MS * (1 + TASKS_MAX / PLACE_SCAN_MAX as u64);
 
 /// Most tasks in a world.
 const TASKS_MAX: u64 = 120;
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::pool_state::PoolState;
-use rockwick::core::sched::quota::{self, Look, QuotaController};
+use rockwick::core::sched::quota::{self, Inputs, QuotaController};
 use rockwick::core::sched::state::{Effect, Timer};
 use rockwick::port::fleet::{
     AccountConfig, Capacity, FleetConfig, RowTx, StoredRow, Table, TxOutcome,
@@ -79,12 +79,12 @@
         work: impl FnOnce(
             &mut PoolState,
             &mut QuotaController,
-            &Look<'_>,
+            &Inputs<'_>,
             &mut rockwick::core::sched::state::Ctx<'_>,
         ),
     ) -> Vec<Effect> {
         let config = config(self.quota.0, self.quota.1);
-        let with = Look {
+        let with = Inputs {
             pool: &self.pool,
             epoch: self.epoch,
             config: &config,
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -4,7 +4,7 @@
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::offers::Offers;
 use rockwick::core::sched::pool_state::PoolState;
-use rockwick::core::sched::sizing::{self, Look, Sizing};
+use rockwick::core::sched::sizing::{self, Inputs, Sizing};
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::core::sched::worker::ClockSample;
 use rockwick::core::sched::{load, place, rows};
@@ -66,7 +66,7 @@
         for _ in 0..10 {
             self.now_ms += 100;
             self.with_ctx(|pool_state, sizing, ctx| {
-                sizing::look(pool_state, sizing, &mut Offers::default(), &with, ctx);
+                sizing::reconcile(pool_state, sizing, &mut Offers::default(), &with, ctx);
             });
         }
         (self.sizing.needed, self.sizing.wanted)
@@ -74,8 +74,8 @@
 }
 
 /// A look where no host can be given away.
-fn calm(pressed: bool) -> Look<'static> {
-    Look {
+fn calm(pressed: bool) -> Inputs<'static> {
+    Inputs {
         pool: POOL,
         epoch: 1,
         can_park: false,
@@ -138,7 +138,7 @@
     }
     let with = calm(true);
     bench.with_ctx(|pool_state, sizing, ctx| {
-        sizing::look(pool_state, sizing, &mut Offers::default(), &with, ctx);
+        sizing::reconcile(pool_state, sizing, &mut Offers::default(), &with, ctx);
     });
     // What came takes 80 cores; at that rate it will take 400.
     assert_eq!(bench.sizing.needed, 32);
@@ -160,7 +160,7 @@
         value: Some(rows::encode(&job(1, 1_000, 60_000))),
         revision: 1,
     };
-    let with = Look {
+    let with = Inputs {
         can_park: true,
         ..calm(true)
     };
@@ -178,7 +178,7 @@
         pool_state.workers[*key].release(task, Capacity::default());
         let now_ms = 100_000 + n as u64 * 100;
         let effects = decide(now_ms, |ctx| {
-            sizing::look(&mut pool_state, &mut sizing, &mut offers, &with, ctx);
+            sizing::reconcile(&mut pool_state, &mut sizing, &mut offers, &with, ctx);
         });
         if effects
             .iter()
@@ -207,7 +207,7 @@
         offers.row.offered = [given].into();
         let with = calm(true);
         bench.with_ctx(|pool_state, sizing, ctx| {
-            sizing::look(pool_state, sizing, &mut offers, &with, ctx);
+            sizing::reconcile(pool_state, sizing, &mut offers, &with, ctx);
         });
         bench.sizing.needed
     };
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -67,7 +67,7 @@
     fn effects(&mut self) -> Vec<Effect> {
         self.now_ms += 100;
         decide(self.now_ms, |ctx| {
-            wave::look(
+            wave::reconcile(
                 &mut self.pool_state,
                 &mut self.controller,
                 &mut self.waves,
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -3,7 +3,7 @@
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::offers::Offers;
 use rockwick::core::sched::pool_state::PoolState;
-use rockwick::core::sched::sizing::{self, Look, Sizing};
+use rockwick::core::sched::sizing::{self, Inputs, Sizing};
 use rockwick::core::sched::state::Effect;
 use rockwick::core::sched::worker::Worker;
 use rockwick::core::sched::{load, place, rows};
@@ -329,7 +329,7 @@
     }
     assert_eq!(pool_state.ready.len(), 1, "one fits nowhere");
     let mut sizing = Sizing::default();
-    let with = Look {
+    let with = Inputs {
         pool: POOL,
         epoch: 1,
         can_park: false,
@@ -338,7 +338,7 @@
     };
     for n in 0..10 {
         decide(NOW_MS + n * 100, |ctx| {
-            sizing::look(
+            sizing::reconcile(
                 &mut pool_state,
                 &mut sizing,
                 &mut Offers::default(),
