--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -110,7 +110,7 @@
     };
     for shard in 1..SHARDS {
         let lease = &pool.lease.shards[shard];
-        if claim.fences[shard].is_some() || lease.is_claiming {
+        if claim.owner_revisions[shard].is_some() || lease.is_claiming {
             continue;
         }
         let is_over = pool.lease.claim_after.is_empty() || pool.lease.claim_after == ctx.me;
@@ -231,12 +231,12 @@
     lease.epoch = epoch;
     lease.shards[0].owner_revision = epoch;
     lease.shards[0].heartbeat_revision = epoch.max(lease.shards[0].heartbeat_revision);
-    let mut fences = [None; SHARDS];
-    fences[0] = Some(epoch);
+    let mut owner_revisions = [None; SHARDS];
+    owner_revisions[0] = Some(epoch);
     lease.claim = Some(Claim {
         epoch,
         sent_ms,
-        fences,
+        owner_revisions,
     });
     claim_others(pool, nonce, ctx);
 }
@@ -250,7 +250,7 @@
     won.owner_revision = revision;
     won.heartbeat_revision = won.heartbeat_revision.max(revision);
     if let Some(claim) = lease.claim.as_mut().filter(|c| revision > c.epoch) {
-        claim.fences[shard] = Some(revision);
+        claim.owner_revisions[shard] = Some(revision);
     }
 }
 
@@ -259,21 +259,21 @@
     let Some(claim) = &pool.lease.claim else {
         return;
     };
-    let won: Vec<Revision> = claim.fences.iter().flatten().copied().collect();
-    let Ok(fences) = <[Revision; SHARDS]>::try_from(won) else {
+    let won: Vec<Revision> = claim.owner_revisions.iter().flatten().copied().collect();
+    let Ok(owner_revisions) = <[Revision; SHARDS]>::try_from(won) else {
         return;
     };
     let (epoch, sent_ms) = (claim.epoch, claim.sent_ms);
     pool.lease.claim = None;
     if pool.ownership.is_none() {
-        begin(pool, epoch, fences, sent_ms, ctx);
+        begin(pool, epoch, owner_revisions, sent_ms, ctx);
     }
 }
 
 fn begin(
     pool: &mut Pool,
     epoch: u64,
-    fences: [Revision; SHARDS],
+    owner_revisions: [Revision; SHARDS],
     sent_ms: Millis,
     ctx: &mut Ctx<'_>,
 ) {
@@ -294,7 +294,7 @@
     }
     pool.ownership = Some(Ownership {
         epoch,
-        fences,
+        owner_revisions,
         pool_state: None,
         readings: 0,
         batches: Default::default(),
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -92,7 +92,7 @@
     let is_all = jobs.len() < BATCH_JOBS;
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
-        guards: vec![epoch_guard(ownership.fences[shard])],
+        guards: vec![epoch_guard(ownership.owner_revisions[shard])],
         writes: Vec::new(),
     };
     let mut batch = gather(pool_state, jobs, tx, ctx.now.ms);
@@ -259,7 +259,7 @@
     let part = batch.tx.part.clone();
     let own = found.iter().find(|(table, _)| *table == Table::Owners);
     if let Some((_, row)) = own.filter(|_| verdict == Verdict::Again) {
-        ownership.fences[shard] = row.revision;
+        ownership.owner_revisions[shard] = row.revision;
     }
     if !matches!(verdict, Verdict::Done(_)) {
         let why = format!("{verdict:?}");
--- a/src/core/sched/fence.rs
+++ b/src/core/sched/fencing_token.rs
@@ -11,7 +11,7 @@
 const COUNTED: u64 = 256;
 
 /// The fence of orders to a worker whose id has begun anew that often in these books.
-pub fn of(pool_state: PoolStateId, epoch: u64, restarts: u32) -> u64 {
+pub fn encode(pool_state: PoolStateId, epoch: u64, restarts: u32) -> u64 {
     let reading = u64::from(pool_state.reading).min(COUNTED - 1);
     let restarts = u64::from(restarts).min(COUNTED - 1);
     (epoch * COUNTED + reading) * COUNTED + restarts
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -8,7 +8,9 @@
 };
 use super::policy::{self, Deadlines};
 use super::pool_state::PoolState;
-use super::rows::{self, cancelled_job, shard_of_part, ProgressRow, RoundRow, Standing, TaskRow};
+use super::rows::{
+    self, cancelled_job, shard_of_part, ProgressRow, RoundRow, TaskProgress, TaskRow,
+};
 use super::runs;
 use super::state::{Ctx, LoadedRows, State};
 use super::tasks::{Job, Phase, Round, Seen, StepRun, Task, WorkerLosses};
@@ -199,7 +201,7 @@
         changes: 0,
         recorded_changes: 0,
         finished_ms: None,
-        behind: Default::default(),
+        deferral: Default::default(),
         step_ms,
         spec,
     });
@@ -334,7 +336,7 @@
     pool_state.jobs[job].rounds.insert(row.round, round);
     for (step, tasks) in row.steps.iter().enumerate() {
         for (index, task) in tasks.iter().enumerate() {
-            let Standing::Started(place) = task.2 else {
+            let TaskProgress::Started(place) = task.2 else {
                 continue;
             };
             let Some(worker) = lives.get(usize::from(place)) else {
@@ -354,7 +356,7 @@
 
 fn task(row: &TaskRow) -> Task {
     Task {
-        phase: if row.2 == Standing::Done {
+        phase: if row.2 == TaskProgress::Done {
             Phase::Done
         } else {
             Phase::Blocked
--- a/src/core/sched/overload.rs
+++ b/src/core/sched/overload.rs
@@ -66,7 +66,7 @@
 }
 
 /// The jobs that are to be set behind for the others to be in time.
-pub fn too_many(mut jobs: Vec<Contender>, supply: &Supply, now_ms: Millis) -> Vec<JobKey> {
+pub fn jobs_to_defer(mut jobs: Vec<Contender>, supply: &Supply, now_ms: Millis) -> Vec<JobKey> {
     jobs.sort_unstable_by_key(|job| (job.start_by_ms, job.job));
     let mut kept: BinaryHeap<(u64, JobKey)> = BinaryHeap::new();
     let mut sum = 0;
@@ -88,11 +88,11 @@
 
 /// Whether a job counts as set behind, and since when that was found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Behind {
+pub struct Deferral {
     until_ms: Millis,
 }
 
-impl Behind {
+impl Deferral {
     /// Sets the job behind from now on.
     pub fn set(&mut self, now_ms: Millis) {
         self.until_ms = now_ms + BEHIND_MS;
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -107,7 +107,7 @@
     /// When it was sent.
     pub sent_ms: Millis,
     /// Revisions of our rows in the shards that are won.
-    pub fences: [Option<Revision>; SHARDS],
+    pub owner_revisions: [Option<Revision>; SHARDS],
 }
 
 impl OwnerLease {
@@ -252,7 +252,7 @@
 /// Takes note of a row of ours in a shard, if it is the claim's that won the first one.
 fn note_won(lease: &mut OwnerLease, shard: usize, owner: &OwnerRow, revision: Revision) {
     if let Some(claim) = lease.claim.as_mut().filter(|c| c.epoch == owner.epoch) {
-        claim.fences[shard] = Some(revision);
+        claim.owner_revisions[shard] = Some(revision);
     }
 }
 
@@ -344,7 +344,7 @@
     let epoch = ownership.epoch;
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
-        guards: vec![epoch_guard(ownership.fences[shard])],
+        guards: vec![epoch_guard(ownership.owner_revisions[shard])],
         writes: vec![next_heartbeat(pool, ctx)],
     };
     pool.lease.shards[shard].is_renewing = true;
@@ -392,7 +392,7 @@
         TxOutcome::Conflict(found) => match ours_at(pool, shard, found, ctx) {
             // An answer told a newer revision than the row's.
             Some(revision) => {
-                take_fence(pool, shard, revision);
+                set_owner_revision(pool, shard, revision);
                 pool.lease.heartbeat_due_ms = ctx.now.ms;
                 ctx.after(0, Timer::Renew);
             }
@@ -412,7 +412,7 @@
     found: &[(Table, StoredRow)],
     ctx: &Ctx<'_>,
 ) -> Option<Revision> {
-    let fence = pool.ownership.as_ref()?.fences[shard];
+    let fence = pool.ownership.as_ref()?.owner_revisions[shard];
     let mut rows = found.iter().map(|(_, row)| row);
     let row = rows.find(|row| row.key == OWNER_KEY)?;
     let is_ours = row.revision != fence && conflict::is_ours(&pool.lease, ctx.me, row);
@@ -439,13 +439,13 @@
         shards.for_each(|shard| shard.is_renewing = false);
     }
     ownership.epoch = row.revision;
-    ownership.fences[0] = row.revision;
+    ownership.owner_revisions[0] = row.revision;
     true
 }
 
-fn take_fence(pool: &mut Pool, shard: usize, revision: Revision) {
+fn set_owner_revision(pool: &mut Pool, shard: usize, revision: Revision) {
     if let Some(ownership) = &mut pool.ownership {
-        ownership.fences[shard] = revision;
+        ownership.owner_revisions[shard] = revision;
     }
 }
 
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -4,7 +4,7 @@
 
 use super::keys::{JobKey, WorkerKey};
 use super::pool_state::PoolState;
-use super::rows::{ProgressRow, RoundRow, Standing, TaskRow};
+use super::rows::{ProgressRow, RoundRow, TaskProgress, TaskRow};
 use super::tasks::{Phase, Seen, Task, WorkerLosses};
 
 impl PoolState {
@@ -55,14 +55,14 @@
         places: &mut HashMap<WorkerKey, u16>,
     ) -> TaskRow {
         let standing = match (task.phase, task.phase.worker()) {
-            (Phase::Done, _) => Standing::Done,
+            (Phase::Done, _) => TaskProgress::Done,
             (_, Some(worker)) => match self.workers.get(worker) {
-                Some(w) => Standing::Started(*places.entry(worker).or_insert_with(|| {
+                Some(w) => TaskProgress::Started(*places.entry(worker).or_insert_with(|| {
                     row.add_life(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
                 })),
-                None => Standing::Idle,
+                None => TaskProgress::Idle,
             },
-            _ => Standing::Idle,
+            _ => TaskProgress::Idle,
         };
         let is_told = task.ended.is_noted() || task.seen >= Seen::Gone;
         let ended = WorkerLosses {
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -113,7 +113,7 @@
         }
         let tx = RowTx {
             part: shard_part(&pool.name, shard),
-            guards: vec![epoch_guard(ownership.fences[shard])],
+            guards: vec![epoch_guard(ownership.owner_revisions[shard])],
             writes: ids
                 .into_iter()
                 .map(|id| gone(Table::Progress, id))
--- a/src/core/sched/rows.rs
+++ b/src/core/sched/rows.rs
@@ -146,13 +146,13 @@
 pub struct TaskRow(
     pub u32,
     pub u64,
-    pub Standing,
+    pub TaskProgress,
     #[serde(default, skip_serializing_if = "is_default")] pub WorkerLosses,
 );
 
 /// Where a task stands on record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum TaskProgress {
     /// Not started, or the last run is certainly over.
     #[serde(rename = "i")]
     Idle,
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -4,7 +4,7 @@
 //! over, or until everything ordered there has lapsed. Only then does the next run get its place.
 
 use super::crashes::{self, Evidence};
-use super::fence;
+use super::fencing_token;
 use super::gang;
 use super::job::JobState;
 use super::keys::{JobKey, TaskKey, WorkerKey};
@@ -41,7 +41,7 @@
         to: Addressee {
             worker: worker.fact.id.clone(),
             address: worker.fact.address,
-            fence: fence::of(pool_state.id, epoch, worker.restarts),
+            fence: fencing_token::encode(pool_state.id, epoch, worker.restarts),
         },
         until_ms: ctx.until_ms,
     })
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -436,7 +436,7 @@
     let room: u64 = open.iter().map(|w| w.fact.capacity.cpu_milli).sum();
     let used: u64 = open.iter().map(|w| w.used.cpu_milli).sum();
     let count = |class: Class| pool_state.ready.iter().filter(|r| r.class == class).count() as u64;
-    let (in_time, behind) = (count(Class::InTime), count(Class::Behind));
+    let (in_time, behind) = (count(Class::InTime), count(Class::Deferred));
     let name = pool_state.name.clone();
     ctx.log(
         Decision::new(Code::PoolLoad, Subject::Pool, &name, "the last second")
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -36,7 +36,7 @@
     /// How often they were.
     pub readings: u32,
     /// Revisions of the owner's rows, by shard: each write carries its shard's as a condition.
-    pub fences: [Revision; SHARDS],
+    pub owner_revisions: [Revision; SHARDS],
     /// The transactions that are out, by shard.
     pub batches: [Option<Batch>; SHARDS],
     /// Jobs whose first record was out as the books were dropped, and its shard: it may take effect yet, and only there does
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -5,7 +5,7 @@
 use super::job::{JobSpec, JobState, QueuePolicy};
 use super::keys::{AccountKey, JobKey, TaskKey, WorkerKey};
 use super::limits::{APART_MS, WEIGHT_MAX_MS, WORK_PER_MS};
-use super::overload::{Behind, Contender};
+use super::overload::{Contender, Deferral};
 pub use super::worker_losses::{Seen, WorkerLosses};
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, Revision};
@@ -173,7 +173,7 @@
     /// When it came to its final state.
     pub finished_ms: Option<Millis>,
     /// Set where others are in time only without it.
-    pub behind: Behind,
+    pub deferral: Deferral,
 }
 
 impl Job {
@@ -241,7 +241,7 @@
     /// Its class among waiting tasks.
     pub(super) fn class(&self, now_ms: Millis) -> Class {
         match self.outlook(now_ms) {
-            Outlook::InTime if self.is_excess || self.behind.is_set(now_ms) => Class::Behind,
+            Outlook::InTime if self.is_excess || self.deferral.is_set(now_ms) => Class::Deferred,
             Outlook::InTime => Class::InTime,
             Outlook::Late => Class::Late,
             Outlook::Nothing => Class::Hopeless,
@@ -268,7 +268,7 @@
     /// It can be in time with the others.
     InTime,
     /// It could be in time, but not with all others: see [`overload`](super::overload).
-    Behind,
+    Deferred,
     /// It will be late.
     Late,
     /// It earns nothing any more.
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -15,7 +15,7 @@
 use super::runs;
 use super::state::{Ctx, Effect, Timer, WaveKnown};
 use super::tasks::Phase;
-use super::waits::{self, Waits};
+use super::wave_waits::{self, Waits};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
@@ -124,7 +124,7 @@
         mark_due(pool_state, &due);
         advance(pool_state, controller, wave, pool, epoch, ctx);
         begin_turns(pool_state, controller, wave, &due, pool, ctx);
-        waits::log(pool_state, controller, wave, &due, pool, ctx);
+        wave_waits::log(pool_state, controller, wave, &due, pool, ctx);
     }
     if !is_any {
         return;
--- a/standin/src/fleet/trouble.rs
+++ b/standin/src/fleet/trouble.rs
@@ -4,7 +4,7 @@
 
 use base64::engine::general_purpose::STANDARD as BASE64;
 use base64::Engine;
-use rockwick::core::sched::fence;
+use rockwick::core::sched::fencing_token;
 use rockwick::core::sched::rows::{OwnerRow, HEARTBEAT_KEY, OWNER_KEY};
 use serde_json::Value;
 use smol::Timer;
@@ -66,7 +66,7 @@
 
     /// What the cut between halls does to an order of the owner under that epoch.
     fn cut_between(&self, host: usize, fence: u64) -> Option<Fate> {
-        let entry = self.owners.get(&fence::epoch_of(fence))?;
+        let entry = self.owners.get(&fencing_token::epoch_of(fence))?;
         let number: usize = entry.trim_start_matches(char::is_alphabetic).parse().ok()?;
         let is_across = number % 2 != host % 2;
         match self.hall_cut {
--- a/tests/test_crashes.rs
+++ b/tests/test_crashes.rs
@@ -5,7 +5,7 @@
 //! same task, under one owner, settled it.
 
 use rockwick::core::sched::job::JobState;
-use rockwick::core::sched::rows::{self, Standing, TaskRow};
+use rockwick::core::sched::rows::{self, TaskProgress, TaskRow};
 use rockwick::core::sched::tasks::WorkerLosses;
 
 use crate::world::{job, lasting, World};
@@ -127,7 +127,7 @@
 #[test]
 fn crashes_on_record() {
     let old: TaskRow = rows::decode(br#"[3,1,"i"]"#).expect("it decodes");
-    assert_eq!(old, TaskRow(3, 1, Standing::Idle, WorkerLosses::NONE));
+    assert_eq!(old, TaskRow(3, 1, TaskProgress::Idle, WorkerLosses::NONE));
     assert_eq!(rows::encode(&old), br#"[3,1,"i"]"#);
     let ended = WorkerLosses {
         blamed: 1,
@@ -135,7 +135,7 @@
         all: 2,
         ..WorkerLosses::NONE
     };
-    let row = TaskRow(4, 0, Standing::Started(2), ended);
+    let row = TaskRow(4, 0, TaskProgress::Started(2), ended);
     let again: TaskRow = rows::decode(&rows::encode(&row)).expect("it decodes");
     assert_eq!(again, row);
 }
--- a/tests/test_overload.rs
+++ b/tests/test_overload.rs
@@ -2,7 +2,7 @@
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::keys::JobKey;
-use rockwick::core::sched::overload::{too_many, Contender, Supply};
+use rockwick::core::sched::overload::{jobs_to_defer, Contender, Supply};
 use slotmap::SlotMap;
 
 use crate::world::{job, World};
@@ -23,7 +23,7 @@
             work: *work,
         });
     let contenders = contenders.collect();
-    let mut places: Vec<usize> = too_many(contenders, supply, 0)
+    let mut places: Vec<usize> = jobs_to_defer(contenders, supply, 0)
         .into_iter()
         .map(|key| keys[key])
         .collect();
