--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -59,13 +59,13 @@
 fn shard_for_new(ownership: &Ownership, lease: &OwnerLease, ctx: &mut Ctx<'_>) -> Option<usize> {
     for (shard, batch) in ownership.batches.iter().enumerate() {
         let Some(batch) = batch else {
-            if lease.is_good(shard, ctx.now.ms) {
+            if lease.is_responsive(shard, ctx.now.ms) {
                 return Some(shard);
             }
             continue;
         };
         let busy_ms = batch.sent_ms + SHARD_BUSY_MS;
-        if ctx.now.ms < busy_ms && lease.is_good(shard, ctx.now.ms) {
+        if ctx.now.ms < busy_ms && lease.is_responsive(shard, ctx.now.ms) {
             ctx.after(busy_ms - ctx.now.ms, Timer::Flush);
             return None;
         }
--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -32,22 +32,22 @@
 
 /// Why all that ran on a worker is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum EndCause {
     /// At its address another life answered.
-    OtherLife,
+    OtherInstance,
     /// A later life of its host answers.
-    LaterLife,
+    LaterInstance,
     /// Nothing was heard for as long as its lease; it may be up, and cut off.
     Lease,
 }
 
-impl Over {
+impl EndCause {
     /// As the log tells it.
     pub fn why(self) -> &'static str {
         match self {
-            Over::OtherLife => "another life answered",
-            Over::LaterLife => "a later life of its host answers",
-            Over::Lease => "its lease is over",
+            EndCause::OtherInstance => "another life answered",
+            EndCause::LaterInstance => "a later life of its host answers",
+            EndCause::Lease => "its lease is over",
         }
     }
 }
@@ -70,11 +70,11 @@
 
 impl Evidence {
     /// What follows from it.
-    pub fn over(&self) -> Over {
+    pub fn end_cause(&self) -> EndCause {
         match self {
-            Evidence::Answer(_) => Over::OtherLife,
-            Evidence::Report { .. } => Over::LaterLife,
-            Evidence::Lapse => Over::Lease,
+            Evidence::Answer(_) => EndCause::OtherInstance,
+            Evidence::Report { .. } => EndCause::LaterInstance,
+            Evidence::Lapse => EndCause::Lease,
         }
     }
 }
@@ -94,9 +94,9 @@
 }
 
 impl End {
-    fn new(worker: &Worker, over: Over) -> Self {
+    fn new(worker: &Worker, over: EndCause) -> Self {
         Self {
-            is_crash: over != Over::Lease && !worker.is_leaving(),
+            is_crash: over != EndCause::Lease && !worker.is_leaving(),
             broke_ms: worker.broke_ms,
             is_heard_through: worker.is_heard_through,
             heard_ms: worker.heard_ms,
@@ -175,7 +175,7 @@
 pub(super) fn note_end(
     pool_state: &mut PoolState,
     worker: WorkerKey,
-    over: Over,
+    over: EndCause,
     ctx: &mut Ctx<'_>,
 ) {
     let Some(w) = pool_state.workers.get(worker) else {
@@ -201,7 +201,7 @@
     let Some(w) = pool_state.workers.get(worker) else {
         return;
     };
-    let end = End::new(w, Over::LaterLife);
+    let end = End::new(w, EndCause::LaterInstance);
     if !end.is_crash {
         return;
     }
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -175,7 +175,7 @@
             }
         }
         // Of those that it named in a heartbeat, the time of the order is known better.
-        let told = former.told_ms.iter();
+        let told = former.reported_ms.iter();
         controller
             .quiet
             .extend(told.map(|(host, at_ms)| (host.clone(), at_ms + ORDERS_APART_MS)));
--- a/src/core/sched/instances.rs
+++ b/src/core/sched/instances.rs
@@ -74,9 +74,9 @@
         let same = |w: &Worker| w.fact.born_wall_ms == born_wall_ms;
         let lives = || self.instances_of(id);
         let exact = lives().find(|(_, w)| same(w));
-        let answering = lives().find(|(_, w)| w.answers && w.is_born(born_wall_ms));
+        let answering = lives().find(|(_, w)| w.answers && w.has_start_time(born_wall_ms));
         let found = exact.or(answering);
-        let found = found.or_else(|| lives().find(|(_, w)| w.is_born(born_wall_ms)));
+        let found = found.or_else(|| lives().find(|(_, w)| w.has_start_time(born_wall_ms)));
         found.map(|(key, _)| key)
     }
 
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -104,7 +104,7 @@
     let is_young = born_wall_ms.is_some_and(|ms| now.wall_ms.abs_diff(ms) < YOUNG_LIFE_MS);
     if is_young {
         let w = &mut pool_state.workers[key];
-        w.lease_over_ms = w.lease_over_ms.max(now.ms + STRAY_LEASE_MS);
+        w.lease_end_ms = w.lease_end_ms.max(now.ms + STRAY_LEASE_MS);
     }
     key
 }
@@ -328,7 +328,7 @@
         let left = tasks.iter().filter(|t| t.phase != Phase::Done).count();
         round.steps.push(StepRun {
             tasks,
-            left,
+            tasks_left: left,
             longest_ms: 0,
             is_open: false,
         });
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FormerOrders {
     /// Hosts that it named in its last heartbeat, and the latest time of their orders.
-    pub told_ms: BTreeMap<String, Millis>,
+    pub reported_ms: BTreeMap<String, Millis>,
     /// It sent no order later than that.
     pub over_ms: Millis,
 }
@@ -127,7 +127,7 @@
         let heard_ms = self.heartbeat_seen_ms;
         let ordered = self.heartbeat.ordered.iter();
         FormerOrders {
-            told_ms: ordered
+            reported_ms: ordered
                 .map(|(host, age_ms)| (host.clone(), heard_ms.saturating_sub(*age_ms)))
                 .collect(),
             over_ms: heard_ms + OWNER_LEASE_MS - OWNER_MARGIN_MS,
@@ -156,7 +156,7 @@
     }
 
     /// Whether a shard answers, as far as is known.
-    pub fn is_good(&self, shard: usize, now_ms: Millis) -> bool {
+    pub fn is_responsive(&self, shard: usize, now_ms: Millis) -> bool {
         let late_ms = SHARD_LATE_MS.max(self.answer_ms * 2);
         let shard = &self.shards[shard];
         let is_late = shard
@@ -168,7 +168,9 @@
     /// The shard for the next heartbeat: the first that answers, else any that none is on its way in.
     fn shard_to_renew(&self, now_ms: Millis) -> Option<usize> {
         let mut free = (0..SHARDS).filter(|shard| !self.shards[*shard].is_renewing);
-        let good = free.clone().find(|shard| self.is_good(*shard, now_ms));
+        let good = free
+            .clone()
+            .find(|shard| self.is_responsive(*shard, now_ms));
         good.or_else(|| free.next())
     }
 
@@ -302,11 +304,11 @@
 
 /// Hosts that were ordered about of late, and how long ago: by this owner, or by the one that it claims after.
 fn ordered(pool: &Pool, now_ms: Millis) -> BTreeMap<String, Millis> {
-    let told_ms = match &pool.ownership {
+    let reported_ms = match &pool.ownership {
         Some(ownership) => ownership.hosts.ordered_ms(now_ms),
-        None => pool.lease.former_orders().told_ms,
+        None => pool.lease.former_orders().reported_ms,
     };
-    let ages = told_ms.into_iter();
+    let ages = reported_ms.into_iter();
     ages.map(|(host, at_ms)| (host, now_ms.saturating_sub(at_ms)))
         .filter(|(_, age_ms)| *age_ms < ORDERS_APART_MS)
         .collect()
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -20,7 +20,7 @@
 
 /// A run that is at work, or may yet start, although an earlier run of its task is done.
 #[derive(Clone, Debug)]
-pub struct LeftRun {
+pub struct LeftoverRun {
     /// The task's name; its job may be forgotten first.
     pub name: TaskName,
     /// The account that it counts for, and what.
@@ -84,7 +84,7 @@
     /// Runs that are started once their record is there.
     pub unsent: Vec<(TaskKey, u32)>,
     /// Runs left behind by tasks that are done, by task and run.
-    pub left: BTreeMap<(TaskKey, u32), LeftRun>,
+    pub leftover_runs: BTreeMap<(TaskKey, u32), LeftoverRun>,
     /// Jobs that have not begun, by queue.
     pub waiting: BTreeMap<String, u64>,
     /// A member of each gang that lost one: the others are to be stopped.
@@ -356,7 +356,7 @@
         };
         let steps = job.spec.steps.iter().map(|spec| StepRun {
             tasks: vec![Task::default(); usize::from(spec.count)],
-            left: usize::from(spec.count),
+            tasks_left: usize::from(spec.count),
             longest_ms: 0,
             is_open: false,
         });
@@ -382,7 +382,7 @@
                 round
                     .steps
                     .get(usize::from(*s))
-                    .is_some_and(|s| s.left == 0)
+                    .is_some_and(|s| s.tasks_left == 0)
             };
             let can_open = !round.steps[n].is_open && spec.after.iter().all(is_done);
             if can_open {
@@ -459,7 +459,7 @@
     }
 
     /// Keeps a run of a done task, with its room, until it is certainly over.
-    pub fn leave_run(&mut self, key: TaskKey, run: u32, left: LeftRun) {
+    pub fn keep_leftover_run(&mut self, key: TaskKey, run: u32, left: LeftoverRun) {
         if let Some(w) = self.workers.get_mut(left.worker) {
             w.used.add(left.demand);
         }
@@ -467,12 +467,12 @@
             self.account_mut(account).used.add(charge);
         }
         self.update_free_index(left.worker);
-        self.left.insert((key, run), left);
+        self.leftover_runs.insert((key, run), left);
     }
 
     /// Moves a run left behind, with its room, to the worker that turned out to have it.
-    pub fn move_left(&mut self, run: (TaskKey, u32), to: WorkerKey) {
-        let Some(left) = self.left.get_mut(&run) else {
+    pub fn move_leftover_run(&mut self, run: (TaskKey, u32), to: WorkerKey) {
+        let Some(left) = self.leftover_runs.get_mut(&run) else {
             return;
         };
         let from = std::mem::replace(&mut left.worker, to);
@@ -489,11 +489,11 @@
     }
 
     /// Drops the runs left behind that `is_over` names, with their room.
-    pub fn drop_left(&mut self, is_over: impl Fn(&LeftRun) -> bool) {
-        let over = self.left.iter().filter(|(_, left)| is_over(left));
+    pub fn drop_leftover_runs(&mut self, is_over: impl Fn(&LeftoverRun) -> bool) {
+        let over = self.leftover_runs.iter().filter(|(_, left)| is_over(left));
         let over: Vec<(TaskKey, u32)> = over.map(|(key, _)| *key).collect();
         for key in over {
-            let Some(left) = self.left.remove(&key) else {
+            let Some(left) = self.leftover_runs.remove(&key) else {
                 continue;
             };
             if let Some(w) = self.workers.get_mut(left.worker) {
@@ -511,7 +511,7 @@
     /// that left another run behind.
     pub fn seen_up_to(&self, worker: WorkerKey) -> u64 {
         let recorded = self.workers.get(worker).map_or(0, |w| w.recorded);
-        let blocked = self.left.values().map(|left| left.noticed);
+        let blocked = self.leftover_runs.values().map(|left| left.noticed);
         let blocked = blocked.filter(|(by, _)| *by == worker);
         blocked.fold(recorded, |seen, (_, end)| seen.min(end.saturating_sub(1)))
     }
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -122,7 +122,7 @@
     /// When the row was last asked for, since it had no room.
     read_ms: Millis,
     /// When it was last told that tasks wait.
-    told_ms: Millis,
+    logged_ms: Millis,
 }
 
 /// A change of an account's row.
@@ -484,11 +484,11 @@
     with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    let is_told = ledger.told_ms > 0 && ctx.now.ms < ledger.told_ms + SURPLUS_KEPT_MS;
+    let is_told = ledger.logged_ms > 0 && ctx.now.ms < ledger.logged_ms + SURPLUS_KEPT_MS;
     if is_told || ledger.pending.is_some() {
         return;
     }
-    ledger.told_ms = ctx.now.ms;
+    ledger.logged_ms = ctx.now.ms;
     ctx.log(
         Decision::new(Code::QuotaHeld, Subject::Pool, with.pool, &*account.name)
             .with("config", with.config.version)
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -31,7 +31,7 @@
 use super::sizing;
 use super::state::{Ctx, Effect, Event, LoadedRows, PoolKey, State, Timer, WaveKnown};
 use super::wave;
-use super::worker_list::{greet, worker_event, workers_loaded, workers_read};
+use super::worker_list::{start_renewing, worker_event, workers_loaded, workers_read};
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{FleetConfig, OperatorEvent, StoredRow, TxOutcome};
@@ -338,7 +338,7 @@
         run_log::log_loaded_pool(&name, &pool_state, ownership, facts.config.version, ctx);
         let workers: Vec<WorkerKey> = pool_state.workers.keys().collect();
         for worker in workers {
-            greet(&mut pool_state, worker, epoch, ctx);
+            start_renewing(&mut pool_state, worker, epoch, ctx);
         }
         ownership.pool_state = Some(pool_state);
         ctx.after(RESORT_MS, Timer::Upkeep);
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -51,7 +51,7 @@
     let clock = w.clock.filter(|_| w.answers);
     let lease_until_ms = clock.map(|c| c.at(ctx.now.ms) + WORKER_LEASE_MS);
     if let Some(until_ms) = lease_until_ms {
-        w.lease_given(until_ms);
+        w.note_lease(until_ms);
     }
     // Ends are acknowledged to the life that told them. A later one would forget its own of these numbers, untold.
     let is_same_life = w.answers && ctx.now.ms < w.heard_ms + SAME_LIFE_MS;
@@ -69,7 +69,7 @@
         wait_ms,
     };
     w.renewal = RenewalPhase::Out(ctx.now.ms);
-    w.told_seen = w.told_seen.max(seen);
+    w.acked_through = w.acked_through.max(seen);
     if let Some(order) = runs::order(pool_state, key, epoch, ctx) {
         ctx.out.push(Effect::RenewWorker(order, key, ask));
     }
@@ -98,7 +98,7 @@
     };
     w.renewal = RenewalPhase::Idle;
     match result {
-        Ok(report) if !w.is_born(report.born_wall_ms) => {
+        Ok(report) if !w.has_start_time(report.born_wall_ms) => {
             restarts::supersede(pool_state, key, report.born_wall_ms, ctx);
         }
         Ok(_) if w.is_unproven => {
@@ -110,9 +110,9 @@
         }
         Ok(report) => apply_report(pool_state, key, sent_ms, report, epoch, ctx),
         Err(OrderReply::Fenced) if !w.has_restarted() => return true,
-        Err(OrderReply::OtherLife) if w.is_at_its_address() => {
+        Err(OrderReply::OtherLife) if w.has_answered_at_address() => {
             w.is_listed = false;
-            runs::worker_over(pool_state, key, &Evidence::Answer("hold"), ctx);
+            runs::end_worker(pool_state, key, &Evidence::Answer("hold"), ctx);
             end_lease(pool_state, key);
             forget_if_over(pool_state, key, ctx);
         }
@@ -131,7 +131,7 @@
     let Some(w) = pool_state.workers.get_mut(key) else {
         return;
     };
-    let left_ms = w.lease_over_ms.saturating_sub(ctx.now.ms);
+    let left_ms = w.lease_end_ms.saturating_sub(ctx.now.ms);
     let is_broken = matches!(reply, OrderReply::Broken | OrderReply::Refused);
     w.is_refusing = is_broken;
     if w.answers {
@@ -162,12 +162,15 @@
     let Some(w) = pool_state.workers.get(key) else {
         return;
     };
-    if w.answers || ctx.now.ms < w.lease_over_ms {
+    if w.answers || ctx.now.ms < w.lease_end_ms {
         return;
     }
-    let has_left = pool_state.left.values().any(|left| left.worker == key);
+    let has_left = pool_state
+        .leftover_runs
+        .values()
+        .any(|left| left.worker == key);
     if !w.tasks.is_empty() || has_left {
-        runs::worker_over(pool_state, key, &Evidence::Lapse, ctx);
+        runs::end_worker(pool_state, key, &Evidence::Lapse, ctx);
     }
     forget_if_over(pool_state, key, ctx);
 }
@@ -177,7 +180,7 @@
     let Some(w) = pool_state.workers.get(key) else {
         return;
     };
-    if w.is_listed || w.answers || ctx.now.ms < w.lease_over_ms || !w.tasks.is_empty() {
+    if w.is_listed || w.answers || ctx.now.ms < w.lease_end_ms || !w.tasks.is_empty() {
         return;
     }
     pool_state.remove_worker(key, ctx.now.ms);
@@ -227,7 +230,7 @@
         epoch,
         ctx,
     );
-    drop_left(pool_state, key, sent_ms, &report.running);
+    drop_leftover_runs(pool_state, key, sent_ms, &report.running);
     let is_recorded = pool_state.settle_ends(key);
     let is_blocked = pool_state.seen_up_to(key) < pool_state.workers[key].recorded;
     if !is_recorded {
@@ -276,11 +279,16 @@
 }
 
 /// Runs left behind whose stop was answered before this account was asked for, and that it lacks, are over.
-fn drop_left(pool_state: &mut PoolState, key: WorkerKey, sent_ms: Millis, running: &[RunningTask]) {
-    if pool_state.left.is_empty() {
+fn drop_leftover_runs(
+    pool_state: &mut PoolState,
+    key: WorkerKey,
+    sent_ms: Millis,
+    running: &[RunningTask],
+) {
+    if pool_state.leftover_runs.is_empty() {
         return;
     }
-    pool_state.drop_left(|left| {
+    pool_state.drop_leftover_runs(|left| {
         let is_asked_later = left.settled_ms.is_some_and(|at| at < sent_ms);
         let is_there = running.iter().any(|r| r.task == left.name);
         left.worker == key && is_asked_later && !is_there
@@ -300,7 +308,7 @@
     earlier.retain(|other| {
         let w = &pool_state.workers[*other];
         match w.fact.id == later.fact.id {
-            true => w.was_there() && w.heard_ms < sent_ms,
+            true => w.has_been_seen() && w.heard_ms < sent_ms,
             false => w.is_succeeded_by(later),
         }
     });
@@ -334,7 +342,7 @@
     let life = pool_state.workers[later].fact.id.clone();
     pool_state.workers[key].is_listed = false;
     let evidence = Evidence::Report { life, asked_ms };
-    runs::worker_over(pool_state, key, &evidence, ctx);
+    runs::end_worker(pool_state, key, &evidence, ctx);
     end_lease(pool_state, key);
     forget_if_over(pool_state, key, ctx);
 }
@@ -342,7 +350,7 @@
 /// What ran there is over before its lease.
 fn end_lease(pool_state: &mut PoolState, key: WorkerKey) {
     if let Some(w) = pool_state.workers.get_mut(key) {
-        w.lease_over_ms = 0;
+        w.lease_end_ms = 0;
     }
 }
 
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -25,12 +25,12 @@
     w.is_unproven = false;
     w.restarts += 1;
     // A deadline that was meant for an earlier life is never shortened.
-    w.lease_over_ms = w.lease_over_ms.max(ctx.now.ms + STRAY_LEASE_MS);
+    w.lease_end_ms = w.lease_end_ms.max(ctx.now.ms + STRAY_LEASE_MS);
     let born_wall_ms = w.fact.born_wall_ms;
     let id = w.fact.id.clone();
     let others = pool_state
         .instances_of(&id)
-        .filter(|(other, w)| *other != key && w.was_there());
+        .filter(|(other, w)| *other != key && w.has_been_seen());
     let earlier: Vec<WorkerKey> = others.map(|(other, _)| other).collect();
     for other in earlier {
         supersede(pool_state, other, born_wall_ms, ctx);
@@ -45,7 +45,10 @@
     born_wall_ms: Option<Millis>,
     ctx: &mut Ctx<'_>,
 ) {
-    let has_left = pool_state.left.values().any(|left| left.worker == key);
+    let has_left = pool_state
+        .leftover_runs
+        .values()
+        .any(|left| left.worker == key);
     let Some(w) = pool_state.workers.get_mut(key).filter(|w| !w.is_superseded) else {
         return;
     };
@@ -55,7 +58,7 @@
     w.answers = false;
     let is_empty = w.tasks.is_empty() && !has_left;
     let left_ms = if is_empty { 0 } else { STRAY_LEASE_MS };
-    w.lease_over_ms = ctx.now.ms + left_ms;
+    w.lease_end_ms = ctx.now.ms + left_ms;
     ctx.after(left_ms, Timer::LeaseOver(key));
     renewal::forget_if_over(pool_state, key, ctx);
 }
@@ -84,12 +87,12 @@
             adopt_task(pool_state, task, *run, &earlier, key, epoch, ctx);
         }
     }
-    let left = pool_state.left.iter().filter(|((_, run), left)| {
+    let left = pool_state.leftover_runs.iter().filter(|((_, run), left)| {
         earlier.contains(&left.worker) && told.contains(&(&left.name, *run))
     });
     let left: Vec<(TaskKey, u32)> = left.map(|(run, _)| *run).collect();
     for (task, run) in left {
-        pool_state.move_left((task, run), key);
+        pool_state.move_leftover_run((task, run), key);
         runs::restop(pool_state, task, run, epoch, ctx);
     }
 }
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -183,7 +183,7 @@
                 .with("taken_before", self.taken)
                 .with("again", self.again)
                 .with("recorded", w.recorded)
-                .with("told_seen", w.told_seen),
+                .with("told_seen", w.acked_through),
         );
         self.again = 0;
     }
@@ -340,7 +340,7 @@
 
 /// A worker whose runs are over: what that rests on, and where its ends and its lease stand.
 pub(super) fn worker_over(w: &Worker, evidence: &Evidence, now_ms: Millis) -> Decision {
-    let why = evidence.over().why();
+    let why = evidence.end_cause().why();
     let decision = Decision::new(Code::WorkerOver, Subject::Host, &w.fact.id, why);
     let decision = match evidence {
         Evidence::Lapse => decision,
@@ -354,10 +354,10 @@
         .with("born_wall_ms", born_or_zero(w.fact.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
         .with("unheard_ms", now_ms.saturating_sub(w.heard_ms))
-        .with("lease_left_ms", w.lease_over_ms.saturating_sub(now_ms))
+        .with("lease_left_ms", w.lease_end_ms.saturating_sub(now_ms))
         .with("taken", w.taken)
         .with("recorded", w.recorded)
-        .with("told_seen", w.told_seen)
+        .with("told_seen", w.acked_through)
 }
 
 /// A task that goes back to wait: what the judgement on its run rests on. `asked_ms` is when the account was asked for that
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -12,7 +12,7 @@
     FAILS_IN_A_ROW, FULL_PAUSE_MS, ORDER_RETRY_MS, SUSPEND_MAX_MS, SUSPEND_MS, WORKER_LEASE_MS,
 };
 use super::load;
-use super::pool_state::{LeftRun, PoolState};
+use super::pool_state::{LeftoverRun, PoolState};
 use super::run_log;
 use super::state::{Ctx, Effect, Order, Timer};
 use super::tasks::{Phase, Task};
@@ -81,7 +81,7 @@
         return;
     };
     let lease_until_ms = clock.at(ctx.now.ms) + WORKER_LEASE_MS;
-    w.lease_given(lease_until_ms);
+    w.note_lease(lease_until_ms);
     let start = RunStart {
         task: name,
         run,
@@ -101,11 +101,11 @@
 }
 
 /// Whether another life that answers in a worker's place tells that the worker's is over.
-fn is_at_its_address(pool_state: &PoolState, worker: WorkerKey) -> bool {
+fn has_answered_at_address(pool_state: &PoolState, worker: WorkerKey) -> bool {
     pool_state
         .workers
         .get(worker)
-        .is_some_and(Worker::is_at_its_address)
+        .is_some_and(Worker::has_answered_at_address)
 }
 
 /// Settles a start; says whether the pool is lost.
@@ -155,8 +155,8 @@
             pause(pool_state, worker, UNWELL_PAUSE_MS, ctx);
             refused(pool_state, key, "worker unwell", epoch, ctx);
         }
-        OrderReply::OtherLife if is_at_its_address(pool_state, worker) => {
-            worker_over(pool_state, worker, &Evidence::Answer("start"), ctx);
+        OrderReply::OtherLife if has_answered_at_address(pool_state, worker) => {
+            end_worker(pool_state, worker, &Evidence::Answer("start"), ctx);
         }
         OrderReply::OtherLife => {
             pause(pool_state, worker, UNWELL_PAUSE_MS, ctx);
@@ -242,7 +242,7 @@
 
 /// Sends a stop again that got no answer.
 pub fn restop(pool_state: &mut PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
-    if pool_state.left.contains_key(&(key, run)) {
+    if pool_state.leftover_runs.contains_key(&(key, run)) {
         stop_left(pool_state, key, run, epoch, ctx);
         return;
     }
@@ -264,7 +264,7 @@
     reply: OrderReply,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    if pool_state.left.contains_key(&(key, run)) {
+    if pool_state.leftover_runs.contains_key(&(key, run)) {
         return left_stopped(pool_state, key, run, reply, ctx);
     }
     let Some(task) = pool_state.task(key) else {
@@ -278,8 +278,8 @@
     }
     match reply {
         OrderReply::Accepted | OrderReply::Outdated => settle(pool_state, key, ctx),
-        OrderReply::OtherLife if is_at_its_address(pool_state, worker) => {
-            worker_over(pool_state, worker, &Evidence::Answer("stop"), ctx);
+        OrderReply::OtherLife if has_answered_at_address(pool_state, worker) => {
+            end_worker(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
         OrderReply::Fenced if is_fenced_out(pool_state, worker) => return true,
         _ => ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run)),
@@ -336,13 +336,13 @@
 }
 
 /// A worker's life, or everything on it, is certainly over.
-pub fn worker_over(
+pub fn end_worker(
     pool_state: &mut PoolState,
     worker: WorkerKey,
     evidence: &Evidence,
     ctx: &mut Ctx<'_>,
 ) {
-    let over = evidence.over();
+    let over = evidence.end_cause();
     run_log::log_start_answers(pool_state, ctx);
     let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
@@ -358,7 +358,7 @@
         }
         requeue(pool_state, key, over.why(), ctx);
     }
-    pool_state.drop_left(|left| left.worker == worker);
+    pool_state.drop_leftover_runs(|left| left.worker == worker);
 }
 
 /// Takes a run's end into the books.
@@ -435,9 +435,9 @@
         return;
     };
     let step = &mut round.steps[usize::from(key.step)];
-    step.left -= done.len();
+    step.tasks_left -= done.len();
     step.longest_ms = step.longest_ms.max(took_ms.unwrap_or(0));
-    if step.left > 0 {
+    if step.tasks_left > 0 {
         return;
     }
     if step.longest_ms > 0 {
@@ -445,7 +445,7 @@
         let took_ms = step.longest_ms;
         pool_state.times.note(&job.spec.queue, estimate_ms, took_ms);
     }
-    if round.steps.iter().any(|s| s.left > 0) {
+    if round.steps.iter().any(|s| s.tasks_left > 0) {
         pool_state.open_steps(key.job, key.round, ctx.now.ms);
         return;
     }
@@ -479,7 +479,7 @@
     let (Some(name), Some(spec)) = (pool_state.name(key), pool_state.step_spec(key)) else {
         return;
     };
-    let left = LeftRun {
+    let left = LeftoverRun {
         name,
         charge: pool_state.charge(key),
         worker,
@@ -487,12 +487,12 @@
         noticed,
         settled_ms: None,
     };
-    pool_state.leave_run(key, run, left);
+    pool_state.keep_leftover_run(key, run, left);
     stop_left(pool_state, key, run, epoch, ctx);
 }
 
 fn stop_left(pool_state: &PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
-    let Some(left) = pool_state.left.get(&(key, run)) else {
+    let Some(left) = pool_state.leftover_runs.get(&(key, run)) else {
         return;
     };
     if left.settled_ms.is_some() {
@@ -514,19 +514,19 @@
     reply: OrderReply,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    let Some(left) = pool_state.left.get(&(key, run)) else {
+    let Some(left) = pool_state.leftover_runs.get(&(key, run)) else {
         return false;
     };
     let is_fenced_out = is_fenced_out(pool_state, left.worker);
-    let is_at_its_address = is_at_its_address(pool_state, left.worker);
-    let Some(left) = pool_state.left.get_mut(&(key, run)) else {
+    let has_answered_at_address = has_answered_at_address(pool_state, left.worker);
+    let Some(left) = pool_state.leftover_runs.get_mut(&(key, run)) else {
         return false;
     };
     match reply {
         OrderReply::Accepted | OrderReply::Outdated => left.settled_ms = Some(ctx.now.ms),
-        OrderReply::OtherLife if is_at_its_address => {
+        OrderReply::OtherLife if has_answered_at_address => {
             let worker = left.worker;
-            worker_over(pool_state, worker, &Evidence::Answer("stop"), ctx);
+            end_worker(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
         OrderReply::Fenced if is_fenced_out => return true,
         _ => ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run)),
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -377,7 +377,10 @@
         let (host, life) = (&worker.fact.host, &worker.fact.id);
         let is_idle = worker.is_listed && worker.answers && pool_state.is_clear(key);
         let is_idle = is_idle && !worker.is_closing;
-        let has_left = pool_state.left.values().any(|left| left.worker == key);
+        let has_left = pool_state
+            .leftover_runs
+            .values()
+            .any(|left| left.worker == key);
         // A host that carries nothing is best taken through its upkeep first.
         let is_kept = worker.is_due && !with.pressed;
         let is_wanted = is_kept || sizing.withdrawn.contains(host);
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -117,7 +117,7 @@
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// Tasks that are not done.
-    pub left: usize,
+    pub tasks_left: usize,
     /// What its longest task took that was seen from start to end.
     pub longest_ms: Millis,
     /// The steps before it are done.
@@ -185,7 +185,7 @@
         };
         let steps = self.spec.steps.iter().zip(&round.steps).zip(&self.step_ms);
         let work: u64 = steps
-            .map(|((spec, step), ms)| spec.cpu_milli * ms * step.left as u64)
+            .map(|((spec, step), ms)| spec.cpu_milli * ms * step.tasks_left as u64)
             .sum();
         (work / 1_000 / WORK_PER_MS).min(WEIGHT_MAX_MS)
     }
@@ -196,7 +196,7 @@
         for round in self.rounds.values() {
             let steps = self.spec.steps.iter().zip(&round.steps);
             for (spec, step) in steps.filter(|(_, step)| step.is_open) {
-                sum.add(spec.demand().times(step.left as u64));
+                sum.add(spec.demand().times(step.tasks_left as u64));
             }
         }
         sum
@@ -207,7 +207,7 @@
         let rounds = self.rounds.values();
         let steps = rounds.flat_map(|round| round.steps.iter().enumerate());
         let (mut work, mut task_ms) = (0, 0);
-        for (n, step) in steps.filter(|(_, step)| step.left > 0) {
+        for (n, step) in steps.filter(|(_, step)| step.tasks_left > 0) {
             let is_unstarted = |t: &&Task| matches!(t.phase, Phase::Blocked | Phase::Ready);
             let unstarted = step.tasks.iter().filter(is_unstarted).count() as u64;
             let cpu_milli = self.spec.steps[n].demand().cpu_milli;
@@ -230,7 +230,10 @@
         let left_ms = self
             .rounds
             .values()
-            .map(|r| self.spec.longest_ms(&self.step_ms, |n| r.steps[n].left > 0))
+            .map(|r| {
+                self.spec
+                    .longest_ms(&self.step_ms, |n| r.steps[n].tasks_left > 0)
+            })
             .max();
         if now_ms + left_ms.unwrap_or(0) > self.due_ms {
             return Outlook::Late;
--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -26,7 +26,7 @@
 struct Wait {
     steps: Steps,
     since_ms: Millis,
-    told_ms: Option<Millis>,
+    logged_ms: Option<Millis>,
 }
 
 /// Waves that are not done, and since when nothing changed in each.
@@ -40,19 +40,19 @@
         let fresh = Wait {
             steps,
             since_ms: now_ms,
-            told_ms: None,
+            logged_ms: None,
         };
         let wait = self.0.entry(wave.order.wave).or_insert(fresh);
         if wait.steps != steps {
             *wait = fresh;
         }
         let due_ms = wait
-            .told_ms
-            .map_or(wait.since_ms + WAITS_MS, |told_ms| told_ms + AGAIN_MS);
+            .logged_ms
+            .map_or(wait.since_ms + WAITS_MS, |logged_ms| logged_ms + AGAIN_MS);
         if now_ms < due_ms {
             return None;
         }
-        wait.told_ms = Some(now_ms);
+        wait.logged_ms = Some(now_ms);
         Some(wait.since_ms)
     }
 }
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -58,7 +58,7 @@
     /// The newest look at its clock.
     pub clock: Option<ClockSample>,
     /// Everything ordered there before is over by then, heard or not.
-    pub lease_over_ms: Millis,
+    pub lease_end_ms: Millis,
     /// Its hold.
     pub renewal: RenewalPhase,
     /// Whether it answered the last hold.
@@ -81,7 +81,7 @@
     /// Ends up to this number are on record.
     pub recorded: u64,
     /// It was told that ends up to this number were seen; for the log.
-    pub told_seen: u64,
+    pub acked_through: u64,
     /// Ends behind that, in order.
     pub unrecorded: VecDeque<TakenEnd>,
     /// Entries of its last account that could not be read.
@@ -114,14 +114,14 @@
 
 impl Worker {
     /// A worker not yet heard.
-    pub fn new(fact: WorkerFact, lease_over_ms: Millis) -> Self {
+    pub fn new(fact: WorkerFact, lease_end_ms: Millis) -> Self {
         Self {
             fact,
             is_listed: true,
             used: Capacity::default(),
             tasks: BTreeSet::new(),
             clock: None,
-            lease_over_ms,
+            lease_end_ms,
             renewal: RenewalPhase::Idle,
             answers: false,
             heard_ms: 0,
@@ -132,7 +132,7 @@
             is_heard_through: false,
             taken: 0,
             recorded: 0,
-            told_seen: 0,
+            acked_through: 0,
             unrecorded: VecDeque::new(),
             unreadable: 0,
             fails_in_row: 0,
@@ -162,7 +162,7 @@
     }
 
     /// Whether it is the life that began then; without a time on one side, the id alone tells.
-    pub fn is_born(&self, born_wall_ms: Option<Millis>) -> bool {
+    pub fn has_start_time(&self, born_wall_ms: Option<Millis>) -> bool {
         let ours = self.fact.born_wall_ms;
         ours.is_none() || born_wall_ms.is_none() || ours == born_wall_ms
     }
@@ -173,12 +173,12 @@
     }
 
     /// Whether it was heard, or given work by this owner or a former one. Another may be younger than all that is known.
-    pub fn was_there(&self) -> bool {
+    pub fn has_been_seen(&self) -> bool {
         self.heard_ms > 0 || !self.tasks.is_empty() || self.is_superseded
     }
 
     /// Whether it has answered itself at the address that its entry names: another life that answers there is in its place.
-    pub fn is_at_its_address(&self) -> bool {
+    pub fn has_answered_at_address(&self) -> bool {
         let is_settled = |moved_ms| self.heard_ms >= moved_ms + ADDRESS_SETTLED_MS;
         self.clock.is_some() && self.moved_ms.is_none_or(is_settled)
     }
@@ -189,7 +189,7 @@
         let may_serve_on = self.fact.draining || self.is_withdrawn;
         let is_gone = self.is_refusing && !may_serve_on;
         let is_met_later = later.first_asked_ms.is_some_and(|at| self.heard_ms < at);
-        is_gone && self.was_there() && later.answers && !later.fact.draining && is_met_later
+        is_gone && self.has_been_seen() && later.answers && !later.fact.draining && is_met_later
     }
 
     /// Whether it ever stood in the platform's list; others are known from what a former owner recorded.
@@ -230,12 +230,12 @@
     }
 
     /// Notes a lease until `lease_until_ms` on its clock that was or may have been given.
-    pub fn lease_given(&mut self, lease_until_ms: Millis) {
+    pub fn note_lease(&mut self, lease_until_ms: Millis) {
         let Some(clock) = self.clock else { return };
         let ahead_ms = lease_until_ms.saturating_sub(clock.worker_ms);
         let longest_ms = ahead_ms * 100 / (100 - CLOCK_SLOW_PERCENT);
         let over_ms = clock.local_ms + longest_ms + LEASE_SLACK_MS;
-        self.lease_over_ms = self.lease_over_ms.max(over_ms);
+        self.lease_end_ms = self.lease_end_ms.max(over_ms);
     }
 
     /// Counts a task in.
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -198,7 +198,7 @@
     pool_state.workers[key].is_offered = is_given;
     let found = Decision::new(Code::WorkerFound, Subject::Host, &fact.id, &*fact.host);
     ctx.log(found.with("born_wall_ms", run_log::born_or_zero(fact.born_wall_ms)));
-    greet(pool_state, key, epoch, ctx);
+    start_renewing(pool_state, key, epoch, ctx);
 }
 
 /// Tells that a worker's room is another one. What runs there and does not fit any more is left till it ends: nothing new
@@ -242,9 +242,14 @@
 }
 
 /// First hold to a worker, and a look at the end of what others may have ordered there.
-pub(super) fn greet(pool_state: &mut PoolState, worker: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
+pub(super) fn start_renewing(
+    pool_state: &mut PoolState,
+    worker: WorkerKey,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
     let left_ms = pool_state.workers[worker]
-        .lease_over_ms
+        .lease_end_ms
         .saturating_sub(ctx.now.ms);
     ctx.after(left_ms, Timer::LeaseOver(worker));
     renewal::send_next(pool_state, worker, epoch, ctx);
--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -179,9 +179,9 @@
     smol::block_on(async {
         let words = platform.workers().await.expect("read").changes;
         assert_eq!(words.len(), 600 + 6 + 2);
-        let is_good =
+        let is_responsive =
             |w: &&WorkerEvent| matches!(w, WorkerEvent::Present(f) if f.id.starts_with("good"));
-        assert_eq!(words.iter().filter(is_good).count(), 6);
+        assert_eq!(words.iter().filter(is_responsive).count(), 6);
         let said = platform.operator().await.expect("read").changes;
         assert!(said.iter().any(|w| matches!(w, OperatorEvent::Config(_))));
         assert!(said.len() > 600, "{}", said.len());
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -25,7 +25,7 @@
 
 impl Holder {
     /// After a holder that ordered these hosts, and told of some in its last heartbeat, two seconds ago.
-    fn new(former: &[&str], told_ms: &[(&str, u64)]) -> Self {
+    fn new(former: &[&str], reported_ms: &[(&str, u64)]) -> Self {
         let row = HostOrdersRow {
             hosts: former.iter().map(|host| host.to_string()).collect(),
         };
@@ -35,9 +35,9 @@
             value: Some(encode(&row)),
             revision: 1,
         };
-        let told = told_ms.iter().map(|(host, at)| (host.to_string(), *at));
+        let told = reported_ms.iter().map(|(host, at)| (host.to_string(), *at));
         let former = FormerOrders {
-            told_ms: told.collect(),
+            reported_ms: told.collect(),
             over_ms: 49_500,
         };
         let mut offers = Offers::default();
--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -107,7 +107,7 @@
     let other = answering(&mut pool_state, worker_fact("other", "host"));
     pool_state.workers[one].heard_ms = 1_000;
     pool_state.workers[one].is_withdrawn = true;
-    pool_state.workers[one].lease_over_ms = 9_000;
+    pool_state.workers[one].lease_end_ms = 9_000;
     decide(1_400, |ctx| {
         let broken = Err(OrderReply::Broken);
         renewal::settle(&mut pool_state, one, 1_200, broken, EPOCH, ctx);
@@ -122,6 +122,6 @@
     decide(2_000, |ctx| {
         renewal::settle(&mut pool_state, other, 1_500, Ok(report), EPOCH, ctx);
     });
-    let over_ms = pool_state.workers.get(one).map(|w| w.lease_over_ms);
+    let over_ms = pool_state.workers.get(one).map(|w| w.lease_end_ms);
     assert_eq!(over_ms, Some(9_000), "its lease counts");
 }
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -327,13 +327,13 @@
 fn restarts_longest_lease() {
     let mut scene = Scene::new();
     let (later, _) = scene.prove_later(3_000);
-    assert!(scene.pool_state.workers[later].lease_over_ms >= 13_000);
+    assert!(scene.pool_state.workers[later].lease_end_ms >= 13_000);
 }
 
 /// The same for an owner that comes later: a life that began of late may hold such a deadline, sent by the former owner.
 #[test]
 fn restarts_young_life() {
-    let lease_over_ms = |born_wall_ms: u64| {
+    let lease_end_ms = |born_wall_ms: u64| {
         let mut pool_state = PoolState::default();
         decide(100_000, |ctx| {
             let offers = Offers::default();
@@ -342,11 +342,11 @@
         let key = pool_state
             .find_instance(ID, Some(born_wall_ms))
             .expect("it is listed");
-        pool_state.workers[key].lease_over_ms - 100_000
+        pool_state.workers[key].lease_end_ms - 100_000
     };
-    assert!(lease_over_ms(70_000) < 5_000);
-    assert!(lease_over_ms(98_000) >= 10_000);
-    assert!(lease_over_ms(103_000) >= 10_000, "its wall clock is ahead");
+    assert!(lease_end_ms(70_000) < 5_000);
+    assert!(lease_end_ms(98_000) >= 10_000);
+    assert!(lease_end_ms(103_000) >= 10_000, "its wall clock is ahead");
 }
 
 /// An account of the earlier life that is read after the later one is known: its ends count, and nothing more is sent to it.
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -299,7 +299,7 @@
     answer(&mut pool_state, 1_030, OrderReply::Accepted);
     answer(&mut pool_state, 1_050, OrderReply::Accepted);
     let effects = decide(1_200, |ctx| {
-        runs::worker_over(&mut pool_state, worker, &Evidence::Lapse, ctx);
+        runs::end_worker(&mut pool_state, worker, &Evidence::Lapse, ctx);
     });
     let told = only(&effects, Code::StartsAnswered);
     let runs = "a.0.0.0#1@life-1:Accepted,30,170 a.0.0.0#1:Accepted/Running#1,150";
@@ -311,7 +311,7 @@
     let (mut pool_state, worker) = starting(1);
     pool_state.workers[worker].answers = false;
     pool_state.workers[worker].heard_ms = 900;
-    let over_ms = pool_state.workers[worker].lease_over_ms;
+    let over_ms = pool_state.workers[worker].lease_end_ms;
     let effects = decide(over_ms, |ctx| {
         renewal::expire_lease(&mut pool_state, worker, ctx)
     });
@@ -331,7 +331,7 @@
 fn told_later_life() {
     let (mut pool_state, worker) = starting(1);
     pool_state.workers[worker].heard_ms = 900;
-    let left_ms = pool_state.workers[worker].lease_over_ms - 1_500;
+    let left_ms = pool_state.workers[worker].lease_end_ms - 1_500;
     let later = load::add_worker(&mut pool_state, worker_fact("life-2", "host"), 0);
     let effects = decide(1_400, |ctx| {
         let refused = Err(OrderReply::Refused);
