--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -131,7 +131,7 @@
 
     /// Lets a request in, unless it would be in vain. An urgent one pushes out the youngest of the
     /// lowest class where the queue is full; who was pushed out is given back.
-    pub fn enter(
+    pub fn enqueue(
         &mut self,
         class: Class,
         waiter: T,
@@ -163,17 +163,17 @@
     }
 
     /// Puts one back that was called and found no place: it keeps its turn.
-    pub fn put_back(&mut self, class: Class, waiter: T) {
+    pub fn put_back_first(&mut self, class: Class, waiter: T) {
         self.waiting[class as usize].push_front(waiter);
     }
 
     /// The next to go: of the highest class, the one that came first.
-    pub fn call(&mut self) -> Option<T> {
+    pub fn dequeue(&mut self) -> Option<T> {
         self.waiting.iter_mut().find_map(VecDeque::pop_front)
     }
 
     /// Takes out those for whom `gone` holds.
-    pub fn forget(&mut self, gone: impl Fn(&T) -> bool) {
+    pub fn remove_where(&mut self, gone: impl Fn(&T) -> bool) {
         for q in &mut self.waiting {
             q.retain(|w| !gone(w));
         }
--- a/src/core/budget.rs
+++ b/src/core/budget.rs
@@ -64,7 +64,7 @@
     }
 
     /// How many hosts could be out at once if none had failed and all served.
-    pub fn slack(&self, members: &[Member]) -> usize {
+    pub fn max_unavailable(&self, members: &[Member]) -> usize {
         let all: Vec<Member> = members.to_vec();
         let reserved = self.reserved(&all);
         members.len().saturating_sub(self.serving_min + reserved)
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether a wall-clock instant lies inside.
-    pub fn holds(&self, wall_ms: Millis) -> bool {
+    pub fn contains(&self, wall_ms: Millis) -> bool {
         let t = wall_ms % DAY_MS;
         if self.from_ms <= self.to_ms {
             self.from_ms <= t && t < self.to_ms
@@ -97,7 +97,7 @@
 
 /// Whether no window is named, or one of them is open.
 pub fn any_open(windows: &[Window], wall_ms: Millis) -> bool {
-    windows.is_empty() || windows.iter().any(|w| w.holds(wall_ms))
+    windows.is_empty() || windows.iter().any(|w| w.contains(wall_ms))
 }
 
 /// A service, as callers name it.
@@ -172,14 +172,14 @@
 
 /// What is wrong with a configuration text, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flaw {
+pub struct ConfigError {
     /// Line, counted from 1; 0 where none can be named.
     pub line: usize,
     /// The reason.
     pub reason: String,
 }
 
-impl std::fmt::Display for Flaw {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "line {}: {}", self.line, self.reason)
     }
@@ -279,7 +279,7 @@
     text: &'a str,
 }
 
-type Checked<T> = Result<T, Flaw>;
+type Checked<T> = Result<T, ConfigError>;
 
 impl Checker<'_> {
     fn line_at(&self, offset: usize) -> usize {
@@ -291,7 +291,7 @@
     }
 
     fn flaw<T, V>(&self, at: &Spanned<V>, reason: impl Into<String>) -> Checked<T> {
-        Err(Flaw {
+        Err(ConfigError {
             line: self.line_at(at.span().start),
             reason: reason.into(),
         })
@@ -491,9 +491,9 @@
 }
 
 /// Reads and checks a whole configuration text.
-pub fn parse(text: &str) -> Result<Config, Flaw> {
+pub fn parse(text: &str) -> Result<Config, ConfigError> {
     let checker = Checker { text };
-    let raw: RawFile = toml::from_str(text).map_err(|e| Flaw {
+    let raw: RawFile = toml::from_str(text).map_err(|e| ConfigError {
         line: e.span().map_or(0, |s| checker.line_at(s.start)),
         reason: match e.message().replace('\n', " ") {
             empty if empty.is_empty() => "not valid TOML".to_string(),
--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -52,7 +52,7 @@
         let view = self.pool_view(pool);
         let stays = |k: &&HostKey| !self.hosts[**k].is_moving_out();
         let borrowed = view.keys.iter().filter(stays).count() > config.hosts;
-        let stuck = view.budget.slack(&view.members) == 0;
+        let stuck = view.budget.max_unavailable(&view.members) == 0;
         let in_wave = self.in_wave(&p.name) && p.members.iter().any(|k| self.awaits_wave(*k));
         let out = |k: &HostKey| self.hosts[*k].row.state != HostState::Serving;
         let some_out = view.keys.iter().filter(stays).any(out);
--- a/src/core/sched/accounts.rs
+++ b/src/core/sched/accounts.rs
@@ -73,7 +73,7 @@
         };
         let mut sum = account.used;
         sum.add(charge.times(count));
-        limit.holds(sum)
+        limit.contains(sum)
     }
 
     /// Counts a job that came now against its account's weight.
@@ -91,7 +91,7 @@
         let account = &self.accounts[usize::from(account.0)];
         let mut sum = account.used;
         sum.add(account.waiting);
-        account.limit.is_some() && !account.ceiling.holds(sum)
+        account.limit.is_some() && !account.ceiling.contains(sum)
     }
 
     pub(super) fn account_mut(&mut self, key: AccountKey) -> &mut AccountUse {
--- a/src/core/sched/fragmentation.rs
+++ b/src/core/sched/fragmentation.rs
@@ -48,7 +48,7 @@
         let is_wide = || class <= Class::InTime && self.is_wide(demand);
         let is_due = used_percent <= IDLE_PERCENT || used_percent <= WIDE_PERCENT && is_wide();
         is_due
-            && self.free.holds(demand.times(ROOM_FACTOR))
+            && self.free.contains(demand.times(ROOM_FACTOR))
             && !has_host(pool_state, demand, self.now_ms)
     }
 
@@ -59,7 +59,7 @@
 
     /// Whether a task takes more than half of a mean host.
     fn is_wide(&self, demand: Capacity) -> bool {
-        !self.capacity.holds(demand.times(2 * self.hosts))
+        !self.capacity.contains(demand.times(2 * self.hosts))
     }
 }
 
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -276,7 +276,7 @@
     ctx: &mut Ctx<'_>,
 ) {
     ctx.after(RECONCILE_MS, Timer::Hosts);
-    if controller.list.ask(ctx.now.ms, LIST_MS) {
+    if controller.list.start_read_if_due(ctx.now.ms, LIST_MS) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, with.epoch));
     }
     if !controller.is_ready || !ctx.may_send() || controller.list.asked_ms() == 0 {
@@ -504,7 +504,7 @@
 
 /// Takes in the list of hosts.
 pub fn list_read(controller: &mut HostController, list: Vec<HostRecord>) {
-    controller.list.take(list);
+    controller.list.replace(list);
 }
 
 /// Sends again what got no answer, and drops what is seen to be done.
@@ -671,7 +671,7 @@
         HostReply::Accepted => {
             order.again_ms = None;
             order.since_ms = ctx.now.ms;
-            controller.list.hasten(ctx.now.ms + RECONCILE_MS);
+            controller.list.schedule_read(ctx.now.ms + RECONCILE_MS);
         }
         HostReply::Silent | HostReply::TooMany => {
             order.again_ms = Some(ctx.now.ms + RETRY_MS);
--- a/src/core/sched/listing.rs
+++ b/src/core/sched/listing.rs
@@ -21,7 +21,7 @@
 
 impl HostList {
     /// Whether the list is to be asked for now; the next reading is due `pause_ms` later.
-    pub fn ask(&mut self, now_ms: Millis, pause_ms: Millis) -> bool {
+    pub fn start_read_if_due(&mut self, now_ms: Millis, pause_ms: Millis) -> bool {
         if now_ms < self.due_ms {
             return false;
         }
@@ -31,12 +31,12 @@
     }
 
     /// Brings the next reading forward.
-    pub fn hasten(&mut self, due_ms: Millis) {
+    pub fn schedule_read(&mut self, due_ms: Millis) {
         self.due_ms = self.due_ms.min(due_ms);
     }
 
     /// Takes in the list that was asked for.
-    pub fn take(&mut self, records: Vec<HostRecord>) {
+    pub fn replace(&mut self, records: Vec<HostRecord>) {
         let names = records.iter().enumerate();
         self.by_name = names
             .map(|(n, record)| (record.host.clone(), HostKey(n)))
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -43,7 +43,7 @@
             continue;
         }
         let demand = spec.demand();
-        if too_large.iter().any(|d| demand.holds(*d)) || !pool_state.is_within_quota(key, 1) {
+        if too_large.iter().any(|d| demand.contains(*d)) || !pool_state.is_within_quota(key, 1) {
             continue;
         }
         match choose(pool_state, key, ctx.now.ms) {
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -58,7 +58,7 @@
             (Phase::Done, _) => TaskProgress::Done,
             (_, Some(worker)) => match self.workers.get(worker) {
                 Some(w) => TaskProgress::Started(*places.entry(worker).or_insert_with(|| {
-                    row.add_life(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
+                    row.add_instance(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
                 })),
                 None => TaskProgress::Idle,
             },
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -78,7 +78,7 @@
     }
 
     /// What may run.
-    pub fn room(&self) -> Capacity {
+    pub fn capacity(&self) -> Capacity {
         Capacity {
             cpu_milli: self.cpu_milli,
             mem_mb: self.mem_mb,
@@ -101,7 +101,7 @@
     fn others(&self, pool: &str) -> Capacity {
         let others = self.grants.iter().filter(|(name, _)| *name != pool);
         let mut sum = Capacity::default();
-        others.for_each(|(_, grant)| sum.add(grant.room()));
+        others.for_each(|(_, grant)| sum.add(grant.capacity()));
         sum
     }
 }
@@ -215,7 +215,7 @@
         }
         account.limit = Some(limit);
         account.ceiling = limited(minus(quota, ledger.row.others(with.pool)), quota);
-        if !limit.holds(need(account)) {
+        if !limit.contains(need(account)) {
             tell_held(account, ledger, limit, with, ctx);
             short.insert(account.name.clone());
         }
@@ -226,7 +226,7 @@
 /// Takes note of an account's quota, and of the version that lowered it.
 fn note_quota(ledger: &mut Ledger, quota: Capacity, version: u64) {
     let before = std::mem::replace(&mut ledger.quota, quota);
-    if before != Capacity::default() && !limited(quota, quota).holds(limited(before, before)) {
+    if before != Capacity::default() && !limited(quota, quota).contains(limited(before, before)) {
         ledger.lowered_by = version;
     }
 }
@@ -244,7 +244,7 @@
     }
     let need = need(account);
     let held = ledger.held(with.pool);
-    let current = held.map(|grant| grant.room()).unwrap_or_default();
+    let current = held.map(|grant| grant.capacity()).unwrap_or_default();
     let has_need = need != Capacity::default();
     if !ledger.is_ours(with) {
         if has_need {
@@ -253,24 +253,24 @@
         return;
     }
     let others = ledger.row.others(with.pool);
-    let is_over = !limited(quota, quota).holds(sum(others, current));
+    let is_over = !limited(quota, quota).contains(sum(others, current));
     let target = match (is_over, has_need) {
         (true, _) | (false, false) => account.used,
         (false, true) => least(with_room(need, quota), limited(minus(quota, others), quota)),
     };
     let target = most(target, account.used);
-    if !current.holds(need) && !is_over {
+    if !current.contains(need) && !is_over {
         raise(account, ledger, most(current, target), current, with, ctx);
         return;
     }
-    let has_surplus = target != current && current.holds(target);
+    let has_surplus = target != current && current.contains(target);
     if !has_surplus {
         ledger.surplus_ms = None;
         return;
     }
     let since_ms = *ledger.surplus_ms.get_or_insert(ctx.now.ms);
     let is_kept = ctx.now.ms < since_ms + SURPLUS_KEPT_MS;
-    let is_large = !has_need || !sum(target, target).holds(current);
+    let is_large = !has_need || !sum(target, target).contains(current);
     let is_asked = is_over || with.short_elsewhere.contains(&account.name);
     if is_asked || (is_large && !is_kept) {
         ledger.surplus_ms = None;
@@ -434,15 +434,18 @@
         let Some(held) = held else {
             return limited(Capacity::default(), quota);
         };
-        let all = sum(self.row.others(with.pool), held.room());
-        if !limited(quota, quota).holds(all) {
+        let all = sum(self.row.others(with.pool), held.capacity());
+        if !limited(quota, quota).contains(all) {
             return limited(Capacity::default(), quota);
         }
         let pending = self.pending.as_ref();
         let pending = pending.map(|pending| pending.row.grants.get(with.pool));
         let room = match pending {
-            None => held.room(),
-            Some(after) => least(held.room(), after.map(Grant::room).unwrap_or_default()),
+            None => held.capacity(),
+            Some(after) => least(
+                held.capacity(),
+                after.map(Grant::capacity).unwrap_or_default(),
+            ),
         };
         limited(room, quota)
     }
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -132,7 +132,7 @@
             continue;
         };
         let demand = spec.demand();
-        let is_known = in_vain.iter().any(|d| demand.holds(*d));
+        let is_known = in_vain.iter().any(|d| demand.contains(*d));
         if is_known || !fragmentation.is_split(pool_state, rank.class, demand) {
             continue;
         }
--- a/src/core/sched/rows.rs
+++ b/src/core/sched/rows.rs
@@ -103,7 +103,7 @@
 
 impl ProgressRow {
     /// Names a life; gives its place.
-    pub fn add_life(&mut self, id: &str, host: &str, born_wall_ms: Option<Millis>) -> u16 {
+    pub fn add_instance(&mut self, id: &str, host: &str, born_wall_ms: Option<Millis>) -> u16 {
         self.workers.push((id.to_string(), host.to_string()));
         self.born_wall_ms.push(born_wall_ms.unwrap_or(0));
         (self.workers.len() - 1) as u16
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -134,7 +134,7 @@
         true => HOSTS_AWAY_MS,
         false => HOSTS_MS,
     };
-    if controller.hosts.ask(ctx.now.ms, pause_ms) {
+    if controller.hosts.start_read_if_due(ctx.now.ms, pause_ms) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, epoch));
     }
     ctx.after(RECONCILE_MS, Timer::Wave);
@@ -542,7 +542,7 @@
 
 /// Takes in the list of hosts.
 pub fn hosts_read(controller: &mut WaveController, hosts: Vec<HostRecord>) {
-    controller.hosts.take(hosts);
+    controller.hosts.replace(hosts);
 }
 
 /// Closes as many hosts as the wave's time asks for.
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -221,7 +221,7 @@
 
     /// Whether it could carry `demand` if it carried nothing else.
     pub fn is_large_enough(&self, demand: Capacity) -> bool {
-        self.fact.capacity.holds(demand)
+        self.fact.capacity.contains(demand)
     }
 
     /// Its rack; by the platform's custom the label behind its kind.
--- a/src/core/wave.rs
+++ b/src/core/wave.rs
@@ -123,7 +123,7 @@
             return;
         }
         let pace = self.config.pools.get(&name).map_or(100, |p| p.pace_percent);
-        let most = pace_limit(view.budget.slack(&view.members), pace);
+        let most = pace_limit(view.budget.max_unavailable(&view.members), pace);
         if view.out() >= most {
             return;
         }
@@ -267,7 +267,7 @@
 }
 
 /// How many hosts of a pool may be out at once at this pace; one at least, so that a wave gets on.
-pub fn pace_limit(slack: usize, pace_percent: u64) -> usize {
+pub fn pace_limit(max_unavailable: usize, pace_percent: u64) -> usize {
     let pace = usize::try_from(pace_percent).unwrap_or(100);
-    (slack * pace / 100).max(1)
+    (max_unavailable * pace / 100).max(1)
 }
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -179,7 +179,7 @@
     /// Calls the next one who waits.
     fn call_next(&self) {
         loop {
-            let Some(waiter) = lock(&self.queue).call() else {
+            let Some(waiter) = lock(&self.queue).dequeue() else {
                 return;
             };
             if waiter.call.try_send(Call::Look).is_ok() {
@@ -320,7 +320,7 @@
         let places: u32 = self.route.backends.iter().map(|b| b.window(now_ms)).sum();
         let left_ms = self.deadline_ms.saturating_sub(now_ms);
         let most = self.route.service.queue_max;
-        let entered = lock(&lane.queue).enter(self.class, waiter, most, places as usize, left_ms);
+        let entered = lock(&lane.queue).enqueue(self.class, waiter, most, places as usize, left_ms);
         match entered {
             Ok(pushed_out) => {
                 if let Some(w) = pushed_out {
@@ -361,7 +361,7 @@
             }
             if heard == Some(Call::Look) {
                 let call = call.clone();
-                lock(&self.route.lane.queue).put_back(self.class, Waiter { id, call });
+                lock(&self.route.lane.queue).put_back_first(self.class, Waiter { id, call });
             }
         }
     }
@@ -399,6 +399,6 @@
 
 impl Drop for Leaves<'_> {
     fn drop(&mut self) {
-        lock(&self.lane.queue).forget(|w| w.id == self.id);
+        lock(&self.lane.queue).remove_where(|w| w.id == self.id);
     }
 }
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -275,7 +275,7 @@
     }
 
     /// Whether it is no less than `other` of anything.
-    pub fn holds(self, other: Capacity) -> bool {
+    pub fn contains(self, other: Capacity) -> bool {
         other.cpu_milli <= self.cpu_milli && other.mem_mb <= self.mem_mb && other.gpu <= self.gpu
     }
 
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -38,25 +38,28 @@
         .iter()
         .enumerate()
     {
-        assert_eq!(queue.enter(*class, n, 10, 1, 1_000), Ok(None));
+        assert_eq!(queue.enqueue(*class, n, 10, 1, 1_000), Ok(None));
     }
-    let order: Vec<usize> = std::iter::from_fn(|| queue.call()).collect();
+    let order: Vec<usize> = std::iter::from_fn(|| queue.dequeue()).collect();
     assert_eq!(order, [2, 1, 3, 0]);
 }
 
 #[test]
 fn admit_queue_full() {
     let mut queue = Queue::new();
-    assert_eq!(queue.enter(Class::Batch, 1, 2, 1, 1_000), Ok(None));
-    assert_eq!(queue.enter(Class::Normal, 2, 2, 1, 1_000), Ok(None));
-    assert_eq!(queue.enter(Class::Batch, 3, 2, 1, 1_000), Err(Shed::Full));
+    assert_eq!(queue.enqueue(Class::Batch, 1, 2, 1, 1_000), Ok(None));
+    assert_eq!(queue.enqueue(Class::Normal, 2, 2, 1, 1_000), Ok(None));
+    assert_eq!(queue.enqueue(Class::Batch, 3, 2, 1, 1_000), Err(Shed::Full));
     assert_eq!(
-        queue.enter(Class::Urgent, 4, 2, 1, 1_000),
+        queue.enqueue(Class::Urgent, 4, 2, 1, 1_000),
         Ok(Some(1)),
         "batch makes room"
     );
-    assert_eq!(queue.enter(Class::Urgent, 5, 2, 1, 1_000), Ok(Some(2)));
-    assert_eq!(queue.enter(Class::Urgent, 6, 2, 1, 1_000), Err(Shed::Full));
+    assert_eq!(queue.enqueue(Class::Urgent, 5, 2, 1, 1_000), Ok(Some(2)));
+    assert_eq!(
+        queue.enqueue(Class::Urgent, 6, 2, 1, 1_000),
+        Err(Shed::Full)
+    );
 }
 
 #[test]
@@ -64,15 +67,15 @@
     let mut queue = Queue::new();
     queue.note_exchange(100);
     for n in 0..8 {
-        assert_eq!(queue.enter(Class::Normal, n, 100, 4, 10_000), Ok(None));
+        assert_eq!(queue.enqueue(Class::Normal, n, 100, 4, 10_000), Ok(None));
     }
     assert_eq!(queue.expected_wait_ms(Class::Normal, 4), 300);
     assert_eq!(
-        queue.enter(Class::Normal, 9, 100, 4, 299),
+        queue.enqueue(Class::Normal, 9, 100, 4, 299),
         Err(Shed::TooLate)
     );
     assert_eq!(
-        queue.enter(Class::Urgent, 9, 100, 4, 299),
+        queue.enqueue(Class::Urgent, 9, 100, 4, 299),
         Ok(None),
         "it goes before them"
     );
--- a/tests/test_config.rs
+++ b/tests/test_config.rs
@@ -106,8 +106,8 @@
         (12, false, true),
         (23, true, false),
     ] {
-        assert_eq!(night.holds(hour * HOUR_MS), in_night, "{hour}");
-        assert_eq!(day.holds(hour * HOUR_MS), in_day, "{hour}");
+        assert_eq!(night.contains(hour * HOUR_MS), in_night, "{hour}");
+        assert_eq!(day.contains(hour * HOUR_MS), in_day, "{hour}");
     }
     assert!(any_open(&[], 0));
     assert!(Window::parse("25:00-26:00").is_none());
