--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::book::Book;
-use super::hosts::{self, HostDuty, PoolNeed};
-use super::keys::BookId;
+use super::hosts::{self, HostController, PoolNeed};
+use super::keys::PoolStateId;
 use super::load::Facts;
-use super::quota::{self, QuotaDuty};
-use super::seat;
-use super::state::{Ctx, Effect, Pool, PoolKey, State, Tenure, Timer, WaveKnown};
-use super::wave::WaveDuty;
+use super::owner_lease;
+use super::pool_state::PoolState;
+use super::quota::{self, QuotaController};
+use super::state::{Ctx, Effect, Ownership, Pool, PoolKey, State, Timer, WaveKnown};
+use super::wave::WaveController;
 use crate::clock::Now;
 
 /// Runs `work` on a pool, with what is needed of the rest of the state.
@@ -26,7 +26,7 @@
         pool: key,
         me: &state.me,
         cpu_milli: state.cpu_milli,
-        until_ms: pool.seat.until_ms(),
+        until_ms: pool.lease.until_ms(),
         timers: &mut state.timers,
         out,
     };
@@ -39,54 +39,67 @@
 
 /// Runs `work` on the books of a pool, if they are those that are asked for; `work` says whether a worker knows of a later
 /// owner.
-pub(super) fn with_book(
+pub(super) fn with_pool_state(
     state: &mut State,
     key: PoolKey,
-    id: BookId,
+    id: PoolStateId,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(&mut Book, &mut Ctx<'_>) -> bool,
+    work: impl FnOnce(&mut PoolState, &mut Ctx<'_>) -> bool,
 ) {
     with_pool(state, key, now, out, |pool, ctx, _| {
-        let Some(tenure) = tenure_of(&mut pool.tenure, id) else {
+        let Some(ownership) = ownership_of(&mut pool.ownership, id) else {
             return;
         };
-        let Some(book) = &mut tenure.book else { return };
-        if work(book, ctx) {
-            seat::lose(pool, "a worker has seen a later epoch", ctx);
+        let Some(pool_state) = &mut ownership.pool_state else {
+            return;
+        };
+        if work(pool_state, ctx) {
+            owner_lease::lose(pool, "a worker has seen a later epoch", ctx);
         }
     });
 }
 
-/// A pool's tenure, if its books are those that are asked for.
-pub(super) fn tenure_of(tenure: &mut Option<Tenure>, id: BookId) -> Option<&mut Tenure> {
-    let tenure = tenure.as_mut()?;
-    let is_it = tenure.book.as_ref().is_some_and(|book| book.id == id);
-    is_it.then_some(tenure)
+/// A pool's ownership, if its books are those that are asked for.
+pub(super) fn ownership_of(
+    ownership: &mut Option<Ownership>,
+    id: PoolStateId,
+) -> Option<&mut Ownership> {
+    let ownership = ownership.as_mut()?;
+    let is_it = ownership
+        .pool_state
+        .as_ref()
+        .is_some_and(|pool_state| pool_state.id == id);
+    is_it.then_some(ownership)
 }
 
 /// Runs `work` on what an owner does for hosts, if its pool carries that; says so.
-pub(super) fn with_hosts(
+pub(super) fn with_host_controller(
     state: &mut State,
     key: PoolKey,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(&mut HostDuty, &mut BTreeMap<u64, WaveKnown>, &hosts::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(
+        &mut HostController,
+        &mut BTreeMap<u64, WaveKnown>,
+        &hosts::Inputs<'_>,
+        &mut Ctx<'_>,
+    ),
 ) -> bool {
     let pool = state.pools.get_mut(usize::from(key.0));
-    let duty_pool = hosts::duty_pool(&state.config);
-    let Some(pool) = pool.filter(|p| duty_pool == Some(p.name.as_str())) else {
+    let controller_pool = hosts::controller_pool(&state.config);
+    let Some(pool) = pool.filter(|p| controller_pool == Some(p.name.as_str())) else {
         return false;
     };
-    let until_ms = pool.seat.until_ms();
-    let Some(tenure) = &mut pool.tenure else {
+    let until_ms = pool.lease.until_ms();
+    let Some(ownership) = &mut pool.ownership else {
         return true;
     };
-    let epoch = tenure.epoch;
+    let epoch = ownership.epoch;
     // Lent out, so that what all pools offer is looked at where it is: there may be hundreds of hosts.
-    let mut duty = std::mem::take(&mut tenure.hosts);
+    let mut controller = std::mem::take(&mut ownership.hosts);
     let needs: Vec<PoolNeed<'_>> = state.pools.iter().map(PoolNeed::of).collect();
-    let look = hosts::Look {
+    let inputs = hosts::Inputs {
         config: &state.config,
         needs: &needs,
         pool: &state.pools[usize::from(key.0)].name,
@@ -101,24 +114,24 @@
         timers: &mut state.timers,
         out,
     };
-    work(&mut duty, &mut state.waves, &look, &mut ctx);
+    work(&mut controller, &mut state.waves, &inputs, &mut ctx);
     let pool = &mut state.pools[usize::from(key.0)];
-    if let Some(tenure) = &mut pool.tenure {
-        tenure.hosts = duty;
+    if let Some(ownership) = &mut pool.ownership {
+        ownership.hosts = controller;
     }
     true
 }
 
 /// Runs `work` on what an owner does for waves; it is given the epoch and the pool's name, too. There are no books while they are
 /// being read: an answer that comes then still settles what was sent before.
-pub(super) fn with_duty(
+pub(super) fn with_wave_controller(
     state: &mut State,
     key: PoolKey,
     now: Now,
     out: &mut Vec<Effect>,
     work: impl FnOnce(
-        Option<&mut Book>,
-        &mut WaveDuty,
+        Option<&mut PoolState>,
+        &mut WaveController,
         &mut BTreeMap<u64, WaveKnown>,
         (u64, &str),
         &mut Ctx<'_>,
@@ -126,13 +139,13 @@
 ) {
     let mut waves = std::mem::take(&mut state.waves);
     with_pool(state, key, now, out, |pool, ctx, _| {
-        let Some(tenure) = &mut pool.tenure else {
+        let Some(ownership) = &mut pool.ownership else {
             return;
         };
-        let facts = (tenure.epoch, pool.name.as_str());
+        let facts = (ownership.epoch, pool.name.as_str());
         work(
-            tenure.book.as_mut(),
-            &mut tenure.duty,
+            ownership.pool_state.as_mut(),
+            &mut ownership.waves,
             &mut waves,
             facts,
             ctx,
@@ -142,46 +155,58 @@
 }
 
 /// Runs `work` on the quotas of a pool that this entry owns under `epoch`, once its books are read.
-pub(super) fn with_quota(
+pub(super) fn with_quota_controller(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(&mut Book, &mut QuotaDuty, &quota::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(&mut PoolState, &mut QuotaController, &quota::Inputs<'_>, &mut Ctx<'_>),
 ) {
-    with_grants(state, key, epoch, now, out, |book, duty, with, ctx| {
-        if let Some(book) = book {
-            work(book, duty, with, ctx);
-        }
-    });
+    with_grant_controller(
+        state,
+        key,
+        epoch,
+        now,
+        out,
+        |pool_state, controller, with, ctx| {
+            if let Some(pool_state) = pool_state {
+                work(pool_state, controller, with, ctx);
+            }
+        },
+    );
 }
 
 /// The same, also while the books are being read: an answer that comes meanwhile settles what was sent before.
-pub(super) fn with_grants(
+pub(super) fn with_grant_controller(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
     now: Now,
     out: &mut Vec<Effect>,
-    work: impl FnOnce(Option<&mut Book>, &mut QuotaDuty, &quota::Look<'_>, &mut Ctx<'_>),
+    work: impl FnOnce(Option<&mut PoolState>, &mut QuotaController, &quota::Inputs<'_>, &mut Ctx<'_>),
 ) {
     let short_elsewhere = short_elsewhere(state, key, now);
     with_pool(state, key, now, out, |pool, ctx, facts| {
-        let Some(tenure) = pool.tenure.as_mut().filter(|t| t.epoch == epoch) else {
+        let Some(ownership) = pool.ownership.as_mut().filter(|t| t.epoch == epoch) else {
             return;
         };
-        let with = quota::Look {
+        let with = quota::Inputs {
             pool: &pool.name,
             epoch,
             config: facts.config,
             short_elsewhere: &short_elsewhere,
         };
-        let before = tenure.quota.short.clone();
-        work(tenure.book.as_mut(), &mut tenure.quota, &with, ctx);
+        let before = ownership.quota.short.clone();
+        work(
+            ownership.pool_state.as_mut(),
+            &mut ownership.quota,
+            &with,
+            ctx,
+        );
         // Others give back what they do not need once they hear of it.
-        if tenure.quota.short != before {
-            seat::tell(pool, ctx);
+        if ownership.quota.short != before {
+            owner_lease::hasten_heartbeat(pool, ctx);
         }
     });
 }
@@ -190,9 +215,9 @@
 fn short_elsewhere(state: &State, key: PoolKey, now: Now) -> BTreeSet<String> {
     let pools = state.pools.iter().enumerate();
     let others = pools.filter(|(n, _)| *n != usize::from(key.0));
-    let heard = others.filter(|(_, p)| now.ms < p.seat.beat_seen_ms + hosts::NEED_KEPT_MS);
+    let heard = others.filter(|(_, p)| now.ms < p.lease.heartbeat_seen_ms + hosts::NEED_KEPT_MS);
     heard
-        .flat_map(|(_, p)| p.seat.beat.short_accounts.iter().cloned())
+        .flat_map(|(_, p)| p.lease.heartbeat.short_accounts.iter().cloned())
         .collect()
 }
 
@@ -202,15 +227,15 @@
         return *key;
     }
     let key = PoolKey(state.pools.len() as u16);
-    let seat = seat::Seat {
-        beat_seen_ms: now.ms,
-        ..seat::Seat::default()
+    let lease = owner_lease::OwnerLease {
+        heartbeat_seen_ms: now.ms,
+        ..owner_lease::OwnerLease::default()
     };
     state.pools.push(Pool {
         name: name.to_string(),
-        seat,
+        lease,
         offers: Default::default(),
-        tenure: None,
+        ownership: None,
     });
     state.pool_keys.insert(name.to_string(), key);
     state.timers.insert((now.ms, key, Timer::Claim));
@@ -223,7 +248,7 @@
         .pools
         .iter()
         .enumerate()
-        .filter(|(_, p)| p.tenure.is_some())
+        .filter(|(_, p)| p.ownership.is_some())
         .map(|(n, _)| PoolKey(n as u16))
         .collect()
 }
--- a/src/core/sched/accounts.rs
+++ b/src/core/sched/accounts.rs
@@ -1,8 +1,8 @@
 //! What client accounts have in a pool: the books' side of quotas and weights.
 
-use super::book::Book;
 use super::fairness::Meter;
 use super::keys::{AccountKey, JobKey, TaskKey};
+use super::pool_state::PoolState;
 use crate::clock::Millis;
 use crate::port::fleet::{AccountConfig, Capacity};
 
@@ -27,7 +27,7 @@
     pub named_by: u64,
 }
 
-impl Book {
+impl PoolState {
     /// The key of an account, which is new where it had no job before; what has a quota, or is not configured, may take nothing
     /// yet. `named_by` is the version of the configuration that a job of it was accepted by.
     pub fn account_key(
@@ -73,7 +73,7 @@
         };
         let mut sum = account.used;
         sum.add(charge.times(count));
-        limit.holds(sum)
+        limit.contains(sum)
     }
 
     /// Counts a job that came now against its account's weight.
@@ -91,7 +91,7 @@
         let account = &self.accounts[usize::from(account.0)];
         let mut sum = account.used;
         sum.add(account.waiting);
-        account.limit.is_some() && !account.ceiling.holds(sum)
+        account.limit.is_some() && !account.ceiling.contains(sum)
     }
 
     pub(super) fn account_mut(&mut self, key: AccountKey) -> &mut AccountUse {
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -1,18 +1,18 @@
 //! Recorded before ordered: progress goes to the store in batches, and only then do starts go out and
 //! ends count as seen.
 
-use super::book::Book;
 use super::conflict::{self, Verdict};
-use super::holds;
 use super::keys::{JobKey, TaskKey, WorkerKey};
 use super::limits::{BATCH_JOBS, GATHER_MS, SHARD_BUSY_MS, TX_RETRY_MS};
+use super::owner_lease::{self, epoch_guard, OwnerLease};
+use super::pool_state::PoolState;
 use super::remove;
+use super::renewal;
 use super::rows::{self, shard_part, SHARDS};
+use super::run_log;
 use super::runs;
-use super::seat::{self, epoch_guard, Seat};
-use super::state::{Batch, Ctx, Effect, Pool, Tenure, Timer};
-use super::told;
-use super::worker::HoldPhase;
+use super::state::{Batch, Ctx, Effect, Ownership, Pool, Timer};
+use super::worker::RenewalPhase;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{Guard, RowTx, StoredRow, Table, TxOutcome, Write};
@@ -30,23 +30,25 @@
 
 /// Sends what was gathered, if it is time, in each shard that has no batch out.
 pub fn flush(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let Some(tenure) = &mut pool.tenure else {
+    let Some(ownership) = &mut pool.ownership else {
+        return;
+    };
+    let Some(pool_state) = &mut ownership.pool_state else {
         return;
     };
-    let Some(book) = &mut tenure.book else { return };
     if !ctx.may_send() {
         return;
     }
-    if book.dirty.is_empty() {
+    if pool_state.dirty.is_empty() {
         remove::flush(pool, ctx);
         return;
     }
-    let due_ms = book.dirty_since_ms + GATHER_MS;
+    let due_ms = pool_state.dirty_since_ms + GATHER_MS;
     if ctx.now.ms < due_ms {
         ctx.after(due_ms - ctx.now.ms, Timer::Flush);
         return;
     }
-    let for_new = shard_for_new(tenure, &pool.seat, ctx);
+    let for_new = shard_for_new(ownership, &pool.lease, ctx);
     for shard in 0..SHARDS {
         send(pool, shard, for_new == Some(shard), ctx);
     }
@@ -54,60 +56,62 @@
 
 /// The shard that takes jobs of which nothing is on record: the first one, as long as its answers come. Where they do
 /// not, the next one that is free; so a partition that is away holds up those jobs alone that have begun in it.
-fn shard_for_new(tenure: &Tenure, seat: &Seat, ctx: &mut Ctx<'_>) -> Option<usize> {
-    for (shard, batch) in tenure.batches.iter().enumerate() {
+fn shard_for_new(ownership: &Ownership, lease: &OwnerLease, ctx: &mut Ctx<'_>) -> Option<usize> {
+    for (shard, batch) in ownership.batches.iter().enumerate() {
         let Some(batch) = batch else {
-            if seat.is_good(shard, ctx.now.ms) {
+            if lease.is_responsive(shard, ctx.now.ms) {
                 return Some(shard);
             }
             continue;
         };
         let busy_ms = batch.sent_ms + SHARD_BUSY_MS;
-        if ctx.now.ms < busy_ms && seat.is_good(shard, ctx.now.ms) {
+        if ctx.now.ms < busy_ms && lease.is_responsive(shard, ctx.now.ms) {
             ctx.after(busy_ms - ctx.now.ms, Timer::Flush);
             return None;
         }
     }
-    tenure.batches.iter().position(Option::is_none)
+    ownership.batches.iter().position(Option::is_none)
 }
 
 /// Sends what is to be recorded in one shard, unless a batch of it is out.
 fn send(pool: &mut Pool, shard: usize, takes_new: bool, ctx: &mut Ctx<'_>) {
-    let Some(tenure) = &mut pool.tenure else {
+    let Some(ownership) = &mut pool.ownership else {
         return;
     };
-    let Some(book) = &mut tenure.book else { return };
-    let id = book.id;
-    if tenure.batches[shard].is_some() {
+    let Some(pool_state) = &mut ownership.pool_state else {
+        return;
+    };
+    let id = pool_state.id;
+    if ownership.batches[shard].is_some() {
         return;
     }
-    let jobs = to_record(book, shard, takes_new);
+    let jobs = to_record(pool_state, shard, takes_new);
     if jobs.is_empty() {
         return;
     }
     let is_all = jobs.len() < BATCH_JOBS;
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
-        guards: vec![epoch_guard(tenure.fences[shard])],
+        guards: vec![epoch_guard(ownership.owner_revisions[shard])],
         writes: Vec::new(),
     };
-    let mut batch = gather(book, jobs, tx, ctx.now.ms);
+    let mut batch = gather(pool_state, jobs, tx, ctx.now.ms);
     batch.is_all = is_all;
     // One write less where writes of a part go in turn, 300 ms each on the users' slow days.
-    batch.tx.writes.push(seat::next_beat(pool, ctx));
-    pool.seat.note_sent(shard, ctx.now.ms);
+    batch.tx.writes.push(owner_lease::next_heartbeat(pool, ctx));
+    pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out
         .push(Effect::Record(ctx.pool, id, shard, batch.tx.clone()));
-    if let Some(tenure) = &mut pool.tenure {
-        tenure.batches[shard] = Some(batch);
+    if let Some(ownership) = &mut pool.ownership {
+        ownership.batches[shard] = Some(batch);
     }
 }
 
 /// Jobs whose changes go into a shard now; those that are new are put there.
-fn to_record(book: &mut Book, shard: usize, takes_new: bool) -> Vec<JobKey> {
+fn to_record(pool_state: &mut PoolState, shard: usize, takes_new: bool) -> Vec<JobKey> {
     let mut jobs = Vec::new();
-    for key in &book.dirty {
-        let Some(job) = book.jobs.get_mut(*key) else {
+    for key in &pool_state.dirty {
+        let Some(job) = pool_state.jobs.get_mut(*key) else {
             continue;
         };
         if takes_new {
@@ -123,14 +127,14 @@
     jobs
 }
 
-fn gather(book: &mut Book, jobs: Vec<JobKey>, mut tx: RowTx, now_ms: Millis) -> Batch {
+fn gather(pool_state: &mut PoolState, jobs: Vec<JobKey>, mut tx: RowTx, now_ms: Millis) -> Batch {
     let mut kept = Vec::with_capacity(jobs.len());
     for key in jobs {
-        book.dirty.remove(&key);
-        let Some(progress) = book.progress(key) else {
+        pool_state.dirty.remove(&key);
+        let Some(progress) = pool_state.progress(key) else {
             continue;
         };
-        let job = &book.jobs[key];
+        let job = &pool_state.jobs[key];
         tx.guards.push(Guard {
             table: Table::Progress,
             key: job.id.clone(),
@@ -144,57 +148,57 @@
         kept.push((key, job.changes));
     }
     let is_in = |task: &TaskKey| kept.iter().any(|(job, _)| *job == task.job);
-    let unsent = std::mem::take(&mut book.unsent);
+    let unsent = std::mem::take(&mut pool_state.unsent);
     let (starts, later) = unsent.into_iter().partition(|(task, _)| is_in(task));
-    book.unsent = later;
+    pool_state.unsent = later;
     Batch {
         tx,
         jobs: kept,
         starts,
         removed: Vec::new(),
         sent_ms: now_ms,
-        has_beat: true,
+        has_heartbeat: true,
         is_all: false,
     }
 }
 
 /// Workers whose ends are all on record now are held again.
-fn release_ends(book: &mut Book, epoch: u64, ctx: &mut Ctx<'_>) {
-    let waiting: Vec<WorkerKey> = book.recording.iter().copied().collect();
+fn release_ends(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+    let waiting: Vec<WorkerKey> = pool_state.recording.iter().copied().collect();
     for key in waiting {
-        if !book.settle_ends(key) {
+        if !pool_state.settle_ends(key) {
             continue;
         }
-        book.recording.remove(&key);
-        let Some(w) = book.workers.get_mut(key) else {
+        pool_state.recording.remove(&key);
+        let Some(w) = pool_state.workers.get_mut(key) else {
             continue;
         };
-        if matches!(w.hold, HoldPhase::Recording(_)) {
-            w.hold = HoldPhase::Idle;
-            holds::next(book, key, epoch, ctx);
+        if matches!(w.renewal, RenewalPhase::Recording(_)) {
+            w.renewal = RenewalPhase::Idle;
+            renewal::send_next(pool_state, key, epoch, ctx);
         }
     }
 }
 
 /// Settles the batch of a shard.
 pub fn recorded(
-    tenure: &mut Tenure,
-    seat: &mut Seat,
+    ownership: &mut Ownership,
+    lease: &mut OwnerLease,
     shard: usize,
     outcome: TxOutcome,
     ctx: &mut Ctx<'_>,
 ) -> Settled {
-    let epoch = tenure.epoch;
-    seat.note_answer(shard, &outcome, ctx.now.ms);
-    if tenure.batches[shard].is_none() {
+    let epoch = ownership.epoch;
+    lease.note_answer(shard, &outcome, ctx.now.ms);
+    if ownership.batches[shard].is_none() {
         return Settled::Fine;
     }
     let revision = match outcome {
         TxOutcome::Committed(revision) => revision,
-        TxOutcome::Conflict(found) => match settle_conflict(tenure, seat, shard, &found, ctx) {
+        TxOutcome::Conflict(found) => match settle_conflict(ownership, lease, shard, &found, ctx) {
             Verdict::Done(revision) => revision,
             Verdict::Again => {
-                resend(tenure, seat, shard, ctx);
+                resend(ownership, lease, shard, ctx);
                 return Settled::Fine;
             }
             Verdict::PoolLost => return Settled::PoolLost,
@@ -205,72 +209,80 @@
             return Settled::Fine;
         }
     };
-    let (Some(batch), Some(book)) = (tenure.batches[shard].take(), &mut tenure.book) else {
+    let (Some(batch), Some(pool_state)) =
+        (ownership.batches[shard].take(), &mut ownership.pool_state)
+    else {
         return Settled::Fine;
     };
-    told::recorded(&batch, book, revision, epoch, ctx);
+    run_log::log_batch(&batch, pool_state, revision, epoch, ctx);
     // Sent again, it may have taken effect the first time: the lease counts from then.
-    if batch.has_beat {
-        seat.note_renewed(batch.sent_ms, ctx.now.ms);
+    if batch.has_heartbeat {
+        lease.note_renewed(batch.sent_ms, ctx.now.ms);
     }
     for ((key, change), write) in batch.jobs.iter().zip(&batch.tx.writes) {
-        if let Some(job) = book.jobs.get_mut(*key) {
+        if let Some(job) = pool_state.jobs.get_mut(*key) {
             job.revision = revision;
             job.recorded_digest = conflict::digest(write.value.as_deref());
             job.recorded_changes = *change;
         }
     }
     for key in &batch.removed {
-        book.forget(*key, ctx.now.ms);
+        pool_state.forget(*key, ctx.now.ms);
     }
     for (task, run) in &batch.starts {
-        runs::send_start(book, *task, *run, epoch, ctx);
+        runs::send_start(pool_state, *task, *run, epoch, ctx);
     }
     // While more waits than a batch takes, workers are not asked for more ends: each account costs the owner's processor
     // time, which is short then. Held at once, 95 of 100 tasks of a peak day started within 1,447 ms, so within 961.
     if batch.is_all {
-        release_ends(book, epoch, ctx);
+        release_ends(pool_state, epoch, ctx);
     }
     Settled::Fine
 }
 
 /// What a conflict means for the batch of a shard; told unless it was only our own work.
 fn settle_conflict(
-    tenure: &mut Tenure,
-    seat: &Seat,
+    ownership: &mut Ownership,
+    lease: &OwnerLease,
     shard: usize,
     found: &[(Table, StoredRow)],
     ctx: &mut Ctx<'_>,
 ) -> Verdict {
-    let (Some(batch), Some(book)) = (&mut tenure.batches[shard], &mut tenure.book) else {
+    let (Some(batch), Some(pool_state)) =
+        (&mut ownership.batches[shard], &mut ownership.pool_state)
+    else {
         return Verdict::Diverged;
     };
-    let is_ours = |row: &StoredRow| conflict::is_ours(seat, ctx.me, row);
+    let is_ours = |row: &StoredRow| conflict::is_ours(lease, ctx.me, row);
     let odd = conflict::unexpected(batch, found);
-    let verdict = conflict::judge(batch, book, found, is_ours);
+    let verdict = conflict::judge(batch, pool_state, found, is_ours);
     let part = batch.tx.part.clone();
     let own = found.iter().find(|(table, _)| *table == Table::Owners);
     if let Some((_, row)) = own.filter(|_| verdict == Verdict::Again) {
-        tenure.fences[shard] = row.revision;
+        ownership.owner_revisions[shard] = row.revision;
     }
     if !matches!(verdict, Verdict::Done(_)) {
         let why = format!("{verdict:?}");
         let decision = Decision::new(Code::LostRace, Subject::Pool, &part, why);
-        ctx.tell(decision.naming("row", odd).with("epoch", tenure.epoch));
+        ctx.log(decision.naming("row", odd).with("epoch", ownership.epoch));
     }
     verdict
 }
 
 /// Sends the batch of a shard again.
-pub fn resend(tenure: &Tenure, seat: &mut Seat, shard: usize, ctx: &mut Ctx<'_>) {
-    let (Some(batch), Some(book)) = (&tenure.batches[shard], &tenure.book) else {
+pub fn resend(ownership: &Ownership, lease: &mut OwnerLease, shard: usize, ctx: &mut Ctx<'_>) {
+    let (Some(batch), Some(pool_state)) = (&ownership.batches[shard], &ownership.pool_state) else {
         return;
     };
     if !ctx.may_send() {
         ctx.after(TX_RETRY_MS, Timer::Resend(shard));
         return;
     }
-    seat.note_sent(shard, ctx.now.ms);
-    ctx.out
-        .push(Effect::Record(ctx.pool, book.id, shard, batch.tx.clone()));
+    lease.note_sent(shard, ctx.now.ms);
+    ctx.out.push(Effect::Record(
+        ctx.pool,
+        pool_state.id,
+        shard,
+        batch.tx.clone(),
+    ));
 }
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -1,9 +1,9 @@
 //! What becomes of pools' offers: changes by their owners, and hosts taken by the entry that orders them.
 
-use super::access::{with_hosts, with_pool};
-use super::book::Book;
+use super::access::{with_host_controller, with_pool};
 use super::hosts;
 use super::offers::{Offers, OFFERS_KEY};
+use super::pool_state::PoolState;
 use super::sizing;
 use super::state::{Ctx, Effect, PoolKey, State};
 use crate::clock::Now;
@@ -11,9 +11,9 @@
 use crate::port::fleet::{StoredRow, Table, TxOutcome};
 
 /// Hosts that are on offer, or were taken, get no work from a new owner either.
-pub(super) fn close_given(book: &mut Book, offers: &Offers) {
-    sizing::mark_offered(book, offers);
-    for (_, worker) in &mut book.workers {
+pub(super) fn close_given(pool_state: &mut PoolState, offers: &Offers) {
+    sizing::mark_offered(pool_state, offers);
+    for (_, worker) in &mut pool_state.workers {
         worker.is_spare = worker.is_offered;
     }
 }
@@ -27,7 +27,7 @@
 ) {
     for row in rows {
         if let Err(e) = offers.observe(row) {
-            ctx.tell(Decision::new(Code::BadRow, Subject::Pool, pool, e));
+            ctx.log(Decision::new(Code::BadRow, Subject::Pool, pool, e));
         }
     }
 }
@@ -42,7 +42,7 @@
     out: &mut Vec<Effect>,
 ) {
     with_pool(state, key, now, out, |pool, ctx, _| {
-        if pool.tenure.as_ref().is_none_or(|t| t.epoch != epoch) {
+        if pool.ownership.as_ref().is_none_or(|t| t.epoch != epoch) {
             return;
         }
         match outcome {
@@ -61,7 +61,7 @@
 fn observe_found(offers: &mut Offers, pool: &str, found: &[(Table, StoredRow)], ctx: &mut Ctx<'_>) {
     let Some(row) = offers_in(found) else { return };
     if let Err(e) = offers.observe_found(row) {
-        ctx.tell(Decision::new(Code::BadRow, Subject::Pool, pool, e));
+        ctx.log(Decision::new(Code::BadRow, Subject::Pool, pool, e));
     }
 }
 
@@ -82,9 +82,9 @@
     out: &mut Vec<Effect>,
 ) {
     let mut written = None;
-    with_hosts(state, key, now, out, |duty, _, look, ctx| {
-        if look.epoch == epoch {
-            written = hosts::taken(duty, from, &outcome, epoch, ctx);
+    with_host_controller(state, key, now, out, |controller, _, inputs, ctx| {
+        if inputs.epoch == epoch {
+            written = hosts::taken(controller, from, &outcome, epoch, ctx);
         }
     });
     let Some(donor) = state.pool_keys.get(from).copied() else {
@@ -101,8 +101,8 @@
         }
     });
     if is_conflict {
-        with_hosts(state, key, now, out, |duty, waves, look, ctx| {
-            hosts::retake(duty, waves, look, ctx);
+        with_host_controller(state, key, now, out, |controller, waves, inputs, ctx| {
+            hosts::retake(controller, waves, inputs, ctx);
         });
     }
 }
--- a/src/core/sched/mod.rs
+++ b/src/core/sched/mod.rs
@@ -1,57 +1,57 @@
 //! Scheduling of jobs on pools of workers: one reducer over events, effects as data.
 //!
-//! Data lies at the bottom ([`job`], [`rows`], [`worker`], [`book`]), each decision is a module over it, and
+//! Data lies at the bottom ([`job`], [`rows`], [`worker`], [`pool_state`]), each decision is a module over it, and
 //! [`reduce`](reduce::reduce) is on top.
 
 mod access;
 pub mod accounts;
-pub mod blame;
-pub mod book;
 pub mod claim;
 pub mod commit;
 pub mod conflict;
 pub mod crashes;
 mod exchange;
 pub mod fairness;
-pub mod fence;
+pub mod fencing_token;
+mod fragmentation;
+pub mod free_index;
 pub mod gang;
-pub mod gather;
 mod handover;
-pub mod holds;
 pub mod hosts;
+mod instances;
 pub mod job;
 pub mod keys;
 pub mod limits;
 pub mod listing;
-pub mod lives;
 pub mod load;
 mod moves;
 pub mod offers;
 pub mod operation;
 mod order;
 pub mod overload;
+pub mod owner_lease;
 pub mod place;
 mod policy;
+pub mod pool_state;
 mod progress;
 pub mod quota;
 pub mod reduce;
 mod remove;
+pub mod renewal;
+pub mod reservations;
 mod restarts;
-pub mod room;
-mod roster;
 pub mod routing;
 pub mod rows;
+pub mod run_log;
 pub mod runs;
-pub mod seat;
 pub mod sizing;
-mod slack;
 pub mod state;
 pub mod tasks;
 pub mod times;
-pub mod told;
-pub mod waits;
 pub mod wave;
+pub mod wave_waits;
 pub mod worker;
+pub mod worker_list;
+pub mod worker_losses;
 
 pub use reduce::reduce;
 pub use state::{Effect, Event, State};
--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -3,35 +3,35 @@
 use std::collections::HashMap;
 use std::ops::Bound;
 
-use super::book::Book;
 use super::keys::{JobKey, TaskKey};
-use super::limits::{PLACE_LOOKS, RESORT_MS};
+use super::limits::{PLACE_SCAN_MAX, RESORT_MS};
 use super::overload::{self, Supply};
+use super::pool_state::PoolState;
 use super::runs;
 use super::tasks::{Class, Outlook, Rank};
 use crate::clock::Millis;
 
 /// Where the looks at tasks behind the first ones have come to.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LookCursor {
+pub struct ScanCursor {
     /// The last task looked at; nothing where the next look begins right behind the first ones.
     after: Option<Rank>,
     /// When that was.
     at_ms: Millis,
 }
 
-impl Book {
+impl PoolState {
     /// Waiting tasks that a round of placement looks at: the first ones, and now and then some of those behind, by turns.
     pub(super) fn next_to_place(&mut self, now_ms: Millis) -> Vec<Rank> {
         let mut ranks = self.placeable(None, now_ms);
-        let is_cut = ranks.len() == PLACE_LOOKS;
-        if !is_cut || now_ms < self.look_cursor.at_ms + RESORT_MS {
+        let is_cut = ranks.len() == PLACE_SCAN_MAX;
+        if !is_cut || now_ms < self.scan_cursor.at_ms + RESORT_MS {
             return ranks;
         }
-        let after = self.look_cursor.after.max(ranks.last().copied());
+        let after = self.scan_cursor.after.max(ranks.last().copied());
         let behind = self.placeable(after, now_ms);
-        let is_cut = behind.len() == PLACE_LOOKS;
-        self.look_cursor = LookCursor {
+        let is_cut = behind.len() == PLACE_SCAN_MAX;
+        self.scan_cursor = ScanCursor {
             after: behind.last().copied().filter(|_| is_cut),
             at_ms: now_ms,
         };
@@ -47,7 +47,7 @@
             .filter(|r| r.class > Class::Lasting || !self.is_held(r.task, now_ms))
             .filter(|r| !runs::is_exhausted(self, r.task))
             .filter(|r| self.is_within_quota(r.task, 1))
-            .take(PLACE_LOOKS)
+            .take(PLACE_SCAN_MAX)
             .copied()
             .collect()
     }
@@ -72,12 +72,12 @@
         let supply = self.supply(now_ms);
         let open = self.jobs.iter().filter(|(_, job)| {
             let is_open = !job.state.is_final() && !job.spec.is_lasting();
-            let is_behind = job.is_excess || job.behind.is_set(now_ms);
+            let is_behind = job.is_excess || job.deferral.is_set(now_ms);
             is_open && !is_behind && job.outlook(now_ms) == Outlook::InTime
         });
         let contenders = open.map(|(key, job)| job.contender(key)).collect();
-        for key in overload::too_many(contenders, &supply, now_ms) {
-            self.jobs[key].behind.set(now_ms);
+        for key in overload::jobs_to_defer(contenders, &supply, now_ms) {
+            self.jobs[key].deferral.set(now_ms);
         }
     }
 
--- a/src/core/sched/seat.rs
+++ b/src/core/sched/owner_lease.rs
@@ -12,12 +12,12 @@
 use super::conflict;
 use super::hosts::ORDERS_APART_MS;
 use super::limits::{
-    OWNER_LEASE_MS, OWNER_MARGIN_MS, RENEW_MS, RENEW_SLOW_MS, SHARD_LATE_MS, SHARD_PAUSE_MS,
-    SLOW_ANSWER_MS, TOLD_APART_MS, TX_RETRY_MS,
+    HEARTBEAT_MIN_GAP_MS, OWNER_LEASE_MS, OWNER_MARGIN_MS, RENEW_MS, RENEW_SLOW_MS, SHARD_LATE_MS,
+    SHARD_PAUSE_MS, SLOW_ANSWER_MS, TX_RETRY_MS,
 };
-use super::rows::{self, shard_part, BeatRow, OwnerRow, BEAT_KEY, OWNER_KEY, SHARDS};
-use super::state::{Ctx, Effect, Pool, Tenure, Timer};
-use super::told;
+use super::rows::{self, shard_part, HeartbeatRow, OwnerRow, HEARTBEAT_KEY, OWNER_KEY, SHARDS};
+use super::run_log;
+use super::state::{Ctx, Effect, Ownership, Pool, Timer};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{Guard, Revision, RowTx, StoredRow, Table, TxOutcome, Write};
@@ -30,39 +30,39 @@
 #[derive(Clone, Debug, Default)]
 pub struct FormerOrders {
     /// Hosts that it named in its last heartbeat, and the latest time of their orders.
-    pub told_ms: BTreeMap<String, Millis>,
+    pub reported_ms: BTreeMap<String, Millis>,
     /// It sent no order later than that.
     pub over_ms: Millis,
 }
 
 /// Who owns a pool, as this entry has seen.
 #[derive(Clone, Debug, Default)]
-pub struct Seat {
+pub struct OwnerLease {
     /// The owner's row in the first shard.
     pub owner: OwnerRow,
     /// Its revision: the epoch.
     pub epoch: Revision,
     /// The newest heartbeat.
-    pub beat: BeatRow,
+    pub heartbeat: HeartbeatRow,
     /// Its revision.
-    pub beat_revision: Revision,
+    pub heartbeat_revision: Revision,
     /// When this entry saw the newest heartbeat.
-    pub beat_seen_ms: Millis,
+    pub heartbeat_seen_ms: Millis,
     /// The shards.
-    pub shards: [ShardSeat; SHARDS],
+    pub shards: [ShardLease; SHARDS],
     /// Our claim that won the first shard, until all others are won.
     pub claim: Option<Claim>,
     /// The owner before our claim; empty where it had left.
     pub claim_after: String,
     /// The entry whose heartbeat stood in the first shard before our claim.
-    pub claim_after_beat: String,
+    pub claim_after_heartbeat: String,
     /// Revision of the owner's row that our claim replaces.
     pub claim_from: Revision,
     /// When that owner was last heard.
     pub claim_after_ms: Millis,
     /// When the first of our claims was sent whose fate is open.
     pub claim_open_ms: Option<Millis>,
-    /// Epoch of our last tenure.
+    /// Epoch of our last ownership.
     pub held_epoch: Revision,
     /// Orders to hosts of the owner before our claim.
     pub former: FormerOrders,
@@ -73,22 +73,22 @@
     /// Our heartbeats that the feed has not shown yet: counts, and when they were sent.
     pub unseen: VecDeque<(u64, Millis)>,
     /// When the next one is due; changes of jobs carry heartbeats, too.
-    pub beat_due_ms: Millis,
+    pub heartbeat_due_ms: Millis,
     /// What the store took for the last one.
     pub answer_ms: Millis,
 }
 
 /// One shard of a pool, as this entry has seen it.
 #[derive(Clone, Debug, Default)]
-pub struct ShardSeat {
+pub struct ShardLease {
     /// Revision of the owner's row.
     pub owner_revision: Revision,
     /// Revision of the heartbeat.
-    pub beat_revision: Revision,
+    pub heartbeat_revision: Revision,
     /// The entry whose heartbeat it is.
-    pub beat_entry: String,
+    pub heartbeat_entry: String,
     /// When this entry saw that heartbeat.
-    pub beat_seen_ms: Millis,
+    pub heartbeat_seen_ms: Millis,
     /// A claim of ours is out.
     pub is_claiming: bool,
     /// A renewal of ours is out.
@@ -107,10 +107,10 @@
     /// When it was sent.
     pub sent_ms: Millis,
     /// Revisions of our rows in the shards that are won.
-    pub fences: [Option<Revision>; SHARDS],
+    pub owner_revisions: [Option<Revision>; SHARDS],
 }
 
-impl Seat {
+impl OwnerLease {
     /// Until when this entry may send orders, if it owns the pool.
     pub fn until_ms(&self) -> Millis {
         self.renewed_ms + OWNER_LEASE_MS - OWNER_MARGIN_MS
@@ -119,15 +119,15 @@
     /// The count of the next heartbeat: no number is used twice, also where the feed is behind. An older one that it brings
     /// under a later one's number would renew the lease from that one's sending.
     fn next_count(&self) -> u64 {
-        self.beat.count.max(self.sent.0) + 1
+        self.heartbeat.count.max(self.sent.0) + 1
     }
 
     /// What the owner that was heard last ordered hosts about.
     pub(super) fn former_orders(&self) -> FormerOrders {
-        let heard_ms = self.beat_seen_ms;
-        let ordered = self.beat.ordered.iter();
+        let heard_ms = self.heartbeat_seen_ms;
+        let ordered = self.heartbeat.ordered.iter();
         FormerOrders {
-            told_ms: ordered
+            reported_ms: ordered
                 .map(|(host, age_ms)| (host.clone(), heard_ms.saturating_sub(*age_ms)))
                 .collect(),
             over_ms: heard_ms + OWNER_LEASE_MS - OWNER_MARGIN_MS,
@@ -156,7 +156,7 @@
     }
 
     /// Whether a shard answers, as far as is known.
-    pub fn is_good(&self, shard: usize, now_ms: Millis) -> bool {
+    pub fn is_responsive(&self, shard: usize, now_ms: Millis) -> bool {
         let late_ms = SHARD_LATE_MS.max(self.answer_ms * 2);
         let shard = &self.shards[shard];
         let is_late = shard
@@ -168,7 +168,9 @@
     /// The shard for the next heartbeat: the first that answers, else any that none is on its way in.
     fn shard_to_renew(&self, now_ms: Millis) -> Option<usize> {
         let mut free = (0..SHARDS).filter(|shard| !self.shards[*shard].is_renewing);
-        let good = free.clone().find(|shard| self.is_good(*shard, now_ms));
+        let good = free
+            .clone()
+            .find(|shard| self.is_responsive(*shard, now_ms));
         good.or_else(|| free.next())
     }
 
@@ -185,9 +187,9 @@
     /// How long the pool has been without a living owner; nothing while it has one.
     pub(super) fn vacant_since_ms(&self, now_ms: Millis) -> Option<Millis> {
         if self.owner.entry.is_empty() {
-            return Some(self.beat_seen_ms);
+            return Some(self.heartbeat_seen_ms);
         }
-        let over_ms = self.beat_seen_ms + OWNER_LEASE_MS;
+        let over_ms = self.heartbeat_seen_ms + OWNER_LEASE_MS;
         (now_ms >= over_ms).then_some(over_ms)
     }
 }
@@ -199,58 +201,60 @@
     row: &StoredRow,
     now_ms: Millis,
 ) -> Result<(), String> {
-    let seat = &mut pool.seat;
+    let lease = &mut pool.lease;
     let Some(value) = &row.value else {
         return Ok(());
     };
-    if row.key == OWNER_KEY && row.revision > seat.shards[shard].owner_revision {
+    if row.key == OWNER_KEY && row.revision > lease.shards[shard].owner_revision {
         let owner: OwnerRow = rows::decode(value)?;
-        seat.shards[shard].owner_revision = row.revision;
+        lease.shards[shard].owner_revision = row.revision;
         if shard == 0 {
-            seat.owner = owner;
-            seat.epoch = row.revision;
-            seat.beat_seen_ms = now_ms;
+            lease.owner = owner;
+            lease.epoch = row.revision;
+            lease.heartbeat_seen_ms = now_ms;
         } else {
-            note_won(seat, shard, &owner, row.revision);
+            note_won(lease, shard, &owner, row.revision);
         }
     }
-    if row.key == BEAT_KEY && row.revision > seat.shards[shard].beat_revision {
-        let beat: BeatRow = rows::decode(value)?;
-        seat.shards[shard].beat_revision = row.revision;
-        seat.shards[shard].beat_entry.clone_from(&beat.entry);
-        seat.shards[shard].beat_seen_ms = now_ms;
-        if row.revision > seat.beat_revision {
-            seat.beat_revision = row.revision;
-            seat.beat = beat;
-            seat.beat_seen_ms = now_ms;
-            note_own_beat(pool);
+    if row.key == HEARTBEAT_KEY && row.revision > lease.shards[shard].heartbeat_revision {
+        let heartbeat: HeartbeatRow = rows::decode(value)?;
+        lease.shards[shard].heartbeat_revision = row.revision;
+        lease.shards[shard]
+            .heartbeat_entry
+            .clone_from(&heartbeat.entry);
+        lease.shards[shard].heartbeat_seen_ms = now_ms;
+        if row.revision > lease.heartbeat_revision {
+            lease.heartbeat_revision = row.revision;
+            lease.heartbeat = heartbeat;
+            lease.heartbeat_seen_ms = now_ms;
+            note_own_heartbeat(pool);
         }
     }
     Ok(())
 }
 
 /// The answer to our renewal may be lost: the feed tells that it was done, and the lease counts from its own sending.
-fn note_own_beat(pool: &mut Pool) {
-    let seat = &mut pool.seat;
-    let is_ours = pool.tenure.is_some() && seat.beat.entry == seat.owner.entry;
+fn note_own_heartbeat(pool: &mut Pool) {
+    let lease = &mut pool.lease;
+    let is_ours = pool.ownership.is_some() && lease.heartbeat.entry == lease.owner.entry;
     if !is_ours {
         return;
     }
-    while let Some((count, sent_ms)) = seat.unseen.front().copied() {
-        if count > seat.beat.count {
+    while let Some((count, sent_ms)) = lease.unseen.front().copied() {
+        if count > lease.heartbeat.count {
             return;
         }
-        if count == seat.beat.count {
-            seat.renewed_ms = seat.renewed_ms.max(sent_ms);
+        if count == lease.heartbeat.count {
+            lease.renewed_ms = lease.renewed_ms.max(sent_ms);
         }
-        seat.unseen.pop_front();
+        lease.unseen.pop_front();
     }
 }
 
 /// Takes note of a row of ours in a shard, if it is the claim's that won the first one.
-fn note_won(seat: &mut Seat, shard: usize, owner: &OwnerRow, revision: Revision) {
-    if let Some(claim) = seat.claim.as_mut().filter(|c| c.epoch == owner.epoch) {
-        claim.fences[shard] = Some(revision);
+fn note_won(lease: &mut OwnerLease, shard: usize, owner: &OwnerRow, revision: Revision) {
+    if let Some(claim) = lease.claim.as_mut().filter(|c| c.epoch == owner.epoch) {
+        claim.owner_revisions[shard] = Some(revision);
     }
 }
 
@@ -276,35 +280,35 @@
     guard(OWNER_KEY, fence)
 }
 
-pub(super) fn beat(pool: &Pool, ctx: &Ctx<'_>) -> BeatRow {
-    let book = pool.tenure.as_ref().and_then(|t| t.book.as_ref());
-    let sizing = pool.tenure.as_ref().map(|t| &t.sizing);
-    BeatRow {
+pub(super) fn heartbeat(pool: &Pool, ctx: &Ctx<'_>) -> HeartbeatRow {
+    let pool_state = pool.ownership.as_ref().and_then(|t| t.pool_state.as_ref());
+    let sizing = pool.ownership.as_ref().map(|t| &t.sizing);
+    HeartbeatRow {
         wanted: sizing.map_or(0, |s| s.wanted),
         needed: sizing.map_or(0, |s| s.needed),
         serving: sizing.map_or(0, |s| s.serving),
         short_accounts: short_accounts(pool),
         ordered: ordered(pool, ctx.now.ms),
-        times: book.map_or_else(|| pool.seat.beat.times.clone(), |b| b.times.clone()),
+        times: pool_state.map_or_else(|| pool.lease.heartbeat.times.clone(), |b| b.times.clone()),
         entry: ctx.me.to_string(),
         cpu_milli: ctx.cpu_milli,
-        count: pool.seat.next_count(),
-        waiting: book.map(|b| b.waiting.clone()),
+        count: pool.lease.next_count(),
+        waiting: pool_state.map(|b| b.waiting.clone()),
     }
 }
 
 fn short_accounts(pool: &Pool) -> BTreeSet<String> {
-    let tenure = pool.tenure.as_ref();
-    tenure.map(|t| t.quota.short.clone()).unwrap_or_default()
+    let ownership = pool.ownership.as_ref();
+    ownership.map(|t| t.quota.short.clone()).unwrap_or_default()
 }
 
 /// Hosts that were ordered about of late, and how long ago: by this owner, or by the one that it claims after.
 fn ordered(pool: &Pool, now_ms: Millis) -> BTreeMap<String, Millis> {
-    let told_ms = match &pool.tenure {
-        Some(tenure) => tenure.hosts.ordered_ms(now_ms),
-        None => pool.seat.former_orders().told_ms,
+    let reported_ms = match &pool.ownership {
+        Some(ownership) => ownership.hosts.ordered_ms(now_ms),
+        None => pool.lease.former_orders().reported_ms,
     };
-    let ages = told_ms.into_iter();
+    let ages = reported_ms.into_iter();
     ages.map(|(host, at_ms)| (host, now_ms.saturating_sub(at_ms)))
         .filter(|(_, age_ms)| *age_ms < ORDERS_APART_MS)
         .collect()
@@ -312,56 +316,58 @@
 
 /// Renews the lease, if no heartbeat was sent of late.
 pub fn renew(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let due_ms = pool.seat.beat_due_ms;
+    let due_ms = pool.lease.heartbeat_due_ms;
     if ctx.now.ms < due_ms {
         ctx.after(due_ms - ctx.now.ms, Timer::Renew);
         return;
     }
-    send_beat(pool, ctx);
+    send_heartbeat(pool, ctx);
 }
 
 /// Tells soon what changed in the pool's needs, unless the store is slow: then it comes with the next
 /// heartbeat, since each of its own would hold up changes of jobs.
-pub fn tell(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    if pool.seat.answer_ms >= SLOW_ANSWER_MS {
+pub fn hasten_heartbeat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
+    if pool.lease.answer_ms >= SLOW_ANSWER_MS {
         return;
     }
-    let due_ms = pool.seat.sent.1 + TOLD_APART_MS;
-    pool.seat.beat_due_ms = pool.seat.beat_due_ms.min(due_ms);
+    let due_ms = pool.lease.sent.1 + HEARTBEAT_MIN_GAP_MS;
+    pool.lease.heartbeat_due_ms = pool.lease.heartbeat_due_ms.min(due_ms);
     ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
-fn send_beat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    let Some(tenure) = &pool.tenure else { return };
-    let Some(shard) = pool.seat.shard_to_renew(ctx.now.ms) else {
+fn send_heartbeat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
+    let Some(ownership) = &pool.ownership else {
+        return;
+    };
+    let Some(shard) = pool.lease.shard_to_renew(ctx.now.ms) else {
         ctx.after(TX_RETRY_MS, Timer::Renew);
         return;
     };
-    let epoch = tenure.epoch;
+    let epoch = ownership.epoch;
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
-        guards: vec![epoch_guard(tenure.fences[shard])],
-        writes: vec![next_beat(pool, ctx)],
+        guards: vec![epoch_guard(ownership.owner_revisions[shard])],
+        writes: vec![next_heartbeat(pool, ctx)],
     };
-    pool.seat.shards[shard].is_renewing = true;
-    pool.seat.note_sent(shard, ctx.now.ms);
+    pool.lease.shards[shard].is_renewing = true;
+    pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out.push(Effect::Renew(ctx.pool, epoch, shard, tx));
     // Where no answer comes, the next goes to another shard.
-    let due_ms = pool.seat.beat_due_ms;
+    let due_ms = pool.lease.heartbeat_due_ms;
     ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
 /// The write of the next heartbeat, which is sent now.
-pub fn next_beat(pool: &mut Pool, ctx: &Ctx<'_>) -> Write {
-    let write = write(BEAT_KEY, rows::encode(&beat(pool, ctx)));
-    pool.seat.sent = (pool.seat.next_count(), ctx.now.ms);
-    pool.seat.unseen.push_back(pool.seat.sent);
-    if pool.seat.unseen.len() > UNSEEN_MAX {
-        pool.seat.unseen.pop_front();
+pub fn next_heartbeat(pool: &mut Pool, ctx: &Ctx<'_>) -> Write {
+    let write = write(HEARTBEAT_KEY, rows::encode(&heartbeat(pool, ctx)));
+    pool.lease.sent = (pool.lease.next_count(), ctx.now.ms);
+    pool.lease.unseen.push_back(pool.lease.sent);
+    if pool.lease.unseen.len() > UNSEEN_MAX {
+        pool.lease.unseen.pop_front();
     }
     // Behind one that a slow store has not answered yet, the next would only wait.
-    let pause_ms = (pool.seat.answer_ms * 3 / 2).clamp(RENEW_MS, RENEW_SLOW_MS);
-    pool.seat.beat_due_ms = ctx.now.ms + pause_ms;
+    let pause_ms = (pool.lease.answer_ms * 3 / 2).clamp(RENEW_MS, RENEW_SLOW_MS);
+    pool.lease.heartbeat_due_ms = ctx.now.ms + pause_ms;
     write
 }
 
@@ -374,28 +380,28 @@
     outcome: &TxOutcome,
     ctx: &mut Ctx<'_>,
 ) {
-    if pool.tenure.as_ref().is_none_or(|t| t.epoch != epoch) {
+    if pool.ownership.as_ref().is_none_or(|t| t.epoch != epoch) {
         return;
     }
-    pool.seat.shards[shard].is_renewing = false;
-    pool.seat.note_answer(shard, outcome, ctx.now.ms);
+    pool.lease.shards[shard].is_renewing = false;
+    pool.lease.note_answer(shard, outcome, ctx.now.ms);
     match outcome {
         TxOutcome::Committed(_) => {
-            pool.seat.note_renewed(sent_ms, ctx.now.ms);
-            let due_ms = pool.seat.beat_due_ms;
+            pool.lease.note_renewed(sent_ms, ctx.now.ms);
+            let due_ms = pool.lease.heartbeat_due_ms;
             ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
         }
         TxOutcome::Conflict(found) => match ours_at(pool, shard, found, ctx) {
             // An answer told a newer revision than the row's.
             Some(revision) => {
-                take_fence(pool, shard, revision);
-                pool.seat.beat_due_ms = ctx.now.ms;
+                set_owner_revision(pool, shard, revision);
+                pool.lease.heartbeat_due_ms = ctx.now.ms;
                 ctx.after(0, Timer::Renew);
             }
             None => lose(pool, "its row changed", ctx),
         },
         TxOutcome::Refused | TxOutcome::Unknown => {
-            pool.seat.beat_due_ms = ctx.now.ms;
+            pool.lease.heartbeat_due_ms = ctx.now.ms;
             ctx.after(TX_RETRY_MS, Timer::Renew);
         }
     }
@@ -408,43 +414,48 @@
     found: &[(Table, StoredRow)],
     ctx: &Ctx<'_>,
 ) -> Option<Revision> {
-    let fence = pool.tenure.as_ref()?.fences[shard];
+    let fence = pool.ownership.as_ref()?.owner_revisions[shard];
     let mut rows = found.iter().map(|(_, row)| row);
     let row = rows.find(|row| row.key == OWNER_KEY)?;
-    let is_ours = row.revision != fence && conflict::is_ours(&pool.seat, ctx.me, row);
+    let is_ours = row.revision != fence && conflict::is_ours(&pool.lease, ctx.me, row);
     is_ours.then_some(row.revision)
 }
 
 /// Takes the epoch from the owner's row as read: the answer to the claim may have told a newer revision than the row's, which
 /// no condition on it would meet. Says whether the row is this owner's.
-pub fn settle_epoch(tenure: &mut Tenure, seat: &mut Seat, rows: &[StoredRow], me: &str) -> bool {
+pub fn settle_epoch(
+    ownership: &mut Ownership,
+    lease: &mut OwnerLease,
+    rows: &[StoredRow],
+    me: &str,
+) -> bool {
     let Some(row) = rows.iter().find(|row| row.key == OWNER_KEY) else {
         return true;
     };
-    if !conflict::is_ours(seat, me, row) {
+    if !conflict::is_ours(lease, me, row) {
         return false;
     }
-    if tenure.epoch != row.revision {
+    if ownership.epoch != row.revision {
         // Answers to renewals that are out name the epoch of before, and are passed over.
-        let shards = seat.shards.iter_mut();
+        let shards = lease.shards.iter_mut();
         shards.for_each(|shard| shard.is_renewing = false);
     }
-    tenure.epoch = row.revision;
-    tenure.fences[0] = row.revision;
+    ownership.epoch = row.revision;
+    ownership.owner_revisions[0] = row.revision;
     true
 }
 
-fn take_fence(pool: &mut Pool, shard: usize, revision: Revision) {
-    if let Some(tenure) = &mut pool.tenure {
-        tenure.fences[shard] = revision;
+fn set_owner_revision(pool: &mut Pool, shard: usize, revision: Revision) {
+    if let Some(ownership) = &mut pool.ownership {
+        ownership.owner_revisions[shard] = revision;
     }
 }
 
 /// Gives the pool up in the store, so that another may take it at once.
 pub fn release(pool: &mut Pool, ctx: &mut Ctx<'_>) {
-    if let Some(mut tenure) = pool.tenure.take() {
-        told::tell_last_answers(&mut tenure, ctx);
-        send_release(&pool.name, tenure.epoch, ctx);
+    if let Some(mut ownership) = pool.ownership.take() {
+        run_log::log_last_start_answers(&mut ownership, ctx);
+        send_release(&pool.name, ownership.epoch, ctx);
     }
 }
 
@@ -456,17 +467,18 @@
     };
     ctx.out.push(Effect::Release(tx));
     let decision = Decision::new(Code::PoolReleased, Subject::Pool, pool, "stopping");
-    ctx.tell(decision.with("epoch", epoch));
+    ctx.log(decision.with("epoch", epoch));
 }
 
 /// Drops the books of a pool that another entry owns now.
 pub fn lose(pool: &mut Pool, why: &str, ctx: &mut Ctx<'_>) {
-    let Some(mut tenure) = pool.tenure.take() else {
+    let Some(mut ownership) = pool.ownership.take() else {
         return;
     };
-    told::tell_last_answers(&mut tenure, ctx);
-    ctx.tell(
-        Decision::new(Code::PoolLost, Subject::Pool, &pool.name, why).with("epoch", tenure.epoch),
+    run_log::log_last_start_answers(&mut ownership, ctx);
+    ctx.log(
+        Decision::new(Code::PoolLost, Subject::Pool, &pool.name, why)
+            .with("epoch", ownership.epoch),
     );
     // Those of the books would act on others with the same keys, should the pool come back.
     ctx.drop_timers(|timer| timer != Timer::Claim);
--- a/src/core/sched/book.rs
+++ b/src/core/sched/pool_state.rs
@@ -5,22 +5,22 @@
 use slotmap::SlotMap;
 
 use super::accounts::AccountUse;
-use super::gather::Reservations;
+use super::free_index::FreeIndex;
 use super::job::{JobState, StepSpec};
-use super::keys::{AccountKey, BookId, JobKey, TaskKey, WorkerKey};
+use super::keys::{AccountKey, JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::{ARRIVALS_MS, CALM_MS, FORGOTTEN_KEPT_MS, HELD_MAX_MS};
-use super::order::LookCursor;
-use super::room::Room;
+use super::order::ScanCursor;
+use super::reservations::Reservations;
+use super::run_log::StartAnswers;
 use super::tasks::{Job, Phase, Rank, Round, Seen, StepRun, Task};
 use super::times::Times;
-use super::told::Answers;
 use super::worker::{TakenEnd, Worker};
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, TaskName};
 
 /// A run that is at work, or may yet start, although an earlier run of its task is done.
 #[derive(Clone, Debug)]
-pub struct LeftRun {
+pub struct LeftoverRun {
     /// The task's name; its job may be forgotten first.
     pub name: TaskName,
     /// The account that it counts for, and what.
@@ -46,9 +46,9 @@
 
 /// The books of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct PoolState {
     /// The reading that they came of.
-    pub id: BookId,
+    pub id: PoolStateId,
     /// The pool.
     pub name: String,
     /// The jobs.
@@ -58,7 +58,7 @@
     /// The workers.
     pub workers: SlotMap<WorkerKey, Worker>,
     /// Workers' lives by id; an id may come again.
-    pub by_life: HashMap<String, Vec<WorkerKey>>,
+    pub workers_by_id: HashMap<String, Vec<WorkerKey>>,
     /// Restarts of ids whose workers were dropped, and when that was: orders to these may still be on their way.
     pub dropped: HashMap<String, (u32, Millis)>,
     /// Workers' lives by host.
@@ -68,7 +68,7 @@
     /// Those of them whose slot was asked for: from then on they may be ordered out.
     pub going: BTreeSet<String>,
     /// Workers by what they have free.
-    pub room: Room,
+    pub free_index: FreeIndex,
     /// Workers that are reserved for tasks which need most of one.
     pub reserved: Reservations,
     /// Workers whose ends are being recorded.
@@ -76,7 +76,7 @@
     /// Tasks that wait for a place.
     pub ready: BTreeSet<Rank>,
     /// Where looks at tasks far back in that order have come to.
-    pub look_cursor: LookCursor,
+    pub scan_cursor: ScanCursor,
     /// Jobs whose progress is to be recorded.
     pub dirty: BTreeSet<JobKey>,
     /// When the first of them became so.
@@ -84,7 +84,7 @@
     /// Runs that are started once their record is there.
     pub unsent: Vec<(TaskKey, u32)>,
     /// Runs left behind by tasks that are done, by task and run.
-    pub left: BTreeMap<(TaskKey, u32), LeftRun>,
+    pub leftover_runs: BTreeMap<(TaskKey, u32), LeftoverRun>,
     /// Jobs that have not begun, by queue.
     pub waiting: BTreeMap<String, u64>,
     /// A member of each gang that lost one: the others are to be stopped.
@@ -106,7 +106,7 @@
     /// Jobs that came of late: when, and their work in core-milliseconds.
     pub arrivals: VecDeque<(Millis, u64)>,
     /// When the pool's load was last told.
-    pub load_told_ms: Millis,
+    pub load_logged_ms: Millis,
     /// Hosts on their way, if some are.
     pub coming: Option<Coming>,
     /// Client accounts that have or had jobs here.
@@ -118,10 +118,10 @@
     /// Room or work came since tasks were last placed.
     pub wants_placing: bool,
     /// Answers to starts that are not told yet.
-    pub answers: Answers,
+    pub answers: StartAnswers,
 }
 
-impl Book {
+impl PoolState {
     /// A task.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         let round = self.jobs.get(key.job)?.rounds.get(&key.round)?;
@@ -225,7 +225,7 @@
             }
             left.into_iter()
                 .chain(taken)
-                .for_each(|w| self.note_room(w));
+                .for_each(|w| self.update_free_index(w));
             if let Some((account, charge)) = self.charge(key) {
                 let account = self.account_mut(account);
                 if left.is_some() {
@@ -356,7 +356,7 @@
         };
         let steps = job.spec.steps.iter().map(|spec| StepRun {
             tasks: vec![Task::default(); usize::from(spec.count)],
-            left: usize::from(spec.count),
+            tasks_left: usize::from(spec.count),
             longest_ms: 0,
             is_open: false,
         });
@@ -382,7 +382,7 @@
                 round
                     .steps
                     .get(usize::from(*s))
-                    .is_some_and(|s| s.left == 0)
+                    .is_some_and(|s| s.tasks_left == 0)
             };
             let can_open = !round.steps[n].is_open && spec.after.iter().all(is_done);
             if can_open {
@@ -459,20 +459,20 @@
     }
 
     /// Keeps a run of a done task, with its room, until it is certainly over.
-    pub fn leave_run(&mut self, key: TaskKey, run: u32, left: LeftRun) {
+    pub fn keep_leftover_run(&mut self, key: TaskKey, run: u32, left: LeftoverRun) {
         if let Some(w) = self.workers.get_mut(left.worker) {
             w.used.add(left.demand);
         }
         if let Some((account, charge)) = left.charge {
             self.account_mut(account).used.add(charge);
         }
-        self.note_room(left.worker);
-        self.left.insert((key, run), left);
+        self.update_free_index(left.worker);
+        self.leftover_runs.insert((key, run), left);
     }
 
     /// Moves a run left behind, with its room, to the worker that turned out to have it.
-    pub fn move_left(&mut self, run: (TaskKey, u32), to: WorkerKey) {
-        let Some(left) = self.left.get_mut(&run) else {
+    pub fn move_leftover_run(&mut self, run: (TaskKey, u32), to: WorkerKey) {
+        let Some(left) = self.leftover_runs.get_mut(&run) else {
             return;
         };
         let from = std::mem::replace(&mut left.worker, to);
@@ -484,16 +484,16 @@
         if let Some(w) = self.workers.get_mut(to) {
             w.used.add(demand);
         }
-        self.note_room(from);
-        self.note_room(to);
+        self.update_free_index(from);
+        self.update_free_index(to);
     }
 
     /// Drops the runs left behind that `is_over` names, with their room.
-    pub fn drop_left(&mut self, is_over: impl Fn(&LeftRun) -> bool) {
-        let over = self.left.iter().filter(|(_, left)| is_over(left));
+    pub fn drop_leftover_runs(&mut self, is_over: impl Fn(&LeftoverRun) -> bool) {
+        let over = self.leftover_runs.iter().filter(|(_, left)| is_over(left));
         let over: Vec<(TaskKey, u32)> = over.map(|(key, _)| *key).collect();
         for key in over {
-            let Some(left) = self.left.remove(&key) else {
+            let Some(left) = self.leftover_runs.remove(&key) else {
                 continue;
             };
             if let Some(w) = self.workers.get_mut(left.worker) {
@@ -503,7 +503,7 @@
             if let Some((account, charge)) = left.charge {
                 self.account_mut(account).used.sub(charge);
             }
-            self.note_room(left.worker);
+            self.update_free_index(left.worker);
         }
     }
 
@@ -511,7 +511,7 @@
     /// that left another run behind.
     pub fn seen_up_to(&self, worker: WorkerKey) -> u64 {
         let recorded = self.workers.get(worker).map_or(0, |w| w.recorded);
-        let blocked = self.left.values().map(|left| left.noticed);
+        let blocked = self.leftover_runs.values().map(|left| left.noticed);
         let blocked = blocked.filter(|(by, _)| *by == worker);
         blocked.fold(recorded, |seen, (_, end)| seen.min(end.saturating_sub(1)))
     }
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -2,12 +2,12 @@
 
 use std::collections::HashMap;
 
-use super::book::Book;
 use super::keys::{JobKey, WorkerKey};
-use super::rows::{ProgressRow, RoundRow, Standing, TaskRow};
-use super::tasks::{LivesEnded, Phase, Seen, Task};
+use super::pool_state::PoolState;
+use super::rows::{ProgressRow, RoundRow, TaskProgress, TaskRow};
+use super::tasks::{Phase, Seen, Task, WorkerLosses};
 
-impl Book {
+impl PoolState {
     /// A job's progress as its row holds it.
     pub fn progress(&self, key: JobKey) -> Option<ProgressRow> {
         let job = self.jobs.get(key)?;
@@ -55,17 +55,17 @@
         places: &mut HashMap<WorkerKey, u16>,
     ) -> TaskRow {
         let standing = match (task.phase, task.phase.worker()) {
-            (Phase::Done, _) => Standing::Done,
+            (Phase::Done, _) => TaskProgress::Done,
             (_, Some(worker)) => match self.workers.get(worker) {
-                Some(w) => Standing::Started(*places.entry(worker).or_insert_with(|| {
-                    row.add_life(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
+                Some(w) => TaskProgress::Started(*places.entry(worker).or_insert_with(|| {
+                    row.add_instance(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
                 })),
-                None => Standing::Idle,
+                None => TaskProgress::Idle,
             },
-            _ => Standing::Idle,
+            _ => TaskProgress::Idle,
         };
         let is_told = task.ended.is_noted() || task.seen >= Seen::Gone;
-        let ended = LivesEnded {
+        let ended = WorkerLosses {
             seen: if is_told { task.seen } else { Seen::Nothing },
             ..task.ended
         };
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::accounts::AccountUse;
-use super::book::Book;
+use super::pool_state::PoolState;
 use super::rows;
 use super::state::{Ctx, Effect, Timer};
 use crate::clock::Millis;
@@ -28,10 +28,10 @@
 use crate::util::fnv1a;
 
 /// How often grants are looked at: as often as a pool's size.
-const LOOK_MS: Millis = 100;
+const RECONCILE_MS: Millis = 100;
 
 /// The same where no account is configured.
-const IDLE_LOOK_MS: Millis = 1_000;
+const IDLE_RECONCILE_MS: Millis = 1_000;
 
 /// What a pool does not need is given back after so long, if nobody asks for it sooner: jobs come one by one, and a
 /// grant that follows each would cost a call each.
@@ -78,7 +78,7 @@
     }
 
     /// What may run.
-    pub fn room(&self) -> Capacity {
+    pub fn capacity(&self) -> Capacity {
         Capacity {
             cpu_milli: self.cpu_milli,
             mem_mb: self.mem_mb,
@@ -101,7 +101,7 @@
     fn others(&self, pool: &str) -> Capacity {
         let others = self.grants.iter().filter(|(name, _)| *name != pool);
         let mut sum = Capacity::default();
-        others.for_each(|(_, grant)| sum.add(grant.room()));
+        others.for_each(|(_, grant)| sum.add(grant.capacity()));
         sum
     }
 }
@@ -122,7 +122,7 @@
     /// When the row was last asked for, since it had no room.
     read_ms: Millis,
     /// When it was last told that tasks wait.
-    told_ms: Millis,
+    logged_ms: Millis,
 }
 
 /// A change of an account's row.
@@ -138,7 +138,7 @@
 
 /// What a pool's owner knows of quotas.
 #[derive(Clone, Debug, Default)]
-pub struct QuotaDuty {
+pub struct QuotaController {
     ledgers: BTreeMap<String, Ledger>,
     /// Accounts of which more waits here than is granted.
     pub short: BTreeSet<String>,
@@ -146,7 +146,7 @@
 
 /// What a look is made with.
 #[derive(Clone, Copy, Debug)]
-pub struct Look<'a> {
+pub struct Inputs<'a> {
     /// The pool.
     pub pool: &'a str,
     /// The owner's epoch.
@@ -158,20 +158,30 @@
 }
 
 /// Looks at the grants of all accounts that have work here, or had some.
-pub fn look(book: &mut Book, duty: &mut QuotaDuty, with: &Look<'_>, ctx: &mut Ctx<'_>) {
+pub fn reconcile(
+    pool_state: &mut PoolState,
+    controller: &mut QuotaController,
+    with: &Inputs<'_>,
+    ctx: &mut Ctx<'_>,
+) {
     let pause_ms = match with.config.accounts.is_empty() {
-        true => IDLE_LOOK_MS,
-        false => LOOK_MS,
+        true => IDLE_RECONCILE_MS,
+        false => RECONCILE_MS,
     };
     ctx.after(pause_ms, Timer::Quota);
-    adjust(book, duty, with, ctx);
+    adjust(pool_state, controller, with, ctx);
 }
 
 /// Asks for what is needed and gives back what is not.
-pub fn adjust(book: &mut Book, duty: &mut QuotaDuty, with: &Look<'_>, ctx: &mut Ctx<'_>) {
-    book.wants_quota = false;
+pub fn adjust(
+    pool_state: &mut PoolState,
+    controller: &mut QuotaController,
+    with: &Inputs<'_>,
+    ctx: &mut Ctx<'_>,
+) {
+    pool_state.wants_quota = false;
     let mut short = BTreeSet::new();
-    for account in &mut book.accounts {
+    for account in &mut pool_state.accounts {
         let config = with.config.accounts.get(&account.name);
         account.weight = config.map_or(0, |a| a.weight);
         let quota = config.map(|a| a.quota);
@@ -181,15 +191,15 @@
             let limit = is_news.then(Capacity::default);
             if account.limit != limit {
                 account.limit = limit;
-                book.wants_placing = true;
+                pool_state.wants_placing = true;
             }
             if is_news && need(account) != Capacity::default() {
-                let ledger = duty.ledgers.entry(account.name.clone()).or_default();
+                let ledger = controller.ledgers.entry(account.name.clone()).or_default();
                 tell_held(account, ledger, Capacity::default(), with, ctx);
             }
             continue;
         };
-        let ledger = duty.ledgers.entry(account.name.clone()).or_default();
+        let ledger = controller.ledgers.entry(account.name.clone()).or_default();
         note_quota(ledger, quota, with.config.version);
         match &ledger.pending {
             None => settle_need(account, ledger, quota, with, ctx),
@@ -201,22 +211,22 @@
         }
         let limit = ledger.limit(with, quota);
         if account.limit != Some(limit) {
-            book.wants_placing = true;
+            pool_state.wants_placing = true;
         }
         account.limit = Some(limit);
         account.ceiling = limited(minus(quota, ledger.row.others(with.pool)), quota);
-        if !limit.holds(need(account)) {
+        if !limit.contains(need(account)) {
             tell_held(account, ledger, limit, with, ctx);
             short.insert(account.name.clone());
         }
     }
-    duty.short = short;
+    controller.short = short;
 }
 
 /// Takes note of an account's quota, and of the version that lowered it.
 fn note_quota(ledger: &mut Ledger, quota: Capacity, version: u64) {
     let before = std::mem::replace(&mut ledger.quota, quota);
-    if before != Capacity::default() && !limited(quota, quota).holds(limited(before, before)) {
+    if before != Capacity::default() && !limited(quota, quota).contains(limited(before, before)) {
         ledger.lowered_by = version;
     }
 }
@@ -226,7 +236,7 @@
     account: &AccountUse,
     ledger: &mut Ledger,
     quota: Capacity,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     if !ctx.may_send() {
@@ -234,7 +244,7 @@
     }
     let need = need(account);
     let held = ledger.held(with.pool);
-    let current = held.map(|grant| grant.room()).unwrap_or_default();
+    let current = held.map(|grant| grant.capacity()).unwrap_or_default();
     let has_need = need != Capacity::default();
     if !ledger.is_ours(with) {
         if has_need {
@@ -243,24 +253,24 @@
         return;
     }
     let others = ledger.row.others(with.pool);
-    let is_over = !limited(quota, quota).holds(sum(others, current));
+    let is_over = !limited(quota, quota).contains(sum(others, current));
     let target = match (is_over, has_need) {
         (true, _) | (false, false) => account.used,
         (false, true) => least(with_room(need, quota), limited(minus(quota, others), quota)),
     };
     let target = most(target, account.used);
-    if !current.holds(need) && !is_over {
+    if !current.contains(need) && !is_over {
         raise(account, ledger, most(current, target), current, with, ctx);
         return;
     }
-    let has_surplus = target != current && current.holds(target);
+    let has_surplus = target != current && current.contains(target);
     if !has_surplus {
         ledger.surplus_ms = None;
         return;
     }
     let since_ms = *ledger.surplus_ms.get_or_insert(ctx.now.ms);
     let is_kept = ctx.now.ms < since_ms + SURPLUS_KEPT_MS;
-    let is_large = !has_need || !sum(target, target).holds(current);
+    let is_large = !has_need || !sum(target, target).contains(current);
     let is_asked = is_over || with.short_elsewhere.contains(&account.name);
     if is_asked || (is_large && !is_kept) {
         ledger.surplus_ms = None;
@@ -274,7 +284,7 @@
     ledger: &mut Ledger,
     raised: Capacity,
     current: Capacity,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     // Who has an older configuration than the row may know a quota that was lowered since.
@@ -294,7 +304,7 @@
     ledger: &mut Ledger,
     account: &AccountUse,
     granted: Capacity,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     let mut row = ledger.row.clone();
@@ -338,14 +348,14 @@
 
 /// Settles a change of a grant; books that are being read look at grants once they are there.
 pub fn settled(
-    book: Option<&mut Book>,
-    duty: &mut QuotaDuty,
+    pool_state: Option<&mut PoolState>,
+    controller: &mut QuotaController,
     pool: &str,
     account: &str,
     outcome: TxOutcome,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(ledger) = duty.ledgers.get_mut(account) else {
+    let Some(ledger) = controller.ledgers.get_mut(account) else {
         return;
     };
     let Some(pending) = ledger.pending.take() else {
@@ -380,20 +390,20 @@
             return;
         }
     }
-    if let Some(book) = book {
-        book.wants_quota = true;
+    if let Some(pool_state) = pool_state {
+        pool_state.wants_quota = true;
     }
 }
 
 /// Takes in an account's row as read.
 pub fn read(
-    book: &mut Book,
-    duty: &mut QuotaDuty,
+    pool_state: &mut PoolState,
+    controller: &mut QuotaController,
     account: &str,
     row: Option<StoredRow>,
     ctx: &mut Ctx<'_>,
 ) {
-    let ledger = duty.ledgers.get_mut(account);
+    let ledger = controller.ledgers.get_mut(account);
     let Some(ledger) = ledger.filter(|ledger| ledger.pending.is_none()) else {
         return;
     };
@@ -403,7 +413,7 @@
         .is_some_and(|row| row.revision < ledger.revision);
     if !is_older {
         ledger.observe(row, account, ctx);
-        book.wants_quota = true;
+        pool_state.wants_quota = true;
     }
 }
 
@@ -413,26 +423,29 @@
     }
 
     /// Whether the row, as it is known, holds a grant of this owner that any later one must reckon with.
-    fn is_ours(&self, with: &Look<'_>) -> bool {
+    fn is_ours(&self, with: &Inputs<'_>) -> bool {
         let held = self.held(with.pool);
         held.is_some_and(|grant| grant.epoch == with.epoch) && self.row.config >= self.lowered_by
     }
 
     /// What may run in the pool now: the lesser of what is granted and of what is being written.
-    fn limit(&self, with: &Look<'_>, quota: Capacity) -> Capacity {
+    fn limit(&self, with: &Inputs<'_>, quota: Capacity) -> Capacity {
         let held = self.held(with.pool).filter(|_| self.is_ours(with));
         let Some(held) = held else {
             return limited(Capacity::default(), quota);
         };
-        let all = sum(self.row.others(with.pool), held.room());
-        if !limited(quota, quota).holds(all) {
+        let all = sum(self.row.others(with.pool), held.capacity());
+        if !limited(quota, quota).contains(all) {
             return limited(Capacity::default(), quota);
         }
         let pending = self.pending.as_ref();
         let pending = pending.map(|pending| pending.row.grants.get(with.pool));
         let room = match pending {
-            None => held.room(),
-            Some(after) => least(held.room(), after.map(Grant::room).unwrap_or_default()),
+            None => held.capacity(),
+            Some(after) => least(
+                held.capacity(),
+                after.map(Grant::capacity).unwrap_or_default(),
+            ),
         };
         limited(room, quota)
     }
@@ -448,7 +461,7 @@
                 self.row = grants;
                 self.revision = row.revision;
             }
-            Err(e) => ctx.tell(Decision::new(Code::BadRow, Subject::Pool, account, e)),
+            Err(e) => ctx.log(Decision::new(Code::BadRow, Subject::Pool, account, e)),
         }
     }
 }
@@ -456,7 +469,7 @@
 fn tell_granted(ledger: &Ledger, pool: &str, account: &str, ctx: &mut Ctx<'_>) {
     let granted = ledger.held(pool).unwrap_or_default();
     let decision = Decision::new(Code::QuotaGranted, Subject::Pool, pool, account);
-    ctx.tell(
+    ctx.log(
         decision
             .with("revision", ledger.revision)
             .with("quota_cpu_milli", ledger.quota.cpu_milli)
@@ -471,15 +484,15 @@
     account: &AccountUse,
     ledger: &mut Ledger,
     limit: Capacity,
-    with: &Look<'_>,
+    with: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    let is_told = ledger.told_ms > 0 && ctx.now.ms < ledger.told_ms + SURPLUS_KEPT_MS;
+    let is_told = ledger.logged_ms > 0 && ctx.now.ms < ledger.logged_ms + SURPLUS_KEPT_MS;
     if is_told || ledger.pending.is_some() {
         return;
     }
-    ledger.told_ms = ctx.now.ms;
-    ctx.tell(
+    ledger.logged_ms = ctx.now.ms;
+    ctx.log(
         Decision::new(Code::QuotaHeld, Subject::Pool, with.pool, &*account.name)
             .with("config", with.config.version)
             .with("quota_cpu_milli", ledger.quota.cpu_milli)
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -3,38 +3,38 @@
 use std::sync::Arc;
 
 use super::access::{
-    owned_pools, pool_key, tenure_of, with_book, with_duty, with_grants, with_hosts, with_pool,
-    with_quota,
+    owned_pools, ownership_of, pool_key, with_grant_controller, with_host_controller, with_pool,
+    with_pool_state, with_quota_controller, with_wave_controller,
 };
-use super::book::Book;
 use super::claim;
 use super::commit::{self, Settled};
 use super::crashes;
 use super::exchange::{close_given, hosts_taken, observe_offers, offers_settled};
 use super::gang;
 use super::handover;
-use super::holds;
 use super::hosts;
 use super::job::JobSpec;
-use super::keys::{BookId, WorkerKey};
+use super::keys::{PoolStateId, WorkerKey};
 use super::limits::RESORT_MS;
-use super::lives::{greet, worker_word, workers_loaded, workers_read};
 use super::load;
 use super::offers::OFFERS_KEY;
+use super::owner_lease;
 use super::place;
 use super::policy;
+use super::pool_state::PoolState;
 use super::quota;
 use super::remove;
-use super::rows::{cancelled_job, pool_of_part, shard_of_part, BEAT_KEY, OWNER_KEY};
+use super::renewal;
+use super::rows::{cancelled_job, pool_of_part, shard_of_part, HEARTBEAT_KEY, OWNER_KEY};
+use super::run_log;
 use super::runs;
-use super::seat;
 use super::sizing;
 use super::state::{Ctx, Effect, Event, LoadedRows, PoolKey, State, Timer, WaveKnown};
-use super::told;
 use super::wave;
+use super::worker_list::{start_renewing, worker_event, workers_loaded, workers_read};
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{FleetConfig, OperatorWord, StoredRow, TxOutcome};
+use crate::port::fleet::{FleetConfig, OperatorEvent, StoredRow, TxOutcome};
 
 /// Pause before a pool's rows are read again after that failed.
 const LOAD_RETRY_MS: Millis = 100;
@@ -45,7 +45,7 @@
     match event {
         Event::Tick => {}
         Event::Operator(word) => operator(state, word, now, &mut out),
-        Event::Worker(word) => worker_word(state, word, now, &mut out),
+        Event::Worker(word) => worker_event(state, word, now, &mut out),
         Event::WorkersRead(all) => workers_read(state, all, now, &mut out),
         Event::Owner(row) => owner_row(state, &row, now, &mut out),
         Event::Claimed(pool, shard, sent_ms, outcome) => {
@@ -56,56 +56,62 @@
         }
         Event::Renewed(pool, epoch, shard, sent_ms, outcome) => {
             with_pool(state, pool, now, &mut out, |pool, ctx, _| {
-                seat::renewed(pool, epoch, shard, sent_ms, &outcome, ctx);
+                owner_lease::renewed(pool, epoch, shard, sent_ms, &outcome, ctx);
             });
         }
         Event::Loaded(pool, epoch, rows) => loaded(state, pool, epoch, rows, now, &mut out),
         Event::Intake(row) => intake(state, &row, now, &mut out),
-        Event::Recorded(pool, book, shard, outcome) => {
-            recorded(state, pool, book, shard, outcome, now, &mut out);
+        Event::Recorded(pool, pool_state, shard, outcome) => {
+            recorded(state, pool, pool_state, shard, outcome, now, &mut out);
         }
         Event::Started(pool, id, task, run, reply) => {
-            with_book(state, pool, id, now, &mut out, |book, ctx| {
-                runs::started(book, task, run, reply, id.epoch, ctx)
+            with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
+                runs::started(pool_state, task, run, reply, id.epoch, ctx)
             });
         }
         Event::Stopped(pool, id, task, run, reply) => {
-            with_book(state, pool, id, now, &mut out, |book, ctx| {
-                runs::stopped(book, task, run, reply, ctx)
+            with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
+                runs::stopped(pool_state, task, run, reply, ctx)
             });
         }
         // The worker tells it to the next owner; taken in here it would put the handover off.
-        Event::Held(..) if state.is_stopping() => {}
-        Event::Held(pool, id, worker, sent_ms, result) => {
-            with_book(state, pool, id, now, &mut out, |book, ctx| {
-                holds::held(book, worker, sent_ms, result, id.epoch, ctx)
+        Event::WorkerRenewed(..) if state.is_stopping() => {}
+        Event::WorkerRenewed(pool, id, worker, sent_ms, result) => {
+            with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
+                renewal::settle(pool_state, worker, sent_ms, result, id.epoch, ctx)
             });
         }
         Event::WaveRow(row) => wave_row(state, &row, now, &mut out),
         Event::WaveSettled(pool, epoch, outcome) => {
-            with_duty(
+            with_wave_controller(
                 state,
                 pool,
                 now,
                 &mut out,
-                |book, duty, waves, with, ctx| {
+                |pool_state, controller, waves, with, ctx| {
                     if with.0 == epoch {
-                        wave::settled(book, duty, waves, outcome, ctx);
+                        wave::settled(pool_state, controller, waves, outcome, ctx);
                     }
                 },
             );
         }
         Event::OrderedSettled(pool, epoch, outcome) => {
-            with_hosts(state, pool, now, &mut out, |duty, waves, look, ctx| {
-                if look.epoch == epoch {
-                    hosts::settled(duty, waves, outcome, ctx);
-                }
-            });
+            with_host_controller(
+                state,
+                pool,
+                now,
+                &mut out,
+                |controller, waves, inputs, ctx| {
+                    if inputs.epoch == epoch {
+                        hosts::settled(controller, waves, outcome, ctx);
+                    }
+                },
+            );
         }
         Event::IntakeRemoved(pool, id, outcome) => {
             with_pool(state, pool, now, &mut out, |pool, _, _| {
-                if let Some(tenure) = tenure_of(&mut pool.tenure, id) {
-                    remove::intake_removed(tenure, &outcome);
+                if let Some(ownership) = ownership_of(&mut pool.ownership, id) {
+                    remove::intake_removed(ownership, &outcome);
                 }
             });
         }
@@ -116,45 +122,52 @@
             hosts_taken(state, pool, epoch, &from, outcome, now, &mut out);
         }
         Event::QuotaSettled(pool, epoch, account, outcome) => {
-            with_grants(
+            with_grant_controller(
                 state,
                 pool,
                 epoch,
                 now,
                 &mut out,
-                |book, duty, with, ctx| {
-                    quota::settled(book, duty, with.pool, &account, outcome, ctx);
+                |pool_state, controller, with, ctx| {
+                    quota::settled(pool_state, controller, with.pool, &account, outcome, ctx);
                 },
             );
         }
         Event::QuotaRead(pool, epoch, account, row) => {
-            with_quota(state, pool, epoch, now, &mut out, |book, duty, _, ctx| {
-                quota::read(book, duty, &account, row, ctx);
-            });
+            with_quota_controller(
+                state,
+                pool,
+                epoch,
+                now,
+                &mut out,
+                |pool_state, controller, _, ctx| {
+                    quota::read(pool_state, controller, &account, row, ctx);
+                },
+            );
         }
         Event::HostOrdersRecorded(pool, epoch, outcome) => {
-            with_hosts(state, pool, now, &mut out, |duty, _, look, ctx| {
-                if look.epoch == epoch {
-                    hosts::recorded(duty, &outcome, epoch, ctx);
+            with_host_controller(state, pool, now, &mut out, |controller, _, inputs, ctx| {
+                if inputs.epoch == epoch {
+                    hosts::recorded(controller, &outcome, epoch, ctx);
                 }
             });
         }
         Event::HostOrdered(pool, epoch, host, reply) => {
-            with_hosts(state, pool, now, &mut out, |duty, _, look, ctx| {
-                if look.epoch == epoch {
-                    hosts::ordered(duty, &host, reply, ctx);
+            with_host_controller(state, pool, now, &mut out, |controller, _, inputs, ctx| {
+                if inputs.epoch == epoch {
+                    hosts::ordered(controller, &host, reply, ctx);
                 }
             });
         }
         Event::HostsRead(pool, epoch, list) => {
-            with_duty(state, pool, now, &mut out, |_, duty, _, with, _| {
+            with_wave_controller(state, pool, now, &mut out, |_, controller, _, with, _| {
                 if with.0 == epoch {
-                    wave::hosts_read(duty, list.clone());
+                    wave::hosts_read(controller, list.clone());
                 }
             });
-            with_hosts(state, pool, now, &mut out, |duty, _, look, _| {
-                if look.epoch == epoch {
-                    hosts::list_read(duty, list);
+            with_host_controller(state, pool, now, &mut out, |controller, _, inputs, _| {
+                if inputs.epoch == epoch {
+                    hosts::list_read(controller, list);
                 }
             });
         }
@@ -183,10 +196,10 @@
     wave::observe(wave, row, &mut ctx);
 }
 
-fn operator(state: &mut State, word: OperatorWord, now: Now, out: &mut Vec<Effect>) {
+fn operator(state: &mut State, word: OperatorEvent, now: Now, out: &mut Vec<Effect>) {
     match word {
-        OperatorWord::Config(config) => adopt(state, config, now, out),
-        OperatorWord::Wave(order) => {
+        OperatorEvent::Config(config) => adopt(state, config, now, out),
+        OperatorEvent::Wave(order) => {
             let known = WaveKnown {
                 order,
                 seen_ms: now.ms,
@@ -197,8 +210,8 @@
                 state.timers.insert((now.ms, key, Timer::Wave));
             }
         }
-        OperatorWord::Other(_) => {}
-        OperatorWord::Unreadable(key, why) => {
+        OperatorEvent::Other(_) => {}
+        OperatorEvent::Unreadable(key, why) => {
             let decision = Decision::new(Code::BadRow, Subject::Config, &key, why);
             out.push(Effect::Log(decision));
         }
@@ -227,10 +240,10 @@
     }
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, facts| {
-            let tenure = pool.tenure.as_mut();
-            if let Some(book) = tenure.and_then(|t| t.book.as_mut()) {
-                book.wants_quota = true;
-                policy::refresh(book, facts.config, ctx);
+            let ownership = pool.ownership.as_mut();
+            if let Some(pool_state) = ownership.and_then(|t| t.pool_state.as_mut()) {
+                pool_state.wants_quota = true;
+                policy::refresh(pool_state, facts.config, ctx);
             }
         });
     }
@@ -247,26 +260,26 @@
         });
         return;
     }
-    if row.key != OWNER_KEY && row.key != BEAT_KEY {
+    if row.key != OWNER_KEY && row.key != HEARTBEAT_KEY {
         return;
     }
     let me = state.me.clone();
     let nonce = state.nonce;
     with_pool(state, key, now, out, |pool, ctx, _| {
-        if let Err(e) = seat::observe(pool, shard, row, now.ms) {
-            ctx.tell(Decision::new(Code::BadRow, Subject::Pool, &pool.name, e));
+        if let Err(e) = owner_lease::observe(pool, shard, row, now.ms) {
+            ctx.log(Decision::new(Code::BadRow, Subject::Pool, &pool.name, e));
         }
-        let is_ours = pool.seat.is_ours(&me, nonce);
+        let is_ours = pool.lease.is_ours(&me, nonce);
         let is_newer = pool
-            .tenure
+            .ownership
             .as_ref()
-            .is_some_and(|t| t.epoch < pool.seat.epoch);
+            .is_some_and(|t| t.epoch < pool.lease.epoch);
         if is_newer && !is_ours {
-            seat::lose(pool, "another entry owns it", ctx);
+            owner_lease::lose(pool, "another entry owns it", ctx);
         }
         claim::begin_if_claimed(pool, nonce, ctx);
-        let is_free = pool.seat.owner.entry.is_empty() || pool.seat.owner.entry == me;
-        if pool.tenure.is_none() && is_free {
+        let is_free = pool.lease.owner.entry.is_empty() || pool.lease.owner.entry == me;
+        if pool.ownership.is_none() && is_free {
             ctx.after(0, Timer::Claim);
         }
     });
@@ -291,42 +304,43 @@
     }
     with_pool(state, key, now, out, |pool, ctx, facts| {
         let name = pool.name.clone();
-        let Some(tenure) = pool.tenure.as_mut().filter(|t| t.epoch == epoch) else {
+        let Some(ownership) = pool.ownership.as_mut().filter(|t| t.epoch == epoch) else {
             return;
         };
         let Some(rows) = rows else {
             ctx.after(LOAD_RETRY_MS, Timer::Load);
             return;
         };
-        if !seat::settle_epoch(tenure, &mut pool.seat, &rows.owner, ctx.me) {
-            seat::lose(pool, "its row changed", ctx);
+        if !owner_lease::settle_epoch(ownership, &mut pool.lease, &rows.owner, ctx.me) {
+            owner_lease::lose(pool, "its row changed", ctx);
             return;
         }
-        let epoch = tenure.epoch;
-        let is_same_holder = pool.seat.claim_after == ctx.me;
-        if !tenure.hosts.is_ready() {
-            let former = &pool.seat.former;
-            tenure.hosts = hosts::HostDuty::new(&rows.host_orders, former, is_same_holder, ctx);
+        let epoch = ownership.epoch;
+        let is_same_holder = pool.lease.claim_after == ctx.me;
+        if !ownership.hosts.is_ready() {
+            let former = &pool.lease.former;
+            ownership.hosts =
+                hosts::HostController::new(&rows.host_orders, former, is_same_holder, ctx);
         }
         let offers = rows.owner.iter().find(|row| row.key == OFFERS_KEY);
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
-        let times = pool.seat.beat.times.clone();
-        let id = tenure.next_book(ctx);
+        let times = pool.lease.heartbeat.times.clone();
+        let id = ownership.begin_reading(ctx);
         // Counted from the claim, leases that this owner gave since would be over at once, and all that runs be requeued.
-        let earlier_ms = tenure.earlier_until_ms(ctx.now.ms);
-        let mut book = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
-        tenure.keep_shards(&mut book);
-        close_given(&mut book, &pool.offers);
-        wave::close_leaving(&mut book, &tenure.duty);
-        for row in std::mem::take(&mut tenure.early) {
-            load::apply_intake(&mut book, &row, facts.config, epoch, ctx);
-        }
-        told::loaded(&name, &book, tenure, facts.config.version, ctx);
-        let workers: Vec<WorkerKey> = book.workers.keys().collect();
+        let earlier_ms = ownership.earlier_until_ms(ctx.now.ms);
+        let mut pool_state = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
+        ownership.keep_shards(&mut pool_state);
+        close_given(&mut pool_state, &pool.offers);
+        wave::close_leaving(&mut pool_state, &ownership.waves);
+        for row in std::mem::take(&mut ownership.early) {
+            load::apply_intake(&mut pool_state, &row, facts.config, epoch, ctx);
+        }
+        run_log::log_loaded_pool(&name, &pool_state, ownership, facts.config.version, ctx);
+        let workers: Vec<WorkerKey> = pool_state.workers.keys().collect();
         for worker in workers {
-            greet(&mut book, worker, epoch, ctx);
+            start_renewing(&mut pool_state, worker, epoch, ctx);
         }
-        tenure.book = Some(book);
+        ownership.pool_state = Some(pool_state);
         ctx.after(RESORT_MS, Timer::Upkeep);
         ctx.after(0, Timer::Remove);
         ctx.after(0, Timer::Wave);
@@ -341,18 +355,18 @@
         return;
     };
     with_pool(state, key, now, out, |pool, ctx, facts| {
-        let Some(tenure) = &mut pool.tenure else {
+        let Some(ownership) = &mut pool.ownership else {
             return;
         };
-        let epoch = tenure.epoch;
-        match &mut tenure.book {
-            None => tenure.early.push(row.clone()),
-            Some(book) => {
+        let epoch = ownership.epoch;
+        match &mut ownership.pool_state {
+            None => ownership.early.push(row.clone()),
+            Some(pool_state) => {
                 let is_new =
-                    cancelled_job(&row.key).is_none() && !book.by_id.contains_key(&row.key);
-                load::apply_intake(book, row, facts.config, epoch, ctx);
+                    cancelled_job(&row.key).is_none() && !pool_state.by_id.contains_key(&row.key);
+                load::apply_intake(pool_state, row, facts.config, epoch, ctx);
                 if is_new {
-                    tell_taken(book, &row.key, facts.config.version, ctx);
+                    tell_taken(pool_state, &row.key, facts.config.version, ctx);
                 }
             }
         }
@@ -360,11 +374,15 @@
 }
 
 /// A new job, and what its order among others will rest on.
-fn tell_taken(book: &Book, id: &str, config_version: u64, ctx: &mut Ctx<'_>) {
-    let Some(job) = book.by_id.get(id).and_then(|key| book.jobs.get(*key)) else {
+fn tell_taken(pool_state: &PoolState, id: &str, config_version: u64, ctx: &mut Ctx<'_>) {
+    let Some(job) = pool_state
+        .by_id
+        .get(id)
+        .and_then(|key| pool_state.jobs.get(*key))
+    else {
         return;
     };
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::JobTaken, Subject::Job, id, taken_for(&job.spec))
             .with("work_core_ms", job.spec.work(&job.step_ms))
             .with("chain_ms", job.spec.longest_ms(&job.step_ms, |_| true))
@@ -386,22 +404,22 @@
 fn recorded(
     state: &mut State,
     key: PoolKey,
-    id: BookId,
+    id: PoolStateId,
     shard: usize,
     outcome: TxOutcome,
     now: Now,
     out: &mut Vec<Effect>,
 ) {
     with_pool(state, key, now, out, |pool, ctx, _| {
-        let Some(tenure) = tenure_of(&mut pool.tenure, id) else {
+        let Some(ownership) = ownership_of(&mut pool.ownership, id) else {
             return;
         };
-        match commit::recorded(tenure, &mut pool.seat, shard, outcome, ctx) {
+        match commit::recorded(ownership, &mut pool.lease, shard, outcome, ctx) {
             Settled::Fine => {}
-            Settled::PoolLost => seat::lose(pool, "its row changed", ctx),
+            Settled::PoolLost => owner_lease::lose(pool, "its row changed", ctx),
             Settled::Diverged => {
-                told::tell_last_answers(tenure, ctx);
-                tenure.drop_book(ctx);
+                run_log::log_last_start_answers(ownership, ctx);
+                ownership.drop_pool_state(ctx);
                 ctx.out
                     .push(Effect::Load(ctx.pool, id.epoch, pool.name.clone()));
             }
@@ -437,7 +455,10 @@
 
 /// This entry as one that may claim pools.
 fn claimant(state: &State) -> claim::Claimant {
-    let heard = state.pools.iter().map(|pool| pool.seat.beat.cpu_milli);
+    let heard = state
+        .pools
+        .iter()
+        .map(|pool| pool.lease.heartbeat.cpu_milli);
     claim::Claimant {
         owned: state.owned(),
         cpu_milli: state.cpu_milli,
@@ -463,31 +484,32 @@
     }
     if timer == Timer::Quota {
         let epoch = state.pools[usize::from(key.0)]
-            .tenure
+            .ownership
             .as_ref()
             .map(|t| t.epoch);
-        with_quota(state, key, epoch.unwrap_or(0), now, out, quota::look);
+        with_quota_controller(state, key, epoch.unwrap_or(0), now, out, quota::reconcile);
         return;
     }
     if timer == Timer::Hosts {
-        let is_ours = with_hosts(state, key, now, out, |duty, waves, look, ctx| {
-            hosts::look(duty, waves, look, ctx);
-        });
+        let is_ours =
+            with_host_controller(state, key, now, out, |controller, waves, inputs, ctx| {
+                hosts::reconcile(controller, waves, inputs, ctx);
+            });
         if !is_ours {
-            let at_ms = now.ms + hosts::IDLE_LOOK_MS;
+            let at_ms = now.ms + hosts::IDLE_RECONCILE_MS;
             state.timers.insert((at_ms, key, timer));
         }
         return;
     }
     if timer == Timer::Wave {
-        with_duty(
+        with_wave_controller(
             state,
             key,
             now,
             out,
-            |book, duty, waves, (epoch, name), ctx| {
-                if let Some(book) = book {
-                    wave::look(book, duty, waves, name, epoch, ctx);
+            |pool_state, controller, waves, (epoch, name), ctx| {
+                if let Some(pool_state) = pool_state {
+                    wave::reconcile(pool_state, controller, waves, name, epoch, ctx);
                 }
             },
         );
@@ -495,42 +517,42 @@
     }
     with_pool(state, key, now, out, |pool, ctx, _| {
         if timer == Timer::Renew {
-            seat::renew(pool, ctx);
+            owner_lease::renew(pool, ctx);
             return;
         }
-        let Some(tenure) = &mut pool.tenure else {
+        let Some(ownership) = &mut pool.ownership else {
             return;
         };
-        let epoch = tenure.epoch;
+        let epoch = ownership.epoch;
         match timer {
             Timer::Load => {
                 ctx.out
                     .push(Effect::Load(ctx.pool, epoch, pool.name.clone()));
             }
-            Timer::Resend(shard) => commit::resend(tenure, &mut pool.seat, shard, ctx),
-            Timer::Remove => remove::look(tenure, ctx),
+            Timer::Resend(shard) => commit::resend(ownership, &mut pool.lease, shard, ctx),
+            Timer::Remove => remove::remove_finished_jobs(ownership, ctx),
             _ => {
-                if let Some(book) = &mut tenure.book {
-                    fire_in_book(book, timer, epoch, ctx);
+                if let Some(pool_state) = &mut ownership.pool_state {
+                    fire_in_pool_state(pool_state, timer, epoch, ctx);
                 }
             }
         }
     });
 }
 
-fn fire_in_book(book: &mut Book, timer: Timer, epoch: u64, ctx: &mut Ctx<'_>) {
+fn fire_in_pool_state(pool_state: &mut PoolState, timer: Timer, epoch: u64, ctx: &mut Ctx<'_>) {
     match timer {
-        Timer::Hold(worker) => holds::next(book, worker, epoch, ctx),
-        Timer::LeaseOver(worker) => holds::lease_over(book, worker, ctx),
-        Timer::Restart(task, run) => runs::send_start(book, task, run, epoch, ctx),
-        Timer::Restop(task, run) => runs::restop(book, task, run, epoch, ctx),
+        Timer::RenewWorker(worker) => renewal::send_next(pool_state, worker, epoch, ctx),
+        Timer::LeaseOver(worker) => renewal::expire_lease(pool_state, worker, ctx),
+        Timer::Restart(task, run) => runs::send_start(pool_state, task, run, epoch, ctx),
+        Timer::Restop(task, run) => runs::restop(pool_state, task, run, epoch, ctx),
         Timer::Upkeep => {
-            book.resort(ctx.now.ms);
-            sizing::tell_load(book, ctx);
-            runs::begin_due_rounds(book, ctx);
-            runs::end_exhausted(book, epoch, ctx);
-            holds::hold_stuck(book, epoch, ctx);
-            book.wants_placing = true;
+            pool_state.resort(ctx.now.ms);
+            sizing::log_load(pool_state, ctx);
+            runs::begin_due_rounds(pool_state, ctx);
+            runs::end_exhausted(pool_state, epoch, ctx);
+            renewal::renew_stuck(pool_state, epoch, ctx);
+            pool_state.wants_placing = true;
             // Timers at the same moment are one: this one alone keeps the round going.
             let is_set =
                 |(_, p, t): &(Millis, PoolKey, Timer)| *p == ctx.pool && *t == Timer::Upkeep;
@@ -549,10 +571,10 @@
         .iter()
         .enumerate()
         .filter(|(n, _)| *n != usize::from(key.0));
-    let mut seats = others.map(|(_, pool)| &pool.seat);
-    seats.any(|seat| {
-        let is_heard = now_ms < seat.beat_seen_ms + hosts::NEED_KEPT_MS;
-        is_heard && seat.beat.needed > seat.beat.serving
+    let mut leases = others.map(|(_, pool)| &pool.lease);
+    leases.any(|lease| {
+        let is_heard = now_ms < lease.heartbeat_seen_ms + hosts::NEED_KEPT_MS;
+        is_heard && lease.heartbeat.needed > lease.heartbeat.serving
     })
 }
 
@@ -565,32 +587,41 @@
         if is_parked(&pool.name) {
             return;
         }
-        let Some(tenure) = &mut pool.tenure else {
+        let Some(ownership) = &mut pool.ownership else {
+            return;
+        };
+        let epoch = ownership.epoch;
+        let Some(pool_state) = &mut ownership.pool_state else {
             return;
         };
-        let epoch = tenure.epoch;
-        let Some(book) = &mut tenure.book else { return };
-        let with = sizing::Look {
+        let with = sizing::Inputs {
             pool: &pool.name,
             epoch,
             can_park,
             pressed,
-            answer_ms: pool.seat.answer_ms,
+            answer_ms: pool.lease.answer_ms,
         };
-        if sizing::look(book, &mut tenure.sizing, &mut pool.offers, &with, ctx) {
-            seat::tell(pool, ctx);
+        if sizing::reconcile(
+            pool_state,
+            &mut ownership.sizing,
+            &mut pool.offers,
+            &with,
+            ctx,
+        ) {
+            owner_lease::hasten_heartbeat(pool, ctx);
         }
     });
 }
 
 /// Asks for grants as soon as work waits for them.
 fn adjust_quota(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
-    let tenure = state.pools[usize::from(key.0)].tenure.as_ref();
-    let Some((epoch, book)) = tenure.and_then(|t| Some((t.epoch, t.book.as_ref()?))) else {
+    let ownership = state.pools[usize::from(key.0)].ownership.as_ref();
+    let Some((epoch, pool_state)) = ownership.and_then(|t| Some((t.epoch, t.pool_state.as_ref()?)))
+    else {
         return;
     };
-    if book.wants_quota {
-        with_quota(state, key, epoch, now, out, quota::adjust);
+    if pool_state.wants_quota {
+        with_quota_controller(state, key, epoch, now, out, quota::adjust);
     }
 }
 
@@ -603,17 +634,17 @@
     for key in owned_pools(state) {
         adjust_quota(state, key, now, out);
         with_pool(state, key, now, out, |pool, ctx, _| {
-            let Some(tenure) = &mut pool.tenure else {
+            let Some(ownership) = &mut pool.ownership else {
                 return;
             };
-            let epoch = tenure.epoch;
-            if let Some(book) = tenure.book.as_mut() {
-                crashes::give_up(book, epoch, ctx);
-                gang::stop_broken(book, epoch, ctx);
-                if book.wants_placing && ctx.may_send() {
-                    place::place(book, ctx);
+            let epoch = ownership.epoch;
+            if let Some(pool_state) = ownership.pool_state.as_mut() {
+                crashes::give_up(pool_state, epoch, ctx);
+                gang::stop_broken(pool_state, epoch, ctx);
+                if pool_state.wants_placing && ctx.may_send() {
+                    place::place(pool_state, ctx);
                 }
-                told::tell_old_answers(book, ctx);
+                run_log::log_old_start_answers(pool_state, ctx);
             }
             commit::flush(pool, ctx);
         });
--- a/src/core/sched/rows.rs
+++ b/src/core/sched/rows.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::job::{JobState, QueuePolicy};
-use super::tasks::LivesEnded;
+use super::tasks::WorkerLosses;
 use super::times::Times;
 use crate::clock::Millis;
 use crate::port::fleet::Revision;
@@ -16,7 +16,7 @@
 pub const OWNER_KEY: &str = "owner";
 
 /// Key of the owner's heartbeat.
-pub const BEAT_KEY: &str = "beat";
+pub const HEARTBEAT_KEY: &str = "beat";
 
 /// Behind a job's id in the key of its cancel.
 const CANCEL_SUFFIX: &str = "/cancel";
@@ -35,7 +35,7 @@
 
 /// The owner is alive, and what others may know of its pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BeatRow {
+pub struct HeartbeatRow {
     /// The entry.
     pub entry: String,
     /// Rises with each heartbeat.
@@ -103,14 +103,14 @@
 
 impl ProgressRow {
     /// Names a life; gives its place.
-    pub fn add_life(&mut self, id: &str, host: &str, born_wall_ms: Option<Millis>) -> u16 {
+    pub fn add_instance(&mut self, id: &str, host: &str, born_wall_ms: Option<Millis>) -> u16 {
         self.workers.push((id.to_string(), host.to_string()));
         self.born_wall_ms.push(born_wall_ms.unwrap_or(0));
         (self.workers.len() - 1) as u16
     }
 
     /// The lives that tasks name: id, host, and when each began, where that is known.
-    pub fn lives(&self) -> impl Iterator<Item = (&str, &str, Option<Millis>)> {
+    pub fn instances(&self) -> impl Iterator<Item = (&str, &str, Option<Millis>)> {
         let born = self.born_wall_ms.iter().copied().map(Some);
         let born = born.chain(std::iter::repeat(None));
         let lives = self.workers.iter().zip(born);
@@ -146,13 +146,13 @@
 pub struct TaskRow(
     pub u32,
     pub u64,
-    pub Standing,
-    #[serde(default, skip_serializing_if = "is_default")] pub LivesEnded,
+    pub TaskProgress,
+    #[serde(default, skip_serializing_if = "is_default")] pub WorkerLosses,
 );
 
 /// Where a task stands on record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum TaskProgress {
     /// Not started, or the last run is certainly over.
     #[serde(rename = "i")]
     Idle,
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -3,23 +3,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::book::Book;
-use super::hosts::{HostDuty, HostTask};
-use super::keys::{BookId, JobKey, TaskKey, WorkerKey};
+use super::hosts::{HostController, HostTask};
+use super::keys::{JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::CPU_FULL_MILLI;
-use super::lives::ListNews;
 use super::offers::Offers;
-use super::quota::QuotaDuty;
+use super::owner_lease::OwnerLease;
+use super::pool_state::PoolState;
+use super::quota::QuotaController;
 use super::rows::{WaveRow, SHARDS};
-use super::seat::Seat;
 use super::sizing::Sizing;
-use super::wave::WaveDuty;
+use super::wave::WaveController;
+use super::worker_list::ListNews;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
-    Addressee, FleetConfig, HoldAsk, HoldReport, HostRecord, HostReply, OperatorWord, OrderReply,
-    Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder, WaveState, WorkerFact,
-    WorkerWord, ABSENT,
+    Addressee, FleetConfig, HostRecord, HostReply, OperatorEvent, OrderReply, RenewalReport,
+    RenewalRequest, Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder,
+    WaveState, WorkerEvent, WorkerFact, ABSENT,
 };
 
 /// A pool, by its place in [`State::pools`]; pools are never removed.
@@ -28,15 +28,15 @@
 
 /// What an owner holds of its pool.
 #[derive(Clone, Debug)]
-pub struct Tenure {
+pub struct Ownership {
     /// Its epoch: the fence of all its orders.
     pub epoch: u64,
     /// The books, once they are read.
-    pub book: Option<Book>,
+    pub pool_state: Option<PoolState>,
     /// How often they were.
     pub readings: u32,
     /// Revisions of the owner's rows, by shard: each write carries its shard's as a condition.
-    pub fences: [Revision; SHARDS],
+    pub owner_revisions: [Revision; SHARDS],
     /// The transactions that are out, by shard.
     pub batches: [Option<Batch>; SHARDS],
     /// Jobs whose first record was out as the books were dropped, and its shard: it may take effect yet, and only there does
@@ -51,32 +51,35 @@
     /// When the pool was claimed; everything a former owner sent came before.
     pub began_ms: Millis,
     /// What it does for waves.
-    pub duty: WaveDuty,
+    pub waves: WaveController,
     /// What client accounts may have running in the pool.
-    pub quota: QuotaDuty,
+    pub quota: QuotaController,
     /// What it thinks of the pool's size.
     pub sizing: Sizing,
     /// What it knows as the entry that orders hosts.
-    pub hosts: HostDuty,
+    pub hosts: HostController,
 }
 
-impl Tenure {
+impl Ownership {
     /// Drops what is left of an earlier reading, and gives the id of the books to be built; what looks at them now and then
     /// is set anew.
-    pub(super) fn next_book(&mut self, ctx: &mut Ctx<'_>) -> BookId {
-        self.drop_book(ctx);
+    pub(super) fn begin_reading(&mut self, ctx: &mut Ctx<'_>) -> PoolStateId {
+        self.drop_pool_state(ctx);
         ctx.drop_timers(|timer| !matches!(timer, Timer::Claim | Timer::Renew));
         self.readings += 1;
-        BookId {
+        PoolStateId {
             epoch: self.epoch,
             reading: self.readings,
         }
     }
 
     /// Puts jobs of books that were just read, and that are not on record, into the shards of their first records.
-    pub(super) fn keep_shards(&mut self, book: &mut Book) {
+    pub(super) fn keep_shards(&mut self, pool_state: &mut PoolState) {
         for (id, shard) in std::mem::take(&mut self.first_shards) {
-            let job = book.by_id.get(&id).and_then(|key| book.jobs.get_mut(*key));
+            let job = pool_state
+                .by_id
+                .get(&id)
+                .and_then(|key| pool_state.jobs.get_mut(*key));
             if let Some(job) = job {
                 job.shard.get_or_insert(shard);
             }
@@ -92,16 +95,19 @@
     }
 
     /// Drops the books, and all that holds keys of them.
-    pub(super) fn drop_book(&mut self, ctx: &mut Ctx<'_>) {
-        if let Some(book) = self.book.take() {
-            let open = book.jobs.values().filter(|job| job.revision == ABSENT);
+    pub(super) fn drop_pool_state(&mut self, ctx: &mut Ctx<'_>) {
+        if let Some(pool_state) = self.pool_state.take() {
+            let open = pool_state
+                .jobs
+                .values()
+                .filter(|job| job.revision == ABSENT);
             let shards = open.filter_map(|job| Some((job.id.clone(), job.shard?)));
             self.first_shards.extend(shards);
         }
         self.batches = Default::default();
         self.removing = None;
         self.removable.clear();
-        ctx.drop_timers(Timer::is_of_book);
+        ctx.drop_timers(Timer::is_of_pool_state);
     }
 }
 
@@ -157,7 +163,7 @@
     /// When it was sent first.
     pub sent_ms: Millis,
     /// It carries a heartbeat.
-    pub has_beat: bool,
+    pub has_heartbeat: bool,
     /// Nothing more of its shard waited to be recorded.
     pub is_all: bool,
 }
@@ -168,11 +174,11 @@
     /// Its name, which is also the partition of its rows.
     pub name: String,
     /// Who owns it.
-    pub seat: Seat,
+    pub lease: OwnerLease,
     /// Its hosts that are to leave it.
     pub offers: Offers,
     /// Set while this entry does.
-    pub tenure: Option<Tenure>,
+    pub ownership: Option<Ownership>,
 }
 
 /// What a timer is for.
@@ -191,7 +197,7 @@
     /// Remove jobs that finished long ago.
     Remove,
     /// Ask a worker for its account.
-    Hold(WorkerKey),
+    RenewWorker(WorkerKey),
     /// A worker's lease may be over.
     LeaseOver(WorkerKey),
     /// Send a start again.
@@ -212,11 +218,11 @@
 
 impl Timer {
     /// Whether it names a worker or a task by its key, or a batch with such keys.
-    fn is_of_book(self) -> bool {
+    fn is_of_pool_state(self) -> bool {
         matches!(
             self,
             Timer::Resend(_)
-                | Timer::Hold(_)
+                | Timer::RenewWorker(_)
                 | Timer::LeaseOver(_)
                 | Timer::Restart(..)
                 | Timer::Restop(..)
@@ -233,9 +239,9 @@
     /// Time passed; timers that are due fire.
     Tick,
     /// The operator said something.
-    Operator(OperatorWord),
+    Operator(OperatorEvent),
     /// The list of workers changed.
-    Worker(WorkerWord),
+    Worker(WorkerEvent),
     /// All workers, read anew.
     WorkersRead(Vec<WorkerFact>),
     /// A row of owners changed.
@@ -249,18 +255,18 @@
     /// A row of intake changed.
     Intake(StoredRow),
     /// The batch of a shard was answered.
-    Recorded(PoolKey, BookId, usize, TxOutcome),
+    Recorded(PoolKey, PoolStateId, usize, TxOutcome),
     /// A start was answered.
-    Started(PoolKey, BookId, TaskKey, u32, OrderReply),
+    Started(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
     /// A stop was answered.
-    Stopped(PoolKey, BookId, TaskKey, u32, OrderReply),
+    Stopped(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
     /// A hold was answered; it was sent at that time.
-    Held(
+    WorkerRenewed(
         PoolKey,
-        BookId,
+        PoolStateId,
         WorkerKey,
         Millis,
-        Result<HoldReport, OrderReply>,
+        Result<RenewalReport, OrderReply>,
     ),
     /// A wave's row changed or was read.
     WaveRow(StoredRow),
@@ -269,7 +275,7 @@
     /// The record of hosts that are out was changed, or not: epoch.
     OrderedSettled(PoolKey, u64, TxOutcome),
     /// Rows of intake were removed, or not.
-    IntakeRemoved(PoolKey, BookId, TxOutcome),
+    IntakeRemoved(PoolKey, PoolStateId, TxOutcome),
     /// A change of the pool's offers was answered: epoch.
     OffersSettled(PoolKey, u64, TxOutcome),
     /// Hosts on offer were taken, or not: epoch, the pool that offered them.
@@ -315,7 +321,7 @@
     /// The pool.
     pub pool: PoolKey,
     /// The books that it is of.
-    pub book: BookId,
+    pub pool_state: PoolStateId,
     /// To whom, with which fence.
     pub to: Addressee,
     /// The owner's lease ends then; later it must not be sent.
@@ -338,7 +344,7 @@
     /// Read an account's row: epoch, account.
     ReadQuota(PoolKey, u64, String),
     /// Record progress in a shard.
-    Record(PoolKey, BookId, usize, RowTx),
+    Record(PoolKey, PoolStateId, usize, RowTx),
     /// Start a run.
     Start(Order, TaskKey, RunStart),
     /// Stop a run that the books know.
@@ -348,7 +354,7 @@
     /// Let a run work at a share of full speed.
     Pace(Order, TaskName, u32, u32),
     /// Renew a worker's lease.
-    Hold(Order, WorkerKey, HoldAsk),
+    RenewWorker(Order, WorkerKey, RenewalRequest),
     /// Change a wave's row: epoch.
     SettleWave(PoolKey, u64, RowTx),
     /// Tell the operator how a wave is.
@@ -358,7 +364,7 @@
     /// Change the record of hosts that are out: epoch.
     SettleOrdered(PoolKey, u64, RowTx),
     /// Remove rows of intake.
-    RemoveIntake(PoolKey, BookId, RowTx),
+    RemoveIntake(PoolKey, PoolStateId, RowTx),
     /// Change the pool's offers.
     SettleOffers(PoolKey, u64, RowTx),
     /// Take hosts that a pool offers, by its name.
@@ -433,7 +439,7 @@
 
     /// Number of pools that this entry owns.
     pub fn owned(&self) -> usize {
-        self.pools.iter().filter(|p| p.tenure.is_some()).count()
+        self.pools.iter().filter(|p| p.ownership.is_some()).count()
     }
 
     /// A pool by name.
@@ -475,13 +481,13 @@
     }
 
     /// Logs a decision.
-    pub fn tell(&mut self, decision: Decision) {
+    pub fn log(&mut self, decision: Decision) {
         self.out.push(Effect::Log(decision));
     }
 
     /// Logs a decision on a job.
-    pub fn tell_job(&mut self, code: Code, id: &str, why: impl Into<String>) {
-        self.tell(Decision::new(code, Subject::Job, id, why));
+    pub fn log_job(&mut self, code: Code, id: &str, why: impl Into<String>) {
+        self.log(Decision::new(code, Subject::Job, id, why));
     }
 
     /// Whether orders may be sent now.
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -7,15 +7,15 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-use super::book::Book;
 use super::keys::{TaskKey, WorkerKey};
 use super::listing::HostList;
 use super::place;
+use super::pool_state::PoolState;
 use super::rows::{self, SlotRow, WaveRow};
 use super::runs;
 use super::state::{Ctx, Effect, Timer, WaveKnown};
 use super::tasks::Phase;
-use super::waits::{self, Waits};
+use super::wave_waits::{self, Waits};
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
@@ -23,7 +23,7 @@
 };
 
 /// How often a wave is looked at.
-pub const LOOK_MS: Millis = 150;
+pub const RECONCILE_MS: Millis = 150;
 
 /// How often the list of hosts is read while a wave runs.
 const HOSTS_MS: Millis = 700;
@@ -76,7 +76,7 @@
 
 /// What an owner does for waves.
 #[derive(Clone, Debug, Default)]
-pub struct WaveDuty {
+pub struct WaveController {
     pub(super) turns: BTreeMap<String, (u64, Turn)>,
     pending: Option<Pending>,
     /// Hosts whose turn was broken off, and when it may begin again.
@@ -86,7 +86,7 @@
     pub(super) waits: Waits,
 }
 
-impl WaveDuty {
+impl WaveController {
     /// Whether a change of a wave's row is out.
     pub(super) fn is_settling(&self) -> bool {
         self.pending.is_some()
@@ -94,9 +94,9 @@
 }
 
 /// Looks at all waves that are not done.
-pub fn look(
-    book: &mut Book,
-    duty: &mut WaveDuty,
+pub fn reconcile(
+    pool_state: &mut PoolState,
+    controller: &mut WaveController,
     known: &mut BTreeMap<u64, WaveKnown>,
     pool: &str,
     epoch: u64,
@@ -105,13 +105,13 @@
     let mut is_any = false;
     for wave in known.values_mut().filter(|w| !w.is_done) {
         is_any = true;
-        if is_complete(wave, &due_hosts(wave), duty) {
+        if is_complete(wave, &due_hosts(wave), controller) {
             wave.is_done = true;
             let number = wave.order.wave;
-            end_turns(book, duty, number);
+            end_turns(pool_state, controller, number);
             ctx.out.push(Effect::TellWave(number, WaveState::Completed));
             let id = number.to_string();
-            ctx.tell(Decision::new(
+            ctx.log(Decision::new(
                 Code::WaveDone,
                 Subject::Wave,
                 &id,
@@ -120,33 +120,36 @@
             continue;
         }
         let due = due_hosts(wave);
-        recover(book, duty, wave, pool);
-        mark_due(book, &due);
-        advance(book, duty, wave, pool, epoch, ctx);
-        begin_turns(book, duty, wave, &due, pool, ctx);
-        waits::tell(book, duty, wave, &due, pool, ctx);
+        recover(pool_state, controller, wave, pool);
+        mark_due(pool_state, &due);
+        advance(pool_state, controller, wave, pool, epoch, ctx);
+        begin_turns(pool_state, controller, wave, &due, pool, ctx);
+        wave_waits::log(pool_state, controller, wave, &due, pool, ctx);
     }
     if !is_any {
         return;
     }
     let is_away = |(_, turn): &(u64, Turn)| matches!(turn, Turn::Away(_));
-    let pause_ms = match duty.turns.values().any(is_away) {
+    let pause_ms = match controller.turns.values().any(is_away) {
         true => HOSTS_AWAY_MS,
         false => HOSTS_MS,
     };
-    if duty.hosts.ask(ctx.now.ms, pause_ms) {
+    if controller.hosts.start_read_if_due(ctx.now.ms, pause_ms) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, epoch));
     }
-    ctx.after(LOOK_MS, Timer::Wave);
+    ctx.after(RECONCILE_MS, Timer::Wave);
 }
 
 /// Opens hosts whose turn in a wave is left when that is done: they left the fleet meanwhile, and may come back.
-fn end_turns(book: &mut Book, duty: &mut WaveDuty, wave: u64) {
-    let left = duty.turns.iter().filter(|(_, (number, _))| *number == wave);
+fn end_turns(pool_state: &mut PoolState, controller: &mut WaveController, wave: u64) {
+    let left = controller
+        .turns
+        .iter()
+        .filter(|(_, (number, _))| *number == wave);
     let left: Vec<String> = left.map(|(host, _)| host.clone()).collect();
     for host in left {
-        duty.turns.remove(&host);
-        book.set_closing(&host, false);
+        controller.turns.remove(&host);
+        pool_state.set_closing(&host, false);
     }
 }
 
@@ -158,11 +161,12 @@
 }
 
 /// Whether every host that still exists is back.
-fn is_complete(wave: &WaveKnown, due: &BTreeSet<&str>, duty: &WaveDuty) -> bool {
+fn is_complete(wave: &WaveKnown, due: &BTreeSet<&str>, controller: &WaveController) -> bool {
     // A list that is older than the wave lacks hosts that came since.
-    let is_newer = duty.hosts.asked_ms() > wave.seen_ms;
+    let is_newer = controller.hosts.asked_ms() > wave.seen_ms;
     let is_gone = |host: &&str| {
-        let is_listed = !is_newer || duty.hosts.is_empty() || duty.hosts.get(host).is_some();
+        let is_listed =
+            !is_newer || controller.hosts.is_empty() || controller.hosts.get(host).is_some();
         !is_listed && !wave.row.out.contains_key(*host)
     };
     due.iter().all(is_gone)
@@ -170,50 +174,58 @@
 
 /// Slots that this pool's former owner took, or this one without an answer. Their hosts are about to be ordered out and get
 /// nothing new: what lasts would be ended there beside what this owner moves elsewhere.
-fn recover(book: &mut Book, duty: &mut WaveDuty, wave: &WaveKnown, pool: &str) {
+fn recover(
+    pool_state: &mut PoolState,
+    controller: &mut WaveController,
+    wave: &WaveKnown,
+    pool: &str,
+) {
     for (host, slot) in wave.row.out.iter().filter(|(_, slot)| slot.pool == pool) {
-        let turn = duty.turns.get(host).map(|(_, turn)| turn);
+        let turn = controller.turns.get(host).map(|(_, turn)| turn);
         if matches!(turn, None | Some(Turn::Closing(_))) {
             let turn = (wave.order.wave, Turn::Holding);
-            duty.turns.insert(host.clone(), turn);
+            controller.turns.insert(host.clone(), turn);
         }
         if slot.is_ordered {
             continue;
         }
-        book.set_closing(host, true);
-        book.set_going(host);
+        pool_state.set_closing(host, true);
+        pool_state.set_going(host);
     }
 }
 
 /// Closes the hosts that are on their way out in books that were just read.
-pub(super) fn close_leaving(book: &mut Book, duty: &WaveDuty) {
-    let asked = duty.pending.as_ref().filter(|pending| pending.is_take);
-    for (host, (_, turn)) in &duty.turns {
+pub(super) fn close_leaving(pool_state: &mut PoolState, controller: &WaveController) {
+    let asked = controller
+        .pending
+        .as_ref()
+        .filter(|pending| pending.is_take);
+    for (host, (_, turn)) in &controller.turns {
         if matches!(turn, Turn::Away(_)) {
             continue;
         }
-        book.set_closing(host, true);
+        pool_state.set_closing(host, true);
         if *turn == Turn::Holding || asked.is_some_and(|pending| pending.host == *host) {
-            book.set_going(host);
+            pool_state.set_going(host);
         }
     }
 }
 
-fn mark_due(book: &mut Book, due: &BTreeSet<&str>) {
-    for (_, worker) in &mut book.workers {
+fn mark_due(pool_state: &mut PoolState, due: &BTreeSet<&str>) {
+    for (_, worker) in &mut pool_state.workers {
         worker.is_due = due.contains(worker.fact.host.as_str());
     }
 }
 
 fn advance(
-    book: &mut Book,
-    duty: &mut WaveDuty,
+    pool_state: &mut PoolState,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     pool: &str,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let turns: Vec<(String, Turn)> = duty
+    let turns: Vec<(String, Turn)> = controller
         .turns
         .iter()
         .filter(|(_, (number, _))| *number == wave.order.wave)
@@ -221,90 +233,106 @@
         .collect();
     for (host, turn) in turns {
         match turn {
-            Turn::Closing(_) if !has_host(book, duty, &host, pool) => {
-                duty.turns.remove(&host);
-                book.set_closing(&host, false);
+            Turn::Closing(_) if !has_host(pool_state, controller, &host, pool) => {
+                controller.turns.remove(&host);
+                pool_state.set_closing(&host, false);
             }
             // A former owner, or the next one, took it through.
             Turn::Closing(_) if wave.row.back.contains(&host) => {
-                reopen(book, duty, &host, "it has been through", ctx);
+                reopen(pool_state, controller, &host, "it has been through", ctx);
             }
             Turn::Closing(since_ms) => {
-                if clear(book, &host, since_ms, epoch, ctx) {
-                    if take_slot(duty, wave, &host, (pool, epoch), ctx) {
-                        book.set_going(&host);
+                if clear(pool_state, &host, since_ms, epoch, ctx) {
+                    if take_slot(controller, wave, &host, (pool, epoch), ctx) {
+                        pool_state.set_going(&host);
                     }
                 } else if ctx.now.ms >= since_ms + CLOSE_MAX_MS {
                     reopen(
-                        book,
-                        duty,
+                        pool_state,
+                        controller,
                         &host,
                         "what lasts there could not move, or its ends are not on record",
                         ctx,
                     );
                 }
             }
-            Turn::Holding => go_out(book, duty, wave, &host, ctx),
-            Turn::Away(since_ms) => give_back(duty, wave, &host, since_ms, epoch, ctx),
+            Turn::Holding => go_out(pool_state, controller, wave, &host, ctx),
+            Turn::Away(since_ms) => give_back(controller, wave, &host, since_ms, epoch, ctx),
         }
     }
 }
 
 /// Moves what lasts and waits for the rest; says whether the host may go.
-fn clear(book: &mut Book, host: &str, since_ms: Millis, epoch: u64, ctx: &mut Ctx<'_>) -> bool {
-    let Some(worker) = book.worker_on(host) else {
+fn clear(
+    pool_state: &mut PoolState,
+    host: &str,
+    since_ms: Millis,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) -> bool {
+    let Some(worker) = pool_state.worker_on(host) else {
         // A life that left the list may serve on for seconds, and what it carries would end with it.
-        return book.lives_on(host).all(|(life, _)| book.is_clear(life));
+        return pool_state
+            .instances_on(host)
+            .all(|(life, _)| pool_state.is_clear(life));
     };
-    let tasks: Vec<TaskKey> = book.workers[worker].tasks.iter().copied().collect();
+    let tasks: Vec<TaskKey> = pool_state.workers[worker].tasks.iter().copied().collect();
     let is_patient = ctx.now.ms < since_ms + CLOSE_MS;
     let mut lasting_left = 0;
     for key in &tasks {
-        if !book.step_spec(*key).is_some_and(|s| s.lasting) {
+        if !pool_state.step_spec(*key).is_some_and(|s| s.lasting) {
             if !is_patient {
-                stop_short(book, *key, epoch, ctx);
+                stop_short(pool_state, *key, epoch, ctx);
             }
             continue;
         }
         lasting_left += 1;
-        let is_running = book
+        let is_running = pool_state
             .task(*key)
             .is_some_and(|t| matches!(t.phase, Phase::Running(_)));
-        if is_running && may_miss(book, *key, ctx.now.ms) {
-            runs::stop(book, *key, epoch, ctx);
+        if is_running && may_miss(pool_state, *key, ctx.now.ms) {
+            runs::stop(pool_state, *key, epoch, ctx);
         }
     }
-    lasting_left == 0 && book.is_clear(worker)
+    lasting_left == 0 && pool_state.is_clear(worker)
 }
 
 /// Stops a task that ends by itself, but not in time. Left at work as its host went, it could be done behind its owner's back:
 /// 32 of 40 such tasks were started again by the next one.
-fn stop_short(book: &mut Book, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    let phase = book.task(key).map(|task| task.phase);
+fn stop_short(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
+    let phase = pool_state.task(key).map(|task| task.phase);
     if matches!(phase, Some(Phase::Starting(_) | Phase::Running(_))) {
-        runs::stop(book, key, epoch, ctx);
+        runs::stop(pool_state, key, epoch, ctx);
     }
 }
 
 /// Whether everything that lasts on a worker could go elsewhere now.
-pub(super) fn can_clear(book: &Book, worker: WorkerKey, now_ms: Millis) -> bool {
-    let tasks = book.workers[worker].tasks.iter();
-    let mut lasting = tasks.filter(|key| book.step_spec(**key).is_some_and(|s| s.lasting));
-    lasting.all(|key| may_miss(book, *key, now_ms) && place::has_other(book, *key, worker, now_ms))
+pub(super) fn can_clear(pool_state: &PoolState, worker: WorkerKey, now_ms: Millis) -> bool {
+    let tasks = pool_state.workers[worker].tasks.iter();
+    let mut lasting = tasks.filter(|key| pool_state.step_spec(**key).is_some_and(|s| s.lasting));
+    lasting.all(|key| {
+        may_miss(pool_state, *key, now_ms) && place::has_other(pool_state, *key, worker, now_ms)
+    })
 }
 
 /// Gives a host back to its pool for a while.
-fn reopen(book: &mut Book, duty: &mut WaveDuty, host: &str, why: &str, ctx: &mut Ctx<'_>) {
-    duty.turns.remove(host);
+fn reopen(
+    pool_state: &mut PoolState,
+    controller: &mut WaveController,
+    host: &str,
+    why: &str,
+    ctx: &mut Ctx<'_>,
+) {
+    controller.turns.remove(host);
     let again_ms = ctx.now.ms + REOPENED_MS;
-    duty.reopened.insert(host.to_string(), again_ms);
-    book.set_closing(host, false);
-    ctx.tell(Decision::new(Code::HostReopened, Subject::Host, host, why));
+    controller.reopened.insert(host.to_string(), again_ms);
+    pool_state.set_closing(host, false);
+    ctx.log(Decision::new(Code::HostReopened, Subject::Host, host, why));
 }
 
 /// Whether the system may take a lasting task away now: few enough of its step are away already.
-pub fn may_miss(book: &Book, key: TaskKey, now_ms: Millis) -> bool {
-    let Some(spec) = book.step_spec(key) else {
+pub fn may_miss(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
+    let Some(spec) = pool_state.step_spec(key) else {
         return false;
     };
     let most = spec.away_max.map_or(1, usize::from);
@@ -314,17 +342,17 @@
             index: *index,
             ..key
         };
-        !is_at_work(book, other, now_ms)
+        !is_at_work(pool_state, other, now_ms)
     });
     away.count() < most
 }
 
 /// Whether a task is at work, by an account that is not old.
-fn is_at_work(book: &Book, key: TaskKey, now_ms: Millis) -> bool {
-    let Some(task) = book.task(key).filter(|t| t.is_at_work) else {
+fn is_at_work(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
+    let Some(task) = pool_state.task(key).filter(|t| t.is_at_work) else {
         return false;
     };
-    let worker = task.phase.worker().and_then(|w| book.workers.get(w));
+    let worker = task.phase.worker().and_then(|w| pool_state.workers.get(w));
     worker.is_some_and(|w| w.answers && now_ms < w.heard_ms + HEARD_MS)
 }
 
@@ -347,7 +375,7 @@
 }
 
 fn settle(
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     row: WaveRow,
     host: &str,
@@ -356,7 +384,7 @@
     ctx: &mut Ctx<'_>,
 ) {
     let tx = row_tx(wave, &row);
-    duty.pending = Some(Pending {
+    controller.pending = Some(Pending {
         wave: wave.order.wave,
         after: wave.revision,
         row,
@@ -368,14 +396,14 @@
 
 /// Asks for a slot of a wave; says whether that went out.
 fn take_slot(
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     host: &str,
     (pool, epoch): (&str, u64),
     ctx: &mut Ctx<'_>,
 ) -> bool {
     let is_full = wave.row.out.len() >= wave.order.out_max;
-    if duty.pending.is_some() || is_full || !ctx.may_send() {
+    if controller.pending.is_some() || is_full || !ctx.may_send() {
         return false;
     }
     let mut row = wave.row.clone();
@@ -390,65 +418,73 @@
         is_ordered: false,
     };
     row.out.insert(host.to_string(), slot);
-    settle(duty, wave, row, host, true, epoch, ctx);
+    settle(controller, wave, row, host, true, epoch, ctx);
     true
 }
 
 /// Gives the slot of a host back that is up again by a list that was asked for after its order was accepted. A
 /// new life alone proves nothing: it may have come of a crash, with the upkeep still to follow.
 fn give_back(
-    duty: &mut WaveDuty,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     host: &str,
     since_ms: Millis,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    if duty.pending.is_some() || duty.hosts.asked_ms() <= since_ms {
+    if controller.pending.is_some() || controller.hosts.asked_ms() <= since_ms {
         return;
     }
-    let record = duty.hosts.get(host);
+    let record = controller.hosts.get(host);
     if record.is_none_or(|h| h.state != HostState::Up) {
         return;
     }
     let mut row = wave.row.clone();
     row.out.remove(host);
     row.back.push(host.to_string());
-    settle(duty, wave, row, host, false, epoch, ctx);
+    settle(controller, wave, row, host, false, epoch, ctx);
 }
 
 /// Whether a host is still this pool's.
-fn has_host(book: &Book, duty: &WaveDuty, host: &str, pool: &str) -> bool {
-    let record = duty.hosts.get(host);
-    book.worker_on(host).is_some() || record.is_none_or(|h| h.pool == pool)
+fn has_host(pool_state: &PoolState, controller: &WaveController, host: &str, pool: &str) -> bool {
+    let record = controller.hosts.get(host);
+    pool_state.worker_on(host).is_some() || record.is_none_or(|h| h.pool == pool)
 }
 
 /// Takes note that the host of a slot was ordered out, or that its slot was given up for it.
-fn go_out(book: &mut Book, duty: &mut WaveDuty, wave: &WaveKnown, host: &str, ctx: &mut Ctx<'_>) {
+fn go_out(
+    pool_state: &mut PoolState,
+    controller: &mut WaveController,
+    wave: &WaveKnown,
+    host: &str,
+    ctx: &mut Ctx<'_>,
+) {
     let Some(slot) = wave.row.out.get(host) else {
         let why = "its slot was given up";
-        reopen(book, duty, host, why, ctx);
+        reopen(pool_state, controller, host, why, ctx);
         return;
     };
     if !slot.is_ordered {
         return;
     }
     // The life that was there is over; the next one is open once its slot was given back, or at once.
-    book.closing.remove(host);
-    book.going.remove(host);
+    pool_state.closing.remove(host);
+    pool_state.going.remove(host);
     let turn = Turn::Away(ctx.now.ms);
-    duty.turns.insert(host.to_string(), (wave.order.wave, turn));
+    controller
+        .turns
+        .insert(host.to_string(), (wave.order.wave, turn));
 }
 
 /// Takes in what became of a change of a wave's row; books that are being read close and open hosts by its row later.
 pub fn settled(
-    book: Option<&mut Book>,
-    duty: &mut WaveDuty,
+    pool_state: Option<&mut PoolState>,
+    controller: &mut WaveController,
     known: &mut BTreeMap<u64, WaveKnown>,
     outcome: TxOutcome,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(pending) = duty.pending.take() else {
+    let Some(pending) = controller.pending.take() else {
         return;
     };
     let Some(wave) = known.get_mut(&pending.wave) else {
@@ -472,13 +508,14 @@
         return;
     }
     if pending.is_take {
-        duty.turns
+        controller
+            .turns
             .insert(pending.host, (pending.wave, Turn::Holding));
         ctx.after(0, Timer::Wave);
     } else {
         let id = pending.wave.to_string();
         let left = wave.order.hosts.len().saturating_sub(wave.row.back.len());
-        ctx.tell(
+        ctx.log(
             Decision::new(
                 Code::HostBack,
                 Subject::Host,
@@ -487,9 +524,9 @@
             )
             .with("left", left as u64),
         );
-        duty.turns.remove(&pending.host);
-        if let Some(book) = book {
-            book.set_closing(&pending.host, false);
+        controller.turns.remove(&pending.host);
+        if let Some(pool_state) = pool_state {
+            pool_state.set_closing(&pending.host, false);
         }
     }
 }
@@ -499,43 +536,43 @@
     let Some(value) = &row.value else { return };
     match rows::decode(value) {
         Ok(decoded) => wave.read(decoded, row.revision),
-        Err(e) => ctx.tell(Decision::new(Code::BadRow, Subject::Wave, &row.key, e)),
+        Err(e) => ctx.log(Decision::new(Code::BadRow, Subject::Wave, &row.key, e)),
     }
 }
 
 /// Takes in the list of hosts.
-pub fn hosts_read(duty: &mut WaveDuty, hosts: Vec<HostRecord>) {
-    duty.hosts.take(hosts);
+pub fn hosts_read(controller: &mut WaveController, hosts: Vec<HostRecord>) {
+    controller.hosts.replace(hosts);
 }
 
 /// Closes as many hosts as the wave's time asks for.
 fn begin_turns(
-    book: &mut Book,
-    duty: &mut WaveDuty,
+    pool_state: &mut PoolState,
+    controller: &mut WaveController,
     wave: &WaveKnown,
     due: &BTreeSet<&str>,
     pool: &str,
     ctx: &mut Ctx<'_>,
 ) {
-    let candidates = candidates(book, duty, wave, due, pool, ctx.now.ms);
-    let in_turn = duty
+    let candidates = candidates(pool_state, controller, wave, due, pool, ctx.now.ms);
+    let in_turn = controller
         .turns
         .values()
         .filter(|(n, _)| *n == wave.order.wave)
         .count();
     let left = candidates.len() + in_turn;
-    let listed = book.workers.values().filter(|w| w.is_listed).count();
+    let listed = pool_state.workers.values().filter(|w| w.is_listed).count();
     let most = (listed / POOL_PART).max(1);
     let allowed = side_by_side(wave, left, ctx.now.ms).min(most);
     for (host, _) in candidates.into_iter().take(allowed.saturating_sub(in_turn)) {
-        book.set_closing(&host, true);
+        pool_state.set_closing(&host, true);
         let turn = Turn::Closing(ctx.now.ms);
-        ctx.tell(
+        ctx.log(
             Decision::new(Code::HostClosing, Subject::Host, &host, "its wave is due")
                 .with("wave", wave.order.wave)
                 .with("left", left as u64),
         );
-        duty.turns.insert(host, (wave.order.wave, turn));
+        controller.turns.insert(host, (wave.order.wave, turn));
     }
 }
 
@@ -551,8 +588,8 @@
 
 /// Hosts of the pool whose turn may begin, those with the least work first.
 fn candidates(
-    book: &Book,
-    duty: &WaveDuty,
+    pool_state: &PoolState,
+    controller: &WaveController,
     wave: &WaveKnown,
     due: &BTreeSet<&str>,
     pool: &str,
@@ -560,19 +597,23 @@
 ) -> Vec<(String, u64)> {
     let may_begin = |host: &str| {
         !wave.row.out.contains_key(host)
-            && !duty.turns.contains_key(host)
-            && duty.reopened.get(host).is_none_or(|again| now_ms >= *again)
+            && !controller.turns.contains_key(host)
+            && controller
+                .reopened
+                .get(host)
+                .is_none_or(|again| now_ms >= *again)
     };
     let mut found: Vec<(String, u64)> = Vec::new();
     for host in due.iter().copied().filter(|h| may_begin(h)) {
-        if let Some(key) = book.worker_on(host) {
-            let w = &book.workers[key];
-            if w.answers && !w.fact.draining && !w.is_offered && can_clear(book, key, now_ms) {
+        if let Some(key) = pool_state.worker_on(host) {
+            let w = &pool_state.workers[key];
+            if w.answers && !w.fact.draining && !w.is_offered && can_clear(pool_state, key, now_ms)
+            {
                 found.push((host.to_string(), w.used.cpu_milli + w.tasks.len() as u64));
             }
             continue;
         }
-        let record = duty.hosts.get(host);
+        let record = controller.hosts.get(host);
         let is_off =
             |h: &HostRecord| h.pool == pool && h.state == HostState::Up && h.life.is_empty();
         if record.is_some_and(is_off) {
--- a/src/core/sched/lives.rs
+++ b/src/core/sched/worker_list.rs
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 
 use super::access::{owned_pools, with_pool};
-use super::book::Book;
-use super::holds;
 use super::keys::WorkerKey;
 use super::load;
 use super::offers::Offers;
+use super::pool_state::PoolState;
+use super::renewal;
+use super::run_log;
 use super::state::{Ctx, Effect, State, Timer};
-use super::told;
 use super::worker::Worker;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{WorkerFact, WorkerWord};
+use crate::port::fleet::{WorkerEvent, WorkerFact};
 
 /// What the feed of the list told is compared with readings that were asked for up to so long ago.
 const NEWS_KEPT_MS: Millis = 60_000;
@@ -60,19 +60,19 @@
 /// Entries that can't be read are told up to this number, until they are gone or good again.
 const UNREADABLE_TOLD: usize = 256;
 
-pub(super) fn worker_word(state: &mut State, word: WorkerWord, now: Now, out: &mut Vec<Effect>) {
+pub(super) fn worker_event(state: &mut State, word: WorkerEvent, now: Now, out: &mut Vec<Effect>) {
     let id = match &word {
-        WorkerWord::Present(fact) => &fact.id,
-        WorkerWord::Gone(id) | WorkerWord::Unreadable(id, _) => id,
+        WorkerEvent::Present(fact) => &fact.id,
+        WorkerEvent::Gone(id) | WorkerEvent::Unreadable(id, _) => id,
     };
     state.list_news.note(id, now.ms);
     match word {
-        WorkerWord::Present(fact) => present(state, fact, now, out),
-        WorkerWord::Gone(id) => {
+        WorkerEvent::Present(fact) => present(state, fact, now, out),
+        WorkerEvent::Gone(id) => {
             state.unreadable.remove(&id);
             gone(state, &id, now, out);
         }
-        WorkerWord::Unreadable(id, why) => unreadable(state, id, why, now, out),
+        WorkerEvent::Unreadable(id, why) => unreadable(state, id, why, now, out),
     }
 }
 
@@ -141,15 +141,17 @@
         with_pool(state, key, now, out, |pool, ctx, _| {
             let is_its_pool = pool.name == fact.pool;
             let offers = &pool.offers;
-            let Some(tenure) = &mut pool.tenure else {
+            let Some(ownership) = &mut pool.ownership else {
+                return;
+            };
+            let epoch = ownership.epoch;
+            let Some(pool_state) = &mut ownership.pool_state else {
                 return;
             };
-            let epoch = tenure.epoch;
-            let Some(book) = &mut tenure.book else { return };
             match is_its_pool {
-                true => note_present(book, &fact, offers, epoch, ctx),
+                true => note_present(pool_state, &fact, offers, epoch, ctx),
                 // A life of the same id came up in another pool.
-                false => note_gone(book, &fact.id, ctx),
+                false => note_gone(pool_state, &fact.id, ctx),
             }
         });
     }
@@ -157,18 +159,18 @@
 
 /// Takes in a worker's entry in the list.
 pub fn note_present(
-    book: &mut Book,
+    pool_state: &mut PoolState,
     fact: &WorkerFact,
     offers: &Offers,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    if let Some(key) = book.life(&fact.id, fact.born_wall_ms) {
-        let w = &mut book.workers[key];
+    if let Some(key) = pool_state.find_instance(&fact.id, fact.born_wall_ms) {
+        let w = &mut pool_state.workers[key];
         if w.is_superseded {
             return;
         }
-        tell_resized(w, fact, ctx);
+        log_resized(w, fact, ctx);
         if w.fact.address != fact.address {
             w.moved_ms = Some(ctx.now.ms);
         }
@@ -178,31 +180,35 @@
         };
         w.is_listed = true;
         w.is_withdrawn = false;
-        book.note_room(key);
-        book.wants_placing = true;
-        holds::next(book, key, epoch, ctx);
+        pool_state.update_free_index(key);
+        pool_state.wants_placing = true;
+        renewal::send_next(pool_state, key, epoch, ctx);
         return;
     }
-    if let Some((_, earlier)) = book.lives_of(&fact.id).last() {
-        ctx.tell(told::restarted(earlier, fact.born_wall_ms, "its entry"));
+    if let Some((_, earlier)) = pool_state.instances_of(&fact.id).last() {
+        ctx.log(run_log::worker_restarted(
+            earlier,
+            fact.born_wall_ms,
+            "its entry",
+        ));
     }
-    let key = load::add_listed(book, fact.clone(), ctx.now.ms, ctx.now);
+    let key = load::add_listed(pool_state, fact.clone(), ctx.now.ms, ctx.now);
     let is_given = offers.is_given(&fact.host, &fact.id);
-    book.workers[key].is_spare = is_given;
-    book.workers[key].is_offered = is_given;
+    pool_state.workers[key].is_spare = is_given;
+    pool_state.workers[key].is_offered = is_given;
     let found = Decision::new(Code::WorkerFound, Subject::Host, &fact.id, &*fact.host);
-    ctx.tell(found.with("born_wall_ms", told::born(fact.born_wall_ms)));
-    greet(book, key, epoch, ctx);
+    ctx.log(found.with("born_wall_ms", run_log::born_or_zero(fact.born_wall_ms)));
+    start_renewing(pool_state, key, epoch, ctx);
 }
 
 /// Tells that a worker's room is another one. What runs there and does not fit any more is left till it ends: nothing new
 /// is started beside it.
-fn tell_resized(worker: &Worker, fact: &WorkerFact, ctx: &mut Ctx<'_>) {
+fn log_resized(worker: &Worker, fact: &WorkerFact, ctx: &mut Ctx<'_>) {
     let (before, room) = (worker.fact.capacity, fact.capacity);
     if before == room {
         return;
     }
-    ctx.tell(
+    ctx.log(
         Decision::new(Code::WorkerResized, Subject::Host, &fact.id, &*fact.host)
             .with("cpu_milli", room.cpu_milli)
             .with("before_cpu_milli", before.cpu_milli)
@@ -216,29 +222,35 @@
     state.listed.remove(id);
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, _| {
-            let Some(book) = pool.tenure.as_mut().and_then(|t| t.book.as_mut()) else {
+            let Some(pool_state) = pool.ownership.as_mut().and_then(|t| t.pool_state.as_mut())
+            else {
                 return;
             };
-            note_gone(book, id, ctx);
+            note_gone(pool_state, id, ctx);
         });
     }
 }
 
-fn note_gone(book: &mut Book, id: &str, ctx: &Ctx<'_>) {
-    let lives: Vec<WorkerKey> = book.lives_of(id).map(|(key, _)| key).collect();
+fn note_gone(pool_state: &mut PoolState, id: &str, ctx: &Ctx<'_>) {
+    let lives: Vec<WorkerKey> = pool_state.instances_of(id).map(|(key, _)| key).collect();
     for key in lives {
-        let w = &mut book.workers[key];
+        let w = &mut pool_state.workers[key];
         w.is_listed = false;
         w.is_withdrawn = w.answers;
-        holds::forget_if_over(book, key, ctx);
+        renewal::forget_if_over(pool_state, key, ctx);
     }
 }
 
 /// First hold to a worker, and a look at the end of what others may have ordered there.
-pub(super) fn greet(book: &mut Book, worker: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    let left_ms = book.workers[worker]
-        .lease_over_ms
+pub(super) fn start_renewing(
+    pool_state: &mut PoolState,
+    worker: WorkerKey,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
+    let left_ms = pool_state.workers[worker]
+        .lease_end_ms
         .saturating_sub(ctx.now.ms);
     ctx.after(left_ms, Timer::LeaseOver(worker));
-    holds::next(book, worker, epoch, ctx);
+    renewal::send_next(pool_state, worker, epoch, ctx);
 }
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -235,7 +235,7 @@
 
 /// A change of what the operator says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OperatorWord {
+pub enum OperatorEvent {
     /// A configuration in full.
     Config(Arc<FleetConfig>),
     /// A wave of upkeep.
@@ -275,7 +275,7 @@
     }
 
     /// Whether it is no less than `other` of anything.
-    pub fn holds(self, other: Capacity) -> bool {
+    pub fn contains(self, other: Capacity) -> bool {
         other.cpu_milli <= self.cpu_milli && other.mem_mb <= self.mem_mb && other.gpu <= self.gpu
     }
 
@@ -312,7 +312,7 @@
 
 /// A change in the list of workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WorkerWord {
+pub enum WorkerEvent {
     /// It is there, as stated.
     Present(WorkerFact),
     /// Its entry was removed; the id.
@@ -324,21 +324,21 @@
 /// What the operator and the workers say through the store.
 pub trait Directory {
     /// Everything the operator says, and where to go on.
-    fn operator(&self) -> impl Future<Output = Result<Feed<OperatorWord>, ReadError>>;
+    fn operator(&self) -> impl Future<Output = Result<Feed<OperatorEvent>, ReadError>>;
     /// Changes of it.
     fn operator_feed(
         &self,
         since: Revision,
         wait_ms: Millis,
-    ) -> impl Future<Output = Result<Feed<OperatorWord>, ReadError>>;
+    ) -> impl Future<Output = Result<Feed<OperatorEvent>, ReadError>>;
     /// All workers, and where to go on.
-    fn workers(&self) -> impl Future<Output = Result<Feed<WorkerWord>, ReadError>>;
+    fn workers(&self) -> impl Future<Output = Result<Feed<WorkerEvent>, ReadError>>;
     /// Changes of the list.
     fn workers_feed(
         &self,
         since: Revision,
         wait_ms: Millis,
-    ) -> impl Future<Output = Result<Feed<WorkerWord>, ReadError>>;
+    ) -> impl Future<Output = Result<Feed<WorkerEvent>, ReadError>>;
 }
 
 /// Names one task of one job.
@@ -454,7 +454,7 @@
 
 /// Renews a worker's lease and asks what runs there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HoldAsk {
+pub struct RenewalRequest {
     /// Until when everything there may run, on the worker's clock; none asks only.
     pub lease_until_ms: Option<Millis>,
     /// Ends up to this number are recorded and may be forgotten.
@@ -465,7 +465,7 @@
 
 /// A worker's account.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HoldReport {
+pub struct RenewalReport {
     /// The life that answered, as in [`WorkerFact::born_wall_ms`].
     pub born_wall_ms: Option<Millis>,
     /// The worker's clock, which counts from the start of its life.
@@ -505,12 +505,12 @@
         timeout_ms: Millis,
     ) -> impl Future<Output = OrderReply>;
     /// Renews the lease and asks for the account.
-    fn hold(
+    fn renew_lease(
         &self,
         to: &Addressee,
-        ask: HoldAsk,
+        ask: RenewalRequest,
         timeout_ms: Millis,
-    ) -> impl Future<Output = Result<HoldReport, OrderReply>>;
+    ) -> impl Future<Output = Result<RenewalReport, OrderReply>>;
 }
 
 /// On whose authority a host is ordered about.
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -13,9 +13,9 @@
 use super::operations::{whole, whole_intake, whole_progress};
 use super::shared::Shared;
 use crate::clock::Millis;
-use crate::core::sched::hosts::{duty_pool, HostTask};
+use crate::core::sched::hosts::{controller_pool, HostTask};
 use crate::core::sched::limits::{
-    HOLD_SLACK_MS, ORDER_TIMEOUT_MS, TX_RETRY_MS, TX_TIMEOUT_MAX_MS, TX_TIMEOUT_MS,
+    ORDER_TIMEOUT_MS, RENEWAL_SLACK_MS, TX_RETRY_MS, TX_TIMEOUT_MAX_MS, TX_TIMEOUT_MS,
 };
 use crate::core::sched::quota::quota_part;
 use crate::core::sched::state::{Effect, Event, LoadedRows, Order, State};
@@ -137,14 +137,18 @@
 
 /// Hands on what a pool's owner says of waiting jobs.
 fn publish_waiting(shared: &Shared, row: &StoredRow) {
-    let Some(value) = row.value.as_deref().filter(|_| row.key == rows::BEAT_KEY) else {
+    let Some(value) = row
+        .value
+        .as_deref()
+        .filter(|_| row.key == rows::HEARTBEAT_KEY)
+    else {
         return;
     };
     let Some((pool, _)) = rows::shard_of_part(&row.part) else {
         return;
     };
     // A row that can't be read is logged by the reducer.
-    if let Ok(beat) = rows::decode::<rows::BeatRow>(value) {
+    if let Ok(beat) = rows::decode::<rows::HeartbeatRow>(value) {
         if let Some(waiting) = beat.waiting {
             shared.set_waiting(pool, waiting);
         }
@@ -152,19 +156,21 @@
 }
 
 fn note_owned<P>(carrier: &Carrier<P>, state: &State) {
-    let pools = state.pools.iter().filter(|p| p.tenure.is_some());
+    let pools = state.pools.iter().filter(|p| p.ownership.is_some());
     let oldest = pools
         .clone()
-        .filter_map(|p| p.tenure.as_ref().map(|t| t.epoch))
+        .filter_map(|p| p.ownership.as_ref().map(|t| t.epoch))
         .min();
     match (carrier.owned.intake_from.get(), oldest) {
         (None, Some(epoch)) => carrier.owned.intake_from.set(Some(epoch)),
         (Some(_), None) => carrier.owned.intake_from.set(None),
         _ => {}
     }
-    let duty_pool = duty_pool(&state.config);
-    let has_duty = pools.clone().any(|p| Some(p.name.as_str()) == duty_pool);
-    carrier.owned.orders_hosts.set(has_duty);
+    let controller_pool = controller_pool(&state.config);
+    let has_controller = pools
+        .clone()
+        .any(|p| Some(p.name.as_str()) == controller_pool);
+    carrier.owned.orders_hosts.set(has_controller);
     let mut names = carrier.owned.pools.borrow_mut();
     if names.len() != pools.clone().count() || !pools.clone().all(|p| names.contains(&p.name)) {
         *names = pools.map(|p| p.name.clone()).collect();
@@ -205,9 +211,9 @@
                 let rows = load(&shared, &platform, &name).await.ok();
                 Some(Event::Loaded(pool, epoch, rows))
             }),
-            Effect::Record(pool, book, shard, tx) => self.spawn(async move {
+            Effect::Record(pool, pool_state, shard, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
-                Some(Event::Recorded(pool, book, shard, outcome))
+                Some(Event::Recorded(pool, pool_state, shard, outcome))
             }),
             Effect::Start(order, task, start) => {
                 self.spawn(async move {
@@ -217,7 +223,11 @@
                         OrderReply::Silent
                     };
                     Some(Event::Started(
-                        order.pool, order.book, task, start.run, reply,
+                        order.pool,
+                        order.pool_state,
+                        task,
+                        start.run,
+                        reply,
                     ))
                 });
             }
@@ -228,7 +238,13 @@
                     } else {
                         OrderReply::Silent
                     };
-                    Some(Event::Stopped(order.pool, order.book, task, run, reply))
+                    Some(Event::Stopped(
+                        order.pool,
+                        order.pool_state,
+                        task,
+                        run,
+                        reply,
+                    ))
                 });
             }
             Effect::StopStray(order, name, run) => {
@@ -252,16 +268,18 @@
                     None
                 });
             }
-            Effect::Hold(order, worker, ask) => {
+            Effect::RenewWorker(order, worker, ask) => {
                 self.spawn(async move {
                     let result = if may_send(&shared, &order) {
-                        let timeout_ms = ask.wait_ms + HOLD_SLACK_MS;
-                        platform.hold(&order.to, ask, timeout_ms).await
+                        let timeout_ms = ask.wait_ms + RENEWAL_SLACK_MS;
+                        platform.renew_lease(&order.to, ask, timeout_ms).await
                     } else {
                         Err(OrderReply::Silent)
                     };
-                    let (pool, book) = (order.pool, order.book);
-                    Some(Event::Held(pool, book, worker, sent_ms, result))
+                    let (pool, pool_state) = (order.pool, order.pool_state);
+                    Some(Event::WorkerRenewed(
+                        pool, pool_state, worker, sent_ms, result,
+                    ))
                 });
             }
             Effect::SettleWave(pool, epoch, tx) => self.spawn(async move {
@@ -272,9 +290,9 @@
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
                 Some(Event::OrderedSettled(pool, epoch, outcome))
             }),
-            Effect::RemoveIntake(pool, book, tx) => self.spawn(async move {
+            Effect::RemoveIntake(pool, pool_state, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
-                Some(Event::IntakeRemoved(pool, book, outcome))
+                Some(Event::IntakeRemoved(pool, pool_state, outcome))
             }),
             Effect::SettleOffers(pool, epoch, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -4,13 +4,13 @@
 
 use fastrand::Rng;
 use rockwick::clock::Millis;
-use rockwick::core::sched::book::Book;
-use rockwick::core::sched::hosts::{self, HostDuty, HostTask, Look};
+use rockwick::core::sched::hosts::{self, HostController, HostTask, Inputs};
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::{Offers, OffersRow, OFFERS_KEY};
+use rockwick::core::sched::owner_lease::FormerOrders;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows;
-use rockwick::core::sched::seat::FormerOrders;
 use rockwick::core::sched::sizing::{self, Sizing};
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::event::Code;
@@ -50,10 +50,10 @@
 struct Pair {
     rng: Rng,
     now_ms: Millis,
-    book: Book,
+    pool_state: PoolState,
     sizing: Sizing,
     offers: Offers,
-    duty: HostDuty,
+    controller: HostController,
     seen: Offers,
     config: FleetConfig,
     row: Option<(Vec<u8>, u64)>,
@@ -68,24 +68,24 @@
 
 impl Pair {
     fn new(seed: u64) -> Self {
-        let mut book = Book::default();
+        let mut pool_state = PoolState::default();
         for n in 0..HOSTS {
             let host = format!("host-{n}");
             let fact = worker_fact(&format!("life-{n}"), &host);
-            answering(&mut book, fact);
+            answering(&mut pool_state, fact);
         }
-        let mut duty = HostDuty::default();
+        let mut controller = HostController::default();
         decide(0, |ctx| {
-            duty = HostDuty::new(&[], &FormerOrders::default(), true, ctx);
+            controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
         });
         let sizing = Sizing::default();
         Self {
             rng: Rng::with_seed(seed),
             now_ms: 100_000,
-            book,
+            pool_state,
             sizing,
             offers: Offers::default(),
-            duty,
+            controller,
             seen: Offers::default(),
             config: pools(POOL),
             row: None,
@@ -181,10 +181,10 @@
     }
 
     fn check_idle(&self, host: &str) {
-        let Some(key) = self.book.worker_on(host) else {
+        let Some(key) = self.pool_state.worker_on(host) else {
             return;
         };
-        let worker = &self.book.workers[key];
+        let worker = &self.pool_state.workers[key];
         assert!(
             !worker.is_open(self.now_ms) && worker.tasks.is_empty(),
             "{host} is ordered away while its pool uses it"
@@ -193,12 +193,12 @@
 
     fn owner_looks(&mut self) {
         let open = |pair: &Self| {
-            let workers = pair.book.workers.values();
+            let workers = pair.pool_state.workers.values();
             workers.filter(|w| w.is_open(pair.now_ms)).count()
         };
         let before = open(self);
         self.change_load();
-        let with = sizing::Look {
+        let with = sizing::Inputs {
             pool: POOL,
             epoch: EPOCH,
             can_park: true,
@@ -206,8 +206,8 @@
             answer_ms: 5,
         };
         let effects = decide(self.now_ms, |ctx| {
-            sizing::look(
-                &mut self.book,
+            sizing::reconcile(
+                &mut self.pool_state,
                 &mut self.sizing,
                 &mut self.offers,
                 &with,
@@ -224,10 +224,10 @@
         if self.rng.u32(0..4) > 0 {
             return;
         }
-        let keys: Vec<_> = self.book.jobs.keys().collect();
+        let keys: Vec<_> = self.pool_state.jobs.keys().collect();
         if keys.len() > 2 || self.rng.bool() {
             for key in keys.into_iter().skip(1) {
-                self.book.forget(key, self.now_ms);
+                self.pool_state.forget(key, self.now_ms);
             }
             return;
         }
@@ -238,13 +238,13 @@
             revision: EPOCH + 1,
         };
         decide(self.now_ms, |ctx| {
-            load::apply_intake(&mut self.book, &row, &config(1), EPOCH, ctx);
+            load::apply_intake(&mut self.pool_state, &row, &config(1), EPOCH, ctx);
         });
     }
 
     /// Work comes to some host that is open, and ends on others.
     fn work(&mut self) {
-        let keys: Vec<_> = self.book.workers.keys().collect();
+        let keys: Vec<_> = self.pool_state.workers.keys().collect();
         let key = keys[self.rng.usize(0..keys.len())];
         let demand = Capacity {
             cpu_milli: 100,
@@ -256,8 +256,8 @@
             step: 0,
             index: 0,
         };
-        let is_open = self.book.workers[key].is_open(self.now_ms);
-        let worker = &mut self.book.workers[key];
+        let is_open = self.pool_state.workers[key].is_open(self.now_ms);
+        let worker = &mut self.pool_state.workers[key];
         if is_open && self.rng.bool() {
             worker.take(task, demand);
         } else {
@@ -265,20 +265,20 @@
         }
     }
 
-    fn holder(&mut self, work: impl FnOnce(&mut HostDuty, &Look<'_>, &mut Ctx<'_>)) {
+    fn holder(&mut self, work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>)) {
         let none = Offers::default();
         let needs = [
             need("busy", self.lacks, &none, self.now_ms),
             need(POOL, 0, &self.seen, self.now_ms),
         ];
-        let look = Look {
+        let look = Inputs {
             config: &self.config,
             needs: &needs,
             pool: "off",
             epoch: EPOCH,
         };
-        let duty = &mut self.duty;
-        let effects = decide(self.now_ms, |ctx| work(duty, &look, ctx));
+        let controller = &mut self.controller;
+        let effects = decide(self.now_ms, |ctx| work(controller, &look, ctx));
         self.carry(effects);
     }
 
@@ -310,8 +310,8 @@
             },
             Arrival::Taken(outcome) => {
                 let mut row = None;
-                self.holder(|duty, _, ctx| {
-                    row = hosts::taken(duty, POOL, &outcome, EPOCH, ctx);
+                self.holder(|controller, _, ctx| {
+                    row = hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
                 });
                 match (outcome, row) {
                     (TxOutcome::Committed(revision), Some(row)) => self.seen.took(row, revision),
@@ -319,11 +319,11 @@
                     _ => {}
                 }
             }
-            Arrival::Recorded => self.holder(|duty, _, ctx| {
-                hosts::recorded(duty, &TxOutcome::Committed(1), EPOCH, ctx);
+            Arrival::Recorded => self.holder(|controller, _, ctx| {
+                hosts::recorded(controller, &TxOutcome::Committed(1), EPOCH, ctx);
             }),
-            Arrival::Ordered(host, reply) => self.holder(|duty, _, ctx| {
-                hosts::ordered(duty, &host, reply, ctx);
+            Arrival::Ordered(host, reply) => self.holder(|controller, _, ctx| {
+                hosts::ordered(controller, &host, reply, ctx);
             }),
             Arrival::ToOwner(row) => observe(&mut self.offers, &row),
             Arrival::ToHolder(row) => observe(&mut self.seen, &row),
@@ -352,8 +352,8 @@
             self.leaving.remove(&host);
             self.gone.insert(host.clone());
             self.moved += 1;
-            if let Some(key) = self.book.worker_on(&host) {
-                self.book.workers[key].is_listed = false;
+            if let Some(key) = self.pool_state.worker_on(&host) {
+                self.pool_state.workers[key].is_listed = false;
             }
         }
         if now_ms.is_multiple_of(100) {
@@ -362,9 +362,9 @@
             }
             self.owner_looks();
             let list = self.list();
-            self.holder(|duty, look, ctx| {
-                hosts::list_read(duty, list);
-                hosts::look(duty, &BTreeMap::new(), look, ctx);
+            self.holder(|controller, look, ctx| {
+                hosts::list_read(controller, list);
+                hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
             });
         }
     }
@@ -408,24 +408,24 @@
         need("busy", 1, &none, 100_000),
         need(POOL, 0, &offered, 100_000),
     ];
-    let look = Look {
+    let look = Inputs {
         config: &config,
         needs: &needs,
         pool: "off",
         epoch: EPOCH,
     };
-    let mut duty = HostDuty::default();
+    let mut controller = HostController::default();
     let effects = decide(100_000, |ctx| {
-        duty = HostDuty::new(&[], &FormerOrders::default(), true, ctx);
-        hosts::look(&mut duty, &BTreeMap::new(), &look, ctx);
-        hosts::list_read(&mut duty, Pair::new(1).list());
-        hosts::look(&mut duty, &BTreeMap::new(), &look, ctx);
+        controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+        hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
+        hosts::list_read(&mut controller, Pair::new(1).list());
+        hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
     });
     let is_take = |e: &Effect| matches!(e, Effect::TakeHosts(..));
     assert!(effects.iter().any(is_take), "{effects:?}");
     let effects = decide(100_010, |ctx| {
         hosts::taken(
-            &mut duty,
+            &mut controller,
             POOL,
             &TxOutcome::Conflict(Vec::new()),
             EPOCH,
@@ -434,7 +434,7 @@
     });
     let is_told = |e: &Effect| matches!(e, Effect::Log(d) if d.code == Code::OffersNotTaken);
     assert!(effects.iter().any(is_told), "{effects:?}");
-    assert!(!duty.has_order("host-0"));
+    assert!(!controller.has_order("host-0"));
 }
 
 /// An owner that changes its offers just before each take arrives: what is on offer is taken all the same.
@@ -442,11 +442,11 @@
 fn offers_in_step() {
     let config = pools(POOL);
     let none = Offers::default();
-    let mut duty = HostDuty::default();
+    let mut controller = HostController::default();
     let mut offers = Offers::default();
     let mut took = 0;
     decide(100_000, |ctx| {
-        duty = HostDuty::new(&[], &FormerOrders::default(), true, ctx);
+        controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
     });
     for look_n in 0..10 {
         let now_ms = 100_000 + look_n * 100;
@@ -455,11 +455,11 @@
             &none,
             &offers,
             now_ms,
-            |duty, look, ctx| {
-                hosts::look(duty, &BTreeMap::new(), look, ctx);
-                hosts::list_read(duty, Pair::new(1).list());
+            |controller, look, ctx| {
+                hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
+                hosts::list_read(controller, Pair::new(1).list());
             },
-            &mut duty,
+            &mut controller,
         );
         // The owner puts one more on offer before the take arrives.
         let host = format!("host-{}", look_n.min(5));
@@ -480,13 +480,13 @@
                 &none,
                 &offers,
                 now_ms + 10,
-                |duty, look, ctx| {
-                    hosts::taken(duty, POOL, &outcome, EPOCH, ctx);
+                |controller, look, ctx| {
+                    hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
                     if !is_newest {
-                        hosts::retake(duty, &BTreeMap::new(), look, ctx);
+                        hosts::retake(controller, &BTreeMap::new(), look, ctx);
                     }
                 },
-                &mut duty,
+                &mut controller,
             );
         }
     }
@@ -507,15 +507,15 @@
     none: &Offers,
     offers: &Offers,
     now_ms: Millis,
-    work: impl FnOnce(&mut HostDuty, &Look<'_>, &mut Ctx<'_>),
-    duty: &mut HostDuty,
+    work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>),
+    controller: &mut HostController,
 ) -> Vec<Effect> {
     let needs = [need("busy", 6, none, now_ms), need(POOL, 0, offers, now_ms)];
-    let look = Look {
+    let look = Inputs {
         config,
         needs: &needs,
         pool: "off",
         epoch: EPOCH,
     };
-    decide(now_ms, |ctx| work(duty, &look, ctx))
+    decide(now_ms, |ctx| work(controller, &look, ctx))
 }
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::load;
-use rockwick::core::sched::rows::{self, shard_of_part, BEAT_KEY};
+use rockwick::core::sched::pool_state::PoolState;
+use rockwick::core::sched::rows::{self, shard_of_part, HEARTBEAT_KEY};
 use rockwick::core::sched::state::{Effect, Event, WaveKnown};
-use rockwick::core::sched::wave::{self, WaveDuty};
-use rockwick::port::fleet::{HostRecord, HostState, OperatorWord, Table, WaveOrder, WaveState};
+use rockwick::core::sched::wave::{self, WaveController};
+use rockwick::port::fleet::{HostRecord, HostState, OperatorEvent, Table, WaveOrder, WaveState};
 
 use crate::decide::decide;
 use crate::world::{config, job, worker_fact, World, POOL, QUEUE};
@@ -80,7 +80,7 @@
             queue.attempts_max = 5;
         }
         let owner = world.owner_entry().expect("it settled");
-        let newer = OperatorWord::Config(Arc::new(newer));
+        let newer = OperatorEvent::Config(Arc::new(newer));
         world.tell(owner, Event::Operator(newer));
         world.submit("job", job(1, 1_000, 2_000));
         world.fail_runs("job", 3);
@@ -121,7 +121,7 @@
             for queue in passing.queues.values_mut() {
                 queue.attempts_max = attempts_max;
             }
-            let word = OperatorWord::Config(Arc::new(passing));
+            let word = OperatorEvent::Config(Arc::new(passing));
             world.tell(owner, Event::Operator(word));
         }
         world.resize(&worker, 16_000);
@@ -209,16 +209,16 @@
 /// A wave of hosts that came up since the list was last read is told completed before any of them was out.
 #[test]
 fn wave_older_list() {
-    let mut book = Book::default();
-    load::add_worker(&mut book, worker_fact("life-2", "new"), 0);
-    let mut duty = WaveDuty::default();
+    let mut pool_state = PoolState::default();
+    load::add_worker(&mut pool_state, worker_fact("life-2", "new"), 0);
+    let mut controller = WaveController::default();
     let old = HostRecord {
         host: "old".to_string(),
         pool: POOL.to_string(),
         state: HostState::Up,
         life: "life-1".to_string(),
     };
-    wave::hosts_read(&mut duty, vec![old]);
+    wave::hosts_read(&mut controller, vec![old]);
     let order = WaveOrder {
         wave: 1,
         hosts: vec!["new".to_string()],
@@ -232,7 +232,7 @@
     };
     let mut waves = BTreeMap::from([(1, known)]);
     let effects = decide(10_000, |ctx| {
-        wave::look(&mut book, &mut duty, &mut waves, POOL, 7, ctx);
+        wave::reconcile(&mut pool_state, &mut controller, &mut waves, POOL, 7, ctx);
     });
     let is_told = |e: &Effect| matches!(e, Effect::TellWave(1, WaveState::Completed));
     assert!(!effects.iter().any(is_told));
@@ -241,7 +241,7 @@
 /// Jobs that the newest heartbeat says wait; nothing where it does not tell.
 fn told_waiting(world: &World) -> Option<u64> {
     let beats = world.store.iter().filter(|((table, part, key), _)| {
-        *table == Table::Owners && key == BEAT_KEY && shard_of_part(part).is_some()
+        *table == Table::Owners && key == HEARTBEAT_KEY && shard_of_part(part).is_some()
     });
     let (_, (value, _)) = beats.max_by_key(|(_, (_, revision))| *revision)?;
     let beat: serde_json::Value = serde_json::from_slice(value).expect("it decodes");
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::load;
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows::{SlotRow, WaveRow};
 use rockwick::core::sched::state::{Effect, WaveKnown};
-use rockwick::core::sched::wave::{self, WaveDuty};
+use rockwick::core::sched::wave::{self, WaveController};
 use rockwick::event::{Code, Decision, Subject};
 use rockwick::port::fleet::{HostRecord, HostState, WaveOrder};
 
@@ -17,16 +17,16 @@
 
 /// A pool with one host, whose order to go for upkeep was accepted.
 struct Out {
-    book: Book,
-    duty: WaveDuty,
+    pool_state: PoolState,
+    controller: WaveController,
     waves: BTreeMap<u64, WaveKnown>,
     now_ms: u64,
 }
 
 impl Out {
     fn new() -> Self {
-        let mut book = Book::default();
-        load::add_worker(&mut book, worker_fact("life-2", HOST), 0);
+        let mut pool_state = PoolState::default();
+        load::add_worker(&mut pool_state, worker_fact("life-2", HOST), 0);
         let slot = SlotRow {
             pool: POOL.to_string(),
             is_ordered: true,
@@ -46,8 +46,8 @@
             ..WaveKnown::default()
         };
         Self {
-            book,
-            duty: WaveDuty::default(),
+            pool_state,
+            controller: WaveController::default(),
             waves: BTreeMap::from([(1, wave)]),
             now_ms: 10_000,
         }
@@ -67,9 +67,9 @@
     fn effects(&mut self) -> Vec<Effect> {
         self.now_ms += 100;
         decide(self.now_ms, |ctx| {
-            wave::look(
-                &mut self.book,
-                &mut self.duty,
+            wave::reconcile(
+                &mut self.pool_state,
+                &mut self.controller,
                 &mut self.waves,
                 POOL,
                 7,
@@ -96,7 +96,7 @@
             state,
             life: "life-2".to_string(),
         };
-        wave::hosts_read(&mut self.duty, vec![record]);
+        wave::hosts_read(&mut self.controller, vec![record]);
     }
 }
 
@@ -120,8 +120,8 @@
     let slot = wave.row.out.get_mut(HOST).expect("the host holds it");
     slot.is_ordered = false;
     out.look();
-    let key = out.book.worker_on(HOST).expect("the host is listed");
-    assert!(out.book.workers[key].is_closing);
+    let key = out.pool_state.worker_on(HOST).expect("the host is listed");
+    assert!(out.pool_state.workers[key].is_closing);
 }
 
 /// A host that stays away is told of once its wave has waited for long, and seldom again; by its name and its wave's.
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -66,14 +66,19 @@
     }
 
     /// The owner's books on the pool, once it has read them.
-    pub(crate) fn owner_book(&self) -> Option<&Book> {
-        self.owner()?.pool(POOL)?.tenure.as_ref()?.book.as_ref()
+    pub(crate) fn owner_book(&self) -> Option<&PoolState> {
+        self.owner()?
+            .pool(POOL)?
+            .ownership
+            .as_ref()?
+            .pool_state
+            .as_ref()
     }
 
     /// Whether a job has ended by its owner's books, whatever is on record.
     pub(crate) fn is_over_by_books(&self, id: &str) -> bool {
-        let book = self.owner_book();
-        book.is_some_and(|book| book.jobs[book.by_id[id]].state.is_final())
+        let pool_state = self.owner_book();
+        pool_state.is_some_and(|pool_state| pool_state.jobs[pool_state.by_id[id]].state.is_final())
     }
 
     /// The entry that owns the pool.
@@ -82,11 +87,11 @@
         self.entries.iter().position(owns)
     }
 
-    /// An entry reads the rows of its pool again, within the same tenure; gives what is logged by it.
+    /// An entry reads the rows of its pool again, within the same ownership; gives what is logged by it.
     pub(crate) fn reload(&mut self, n: usize) -> Vec<Decision> {
         let state = self.entries[n].state.as_ref();
-        let tenure = state.and_then(|s| s.pool(POOL)?.tenure.as_ref());
-        let epoch = tenure.expect("it owns the pool").epoch;
+        let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
+        let epoch = ownership.expect("it owns the pool").epoch;
         let rows = self.rows();
         self.told(n, Event::Loaded(PoolKey(0), epoch, Some(rows)))
     }
@@ -96,11 +101,11 @@
         self.rows()
     }
 
-    /// An entry is handed rows that were read before, within its tenure.
+    /// An entry is handed rows that were read before, within its ownership.
     pub(crate) fn load(&mut self, n: usize, rows: LoadedRows) {
         let state = self.entries[n].state.as_ref();
-        let tenure = state.and_then(|s| s.pool(POOL)?.tenure.as_ref());
-        let epoch = tenure.expect("it owns the pool").epoch;
+        let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
+        let epoch = ownership.expect("it owns the pool").epoch;
         self.tell(n, Event::Loaded(PoolKey(0), epoch, Some(rows)));
     }
 
@@ -183,12 +188,12 @@
     /// What an entry reads when it starts, or comes back to the store.
     pub(super) fn tell_all(&mut self, n: usize) {
         let life = self.entries[n].life;
-        let config = Event::Operator(OperatorWord::Config(Arc::new(self.config.clone())));
+        let config = Event::Operator(OperatorEvent::Config(Arc::new(self.config.clone())));
         let config_ms = 3 + self.config_late_ms;
         self.at(config_ms, Happening::Deliver(n, life, config));
         let mut events = Vec::new();
         for wave in &self.waves {
-            events.push(Event::Operator(OperatorWord::Wave(wave.clone())));
+            events.push(Event::Operator(OperatorEvent::Wave(wave.clone())));
         }
         // The list holds entries of lives that have ended for some heartbeats.
         let facts = self.listed();
--- a/tests/world/happenings.rs
+++ b/tests/world/happenings.rs
@@ -27,7 +27,7 @@
 pub(super) enum LateOrder {
     Start(u64, RunStart),
     Stop(u64, TaskName, u32),
-    Hold(u64, HoldAsk),
+    Hold(u64, RenewalRequest),
 }
 
 pub(super) struct Queued {
@@ -130,7 +130,7 @@
                 self.unlisted.remove(&id);
                 let up = self.workers.get(&id).filter(|w| w.is_up);
                 if let Some(fact) = up.map(|w| w.fact.clone()) {
-                    self.broadcast(&Event::Worker(WorkerWord::Present(fact)));
+                    self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
                 }
             }
             Happening::Lapse(id) => self.lapse(&id),
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -23,9 +23,9 @@
 
 use fastrand::Rng;
 use rockwick::clock::Now;
-use rockwick::core::sched::book::Book;
 use rockwick::core::sched::hosts::HostTask;
 use rockwick::core::sched::job::{JobSpec, JobState, QueuePolicy, Schedule, StepSpec};
+use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::quota::quota_part;
 use rockwick::core::sched::reduce;
 use rockwick::core::sched::rows::{
@@ -34,10 +34,10 @@
 use rockwick::core::sched::state::{Effect, Event, LoadedRows, PoolKey, State};
 use rockwick::event::Decision;
 use rockwick::port::fleet::{
-    AccountConfig, Capacity, EndKind, FleetConfig, HoldAsk, HoldReport, HostRecord, HostReply,
-    HostState, OperatorWord, OrderReply, PoolConfig, QueueConfig, RowTx, RunEnd, RunStart,
-    RunningTask, StoredRow, Table, TaskName, TxOutcome, WaveOrder, WaveState, WorkerFact,
-    WorkerWord,
+    AccountConfig, Capacity, EndKind, FleetConfig, HostRecord, HostReply, HostState, OperatorEvent,
+    OrderReply, PoolConfig, QueueConfig, RenewalReport, RenewalRequest, RowTx, RunEnd, RunStart,
+    RunningTask, StoredRow, Table, TaskName, TxOutcome, WaveOrder, WaveState, WorkerEvent,
+    WorkerFact,
 };
 
 use happenings::{Happening, LateOrder, Queued};
@@ -63,7 +63,7 @@
 const FEED_MS: u64 = 5;
 
 /// A lease that a worker accepts at most.
-const HOLD_MAX_MS: u64 = 10_000;
+const RENEWAL_MAX_MS: u64 = 10_000;
 
 /// An order that got no answer by then is given up by its sender.
 const ORDER_TIMEOUT_MS: u64 = 400;
@@ -396,7 +396,7 @@
             let life = self.entries[n].life;
             let late_ms = match event {
                 Event::Worker(_) => self.word_late_ms,
-                Event::Operator(OperatorWord::Config(_)) => self.config_late_ms,
+                Event::Operator(OperatorEvent::Config(_)) => self.config_late_ms,
                 _ => 0,
             };
             let delay_ms = self.delay() + 20 + late_ms;
@@ -441,7 +441,7 @@
             .collect();
         if !ended.is_empty() {
             let fact = ended[self.rng.usize(0..ended.len())].clone();
-            self.broadcast(&Event::Worker(WorkerWord::Present(fact)));
+            self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
         }
     }
 
@@ -483,15 +483,19 @@
 
     /// How a job stands in its owner's books, for messages.
     pub(crate) fn describe(&self, id: &str) -> String {
-        let Some(book) = self.owner_book() else {
+        let Some(pool_state) = self.owner_book() else {
             return "no owner has books".to_string();
         };
-        let job = book.by_id.get(id).map(|key| &book.jobs[*key]);
-        let lives = book
+        let job = pool_state.by_id.get(id).map(|key| &pool_state.jobs[*key]);
+        let lives = pool_state
             .workers
             .values()
             .map(|w| (&w.fact.id, w.is_listed, w.answers, w.used));
-        format!("{job:?}\n{:?}\n{:?}", lives.collect::<Vec<_>>(), book.ready)
+        format!(
+            "{job:?}\n{:?}\n{:?}",
+            lives.collect::<Vec<_>>(),
+            pool_state.ready
+        )
     }
 
     /// The same as [`World::tell`]; gives what is logged by it.
