--- a/src/core/sched/instances.rs
+++ b/src/core/sched/instances.rs
@@ -1,7 +1,7 @@
-//! The workers in an owner's books: each life by its id and its host.
+//! Keeps the worker instances of a pool's state, by id and by host.
 //!
-//! A worker may start again under the id that it had. What it holds, counts and has been told ends with its life, so each
-//! life is a worker of its own here: the id together with the time of its start names it.
+//! A worker may restart under the same id. What it runs, counts and was acknowledged ends with the instance, so each
+//! instance is a worker of its own here, named by its id and its start time.
 
 use std::collections::HashMap;
 
@@ -12,18 +12,19 @@
 use crate::clock::Millis;
 
 impl PoolState {
-    /// Adds a worker's life.
+    /// Adds a worker instance.
     pub fn add_worker(&mut self, mut worker: Worker) -> WorkerKey {
         worker.is_closing |= self.closing.contains(&worker.fact.host);
         worker.is_going |= self.going.contains(&worker.fact.host);
         let (id, host) = (worker.fact.id.clone(), worker.fact.host.clone());
         if let Some(restarts) = self.restarts(&id) {
             worker.restarts = restarts;
-            worker.is_unproven = true;
+            worker.is_unconfirmed = true;
         }
         let key = self.workers.insert(worker);
         self.workers_by_id.entry(id).or_default().push(key);
-        // Workers that name no host share none: taken for lives of one, each account ended all others.
+        // Workers that name no host don't share one. Treated as instances of one host, each report would end all
+        // others.
         if !host.is_empty() {
             self.by_host.entry(host).or_default().push(key);
         }
@@ -31,14 +32,14 @@
         key
     }
 
-    /// How often an id has begun anew, if these books have met it.
+    /// Returns how often an id has restarted, or `None` if this owner has not met the id.
     pub fn restarts(&self, id: &str) -> Option<u32> {
         let met = self.instances_of(id).filter(|(_, w)| w.is_known());
         let dropped = self.dropped.get(id).map(|(restarts, _)| *restarts);
         met.map(|(_, w)| w.restarts).chain(dropped).max()
     }
 
-    /// Drops a worker's life.
+    /// Removes a worker instance.
     pub fn remove_worker(&mut self, key: WorkerKey, now_ms: Millis) {
         let Some(worker) = self.workers.remove(key) else {
             return;
@@ -56,51 +57,52 @@
         drop_instance(&mut self.by_host, &worker.fact.host, key);
     }
 
-    /// Takes note of what a worker has free now.
+    /// Updates the index of free capacity for a worker.
     pub fn update_free_index(&mut self, key: WorkerKey) {
         if let Some(worker) = self.workers.get(key) {
             self.free_index.note(key, worker);
         }
     }
 
-    /// Lives of a worker's id, those that are over and not forgotten included.
+    /// Returns the instances of an id, including those that have ended and are not removed yet.
     pub fn instances_of(&self, id: &str) -> impl Iterator<Item = (WorkerKey, &Worker)> {
         let keys = self.workers_by_id.get(id).into_iter().flatten();
         keys.filter_map(|key| Some((*key, self.workers.get(*key)?)))
     }
 
-    /// The life of an id that began at that time. Where one of the two tells no time, the id alone names it.
+    /// Returns the instance of an id that started at that time. If one of the two times is unknown, the id alone
+    /// decides.
     pub fn find_instance(&self, id: &str, born_wall_ms: Option<Millis>) -> Option<WorkerKey> {
         let same = |w: &Worker| w.fact.born_wall_ms == born_wall_ms;
-        let lives = || self.instances_of(id);
-        let exact = lives().find(|(_, w)| same(w));
-        let answering = lives().find(|(_, w)| w.answers && w.has_start_time(born_wall_ms));
+        let instances = || self.instances_of(id);
+        let exact = instances().find(|(_, w)| same(w));
+        let answering = instances().find(|(_, w)| w.answers && w.has_start_time(born_wall_ms));
         let found = exact.or(answering);
-        let found = found.or_else(|| lives().find(|(_, w)| w.has_start_time(born_wall_ms)));
+        let found = found.or_else(|| instances().find(|(_, w)| w.has_start_time(born_wall_ms)));
         found.map(|(key, _)| key)
     }
 
-    /// Other lives of a life's id or host.
+    /// Returns the other instances of an instance's id or host.
     pub fn sibling_instances(&self, key: WorkerKey) -> Vec<WorkerKey> {
         let Some(worker) = self.workers.get(key) else {
             return Vec::new();
         };
         let on_host = self.instances_on(&worker.fact.host);
         let of_id = self.instances_of(&worker.fact.id);
-        let beside = on_host.chain(of_id).map(|(other, _)| other);
-        let mut others: Vec<WorkerKey> = beside.filter(|other| *other != key).collect();
+        let siblings = on_host.chain(of_id).map(|(other, _)| other);
+        let mut others: Vec<WorkerKey> = siblings.filter(|other| *other != key).collect();
         others.sort_unstable();
         others.dedup();
         others
     }
 
-    /// Lives on a host, ended ones that are not forgotten included.
+    /// Returns the instances on a host, including those that have ended and are not removed yet.
     pub fn instances_on(&self, host: &str) -> impl Iterator<Item = (WorkerKey, &Worker)> {
         let keys = self.by_host.get(host).into_iter().flatten();
         keys.filter_map(|key| Some((*key, self.workers.get(*key)?)))
     }
 
-    /// The worker on a host: the life that answers, else one that is listed.
+    /// Returns the worker on a host: the listed instance that answers, else any listed one.
     pub fn worker_on(&self, host: &str) -> Option<WorkerKey> {
         let on_host = || self.instances_on(host).filter(|(_, w)| w.is_listed);
         let answering = on_host().find(|(_, w)| w.answers);
@@ -108,12 +110,12 @@
     }
 }
 
-fn drop_instance(lives: &mut HashMap<String, Vec<WorkerKey>>, name: &str, key: WorkerKey) {
-    let Some(named) = lives.get_mut(name) else {
+fn drop_instance(instances: &mut HashMap<String, Vec<WorkerKey>>, name: &str, key: WorkerKey) {
+    let Some(named) = instances.get_mut(name) else {
         return;
     };
-    named.retain(|life| *life != key);
+    named.retain(|instance| *instance != key);
     if named.is_empty() {
-        lives.remove(name);
+        instances.remove(name);
     }
 }
--- a/src/core/sched/job.rs
+++ b/src/core/sched/job.rs
@@ -1,47 +1,48 @@
-//! A job as submitted: steps of tasks, with what each task needs.
+//! Defines a job as it is submitted and stored: its steps of tasks, what each task needs, and the policy of its queue.
+//! Entries write it at acceptance; the owner of the pool reads it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, FleetConfig};
 
-/// A job as submitted. This is also what its row holds.
+/// A job as submitted. The job's row in the store holds this.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The queue that it was sent to.
+    /// Queue to which it was submitted.
     pub queue: String,
-    /// The client account that handed it in; none on a public queue.
+    /// The client account that submitted it; `None` on a public queue.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<String>,
-    /// Handed to its tasks as it is.
+    /// Passed to its tasks unchanged.
     pub payload: String,
-    /// What is to be done.
+    /// Steps of the job. A step's number is its index.
     pub steps: Vec<StepSpec>,
-    /// Set for a job that runs at set times.
+    /// Set for a job whose rounds run on a schedule.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub schedule: Option<Schedule>,
-    /// What its queue promised as it was accepted; missing where an earlier version wrote the row.
+    /// The queue's policy at acceptance; missing in rows written by an earlier version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub policy: Option<QueuePolicy>,
-    /// Wall clock of the entry that took it in.
+    /// Wall clock of the entry that accepted it.
     pub accepted_wall_ms: Millis,
 }
 
-/// What a queue promises of its jobs, by a configuration.
+/// What a version of the configuration promises to a queue's jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueuePolicy {
-    /// The configuration's version.
+    /// Version of the configuration.
     pub config: u64,
-    /// Failed runs of a task after which its job has failed.
+    /// Number of failed runs of one task at which the job fails.
     pub attempts_max: u32,
-    /// How long a job may take on top of its stretched chain.
+    /// Time that a job may take in addition to its stretched chain of steps.
     pub target_ms: Millis,
-    /// Factor on the longest chain of work, in thousandths.
+    /// Factor on the longest chain of steps, in thousandths.
     pub stretch_milli: u64,
 }
 
 impl QueuePolicy {
-    /// Of a queue, if the configuration names it.
+    /// Returns the policy of a queue, or `None` if the configuration doesn't have the queue.
     pub fn of(queue: &str, config: &FleetConfig) -> Option<Self> {
         let queue = config.queues.get(queue)?;
         Some(Self {
@@ -52,24 +53,24 @@
         })
     }
 
-    /// The same, as a later configuration has it.
+    /// Returns the same policy with another configuration version.
     pub fn at(self, config: u64) -> Self {
         Self { config, ..self }
     }
 }
 
-/// When the rounds of a timed job fall due.
+/// Times at which the rounds of a scheduled job fall due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
     /// Number of rounds.
     pub rounds: u32,
-    /// Wall clock of round 0.
+    /// Wall-clock time of round 0.
     pub first_wall_ms: Millis,
     /// Time from one round to the next.
     pub interval_ms: Millis,
 }
 
-/// One step: so many alike tasks.
+/// One step: a number of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StepSpec {
@@ -78,52 +79,52 @@
     /// Thousandths of a core that a task needs.
     #[serde(skip_serializing_if = "is_default")]
     pub cpu_milli: u64,
-    /// Memory that a task needs.
+    /// Memory that a task needs, in megabytes.
     #[serde(skip_serializing_if = "is_default")]
     pub mem_mb: u64,
-    /// Accelerators that a task needs.
+    /// Number of accelerators that a task needs.
     #[serde(skip_serializing_if = "is_default")]
     pub gpu: u64,
-    /// The caller's guess of a task's time.
+    /// The caller's estimate of a task's time.
     #[serde(skip_serializing_if = "is_default")]
     pub estimate_ms: Millis,
     /// Steps whose tasks must all be done first.
     #[serde(skip_serializing_if = "is_default")]
     pub after: Vec<u16>,
-    /// Its tasks can go on from checkpoints.
+    /// Whether its tasks can continue from checkpoints.
     #[serde(skip_serializing_if = "is_default")]
     pub checkpoints: bool,
-    /// All tasks run together or not at all.
+    /// Whether its tasks run all together or not at all.
     #[serde(skip_serializing_if = "is_default")]
     pub gang: bool,
-    /// The gang is slow across racks.
+    /// Whether the gang should be placed in one rack, since it is slow across racks.
     #[serde(skip_serializing_if = "is_default")]
     pub same_rack: bool,
-    /// A label that the worker must have.
+    /// Label that the worker must have.
     #[serde(skip_serializing_if = "is_default")]
     pub label: Option<String>,
-    /// The rack where the data lies.
+    /// Rack that holds the data of its tasks.
     #[serde(skip_serializing_if = "is_default")]
     pub data_rack: Option<String>,
-    /// Most tasks of the step on one worker; 0 for any number.
+    /// Most tasks of the step on one worker; 0 for no limit.
     #[serde(skip_serializing_if = "is_default")]
     pub per_worker_max: u16,
-    /// Copies of a task may run at the same time.
+    /// Whether copies of a task may run at the same time.
     #[serde(skip_serializing_if = "is_default")]
     pub copies: bool,
-    /// Its tasks run until the job is cancelled.
+    /// Whether its tasks run until the job is cancelled.
     #[serde(skip_serializing_if = "is_default")]
     pub lasting: bool,
-    /// What its tasks run; tasks of one image behave alike.
+    /// Image that its tasks run. Tasks of one image behave alike.
     #[serde(skip_serializing_if = "is_default")]
     pub image: String,
-    /// Bound on the tail of what its tasks serve; 0 where they serve nobody.
+    /// Bound on the tail latency of the requests that its tasks serve; 0 if they serve none.
     #[serde(skip_serializing_if = "is_default")]
     pub tail_max_ms: Millis,
-    /// Its tasks live on processor time that others leave over.
+    /// Whether its tasks use only processor time that other tasks leave idle.
     #[serde(skip_serializing_if = "is_default")]
     pub filler: bool,
-    /// Most tasks of the step that we may keep away at a time.
+    /// Most tasks of the step that the scheduler may keep from running at a time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub away_max: Option<u16>,
 }
@@ -133,7 +134,7 @@
 }
 
 impl StepSpec {
-    /// What a task takes of a worker's capacity.
+    /// Returns what a task takes of a worker's capacity.
     pub fn demand(&self) -> Capacity {
         Capacity {
             cpu_milli: if self.filler { 0 } else { self.cpu_milli },
@@ -142,7 +143,8 @@
         }
     }
 
-    /// What a task counts against its account's quota: its processors also where they are others' leavings.
+    /// Returns what a task counts against its account's quota. Unlike `demand`, this includes the processors of a
+    /// filler.
     pub fn charge(&self) -> Capacity {
         Capacity {
             cpu_milli: self.cpu_milli,
@@ -152,19 +154,20 @@
 }
 
 impl JobSpec {
-    /// Whether it runs until it is cancelled.
+    /// Returns whether it runs until it is cancelled.
     pub fn is_lasting(&self) -> bool {
         self.steps.iter().any(|s| s.lasting)
     }
 
-    /// Its work in core-milliseconds, but for what lasts, if each step takes as long as `step_ms` says.
+    /// Returns its work in core-milliseconds without lasting steps, if each step takes the time in `step_ms`.
     pub fn work(&self, step_ms: &[Millis]) -> u64 {
         let ends = self.steps.iter().zip(step_ms).filter(|(s, _)| !s.lasting);
         ends.map(|(s, ms)| u64::from(s.count) * s.demand().cpu_milli * ms / 1_000)
             .sum()
     }
 
-    /// The longest chain through the steps that `counts` names, each as long as `step_ms` says.
+    /// Returns the length of the longest chain of steps, if each step takes the time in `step_ms` and those that
+    /// `counts` excludes take none.
     pub fn longest_ms(&self, step_ms: &[Millis], counts: impl Fn(usize) -> bool) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.steps.len());
         for (n, step) in self.steps.iter().enumerate() {
@@ -181,7 +184,7 @@
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// What is wrong with it, if something is.
+    /// Returns what is wrong with the job, if anything is.
     pub fn fault(&self) -> Option<&'static str> {
         if self.steps.is_empty() {
             return Some("a job needs at least one step");
@@ -206,27 +209,27 @@
     }
 }
 
-/// Most tasks in one job, so that its progress fits a row of 64 KB at some 20 bytes a task.
+/// Most tasks in one job. Its progress takes about 20 bytes a task and must fit a row of 64 KB.
 pub const TASKS_MAX: usize = 2_000;
 
-/// What callers are told of a job.
+/// State of a job as callers see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Accepted; nothing of it has begun.
+    /// Accepted; no task has started.
     #[default]
     Queued,
-    /// A task of it has begun.
+    /// A task has started.
     Running,
     /// Every task is done.
     Completed,
-    /// A task failed too often.
+    /// The job can't be completed, for example because a task used up its attempts.
     Failed,
     /// A caller cancelled it.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether it stays so for good.
+    /// Returns whether the state can't change any more.
     pub fn is_final(self) -> bool {
         matches!(
             self,
--- a/src/core/sched/limits.rs
+++ b/src/core/sched/limits.rs
@@ -1,236 +1,246 @@
-//! Times and bounds of scheduling, each with its unit and where the figure comes from.
+//! Time limits, periods and bounds of scheduling, each with the reason for its value.
 
 use crate::clock::Millis;
 
-/// An owner that renewed nothing for so long may be replaced. Measured: see docs/MEASURES.md.
+/// An owner that has not renewed its lease for this long may be replaced. See docs/MEASURES.md.
 pub const OWNER_LEASE_MS: Millis = 1_800;
 
-/// An owner stops sending so long before its lease ends: an order's way out plus a late timer.
+/// An owner stops sending this long before its lease ends, which covers an order's way out and a late timer.
 pub const OWNER_MARGIN_MS: Millis = 250;
 
-/// An owner renews so often: three tries fit into its lease.
+/// Interval of an owner's lease renewals. Three attempts fit into the lease.
 pub const RENEW_MS: Millis = 400;
 
-/// The same with a slow store: two tries fit into the lease.
+/// Interval of an owner's lease renewals while the store is slow. Two attempts fit into the lease.
 pub const RENEW_SLOW_MS: Millis = 800;
 
-/// Heartbeats that only tell a change of needs are so far apart at the least: what changes jobs tells it, too.
+/// Least time between heartbeats that only report a change of needs. Commits of job changes report it, too.
 pub const HEARTBEAT_MIN_GAP_MS: Millis = 100;
 
-/// A store that takes longer than that is slow: it answers in 5 to 15 ms, and in 285 on the users' slow days.
+/// A store that takes longer than this to answer is slow. It answers in 5 to 15 ms, and in 285 ms on the users' slow
+/// days.
 pub const SLOW_ANSWER_MS: Millis = 100;
 
-/// For one sending of a transaction to a store that answers as it should; an outage is told from a slow answer
-/// by repeating it.
+/// Timeout of one attempt at a transaction while the store answers normally. Repeating it tells an outage from a slow
+/// answer.
 pub const TX_TIMEOUT_MS: Millis = 800;
 
-/// The same for the slowest store: on the users' slow days an answer takes 540 ms, and three may wait in turn.
+/// Timeout of one attempt at a transaction with the slowest store. On the users' slow days an answer takes 540 ms, and
+/// three may wait in turn.
 pub const TX_TIMEOUT_MAX_MS: Millis = 2_400;
 
-/// For a write that can go to another partition, too: twenty answers of a store that answers as it should.
+/// Timeout of a write that can also go to another partition: twenty answers of a store that answers normally.
 pub const INTAKE_TIMEOUT_MS: Millis = 250;
 
 /// Pause before a transaction that was refused or lost is sent again.
 pub const TX_RETRY_MS: Millis = 60;
 
-/// Spread of entries that want the same pool, so that seldom two try at once: ten answers of the store.
+/// Range over which entries that want the same pool spread their claims, so that two rarely try at once: ten answers of
+/// the store.
 pub const CLAIM_SPREAD_MS: Millis = 120;
 
-/// Added for each pool already owned, so that owners spread over entries.
+/// Delay of a claim for each pool that the entry already owns, so that owners spread over the entries.
 pub const CLAIM_OWNED_MS: Millis = 150;
 
-/// An entry with so much processor time can own any pool of the users' sites (an owner of 85 workers used
-/// 120 of 1,000 at its peak); those with less claim later.
+/// An entry with this much processor time can own any pool of the users' sites: an owner of 85 workers used 120 of
+/// 1,000 at its peak. Entries with less claim later.
 pub const CPU_FULL_MILLI: u64 = 250;
 
-/// Added to the claim of an entry without any processor time; in proportion for those that have less than the
-/// strongest that was heard. More than strong ones take to notice that a store is back (1 s) and wait as owners of
-/// several pools. One day of 350 workers came to a worth of 0.08 and 0.10 where entries of an eighth of a core owned pools
-/// of 85, and of 0.25 and 0.26 where such of half a core did.
+/// Delay of a claim by an entry without any processor time. An entry with less than the strongest one it knows of is
+/// delayed in proportion. The delay must exceed the time in which strong entries notice that a store is back (1 s) plus
+/// their delay as owners of several pools. A day of 350 workers had a value of 0.08 and 0.10 when entries with an
+/// eighth of a core owned pools of 85 workers, and of 0.25 and 0.26 when entries with half a core did.
 pub const CLAIM_WEAK_MS: Millis = 2_500;
 
-/// Changes of jobs are gathered for so long before they are committed: four answers of the store. Each call is
-/// priced; 25 ms gained nothing more.
+/// Changes of jobs are gathered for this long before they are committed: four answers of the store. Each call costs
+/// money, and 25 ms gained nothing more.
 pub const GATHER_MS: Millis = 16;
 
-/// A shard whose call was not answered for so long, or twice as long as the store took last, is passed over: answers
-/// come in 5 to 15 ms, and an owner must renew in another one within its lease.
+/// A shard whose call has had no answer for this long, or for twice the store's last answer time, is skipped. Answers
+/// take 5 to 15 ms, and an owner must be able to renew in another shard within its lease.
 pub const SHARD_LATE_MS: Millis = 150;
 
-/// A shard that refused or lost a call is passed over for so long, then tried again.
+/// A shard that refused or lost a call is skipped for this long and then tried again.
 pub const SHARD_PAUSE_MS: Millis = 500;
 
-/// An entry that was told to stop gives its pools up after so long, recorded or not: most answers of a store that takes
-/// writes in turn come within 300 ms, and a pool without an owner starts nothing.
+/// An entry that was told to stop releases its pools after this long even if changes are not recorded. Most answers of
+/// a store that serializes writes come within 300 ms, and a pool without an owner starts nothing.
 pub const STOP_RECORD_MS: Millis = 500;
 
-/// New jobs go to another shard while one has been busy with a batch for so long: twenty answers of a good store, and
-/// a third of one that takes writes in turn.
+/// New jobs go to another shard once a shard has been busy with a batch for this long: twenty answers of a normal
+/// store, and a third of an answer of a store that serializes writes.
 pub const SHARD_BUSY_MS: Millis = 100;
 
-/// Most jobs in one transaction; with the owner's row it stays under the store's 100 entries.
+/// Most jobs in one transaction. With the owner's row, this stays below the store's limit of 100 entries.
 pub const BATCH_JOBS: usize = 40;
 
-/// Lease that is given to workers: survives an owner's end and a takeover (2.3 s and a hold).
+/// Lease granted to workers. It survives an owner's end and a takeover, which take 2.3 s and a renewal.
 pub const WORKER_LEASE_MS: Millis = 4_500;
 
-/// Longest lease that a worker takes: the platform's workers cut longer ones to 6 or 10 s.
+/// Longest lease that a worker accepts. The platform's workers cut longer ones to 6 or 10 s.
 pub const WORKER_LEASE_MAX_MS: Millis = 10_000;
 
-/// A worker that was heard so lately is still in the same life: on the users' sites a crashed one is back after 0.3 s at the
-/// soonest.
+/// A worker that answered this recently is still the same instance. On the users' sites, a crashed worker is back after
+/// 0.3 s at the earliest.
 pub const SAME_LIFE_MS: Millis = 250;
 
-/// The id of a worker that was dropped is known for so long: orders to it may be carried out seconds later.
+/// The id of a removed worker is kept for this long, since orders to it may be carried out seconds later.
 pub const DROPPED_KEPT_MS: Millis = 60_000;
 
-/// Workers' clocks may run slow by 2%.
+/// Percentage by which workers' clocks may run slow.
 pub const CLOCK_SLOW_PERCENT: u64 = 2;
 
 /// Added to the end of a worker's lease before its runs count as over.
 pub const LEASE_SLACK_MS: Millis = 150;
 
-/// Longest time for which an order that was meant for an earlier life keeps runs alive on a later one: it names a moment on the
-/// earlier life's clock, which may be far ahead on the later one's.
+/// Longest time for which an order that was meant for an earlier instance keeps runs alive on a later one. The order
+/// names a moment on the earlier instance's clock, which may be far ahead of the later one's.
 pub const STRAY_LEASE_MS: Millis =
     WORKER_LEASE_MAX_MS * 100 / (100 - CLOCK_SLOW_PERCENT) + LEASE_SLACK_MS;
 
-/// A life that began so long ago is past all such orders: twice [`WORKER_LEASE_MAX_MS`], since wall clocks differ by seconds.
+/// An instance that started this long ago can't be reached by orders that were meant for an earlier one. It is twice
+/// [`WORKER_LEASE_MAX_MS`], since wall clocks differ by seconds.
 pub const YOUNG_LIFE_MS: Millis = 2 * WORKER_LEASE_MAX_MS;
 
-/// How long a worker with work may keep a hold open waiting for an end.
+/// How long a worker with tasks may keep a renewal open while it waits for an end.
 pub const RENEWAL_WAIT_MS: Millis = 1_000;
 
-/// The same for a worker without work; less than half of its lease.
+/// How long a worker without tasks may keep a renewal open. Less than half of its lease.
 pub const RENEWAL_IDLE_WAIT_MS: Millis = 2_000;
 
-/// A worker whose ends can't be recorded is held all the same after so long, and its ends stay unseen: its lease of
-/// 4.5 s allows three tries.
+/// A worker whose ends can't be recorded is renewed after this long without an acknowledgement of the ends. Its lease
+/// of 4.5 s leaves three attempts.
 pub const RECORDING_WAIT_MS: Millis = 1_000;
 
-/// On top of the wait, for the way there and back.
+/// Added to the wait of a renewal for the network's time in both directions.
 pub const RENEWAL_SLACK_MS: Millis = 500;
 
-/// What was sent to a worker's former address has been answered or given up by then: the longest hold.
+/// Time by which everything sent to a worker's former address has been answered or has timed out: the longest renewal.
 pub const ADDRESS_SETTLED_MS: Millis = RENEWAL_IDLE_WAIT_MS + RENEWAL_SLACK_MS;
 
 /// Pause before a worker that did not answer is asked again.
 pub const RENEWAL_RETRY_MS: Millis = 250;
 
-/// For one sending of an order to a worker.
+/// Timeout of one attempt at an order to a worker.
 pub const ORDER_TIMEOUT_MS: Millis = 400;
 
 /// Pause before an unanswered order is sent again.
 pub const ORDER_RETRY_MS: Millis = 50;
 
-/// Tasks that failed on a worker, with none done in between, after which it gets no more for a while.
+/// A worker on which this many tasks failed in a row is suspended.
 pub const FAILS_IN_A_ROW: u32 = 3;
 
-/// How long such a worker is left alone; doubles with each repetition up to [`SUSPEND_MAX_MS`].
+/// How long a failing worker is suspended. Doubles with each repetition up to [`SUSPEND_MAX_MS`].
 pub const SUSPEND_MS: Millis = 1_500;
 
-/// Longest time that a failing worker is left alone: shorter than a grey phase lasts on trial days.
+/// Longest suspension of a failing worker. Shorter than a gray failure of a worker lasts on trial days.
 pub const SUSPEND_MAX_MS: Millis = 6_000;
 
-/// A run that was started so long before its worker crashed is not to blame: such tasks bring a worker down 10 ms after
-/// their start, and an owner at its peak hears of that up to 100 ms later.
-pub const FRESH_MS: Millis = 250;
+/// A run that was started this long before its worker crashed is not to blame. Crashing tasks take a worker down 10 ms
+/// after their start, and an owner at its peak load learns of it up to 100 ms later.
+pub const BLAME_WINDOW_MS: Millis = 250;
 
-/// A run whose worker was heard so long after its start has outlived that: the start of what lasts takes 0.7 s.
-pub const YOUNG_MS: Millis = 1_000;
+/// A run whose worker answered this long after its start has outlived its start. The start of a lasting task takes 0.7
+/// s.
+pub const START_WINDOW_MS: Millis = 1_000;
 
-/// A task that lasts and is shown after so long has outlived its start, also where it does not say that it is at work: on
-/// slow workers a start takes 5 s.
-pub const SOUND_MS: Millis = 5_000;
+/// A lasting task that a worker still reports after this long has outlived its start, even if it does not report that
+/// it is past its start-up. On slow workers a start takes 5 s.
+pub const START_DONE_MS: Millis = 5_000;
 
-/// A hold that was sent so soon after the account before it leaves no gap in which an end could come unheard: ends wait
-/// for their record in between, which a store that answers as it should has by then.
-pub const HEARD_ON_MS: Millis = 100;
+/// A renewal that is sent at most this long after the report before it leaves no gap in which an end could go
+/// unreported. Ends are recorded in between, and a store that answers normally is done by then.
+pub const REPORT_GAP_MAX_MS: Millis = 100;
 
-/// Workers that crashed as they had just started a task, on the second of which its job is given up: each costs its
-/// host for 3.4 s, and the platform allows five starts.
+/// The job of a task is given up at this number of workers that crashed when they had just started the task. Each crash
+/// costs the host 3.4 s, and the platform allows five starts.
 pub const BLAMED_MAX: u8 = 2;
 
-/// Weight of a crash that is certain, where one that is only likely weighs 1.
+/// Weight of a certain crash; a likely one weighs 1.
 pub const CRASHED_WEIGHT: u8 = 3;
 
-/// Weight of crashes from which a task is given up: three, or two and two that are likely. The platform allows two starts
-/// more, and an order that was held up may be one of them.
+/// Weight of crashes at which a task is given up: three certain ones, or two certain and two likely ones. The platform
+/// allows two more starts, one of which may be an order that was held up.
 pub const CRASHER_WEIGHT: u8 = 8;
 
-/// The same after [`LIKELY_MAX`] ends: two, or one and two that are likely.
+/// Weight of crashes at which a task is given up after [`LIKELY_MAX`] ends: two certain ones, or one certain and two
+/// likely ones.
 pub const LIKELY_WEIGHT: u8 = 5;
 
-/// The same after the starts that the platform allows past the third end, however those ended.
+/// Weight of crashes at which a task is given up after the starts that the platform allows past the third end, however
+/// these ended.
 pub const STARTED_OUT_WEIGHT: u8 = 4;
 
-/// The same after [`ENDED_MAX`] ends. With 4 in place of 3 there were 5 in place of 1 sixth starts in 1,501 worlds with
-/// such tasks, of 2 jobs that were given up for nothing none less.
+/// Weight of crashes at which a task is given up after [`ENDED_MAX`] ends. A value of 4 gave 5 sixth starts in place of
+/// 1 in 1,501 model worlds with crashing tasks, and as many jobs given up for nothing (2).
 pub const ENDED_WEIGHT: u8 = 3;
 
-/// Workers that certainly crashed under a task that lasts before it is left alone, with [`LIKELY_MAX`] that ended in any
-/// way: where workers go down and up by turns, three ends may fall on one start after the other.
+/// A lasting task is given up at this number of certain crashes, together with [`LIKELY_MAX`] ends of any kind. While
+/// workers go down and up in turns, three ends may follow one start after the other.
 pub const LASTING_CRASHED_MAX: u8 = 3;
 
-/// Starts after the third life that may have ended under a task: the platform allows two, however these runs end.
+/// Number of starts after the third instance that may have ended under a task. The platform allows two, however these
+/// runs end.
 pub const PAST_THIRD_MAX: u32 = 2;
 
-/// Lives that ended in any unplanned way under a task, after which [`LIKELY_WEIGHT`] is enough:
-/// one start less than the platform allows.
+/// Number of instances that ended unplanned under a task from which [`LIKELY_WEIGHT`] is enough to give it up. One
+/// start fewer than the platform allows.
 pub const LIKELY_MAX: u8 = 4;
 
-/// Lives that ended in any unplanned way under a task that is not known to have outlived its start there: the platform
-/// allows five starts of a task that crashes workers. With [`ENDED_WEIGHT`] of crashes among them.
+/// Number of instances that ended unplanned under a task, without the task being known to have outlived its start, from
+/// which [`ENDED_WEIGHT`] is enough to give it up. The platform allows five starts of a task that crashes workers.
 pub const ENDED_MAX: u8 = 5;
 
-/// What lasts waits so long for its next start after two certain crashes; twice as long after each further one.
+/// Pause before the next start of a lasting task after two certain crashes. Doubles with each further one.
 pub const PAUSE_MS: Millis = 1_250;
 
-/// Its longest wait: the platform looks for it from 6 s after its last run.
+/// Longest pause of a lasting task. The platform expects it to run from 6 s after its last run.
 pub const PAUSE_MAX_MS: Millis = 5_000;
 
-/// No worker has crashed for so long: a crashed one's next life comes within 3.4 s.
+/// No worker counts as crashing once none has crashed for this long. The next instance of a crashed worker comes within
+/// 3.4 s.
 pub const CALM_MS: Millis = 3_000;
 
-/// What lasts waits no longer than that for a calm moment.
+/// Longest time that a lasting task waits for a moment without crashes.
 pub const HELD_MAX_MS: Millis = 60_000;
 
-/// A suspect that finds no worker without another suspect goes beside one after so long: an account comes within a second.
+/// A suspect that finds no worker without another suspect is placed next to one after this long. A report comes within
+/// a second.
 pub const APART_MS: Millis = 1_000;
 
-/// A worker that refused for want of room gets nothing for so long: its account comes with a hold.
+/// A worker that refused a task for lack of capacity gets nothing for this long. Its report comes with a renewal.
 pub const FULL_PAUSE_MS: Millis = 200;
 
-/// Most waiting tasks that one round of placement looks at from the first one on. Once each [`RESORT_MS`] it looks at as many of
-/// those behind them, by turns: of n tasks each is looked at within n / 400 times that.
+/// Most waiting tasks that one round of placement examines from the front of the queue. Every [`RESORT_MS`] it examines
+/// the same number of the tasks behind them in rotation, so that each of n tasks is examined within n / 400 of these
+/// periods.
 pub const PLACE_SCAN_MAX: usize = 400;
 
-/// Past so many times its objective a job earns nothing and waits behind others.
+/// After this many times its objective, a job has no value and waits behind all others.
 pub const HOPELESS_FACTOR: u64 = 3;
 
-/// So many core-milliseconds of work put a job back by one millisecond among those in time. Measured: see
-/// docs/MEASURES.md.
+/// This many core-milliseconds of work move a job back by one millisecond among those in time. See docs/MEASURES.md.
 pub const WORK_PER_MS: u64 = 3;
 
-/// Longest that work puts a job back.
+/// Longest time by which its work moves a job back.
 pub const WEIGHT_MAX_MS: Millis = 8_000;
 
-/// How often waiting tasks are sorted anew.
+/// Interval at which waiting tasks are sorted again.
 pub const RESORT_MS: Millis = 250;
 
-/// Most jobs whose rows are removed in one transaction: two rows each, of 100 that the store takes.
+/// Most jobs whose rows are removed in one transaction. Each job has two rows, and the store accepts 100.
 pub const REMOVED_JOBS: usize = 45;
 
-/// How often old jobs are looked for: a part of intake each time, 64 in 16 s.
+/// Interval at which a part of intake is searched for old jobs. The 64 parts take 16 s.
 pub const REMOVE_MS: Millis = 250;
 
-/// Finished jobs leave the store after so long (the platform's pages ask for 120 s).
+/// Finished jobs are removed from the store after this long. The platform's pages ask for 120 s.
 pub const FINISHED_KEPT_MS: Millis = 150_000;
 
-/// A job that left the store is known for so long, so that a row of it that was read before does not begin it anew. Parts of
-/// intake are read in four rounds, each for 0.8 s a page at the most; 6,000 ids at 100 jobs a second.
+/// A removed job is remembered for this long, so that a row of it that was read earlier doesn't start it again. Parts
+/// of intake are read in four rounds of at most 0.8 s a page; at 100 jobs a second this is 6,000 ids.
 pub const FORGOTTEN_KEPT_MS: Millis = 60_000;
 
-/// The rate at which work comes is taken over so long: a peak's rise is seen before its queue is. Measured:
-/// see docs/MEASURES.md.
+/// Window over which the rate of arriving work is measured. It shows the rise of a peak before its queue does. See
+/// docs/MEASURES.md.
 pub const ARRIVALS_MS: Millis = 400;
--- a/src/core/sched/policy.rs
+++ b/src/core/sched/policy.rs
@@ -1,7 +1,8 @@
-//! What a job's queue promises: attempts, and the time by which a job should be completed.
+//! Applies the policy of a job's queue: the attempts of its tasks and the time by which the job should be completed.
 //!
-//! An owner's configuration may be older than a job, or may have lost its queue. So the entry that accepts a job writes the
-//! queue's policy beside it, an owner records the policies that changed since, and of all that is known the newest one holds.
+//! An owner's configuration may be older than a job, or may no longer have its queue. The entry that accepts a job
+//! therefore writes the queue's policy with it, an owner records each policy that has changed since, and the newest
+//! known one applies.
 
 use super::job::{JobSpec, QueuePolicy};
 use super::keys::JobKey;
@@ -12,38 +13,38 @@
 use crate::clock::{Millis, Now};
 use crate::port::fleet::FleetConfig;
 
-/// Of a job whose queue is not configured, accepted by an entry of a version that wrote no policy.
-const UNRECORDED: QueuePolicy = QueuePolicy {
+/// Policy of a job whose queue is not configured and which was accepted by an entry of a version that wrote no policy.
+const FALLBACK: QueuePolicy = QueuePolicy {
     config: 0,
     attempts_max: 3,
     target_ms: 1_000,
     stretch_milli: 1_000,
 };
 
-/// The policy of a job that is taken in.
+/// Returns the policy of a job that is being loaded.
 pub(super) fn of(spec: &JobSpec, config: &FleetConfig) -> QueuePolicy {
-    let accepted = spec.policy.unwrap_or(UNRECORDED);
+    let accepted = spec.policy.unwrap_or(FALLBACK);
     newer(accepted, QueuePolicy::of(&spec.queue, config))
 }
 
-/// The newer one of two; where only the version differs, it stays as it is.
+/// Returns the newer of two policies. If only their versions differ, returns `known`, so that nothing is recorded.
 fn newer(known: QueuePolicy, other: Option<QueuePolicy>) -> QueuePolicy {
     let other = other.filter(|other| other.config > known.config);
     let is_same = |other: &QueuePolicy| other.at(known.config) == known;
     other.filter(|other| !is_same(other)).unwrap_or(known)
 }
 
-/// When a job is late, and when it earns nothing any more.
+/// Times at which a job is late and at which completing it loses its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Deadlines {
-    /// It should be completed by then.
+    /// Time by which the job should be completed.
     pub(super) due_ms: Millis,
-    /// Past this time it earns nothing.
+    /// Time after which completing the job has no value.
     pub(super) hopeless_ms: Millis,
 }
 
 impl Deadlines {
-    /// Of a job whose steps are expected to take as long as `step_ms` says.
+    /// Computes the deadlines of a job whose steps are expected to take the times in `step_ms`.
     pub(super) fn new(spec: &JobSpec, step_ms: &[Millis], policy: QueuePolicy, now: Now) -> Self {
         let chain_ms = spec.longest_ms(step_ms, |_| true);
         let objective_ms = policy.target_ms + chain_ms * policy.stretch_milli / 1_000;
@@ -57,7 +58,7 @@
 }
 
 impl Job {
-    /// Has the job go by a policy, if that is newer than the one it goes by; says whether it was.
+    /// Applies a policy to the job if it is newer than the current one, and returns whether it was.
     pub(super) fn renew_policy(&mut self, policy: Option<QueuePolicy>, now: Now) -> bool {
         let newest = newer(self.policy, policy);
         if newest == self.policy {
@@ -70,13 +71,13 @@
         true
     }
 
-    /// The policy that a record of the job must hold: none where its own row tells it.
+    /// Returns the policy to record with the job's progress, or `None` if the job's own row holds it.
     pub(super) fn changed_policy(&self) -> Option<QueuePolicy> {
         (self.spec.policy != Some(self.policy)).then_some(self.policy)
     }
 }
 
-/// Brings all jobs under a configuration that has come into force.
+/// Applies a new configuration to all open jobs.
 pub(super) fn refresh(pool_state: &mut PoolState, config: &FleetConfig, ctx: &Ctx<'_>) {
     let open = pool_state
         .jobs
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -1,14 +1,16 @@
-//! Workers' leases and accounts: one hold after the other to each worker.
+//! Renews the leases of workers and applies their reports. Each worker has at most one renewal request out at a time;
+//! its settlement sends the next one.
 //!
-//! A hold renews the lease of all that runs there, tells which ends are on record, and waits for the
-//! next end. What it answers is the truth about the worker at some moment after it was sent.
+//! A renewal extends the lease of everything that runs on the worker, acknowledges the run ends that are recorded, and
+//! waits at the worker for the next end. The report in the answer is the worker's state at some moment after the
+//! request was sent.
 
 use std::collections::HashMap;
 
 use super::crashes::{self, Evidence};
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{
-    HEARD_ON_MS, RECORDING_WAIT_MS, RENEWAL_IDLE_WAIT_MS, RENEWAL_RETRY_MS, RENEWAL_WAIT_MS,
+    RECORDING_WAIT_MS, RENEWAL_IDLE_WAIT_MS, RENEWAL_RETRY_MS, RENEWAL_WAIT_MS, REPORT_GAP_MAX_MS,
     SAME_LIFE_MS, WORKER_LEASE_MS,
 };
 use super::pool_state::PoolState;
@@ -22,10 +24,10 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{OrderReply, RenewalReport, RenewalRequest, RunningTask, TaskName};
 
-/// Ends that a worker lists at a time; with so many there may be more.
+/// Most ends that a worker lists in one report. A report with this many may be incomplete.
 const ENDS_LISTED_MAX: usize = 500;
 
-/// Sends the next hold to a worker, unless one is out.
+/// Sends the next renewal to a worker unless one is out.
 pub fn send_next(pool_state: &mut PoolState, key: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
     let seen = pool_state.seen_up_to(key);
     let Some(w) = pool_state.workers.get_mut(key) else {
@@ -36,8 +38,8 @@
     }
     let is_free = match w.renewal {
         RenewalPhase::Idle => true,
-        RenewalPhase::Out(_) => false,
-        // What can't be recorded must not cost the worker its lease.
+        RenewalPhase::Sent(_) => false,
+        // A worker must not lose its lease because the store can't record its ends.
         RenewalPhase::Recording(since_ms) => ctx.now.ms >= since_ms + RECORDING_WAIT_MS,
     };
     if !is_free || w.fact.address.port() == 0 {
@@ -47,36 +49,37 @@
         ctx.after(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
         return;
     }
-    // A worker that did not answer is only asked: renewing would put off the end of its lease.
+    // A worker that did not answer is only asked for a report: a renewal would postpone the end of its lease.
     let clock = w.clock.filter(|_| w.answers);
     let lease_until_ms = clock.map(|c| c.at(ctx.now.ms) + WORKER_LEASE_MS);
     if let Some(until_ms) = lease_until_ms {
         w.note_lease(until_ms);
     }
-    // Ends are acknowledged to the life that told them. A later one would forget its own of these numbers, untold.
+    // Ends are acknowledged only to the instance that reported them. A later instance would discard its own ends with
+    // the same numbers before it had reported them.
     let is_same_life = w.answers && ctx.now.ms < w.heard_ms + SAME_LIFE_MS;
     let seen = if is_same_life { seen } else { 0 };
     let wait_ms = match (lease_until_ms, w.tasks.is_empty()) {
         (None, _) => 0,
-        // It would answer at once with the ends that are not on record.
+        // With a wait, the worker would answer at once with the ends that are not recorded yet.
         _ if !w.unrecorded.is_empty() => 0,
         (Some(_), true) => RENEWAL_IDLE_WAIT_MS,
         (Some(_), false) => RENEWAL_WAIT_MS,
     };
-    let ask = RenewalRequest {
+    let request = RenewalRequest {
         lease_until_ms,
         seen,
         wait_ms,
     };
-    w.renewal = RenewalPhase::Out(ctx.now.ms);
+    w.renewal = RenewalPhase::Sent(ctx.now.ms);
     w.acked_through = w.acked_through.max(seen);
-    if let Some(order) = runs::order(pool_state, key, epoch, ctx) {
-        ctx.out.push(Effect::RenewWorker(order, key, ask));
+    if let Some(order) = runs::order_to(pool_state, key, epoch, ctx) {
+        ctx.out.push(Effect::RenewWorker(order, key, request));
     }
 }
 
-/// Holds workers whose ends could not be recorded for long. By a look now and then: a timer for each account would be
-/// thousands a second at a peak.
+/// Renews the leases of workers whose ends could not be recorded for long. Called periodically, because a timer for
+/// each report would mean thousands of timers a second at peak load.
 pub fn renew_stuck(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     let stuck: Vec<WorkerKey> = pool_state.recording.iter().copied().collect();
     for key in stuck {
@@ -84,7 +87,7 @@
     }
 }
 
-/// Takes in a worker's account; says whether the pool is lost.
+/// Applies the result of a renewal and returns whether the pool is lost.
 pub fn settle(
     pool_state: &mut PoolState,
     key: WorkerKey,
@@ -101,8 +104,8 @@
         Ok(report) if !w.has_start_time(report.born_wall_ms) => {
             restarts::supersede(pool_state, key, report.born_wall_ms, ctx);
         }
-        Ok(_) if w.is_unproven => {
-            restarts::prove(pool_state, key, ctx);
+        Ok(_) if w.is_unconfirmed => {
+            restarts::confirm_instance(pool_state, key, ctx);
             send_next(pool_state, key, epoch, ctx);
         }
         Ok(report) if w.is_superseded => {
@@ -113,15 +116,15 @@
         Err(OrderReply::OtherLife) if w.has_answered_at_address() => {
             w.is_listed = false;
             runs::end_worker(pool_state, key, &Evidence::Answer("hold"), ctx);
-            end_lease(pool_state, key);
+            clear_lease(pool_state, key);
             forget_if_over(pool_state, key, ctx);
         }
-        Err(reply) => silent(pool_state, key, sent_ms, reply, ctx),
+        Err(reply) => handle_no_answer(pool_state, key, sent_ms, reply, ctx),
     }
     false
 }
 
-fn silent(
+fn handle_no_answer(
     pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
@@ -137,19 +140,19 @@
     if w.answers {
         w.answers = false;
         w.broke_ms = is_broken.then_some(ctx.now.ms);
-        w.is_heard_through = is_broken && sent_ms <= w.heard_ms + HEARD_ON_MS;
+        w.is_gapless = is_broken && sent_ms <= w.heard_ms + REPORT_GAP_MAX_MS;
         ctx.log(
             Decision::new(
                 Code::WorkerSilent,
                 Subject::Host,
                 &w.fact.id,
-                format!("a hold got no answer: {reply:?}"),
+                format!("a lease renewal got no answer: {reply:?}"),
             )
             .with("lease_left_ms", left_ms)
             .with("tasks", w.tasks.len() as u64),
         );
         if is_broken {
-            crashes::note_broken(pool_state, key, ctx.now.ms);
+            crashes::record_connection_loss(pool_state, key, ctx.now.ms);
         }
     }
     ctx.after(left_ms, Timer::LeaseOver(key));
@@ -157,7 +160,7 @@
     end_if_succeeded(pool_state, key, ctx);
 }
 
-/// Everything ordered to a worker that is not heard has lapsed.
+/// Ends what ran on a worker that doesn't answer, once everything ordered to it has expired.
 pub fn expire_lease(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
     let Some(w) = pool_state.workers.get(key) else {
         return;
@@ -165,17 +168,17 @@
     if w.answers || ctx.now.ms < w.lease_end_ms {
         return;
     }
-    let has_left = pool_state
+    let has_leftover_runs = pool_state
         .leftover_runs
         .values()
-        .any(|left| left.worker == key);
-    if !w.tasks.is_empty() || has_left {
+        .any(|leftover| leftover.worker == key);
+    if !w.tasks.is_empty() || has_leftover_runs {
         runs::end_worker(pool_state, key, &Evidence::Lapse, ctx);
     }
     forget_if_over(pool_state, key, ctx);
 }
 
-/// Drops a worker that is neither listed nor heard, with nothing left on it.
+/// Removes a worker that is neither listed nor answering and has nothing left running.
 pub fn forget_if_over(pool_state: &mut PoolState, key: WorkerKey, ctx: &Ctx<'_>) {
     let Some(w) = pool_state.workers.get(key) else {
         return;
@@ -198,7 +201,7 @@
     w.fact.born_wall_ms = w.fact.born_wall_ms.or(report.born_wall_ms);
     if !w.answers {
         w.answers = true;
-        // With its host open again, it was cut off and did not go.
+        // If the host has been reopened, the worker was only cut off and did not leave.
         w.is_going &= w.is_closing;
         pool_state.wants_placing = true;
     }
@@ -206,9 +209,9 @@
     w.first_asked_ms.get_or_insert(sent_ms);
     w.is_refusing = false;
     if w.broke_ms.take().is_some() {
-        crashes::note_back(pool_state, key);
+        crashes::clear_connection_loss(pool_state, key);
     }
-    restarts::adopt(pool_state, key, &report, epoch, ctx);
+    restarts::adopt_runs(pool_state, key, &report, epoch, ctx);
     end_earlier_instances(pool_state, key, sent_ms, ctx);
     let w = &mut pool_state.workers[key];
     let sample = ClockSample {
@@ -221,7 +224,7 @@
     log_unreadable(&mut pool_state.workers[key], report.unreadable, ctx);
     let is_whole = report.ended.len() < ENDS_LISTED_MAX;
     take_ends(pool_state, key, sent_ms, &report, epoch, ctx);
-    compare(
+    compare_runs(
         pool_state,
         key,
         sent_ms,
@@ -237,14 +240,14 @@
         pool_state.workers[key].renewal = RenewalPhase::Recording(ctx.now.ms);
         pool_state.recording.insert(key);
     } else if is_blocked {
-        // It would answer at once with the ends that may not count as seen yet.
+        // The worker would answer at once with the ends that may not be acknowledged yet.
         ctx.after(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
     } else {
         send_next(pool_state, key, epoch, ctx);
     }
 }
 
-/// Takes in the ends that an account lists and that are not known yet.
+/// Applies the ends in a report that are not known yet.
 fn take_ends(
     pool_state: &mut PoolState,
     key: WorkerKey,
@@ -253,32 +256,32 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let mut told = run_log::EndsLog::new(pool_state, key, sent_ms, epoch);
+    let mut ends_log = run_log::EndsLog::new(pool_state, key, sent_ms, epoch);
     for end in &report.ended {
         if end.number <= pool_state.workers[key].taken {
-            told.add_again(end);
+            ends_log.add_again(end);
         } else {
-            told.add(pool_state, end, ctx);
+            ends_log.add(pool_state, end, ctx);
             runs::take_end(pool_state, key, end, epoch, ctx);
             let job = pool_state.by_id.get(&end.task.job).copied();
             pool_state.note_taken(key, end.number, job);
         }
     }
-    told.finish(pool_state, ctx);
+    ends_log.finish(pool_state, ctx);
 }
 
-/// Tells once how much of a worker's account can't be read.
+/// Logs how many entries of a worker's report can't be read, whenever that number changes.
 fn log_unreadable(worker: &mut Worker, unreadable: usize, ctx: &mut Ctx<'_>) {
     let before = std::mem::replace(&mut worker.unreadable, unreadable);
     if unreadable == 0 || unreadable == before {
         return;
     }
-    let why = "its account names tasks that can't be read";
+    let why = "its report names tasks that can't be read";
     let decision = Decision::new(Code::BadRow, Subject::Host, &worker.fact.id, why);
     ctx.log(decision.with("entries", unreadable as u64));
 }
 
-/// Runs left behind whose stop was answered before this account was asked for, and that it lacks, are over.
+/// Drops leftover runs that this report no longer lists, if their stop was answered before the report was requested.
 fn drop_leftover_runs(
     pool_state: &mut PoolState,
     key: WorkerKey,
@@ -288,15 +291,16 @@
     if pool_state.leftover_runs.is_empty() {
         return;
     }
-    pool_state.drop_leftover_runs(|left| {
-        let is_asked_later = left.settled_ms.is_some_and(|at| at < sent_ms);
-        let is_there = running.iter().any(|r| r.task == left.name);
-        left.worker == key && is_asked_later && !is_there
+    pool_state.drop_leftover_runs(|leftover| {
+        let is_asked_later = leftover.settled_ms.is_some_and(|at| at < sent_ms);
+        let is_there = running.iter().any(|r| r.task == leftover.name);
+        leftover.worker == key && is_asked_later && !is_there
     });
 }
 
-/// An id carries one life at a time: those that were last heard before this one was asked are over, and so are those that a
-/// former owner gave work to. Those of its host are over where this one came after their crash.
+/// Ends earlier instances that a worker's report proves to be over. An id has one instance at a time, so the others of
+/// the id are over if they were last heard before this report was requested or are known only from work that a former
+/// owner gave them. Other instances of the host are over if this one came after their crash.
 fn end_earlier_instances(
     pool_state: &mut PoolState,
     key: WorkerKey,
@@ -313,11 +317,11 @@
         }
     });
     for other in earlier {
-        end_by(pool_state, other, key, sent_ms, ctx);
+        end_succeeded(pool_state, other, key, sent_ms, ctx);
     }
 }
 
-/// Ends a life whose connections are gone if a later one of its host was heard already.
+/// Ends an instance whose connections are gone, if a later instance of its host has already answered.
 fn end_if_succeeded(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
     let Some(w) = pool_state.workers.get(key) else {
         return;
@@ -325,37 +329,37 @@
     let found = pool_state
         .instances_on(&w.fact.host)
         .find(|(_, other)| w.is_succeeded_by(other))
-        .map(|(other, life)| (other, life.first_asked_ms.unwrap_or(life.heard_ms)));
+        .map(|(other, instance)| (other, instance.first_asked_ms.unwrap_or(instance.heard_ms)));
     if let Some((other, asked_ms)) = found {
-        end_by(pool_state, key, other, asked_ms, ctx);
+        end_succeeded(pool_state, key, other, asked_ms, ctx);
     }
 }
 
-/// Ends a life by an account of `later` that was asked for at `asked_ms`.
-fn end_by(
+/// Ends an instance on the evidence of a report from `later` that was requested at `asked_ms`.
+fn end_succeeded(
     pool_state: &mut PoolState,
     key: WorkerKey,
     later: WorkerKey,
     asked_ms: Millis,
     ctx: &mut Ctx<'_>,
 ) {
-    let life = pool_state.workers[later].fact.id.clone();
+    let instance = pool_state.workers[later].fact.id.clone();
     pool_state.workers[key].is_listed = false;
-    let evidence = Evidence::Report { life, asked_ms };
+    let evidence = Evidence::Report { instance, asked_ms };
     runs::end_worker(pool_state, key, &evidence, ctx);
-    end_lease(pool_state, key);
+    clear_lease(pool_state, key);
     forget_if_over(pool_state, key, ctx);
 }
 
-/// What ran there is over before its lease.
-fn end_lease(pool_state: &mut PoolState, key: WorkerKey) {
+/// Clears the lease of a worker whose runs ended before it expired.
+fn clear_lease(pool_state: &mut PoolState, key: WorkerKey) {
     if let Some(w) = pool_state.workers.get_mut(key) {
         w.lease_end_ms = 0;
     }
 }
 
-/// Compares what a worker says to run with what the books expect there.
-fn compare(
+/// Compares the runs that a worker reports with the runs that the pool's state expects there.
+fn compare_runs(
     pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
@@ -376,20 +380,21 @@
         let is_there = pool_state
             .name(task)
             .is_some_and(|name| listed.contains_key(&name));
-        if !is_there && must_show(pool_state, task, sent_ms) {
+        if !is_there && must_be_listed(pool_state, task, sent_ms) {
             let why = "not among what the worker runs";
             runs::requeue_for(pool_state, task, why, Some(sent_ms), ctx);
         }
     }
 }
 
-/// Whether an account asked for at `sent_ms` must show the task, were it there.
-fn must_show(pool_state: &PoolState, key: TaskKey, sent_ms: Millis) -> bool {
+/// Returns whether a report requested at `sent_ms` must list the task if it is on the worker.
+fn must_be_listed(pool_state: &PoolState, key: TaskKey, sent_ms: Millis) -> bool {
     let Some(task) = pool_state.task(key) else {
         return false;
     };
     match task.phase {
-        // The account carried our fence: nothing older can still come in.
+        // The request carried this owner's fencing token, so the worker refuses older orders that are still on their
+        // way.
         Phase::Suspect(_) => task.since_ms <= sent_ms,
         Phase::Running(_) | Phase::Stopping(_) => task.settled_ms.is_some_and(|at| at < sent_ms),
         _ => false,
@@ -428,10 +433,10 @@
             if let Some(task) = pool_state.task_mut(key) {
                 task.is_at_work = run.percent >= 100;
             }
-            crashes::note_shown(pool_state, key, sent_ms, ctx.now.ms);
+            crashes::note_reported(pool_state, key, sent_ms, ctx.now.ms);
         }
         Phase::Stopping(_) if is_here => {}
-        // A start that is out again while an old copy of it is listed is told apart by its run.
+        // A retried start whose earlier copy is listed has the same run number and is not stray.
         _ if task.run == run.run && task.phase.worker() == Some(worker) => {}
         _ => runs::stop_stray(pool_state, worker, &run.task, run.run, epoch, ctx),
     }
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -1,7 +1,7 @@
-//! Workers that start again under their id.
+//! Handles workers that restart under the same id. Called by [`renewal`](super::renewal) as reports come in.
 //!
-//! An order names its worker by the id alone, so that what was sent to an earlier life may be carried out by a later one.
-//! Until the later life's account is here, nothing that may be on its way to it counts as over.
+//! An order names its worker by id alone, so a later instance may carry out what was sent to an earlier one. Until a
+//! report of the later instance is in, nothing that may be on its way to it counts as over.
 
 use std::collections::HashSet;
 
@@ -16,15 +16,15 @@
 use crate::clock::Millis;
 use crate::port::fleet::{RenewalReport, TaskName};
 
-/// Takes in that a life answers where earlier ones of its id were known. Its next hold bars all that is on its way to them:
-/// the account that it gives then is the first to count.
-pub(super) fn prove(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
+/// Notes that an instance answers where earlier ones of its id were known. Its next renewal raises the fencing token,
+/// which bars everything still on its way to them, so the report that answers that renewal is the first that counts.
+pub(super) fn confirm_instance(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
     let Some(w) = pool_state.workers.get_mut(key) else {
         return;
     };
-    w.is_unproven = false;
+    w.is_unconfirmed = false;
     w.restarts += 1;
-    // A deadline that was meant for an earlier life is never shortened.
+    // A deadline that was meant for an earlier instance is never shortened.
     w.lease_end_ms = w.lease_end_ms.max(ctx.now.ms + STRAY_LEASE_MS);
     let born_wall_ms = w.fact.born_wall_ms;
     let id = w.fact.id.clone();
@@ -37,34 +37,34 @@
     }
 }
 
-/// Takes in that another life answered what was sent to this one. What may run under its id is told by the account of the
-/// life that is there now.
+/// Marks an instance as superseded because another one answered what was sent to it. What may still run under its id
+/// shows in the report of the instance that is there now.
 pub(super) fn supersede(
     pool_state: &mut PoolState,
     key: WorkerKey,
     born_wall_ms: Option<Millis>,
     ctx: &mut Ctx<'_>,
 ) {
-    let has_left = pool_state
+    let has_leftover_runs = pool_state
         .leftover_runs
         .values()
-        .any(|left| left.worker == key);
+        .any(|leftover| leftover.worker == key);
     let Some(w) = pool_state.workers.get_mut(key).filter(|w| !w.is_superseded) else {
         return;
     };
-    ctx.log(run_log::worker_restarted(w, born_wall_ms, "its account"));
+    ctx.log(run_log::worker_restarted(w, born_wall_ms, "its report"));
     w.is_superseded = true;
     w.is_listed = false;
     w.answers = false;
-    let is_empty = w.tasks.is_empty() && !has_left;
+    let is_empty = w.tasks.is_empty() && !has_leftover_runs;
     let left_ms = if is_empty { 0 } else { STRAY_LEASE_MS };
     w.lease_end_ms = ctx.now.ms + left_ms;
     ctx.after(left_ms, Timer::LeaseOver(key));
     renewal::forget_if_over(pool_state, key, ctx);
 }
 
-/// Runs that a life tells of although the books have them on an earlier life of its id: their starts reached this one.
-pub(super) fn adopt(
+/// Moves runs that an instance reports to it from earlier instances of its id, because their starts reached this one.
+pub(super) fn adopt_runs(
     pool_state: &mut PoolState,
     key: WorkerKey,
     report: &RenewalReport,
@@ -74,24 +74,29 @@
     let Some(w) = pool_state.workers.get(key) else {
         return;
     };
-    let lives = pool_state.instances_of(&w.fact.id).map(|(life, _)| life);
-    let earlier: Vec<WorkerKey> = lives.filter(|life| *life != key).collect();
+    let instances = pool_state
+        .instances_of(&w.fact.id)
+        .map(|(instance, _)| instance);
+    let earlier: Vec<WorkerKey> = instances.filter(|instance| *instance != key).collect();
     if earlier.is_empty() {
         return;
     }
     let running = report.running.iter().map(|r| (&r.task, r.run));
     let ended = report.ended.iter().map(|e| (&e.task, e.run));
-    let told: HashSet<(&TaskName, u32)> = running.chain(ended).collect();
-    for (name, run) in &told {
+    let reported: HashSet<(&TaskName, u32)> = running.chain(ended).collect();
+    for (name, run) in &reported {
         if let Some(task) = pool_state.find(name) {
             adopt_task(pool_state, task, *run, &earlier, key, epoch, ctx);
         }
     }
-    let left = pool_state.leftover_runs.iter().filter(|((_, run), left)| {
-        earlier.contains(&left.worker) && told.contains(&(&left.name, *run))
-    });
-    let left: Vec<(TaskKey, u32)> = left.map(|(run, _)| *run).collect();
-    for (task, run) in left {
+    let leftover = pool_state
+        .leftover_runs
+        .iter()
+        .filter(|((_, run), leftover)| {
+            earlier.contains(&leftover.worker) && reported.contains(&(&leftover.name, *run))
+        });
+    let leftover: Vec<(TaskKey, u32)> = leftover.map(|(run, _)| *run).collect();
+    for (task, run) in leftover {
         pool_state.move_leftover_run((task, run), key);
         runs::restop(pool_state, task, run, epoch, ctx);
     }
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -1,7 +1,8 @@
-//! What the log tells of runs: enough to see why a task was started again after a run of it had ended.
+//! Logs what happens to runs, in enough detail to see why a task was started again after one of its runs had ended.
 //!
-//! A run goes by `job.round.step.task#run`. Ends and answers come by the hundred in a second at a peak, and a line of each
-//! would cost processor time that small entries lack: they are gathered to lists, as long as [`LISTED_MAX`].
+//! A run is written as `job.round.step.task#run`. At a peak, ends and answers come by the hundred per second, and a
+//! line for each would cost processor time that small entries lack. They are gathered into lists of up to
+//! [`LISTED_MAX`] entries.
 
 use std::fmt::{Display, Write};
 
@@ -15,16 +16,16 @@
 use crate::event::{Code, Decision, Subject, RUNS};
 use crate::port::fleet::{OrderReply, Revision, RunEnd, TaskName};
 
-/// Entries of a list; what is beyond goes on another line.
+/// Most entries in a list. Further ones go on another line.
 const LISTED_MAX: usize = 16;
 
-/// Workers that are named whose runs a new owner found on record; it bounds the line.
+/// Most workers named in the line about the runs that a new owner found on record. Bounds the length of the line.
 const LOADED_MAX: usize = 48;
 
-/// Answered starts are told after so long, or with the next judgement on a run.
+/// Answers to starts are logged after this long, or before the next decision on a run.
 const ANSWERS_MS: Millis = 100;
 
-/// A list of bounded length, as text.
+/// A list of entries, separated by spaces, with their number.
 #[derive(Clone, Debug, Default)]
 pub(super) struct List {
     text: String,
@@ -32,14 +33,14 @@
 }
 
 impl List {
-    /// Adds an entry.
+    /// Appends an entry.
     pub(super) fn add(&mut self, entry: impl Display) {
         let gap = if self.count == 0 { "" } else { " " };
         let _ = write!(self.text, "{gap}{entry}");
         self.count += 1;
     }
 
-    /// The text so far; the list is empty then.
+    /// Returns the text and clears the list.
     pub(super) fn take(&mut self) -> String {
         self.count = 0;
         std::mem::take(&mut self.text)
@@ -50,7 +51,7 @@
     }
 }
 
-/// A run by name.
+/// Name of a run: its task and its number.
 struct RunName<'a>(&'a TaskName, u32);
 
 impl Display for RunName<'_> {
@@ -74,14 +75,14 @@
     }
 }
 
-/// The id of a worker's life.
-fn life(pool_state: &PoolState, worker: WorkerKey) -> &str {
+/// Returns the id of a worker, or `-` if the worker is not known.
+fn worker_id(pool_state: &PoolState, worker: WorkerKey) -> &str {
     pool_state.workers.get(worker).map_or("-", |w| &w.fact.id)
 }
 
-/// What the books think of a task as something is told of one of its runs on a worker: its phase, and its run and
-/// worker where they are others.
-fn standing(pool_state: &PoolState, task: &TaskName, run: u32, worker: WorkerKey) -> String {
+/// Describes a task as the pool's state has it when something is reported of one of its runs on a worker: the phase,
+/// and the current run and worker if they differ from those.
+fn describe_task(pool_state: &PoolState, task: &TaskName, run: u32, worker: WorkerKey) -> String {
     let Some(job) = pool_state
         .by_id
         .get(&task.job)
@@ -89,37 +90,37 @@
     else {
         return "JobUnknown".to_string();
     };
-    let over = if job.state.is_final() { "JobOver," } else { "" };
+    let prefix = if job.state.is_final() { "JobOver," } else { "" };
     let Some(known) = pool_state.find(task).and_then(|key| pool_state.task(key)) else {
-        return format!("{over}RoundOver");
+        return format!("{prefix}RoundOver");
     };
     let name = phase_name(known.phase);
     let on = known.phase.worker();
     if known.run == run && on == Some(worker) {
-        return format!("{over}{name}");
+        return format!("{prefix}{name}");
     }
     match on {
-        Some(on) => format!("{over}{name}#{}@{}", known.run, life(pool_state, on)),
-        None => format!("{over}{name}#{}", known.run),
+        Some(on) => format!("{prefix}{name}#{}@{}", known.run, worker_id(pool_state, on)),
+        None => format!("{prefix}{name}#{}", known.run),
     }
 }
 
-/// The ends of one account, as they are taken into the books.
+/// Collects the ends in one report as they are applied.
 pub(super) struct EndsLog {
     worker: WorkerKey,
     epoch: u64,
     asked_ms: Millis,
-    /// Ends up to this number had been taken in before.
+    /// Number of the last end that was applied before this report.
     taken: u64,
-    /// Ends that were listed again.
+    /// Number of ends that had been applied before and are listed again.
     again: u64,
-    /// The first of those.
+    /// The first of the ends that are listed again.
     again_list: List,
     list: List,
 }
 
 impl EndsLog {
-    /// Of an account asked for at `asked_ms`.
+    /// Starts the log of a report that was requested at `asked_ms`.
     pub(super) fn new(
         pool_state: &PoolState,
         worker: WorkerKey,
@@ -137,20 +138,20 @@
         }
     }
 
-    /// An end that is about to be taken in.
+    /// Adds an end that is about to be applied.
     pub(super) fn add(&mut self, pool_state: &PoolState, end: &RunEnd, ctx: &mut Ctx<'_>) {
         if self.list.is_full() {
             self.log(pool_state, ctx);
         }
         let name = RunName(&end.task, end.run);
-        let standing = standing(pool_state, &end.task, end.run, self.worker);
+        let describe_task = describe_task(pool_state, &end.task, end.run, self.worker);
         self.list.add(format_args!(
-            "{}={name}:{:?}/{standing}",
+            "{}={name}:{:?}/{describe_task}",
             end.number, end.kind
         ));
     }
 
-    /// An end that had been taken in before.
+    /// Adds an end that was applied before.
     pub(super) fn add_again(&mut self, end: &RunEnd) {
         self.again += 1;
         if !self.again_list.is_full() {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Tells what is not told yet.
+    /// Logs what is not logged yet.
     pub(super) fn finish(mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
         if self.list.count > 0 || self.again > 0 {
             self.log(pool_state, ctx);
@@ -168,7 +169,7 @@
 
     fn log(&mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
         let w = &pool_state.workers[self.worker];
-        let why = "listed in its account";
+        let why = "listed in its report";
         let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.fact.id, why)
             .naming("on", &*w.fact.host)
             .naming(RUNS, self.list.take());
@@ -189,15 +190,15 @@
     }
 }
 
-/// Answers to starts that are not told yet.
+/// Answers to starts that are not logged yet.
 #[derive(Clone, Debug, Default)]
 pub struct StartAnswers {
-    /// Each with when it came.
+    /// Each answer with the time at which it came.
     waiting: Vec<(Millis, String)>,
 }
 
-/// Notes what a start was answered; `since_ms` is when the run was on record. The worker is the one that the books have the
-/// task on.
+/// Notes the answer to a start, with the time since the run was recorded. The worker is the one on which the pool's
+/// state has the task.
 pub(super) fn add_start_answer(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -215,9 +216,9 @@
     let took_ms = ctx.now.ms.saturating_sub(task.since_ms);
     let text = match task.phase {
         Phase::Starting(on) if task.run == run => {
-            format!("{name}@{}:{reply:?},{took_ms}", life(pool_state, on))
+            format!("{name}@{}:{reply:?},{took_ms}", worker_id(pool_state, on))
         }
-        // The books have gone on since.
+        // The task has moved on since the start was sent.
         phase => format!("{name}:{reply:?}/{}#{}", phase_name(phase), task.run),
     };
     pool_state.answers.waiting.push((ctx.now.ms, text));
@@ -226,7 +227,7 @@
     }
 }
 
-/// Tells answers that have waited for long enough.
+/// Logs the answers if the first has waited for [`ANSWERS_MS`].
 pub(super) fn log_old_start_answers(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     let first = pool_state.answers.waiting.first();
     if first.is_some_and(|(at, _)| ctx.now.ms >= at + ANSWERS_MS) {
@@ -234,7 +235,7 @@
     }
 }
 
-/// Tells all answers: before a judgement that may rest on them, and before the books are dropped.
+/// Logs all answers. Called before a decision that may rest on them and before the pool's state is dropped.
 pub(super) fn log_start_answers(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     if pool_state.answers.waiting.is_empty() {
         return;
@@ -244,19 +245,19 @@
         let ago_ms = ctx.now.ms.saturating_sub(at_ms);
         list.add(format_args!("{text},{ago_ms}"));
     }
-    let why = "workers answered";
+    let why = "answers of workers to starts";
     let decision = Decision::new(Code::StartsAnswered, Subject::Pool, &pool_state.name, why);
     ctx.log(decision.naming(RUNS, list.take()));
 }
 
-/// Tells all answers of books that are about to be dropped.
+/// Logs all answers of a pool's state that is about to be dropped.
 pub(super) fn log_last_start_answers(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
     if let Some(pool_state) = &mut ownership.pool_state {
         log_start_answers(pool_state, ctx);
     }
 }
 
-/// A batch that is on record. Its jobs are listed in full, since an end counts as recorded with the batch of its job.
+/// Logs a recorded batch. All its jobs are listed, since an end counts as recorded with the batch of its job.
 pub(super) fn log_batch(
     batch: &Batch,
     pool_state: &PoolState,
@@ -266,7 +267,7 @@
 ) {
     let why = match batch.removed.is_empty() {
         true => "changes of jobs",
-        false => "jobs forgotten",
+        false => "finished jobs removed",
     };
     let changed = batch.jobs.iter().map(|(key, _)| key);
     let keys = changed.chain(&batch.removed);
@@ -288,7 +289,7 @@
     );
 }
 
-/// What a new owner found on record: tasks that are done, and those that were started, by worker.
+/// Logs what a new owner found on record: the number of done tasks, and the started tasks by worker.
 pub(super) fn log_loaded_pool(
     name: &str,
     pool_state: &PoolState,
@@ -323,30 +324,34 @@
     );
 }
 
-/// A life's start for the log; 0 where the platform tells none.
+/// Returns the start time of an instance for the log; 0 if the platform doesn't provide it.
 pub(super) fn born_or_zero(wall_ms: Option<Millis>) -> Millis {
     wall_ms.unwrap_or(0)
 }
 
-/// A worker that tells of another start than the one known; `by` is what tells it.
-pub(super) fn worker_restarted(w: &Worker, told: Option<Millis>, by: &'static str) -> Decision {
+/// Builds the event of a worker that reports another start time than the known one. `by` is what reported it.
+pub(super) fn worker_restarted(
+    w: &Worker,
+    reported_wall_ms: Option<Millis>,
+    by: &'static str,
+) -> Decision {
     Decision::new(Code::WorkerRestarted, Subject::Host, &w.fact.id, by)
         .naming("on", &*w.fact.host)
-        .with("born_wall_ms", born_or_zero(told))
+        .with("born_wall_ms", born_or_zero(reported_wall_ms))
         .with("known_born_wall_ms", born_or_zero(w.fact.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
         .with("taken", w.taken)
 }
 
-/// A worker whose runs are over: what that rests on, and where its ends and its lease stand.
+/// Builds the event of a worker whose runs are over, with the evidence and the state of its ends and its lease.
 pub(super) fn worker_over(w: &Worker, evidence: &Evidence, now_ms: Millis) -> Decision {
     let why = evidence.end_cause().why();
     let decision = Decision::new(Code::WorkerOver, Subject::Host, &w.fact.id, why);
     let decision = match evidence {
         Evidence::Lapse => decision,
         Evidence::Answer(order) => decision.naming("to", *order),
-        Evidence::Report { life, asked_ms } => decision
-            .naming("by", life)
+        Evidence::Report { instance, asked_ms } => decision
+            .naming("by", instance)
             .with("asked_ago_ms", now_ms.saturating_sub(*asked_ms)),
     };
     decision
@@ -360,8 +365,8 @@
         .with("told_seen", w.acked_through)
 }
 
-/// A task that goes back to wait: what the judgement on its run rests on. `asked_ms` is when the account was asked for that
-/// lacks it.
+/// Builds the event of a task that is queued again, with what the decision on its run rests on. `asked_ms` is when the
+/// report was requested that lacks the run.
 pub(super) fn task_requeued(
     pool_state: &PoolState,
     key: TaskKey,
@@ -371,7 +376,7 @@
 ) -> Option<Decision> {
     let task = pool_state.task(key)?;
     let job = &pool_state.jobs.get(key.job)?.id;
-    // On a worker's end these tell the run that may have caused it from those that had long been at work.
+    // When a worker ends, these figures tell the run that may have caused it from runs that had long been executing.
     let mut decision = Decision::new(Code::TaskRequeued, Subject::Job, job, why)
         .with("round", u64::from(key.round))
         .with("step", u64::from(key.step))
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -1,7 +1,8 @@
-//! Runs of tasks: starts and stops answered, ends taken note of, jobs that come to their end.
+//! Starts, stops and ends the runs of tasks, and ends jobs that are completed, failed or cancelled. The reducer passes
+//! in the workers' answers, and [`renewal`](super::renewal) the run ends that workers report.
 //!
-//! A run that was recorded may be at work until its worker says otherwise, until the worker's life is
-//! over, or until everything ordered there has lapsed. Only then does the next run get its place.
+//! A recorded run may be executing until its worker reports otherwise, the worker's instance has ended, or every lease
+//! and order given to the worker has expired. Only then is the task's next run placed.
 
 use super::crashes::{self, Evidence};
 use super::fencing_token;
@@ -21,11 +22,11 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{Addressee, EndKind, OrderReply, RunEnd, RunStart, TaskName};
 
-/// Pause for a worker that says that it is unwell or can't be connected to.
+/// Pause for a worker that reports that it is unwell or refuses connections.
 const UNWELL_PAUSE_MS: u64 = 500;
 
-/// Where orders to a worker go; nowhere once a later life has its id.
-pub fn order(
+/// Returns the target of orders to a worker, or `None` once a later instance has taken over its id.
+pub fn order_to(
     pool_state: &PoolState,
     worker: WorkerKey,
     epoch: u64,
@@ -47,7 +48,7 @@
     })
 }
 
-/// Sends the start of a run that is on record.
+/// Sends the start of a recorded run.
 pub fn send_start(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -68,8 +69,10 @@
     if task.phase == Phase::Recording(worker) {
         pool_state.set_phase(key, Phase::Starting(worker), ctx.now.ms);
     }
-    let (Some(name), Some(order)) = (pool_state.name(key), order(pool_state, worker, epoch, ctx))
-    else {
+    let (Some(name), Some(order)) = (
+        pool_state.name(key),
+        order_to(pool_state, worker, epoch, ctx),
+    ) else {
         return;
     };
     let spec = pool_state.jobs[key.job].spec.payload.clone();
@@ -92,7 +95,8 @@
     ctx.out.push(Effect::Start(order, key, start));
 }
 
-/// Whether a refusal for the fence tells that another entry owns the pool.
+/// Returns whether a refusal for a stale fencing token means that another entry owns the pool. If the worker's id has
+/// restarted, the refusal may be due to the restart.
 fn is_fenced_out(pool_state: &PoolState, worker: WorkerKey) -> bool {
     pool_state
         .workers
@@ -100,7 +104,7 @@
         .is_some_and(|w| !w.has_restarted())
 }
 
-/// Whether another life that answers in a worker's place tells that the worker's is over.
+/// Returns whether a reply from another instance at the worker's address proves that this instance has ended.
 fn has_answered_at_address(pool_state: &PoolState, worker: WorkerKey) -> bool {
     pool_state
         .workers
@@ -108,7 +112,7 @@
         .is_some_and(Worker::has_answered_at_address)
 }
 
-/// Settles a start; says whether the pool is lost.
+/// Applies the reply to a start and returns whether the pool is lost.
 pub fn started(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -129,9 +133,10 @@
     }
     match reply {
         OrderReply::Accepted | OrderReply::Outdated => {
-            // Outdated: it ended or was barred there; the next account tells which.
+            // `Outdated` means that the run has ended or was barred on the worker. The worker's next report shows
+            // which.
             pool_state.set_phase(key, Phase::Running(worker), ctx.now.ms);
-            settle(pool_state, key, ctx);
+            mark_settled(pool_state, key, ctx);
             if let Some(task) = pool_state
                 .task_mut(key)
                 .filter(|_| reply == OrderReply::Accepted)
@@ -149,25 +154,43 @@
         OrderReply::TooLate => ctx.after(ORDER_RETRY_MS, Timer::Restart(key, run)),
         OrderReply::NoRoom => {
             pause(pool_state, worker, FULL_PAUSE_MS, ctx);
-            refused(pool_state, key, "no room", epoch, ctx);
+            handle_refusal(
+                pool_state,
+                key,
+                "the worker has no free capacity for it",
+                epoch,
+                ctx,
+            );
         }
         OrderReply::Unwell | OrderReply::Refused => {
             pause(pool_state, worker, UNWELL_PAUSE_MS, ctx);
-            refused(pool_state, key, "worker unwell", epoch, ctx);
+            handle_refusal(
+                pool_state,
+                key,
+                "the worker is unwell or refuses connections",
+                epoch,
+                ctx,
+            );
         }
         OrderReply::OtherLife if has_answered_at_address(pool_state, worker) => {
             end_worker(pool_state, worker, &Evidence::Answer("start"), ctx);
         }
         OrderReply::OtherLife => {
             pause(pool_state, worker, UNWELL_PAUSE_MS, ctx);
-            refused(pool_state, key, "another life at its address", epoch, ctx);
+            handle_refusal(
+                pool_state,
+                key,
+                "another instance answered at the worker's address",
+                epoch,
+                ctx,
+            );
         }
         OrderReply::Fenced if is_fenced_out(pool_state, worker) => return true,
         OrderReply::Fenced => {
-            refused(
+            handle_refusal(
                 pool_state,
                 key,
-                "a later life of its worker is there",
+                "a later instance of its worker is running",
                 epoch,
                 ctx,
             );
@@ -176,17 +199,24 @@
     false
 }
 
-/// A refusal speaks of its own sending only: where an earlier one went unanswered, a stop bars the run first.
-fn refused(pool_state: &mut PoolState, key: TaskKey, why: &str, epoch: u64, ctx: &mut Ctx<'_>) {
+/// Handles a refused start. A refusal covers only the request that it answers: if an earlier request got no reply, a
+/// stop bars the run before the task is queued again.
+fn handle_refusal(
+    pool_state: &mut PoolState,
+    key: TaskKey,
+    why: &str,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
     if pool_state.task(key).is_some_and(|t| t.is_start_open) {
         stop(pool_state, key, epoch, ctx);
     } else {
-        note_unbegun(pool_state, key);
+        note_never_started(pool_state, key);
         requeue(pool_state, key, why, ctx);
     }
 }
 
-fn settle(pool_state: &mut PoolState, key: TaskKey, ctx: &Ctx<'_>) {
+fn mark_settled(pool_state: &mut PoolState, key: TaskKey, ctx: &Ctx<'_>) {
     if let Some(task) = pool_state.task_mut(key) {
         task.settled_ms = Some(ctx.now.ms);
     }
@@ -199,7 +229,7 @@
     }
 }
 
-/// Orders a run stopped.
+/// Stops a task's current run.
 pub fn stop(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
     let Some(task) = pool_state.task(key) else {
         return;
@@ -208,9 +238,9 @@
     let worker = match task.phase {
         Phase::Starting(w) | Phase::Running(w) | Phase::Suspect(w) | Phase::Stopping(w) => w,
         Phase::Recording(_) => {
-            // Never sent: what is on record is overwritten by the next record.
-            note_unbegun(pool_state, key);
-            requeue(pool_state, key, "stopped before it was sent", ctx);
+            // The start was never sent, and the next record overwrites the recorded run.
+            note_never_started(pool_state, key);
+            requeue(pool_state, key, "stopped before its start was sent", ctx);
             return;
         }
         _ => return,
@@ -229,8 +259,10 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let (Some(name), Some(order)) = (pool_state.name(key), order(pool_state, worker, epoch, ctx))
-    else {
+    let (Some(name), Some(order)) = (
+        pool_state.name(key),
+        order_to(pool_state, worker, epoch, ctx),
+    ) else {
         return;
     };
     if !ctx.may_send() || order.to.address.port() == 0 {
@@ -240,10 +272,10 @@
     ctx.out.push(Effect::Stop(order, key, name, run));
 }
 
-/// Sends a stop again that got no answer.
+/// Sends a stop again after it got no reply.
 pub fn restop(pool_state: &mut PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
     if pool_state.leftover_runs.contains_key(&(key, run)) {
-        stop_left(pool_state, key, run, epoch, ctx);
+        stop_leftover_run(pool_state, key, run, epoch, ctx);
         return;
     }
     let Some(task) = pool_state.task(key) else {
@@ -256,7 +288,7 @@
     }
 }
 
-/// Settles a stop; says whether the pool is lost.
+/// Applies the reply to a stop and returns whether the pool is lost.
 pub fn stopped(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -265,7 +297,7 @@
     ctx: &mut Ctx<'_>,
 ) -> bool {
     if pool_state.leftover_runs.contains_key(&(key, run)) {
-        return left_stopped(pool_state, key, run, reply, ctx);
+        return settle_leftover_stop(pool_state, key, run, reply, ctx);
     }
     let Some(task) = pool_state.task(key) else {
         return false;
@@ -277,7 +309,7 @@
         return false;
     }
     match reply {
-        OrderReply::Accepted | OrderReply::Outdated => settle(pool_state, key, ctx),
+        OrderReply::Accepted | OrderReply::Outdated => mark_settled(pool_state, key, ctx),
         OrderReply::OtherLife if has_answered_at_address(pool_state, worker) => {
             end_worker(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
@@ -287,20 +319,21 @@
     false
 }
 
-/// Takes in that a task's run never began: the starts that the platform allows are counted by runs, and one that was refused
-/// once used up the last of a task that did no harm.
-fn note_unbegun(pool_state: &mut PoolState, key: TaskKey) {
+/// Notes that a task's current run never started. The platform's limit on starts counts runs, and a refused run must
+/// not use up a start of a task that crashed nothing.
+fn note_never_started(pool_state: &mut PoolState, key: TaskKey) {
     if let Some(task) = pool_state.task_mut(key) {
-        task.ended.note_unbegun();
+        task.ended.note_never_started();
     }
 }
 
-/// Brings a task whose run is certainly over back into the queue, or to rest.
+/// Puts a task whose run has certainly ended back into the queue, or blocks it if its job has ended or the task is
+/// given up.
 pub fn requeue(pool_state: &mut PoolState, key: TaskKey, why: &str, ctx: &mut Ctx<'_>) {
     requeue_for(pool_state, key, why, None, ctx);
 }
 
-/// The same; `asked_ms` is when the account was asked for that the judgement rests on, if on one.
+/// Same as [`requeue`]; `asked_ms` is when the report was requested that shows the run's end, if a report does.
 pub(super) fn requeue_for(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -316,14 +349,14 @@
     };
     if job.state.is_final() || crashes::is_given_up(pool_state, key) {
         pool_state.set_phase(key, Phase::Blocked, ctx.now.ms);
-        crashes::leave(pool_state, key);
+        crashes::queue_if_given_up(pool_state, key);
         return;
     }
     let is_noted = task.ended.is_noted();
     let decision = run_log::task_requeued(pool_state, key, why, asked_ms, ctx.now.ms);
     pool_state.set_phase(key, Phase::Ready, ctx.now.ms);
     if is_noted {
-        // On record it would still be there, and its worker's end counted once more by the next owner.
+        // The stored progress still shows the run, and the next owner would count its worker's end a second time.
         pool_state.mark(key.job, ctx.now.ms);
     }
     if gang::is_member(pool_state, key) {
@@ -335,14 +368,14 @@
     }
 }
 
-/// A worker's life, or everything on it, is certainly over.
+/// Ends a worker's instance, or everything that runs on it, once it is certainly over.
 pub fn end_worker(
     pool_state: &mut PoolState,
     worker: WorkerKey,
     evidence: &Evidence,
     ctx: &mut Ctx<'_>,
 ) {
-    let over = evidence.end_cause();
+    let cause = evidence.end_cause();
     run_log::log_start_answers(pool_state, ctx);
     let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
@@ -350,18 +383,18 @@
     w.answers = false;
     let tasks: Vec<TaskKey> = w.tasks.iter().copied().collect();
     ctx.log(run_log::worker_over(w, evidence, ctx.now.ms));
-    crashes::note_end(pool_state, worker, over, ctx);
+    crashes::count_worker_end(pool_state, worker, cause, ctx);
     for key in tasks {
         let is_unsent = |task: &Task| matches!(task.phase, Phase::Recording(_));
         if pool_state.task(key).is_some_and(is_unsent) {
-            note_unbegun(pool_state, key);
+            note_never_started(pool_state, key);
         }
-        requeue(pool_state, key, over.why(), ctx);
+        requeue(pool_state, key, cause.why(), ctx);
     }
-    pool_state.drop_leftover_runs(|left| left.worker == worker);
+    pool_state.drop_leftover_runs(|leftover| leftover.worker == worker);
 }
 
-/// Takes a run's end into the books.
+/// Applies a reported run end to its task and job.
 pub fn take_end(
     pool_state: &mut PoolState,
     worker: WorkerKey,
@@ -383,7 +416,7 @@
         return;
     }
     match end.kind {
-        EndKind::Done => done(
+        EndKind::Done => complete_task(
             pool_state,
             key,
             worker,
@@ -391,18 +424,18 @@
             epoch,
             ctx,
         ),
-        EndKind::Failed => failed(pool_state, key, worker, end.run, epoch, ctx),
+        EndKind::Failed => fail_run(pool_state, key, worker, end.run, epoch, ctx),
         _ if is_current => {
             if let Some(task) = pool_state.task_mut(key) {
                 task.checkpoint.clone_from(&end.checkpoint);
             }
-            requeue(pool_state, key, "run ended unfinished", ctx);
+            requeue(pool_state, key, "run ended before the task was done", ctx);
         }
         _ => {}
     }
 }
 
-fn done(
+fn complete_task(
     pool_state: &mut PoolState,
     key: TaskKey,
     worker: WorkerKey,
@@ -414,19 +447,19 @@
         w.fails_in_row = 0;
         w.suspensions = 0;
     }
-    // The members of a gang end together: one end stands for all.
-    let done = match gang::is_member(pool_state, key) {
+    // The members of a gang end together, so one end completes all of them.
+    let completed = match gang::is_member(pool_state, key) {
         true => gang::members(pool_state, key),
         false => vec![key],
     };
     if !is_current {
-        for task in &done {
-            leave_other_run(pool_state, *task, (worker, number), epoch, ctx);
+        for task in &completed {
+            stop_other_run(pool_state, *task, (worker, number), epoch, ctx);
         }
     }
     let started_ms = pool_state.task(key).and_then(|t| t.started_ms);
     let took_ms = started_ms.map(|at| ctx.now.ms.saturating_sub(at));
-    for task in &done {
+    for task in &completed {
         pool_state.set_phase(*task, Phase::Done, ctx.now.ms);
     }
     pool_state.mark(key.job, ctx.now.ms);
@@ -435,7 +468,7 @@
         return;
     };
     let step = &mut round.steps[usize::from(key.step)];
-    step.tasks_left -= done.len();
+    step.tasks_left -= completed.len();
     step.longest_ms = step.longest_ms.max(took_ms.unwrap_or(0));
     if step.tasks_left > 0 {
         return;
@@ -458,9 +491,9 @@
     }
 }
 
-/// An earlier run turned out to be done while a later one may be at work elsewhere: that one stays in the
-/// books until its stop is answered, since its start may be carried out seconds late.
-fn leave_other_run(
+/// Stops a later run that may be executing elsewhere when an earlier run turns out to be done. The later run stays in
+/// the pool's state until its stop is answered, since its start may be carried out seconds late.
+fn stop_other_run(
     pool_state: &mut PoolState,
     key: TaskKey,
     noticed: (WorkerKey, u64),
@@ -472,14 +505,14 @@
     };
     let worker = match task.phase {
         Phase::Starting(w) | Phase::Running(w) | Phase::Stopping(w) | Phase::Suspect(w) => w,
-        // Nothing was sent.
+        // No start was sent.
         _ => return,
     };
     let run = task.run;
     let (Some(name), Some(spec)) = (pool_state.name(key), pool_state.step_spec(key)) else {
         return;
     };
-    let left = LeftoverRun {
+    let leftover = LeftoverRun {
         name,
         charge: pool_state.charge(key),
         worker,
@@ -487,45 +520,51 @@
         noticed,
         settled_ms: None,
     };
-    pool_state.keep_leftover_run(key, run, left);
-    stop_left(pool_state, key, run, epoch, ctx);
+    pool_state.keep_leftover_run(key, run, leftover);
+    stop_leftover_run(pool_state, key, run, epoch, ctx);
 }
 
-fn stop_left(pool_state: &PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
-    let Some(left) = pool_state.leftover_runs.get(&(key, run)) else {
+fn stop_leftover_run(
+    pool_state: &PoolState,
+    key: TaskKey,
+    run: u32,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
+    let Some(leftover) = pool_state.leftover_runs.get(&(key, run)) else {
         return;
     };
-    if left.settled_ms.is_some() {
+    if leftover.settled_ms.is_some() {
         return;
     }
-    match order(pool_state, left.worker, epoch, ctx) {
+    match order_to(pool_state, leftover.worker, epoch, ctx) {
         Some(order) if ctx.may_send() && order.to.address.port() != 0 => {
             ctx.out
-                .push(Effect::Stop(order, key, left.name.clone(), run));
+                .push(Effect::Stop(order, key, leftover.name.clone(), run));
         }
         _ => ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run)),
     }
 }
 
-fn left_stopped(
+fn settle_leftover_stop(
     pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
     reply: OrderReply,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    let Some(left) = pool_state.leftover_runs.get(&(key, run)) else {
+    let Some(leftover) = pool_state.leftover_runs.get(&(key, run)) else {
         return false;
     };
-    let is_fenced_out = is_fenced_out(pool_state, left.worker);
-    let has_answered_at_address = has_answered_at_address(pool_state, left.worker);
-    let Some(left) = pool_state.leftover_runs.get_mut(&(key, run)) else {
+    let is_fenced_out = is_fenced_out(pool_state, leftover.worker);
+    let has_answered_at_address = has_answered_at_address(pool_state, leftover.worker);
+    let Some(leftover) = pool_state.leftover_runs.get_mut(&(key, run)) else {
         return false;
     };
     match reply {
-        OrderReply::Accepted | OrderReply::Outdated => left.settled_ms = Some(ctx.now.ms),
+        OrderReply::Accepted | OrderReply::Outdated => leftover.settled_ms = Some(ctx.now.ms),
         OrderReply::OtherLife if has_answered_at_address => {
-            let worker = left.worker;
+            let worker = leftover.worker;
             end_worker(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
         OrderReply::Fenced if is_fenced_out => return true,
@@ -534,7 +573,7 @@
     false
 }
 
-fn failed(
+fn fail_run(
     pool_state: &mut PoolState,
     key: TaskKey,
     worker: WorkerKey,
@@ -551,14 +590,14 @@
     let before = task.failed_runs;
     task.note_failure(run);
     if task.failed_runs == before && !is_current {
-        // Told again after it was recorded.
+        // The worker reported the same end again after it was recorded.
         return;
     }
     task.failed_on = Some(worker);
     task.failed_ms = ctx.now.ms;
     let fails = task.fails();
     if gang::is_member(pool_state, key) {
-        // The gang has failed: every member counts that run.
+        // The gang has failed, so the run counts as failed for every member.
         for member in gang::members(pool_state, key) {
             if let Some(task) = pool_state.task_mut(member) {
                 task.note_failure(run);
@@ -575,7 +614,8 @@
     }
 }
 
-/// Whether a task may not be started again. One that is at work may still be done.
+/// Returns whether a task has used up its attempts and may not be started again. A run that is executing may still
+/// complete.
 pub(super) fn is_exhausted(pool_state: &PoolState, key: TaskKey) -> bool {
     let Some(task) = pool_state.task(key).filter(|t| t.failed_runs > 0) else {
         return false;
@@ -584,7 +624,8 @@
     !lasts && task.fails() >= pool_state.jobs[key.job].policy.attempts_max
 }
 
-/// Ends the jobs of tasks that wait with no attempt left. Not as a configuration changes: the next one may be there already.
+/// Ends the jobs of waiting tasks that have no attempt left. This doesn't happen as a configuration changes, because
+/// the configuration after it, which may allow more attempts, may already be there.
 pub(super) fn end_exhausted(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     let waiting = pool_state.ready.iter().map(|rank| rank.task);
     let exhausted: Vec<TaskKey> = waiting
@@ -617,7 +658,7 @@
     );
 }
 
-/// Leaves a worker alone for a while on which tasks keep failing.
+/// Suspends a worker for a while after tasks have failed on it in a row.
 fn count_failure(pool_state: &mut PoolState, worker: WorkerKey, ctx: &mut Ctx<'_>) {
     let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
@@ -628,7 +669,7 @@
     }
     let pause_ms = (SUSPEND_MS << w.suspensions.min(4)).min(SUSPEND_MAX_MS);
     w.suspensions += 1;
-    // One failure more after the pause is enough to leave it alone again.
+    // A single further failure after the pause suspends the worker again.
     w.fails_in_row = FAILS_IN_A_ROW - 1;
     let id = w.fact.id.clone();
     pause(pool_state, worker, pause_ms, ctx);
@@ -637,13 +678,13 @@
             Code::WorkerSuspended,
             Subject::Host,
             &id,
-            "tasks fail there",
+            "tasks failed on it in a row",
         )
         .with("pause_ms", pause_ms),
     );
 }
 
-/// Ends a job before its tasks are done, and stops what runs of it; says whether it had not ended before.
+/// Ends a job before its tasks are done and stops its runs. Returns false if the job had already ended.
 fn end_job(
     pool_state: &mut PoolState,
     key: JobKey,
@@ -673,7 +714,7 @@
     true
 }
 
-/// Ends a job that can't be done.
+/// Ends a job that can't be completed.
 pub fn fail_job(pool_state: &mut PoolState, key: JobKey, why: &str, epoch: u64, ctx: &mut Ctx<'_>) {
     if end_job(pool_state, key, JobState::Failed, epoch, ctx) {
         ctx.log_job(Code::JobEnded, &pool_state.jobs[key].id, why);
@@ -686,12 +727,12 @@
         ctx.log_job(
             Code::JobCancelled,
             &pool_state.jobs[key].id,
-            "cancel on record",
+            "the recorded cancellation was applied",
         );
     }
 }
 
-/// Stops a run that a worker lists and the books do not expect there.
+/// Stops a run that a worker reports and that the pool's state doesn't expect there.
 pub fn stop_stray(
     pool_state: &PoolState,
     worker: WorkerKey,
@@ -700,7 +741,7 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(order) = order(pool_state, worker, epoch, ctx) else {
+    let Some(order) = order_to(pool_state, worker, epoch, ctx) else {
         return;
     };
     ctx.log_job(
@@ -711,7 +752,7 @@
     ctx.out.push(Effect::StopStray(order, name.clone(), run));
 }
 
-/// Begins rounds that fell due.
+/// Begins the rounds of scheduled jobs that have fallen due.
 pub fn begin_due_rounds(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     let timed: Vec<JobKey> = pool_state
         .jobs
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -1,4 +1,5 @@
-//! A job in the books: its rounds, steps and tasks, where each task stands, and what the job can still earn.
+//! Holds the state of a job while its pool is owned: its rounds, steps and tasks, the phase of each task, and whether
+//! the job can still meet its objective.
 
 use std::collections::BTreeMap;
 
@@ -10,30 +11,30 @@
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, Revision};
 
-/// Where a task stands.
+/// Phase of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Its step waits for others.
+    /// Its step waits for other steps.
     #[default]
     Blocked,
-    /// It waits for a place.
+    /// It waits to be placed.
     Ready,
-    /// A place was chosen; that is not on record yet, so nothing was sent.
+    /// A worker was chosen, which is not recorded yet, so nothing was sent.
     Recording(WorkerKey),
-    /// The start is out, unanswered so far.
+    /// The start was sent and is not answered yet.
     Starting(WorkerKey),
-    /// The worker has it.
+    /// The worker accepted the run.
     Running(WorkerKey),
-    /// A stop is out; its end is awaited.
+    /// A stop was sent, and the end of the run is awaited.
     Stopping(WorkerKey),
-    /// A former owner recorded it there; the worker has not been heard since.
+    /// A former owner recorded it on this worker, which has not answered since.
     Suspect(WorkerKey),
-    /// Done.
+    /// The task is done.
     Done,
 }
 
 impl Phase {
-    /// The worker whose capacity the task takes.
+    /// Returns the worker whose capacity the task takes.
     pub fn worker(self) -> Option<WorkerKey> {
         match self {
             Phase::Recording(w)
@@ -46,66 +47,66 @@
     }
 }
 
-/// One task.
+/// State of one task.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    /// Where it stands.
+    /// Current phase.
     pub phase: Phase,
-    /// Its last run; 0 before the first.
+    /// Number of the last run; 0 before the first.
     pub run: u32,
-    /// Runs that failed, a bit each: an end that is told again counts once.
+    /// Failed runs, one bit each, so that an end that is reported twice counts once.
     pub failed_runs: u64,
-    /// Where the next run goes on from.
+    /// Checkpoint from which the next run continues.
     pub checkpoint: String,
-    /// Where the last run that failed was.
+    /// Worker on which the last failed run executed.
     pub failed_on: Option<WorkerKey>,
-    /// When that was heard.
+    /// When the last failure was reported.
     pub failed_ms: Millis,
-    /// When it came into its phase.
+    /// When it entered its phase.
     pub since_ms: Millis,
-    /// When the worker answered the order that led here; an account asked for later must show it.
+    /// When the worker answered the order that led to this phase. A report requested later must list the run.
     pub settled_ms: Option<Millis>,
-    /// When its run was started, where that was answered.
+    /// When the start of its run was accepted, if it was.
     pub started_ms: Option<Millis>,
-    /// When this owner first sent its start: the run is no older. Of one that a former owner sent that is not known.
+    /// When this owner first sent the start, so that the run is no older. `None` if a former owner sent it.
     pub sent_ms: Option<Millis>,
-    /// When it was known that the worker has the run: the run is no younger; kept while that is being stopped.
+    /// When the worker was known to have the run, so that the run is no younger. Kept while the run is being stopped.
     pub begun_ms: Option<Millis>,
-    /// A sending of its start got no answer, and may be carried out seconds later.
+    /// Whether a request to start it got no reply and may still be carried out seconds later.
     pub is_start_open: bool,
-    /// The worker ended the connection on which its start was sent.
+    /// Whether the worker closed the connection on which its start was sent.
     pub is_start_broken: bool,
-    /// What was seen of its run, by this owner or a former one.
+    /// What this owner or a former one observed of its run.
     pub seen: Seen,
-    /// The worker said that it is past its start-up.
+    /// Whether the worker reported that the task is past its start-up.
     pub is_at_work: bool,
-    /// Lives that ended under it.
+    /// Worker instances that ended under it.
     pub ended: WorkerLosses,
-    /// When the worker of its last run went, if it did.
+    /// When the worker of its last run ended, if it did.
     pub lost_ms: Option<Millis>,
-    /// It gets no place before: its workers crashed as they started it.
+    /// Time before which it is not placed again, because its workers crashed as they started it.
     pub held_until_ms: Millis,
-    /// Its place among waiting tasks.
+    /// Its rank among the waiting tasks.
     pub queued: Option<Rank>,
 }
 
 impl Task {
-    /// Notes a failed run; of the 64th and later ones only that there are some.
+    /// Notes a failed run. The 64th and later runs share one bit.
     pub fn note_failure(&mut self, run: u32) {
         self.failed_runs |= 1 << run.saturating_sub(1).min(63);
     }
 
-    /// Whether it may be what brought a worker down.
+    /// Returns whether it may have crashed a worker.
     pub fn is_suspect(&self) -> bool {
         self.ended.blamed > 0
     }
 
-    /// Whether it is still to go apart from other suspects.
+    /// Returns whether it is still to be placed apart from other suspects.
     pub fn is_apart(&self, now_ms: Millis) -> bool {
         self.is_suspect() && now_ms < self.since_ms + APART_MS
     }
 
-    /// Number of failed runs.
+    /// Returns the number of failed runs.
     pub fn fails(&self) -> u32 {
         self.failed_runs.count_ones()
     }
@@ -114,71 +115,73 @@
 /// One step of a round.
 #[derive(Clone, Debug, Default)]
 pub struct StepRun {
-    /// Its tasks.
+    /// Tasks of the step.
     pub tasks: Vec<Task>,
-    /// Tasks that are not done.
+    /// Number of tasks that are not done.
     pub tasks_left: usize,
-    /// What its longest task took that was seen from start to end.
+    /// Time that the longest task took, of those whose start and end this owner observed.
     pub longest_ms: Millis,
-    /// The steps before it are done.
+    /// Whether the steps that it depends on are done.
     pub is_open: bool,
 }
 
 /// One round of a job.
 #[derive(Clone, Debug, Default)]
 pub struct Round {
-    /// Its steps.
+    /// Steps of the round.
     pub steps: Vec<StepRun>,
 }
 
-/// A job in the books.
+/// A job in the pool's state.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its id.
+    /// Id of the job.
     pub id: String,
-    /// As submitted.
+    /// The job as submitted.
     pub spec: JobSpec,
-    /// The client account that it belongs to, if one.
+    /// The client account that the job belongs to, if any.
     pub account: Option<AccountKey>,
-    /// How long its steps are expected to take.
+    /// Expected time of each step.
     pub step_ms: Vec<Millis>,
-    /// What is on its way to the record.
+    /// Current state, which may not be recorded yet.
     pub state: JobState,
     /// Rounds that have begun and are not done, by number.
     pub rounds: BTreeMap<u32, Round>,
-    /// Rounds below this one have begun.
+    /// Number of rounds that have begun.
     pub rounds_begun: u32,
-    /// What its queue promises.
+    /// The policy of its queue that applies to it.
     pub policy: QueuePolicy,
-    /// Time at which it should be completed.
+    /// Time by which it should be completed.
     pub due_ms: Millis,
-    /// Past this time it earns nothing.
+    /// Time after which completing it has no value.
     pub hopeless_ms: Millis,
-    /// Revision of its progress on record, or an upper bound of it: see [`conflict`](super::conflict).
+    /// Revision of its recorded progress, or an upper bound of it: see [`conflict`](super::conflict).
     pub revision: Revision,
-    /// Digest of the bytes on record.
+    /// Digest of its recorded bytes.
     pub recorded_digest: u64,
-    /// Its account had sent more than its weight when it came: it waits behind those of accounts that had not.
+    /// Whether its account had sent more than its weight allows when the job came. The job then waits behind those of
+    /// accounts that had not.
     pub is_excess: bool,
-    /// Its progress on record can't be read: nothing of it is started, and what runs is left alone until it is cancelled.
+    /// Whether its recorded progress can't be read. Nothing of it is started, and what runs is left alone until the job
+    /// is cancelled.
     pub is_unreadable: bool,
-    /// Parts of intake that it stands in.
+    /// Parts of intake that hold the job.
     pub intake: Vec<String>,
-    /// The shard that its progress is in; nothing before its first record.
+    /// Shard that holds its progress; `None` before the first record.
     pub shard: Option<usize>,
-    /// Counts what is to be recorded of it.
+    /// Number of changes to be recorded.
     pub changes: u64,
-    /// Up to which of them that was done.
+    /// Number of changes that are recorded.
     pub recorded_changes: u64,
-    /// When it came to its final state.
+    /// When it reached its final state.
     pub finished_ms: Option<Millis>,
-    /// Set where others are in time only without it.
+    /// Set while other jobs can meet their objectives only if this one is deferred.
     pub deferral: Deferral,
 }
 
 impl Job {
-    /// How much later than its objective a job counts for the work that it has left: under overload small
-    /// jobs earn more for the same work.
+    /// Returns the time that is added to the job's objective when waiting tasks are ordered, in proportion to the work
+    /// left in the round. Under overload, small jobs gain more for the same work.
     pub(super) fn weight_ms(&self, round: u32) -> Millis {
         let Some(round) = self.rounds.get(&round) else {
             return 0;
@@ -190,7 +193,7 @@
         (work / 1_000 / WORK_PER_MS).min(WEIGHT_MAX_MS)
     }
 
-    /// What its tasks take that run or may start now.
+    /// Returns the capacity of the tasks that run or may start now.
     pub fn open_demand(&self) -> Capacity {
         let mut sum = Capacity::default();
         for round in self.rounds.values() {
@@ -202,7 +205,7 @@
         sum
     }
 
-    /// The job as one of those that want a pool's room.
+    /// Returns the job as a contender for the pool's capacity.
     pub(super) fn contender(&self, key: JobKey) -> Contender {
         let rounds = self.rounds.values();
         let steps = rounds.flat_map(|round| round.steps.iter().enumerate());
@@ -222,7 +225,7 @@
         }
     }
 
-    /// What the job can still earn, were it alone.
+    /// Returns whether the job could still meet its objective if it had the pool to itself.
     pub fn outlook(&self, now_ms: Millis) -> Outlook {
         if now_ms > self.hopeless_ms {
             return Outlook::Nothing;
@@ -241,7 +244,7 @@
         Outlook::InTime
     }
 
-    /// Its class among waiting tasks.
+    /// Returns its class among the waiting tasks.
     pub(super) fn class(&self, now_ms: Millis) -> Class {
         match self.outlook(now_ms) {
             Outlook::InTime if self.is_excess || self.deferral.is_set(now_ms) => Class::Deferred,
@@ -252,39 +255,39 @@
     }
 }
 
-/// What a job can still earn.
+/// What a job can still achieve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outlook {
-    /// All of it.
+    /// It can meet its objective.
     InTime,
-    /// What late work earns.
+    /// It can be completed late.
     Late,
-    /// Nothing any more.
+    /// Completing it has no value any more.
     Nothing,
 }
 
-/// Classes of waiting tasks, the first one first.
+/// Classes of waiting tasks, in the order in which they are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// It lasts.
+    /// The task runs until its job is cancelled.
     Lasting,
-    /// It can be in time with the others.
+    /// The job can be in time together with the others.
     InTime,
-    /// It could be in time, but not with all others: see [`overload`](super::overload).
+    /// The job could be in time, but not together with all others: see [`overload`](super::overload).
     Deferred,
-    /// It will be late.
+    /// The job will be late.
     Late,
-    /// It earns nothing any more.
+    /// Completing the job has no value any more.
     Hopeless,
 }
 
-/// The order in which waiting tasks get places.
+/// Rank of a waiting task; tasks are placed in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// What it can earn.
+    /// Class of the job.
     pub class: Class,
-    /// Earliest objective first.
+    /// Objective of the job, the earliest first.
     pub due_ms: Millis,
-    /// Settles ties.
+    /// Breaks ties.
     pub task: TaskKey,
 }
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -1,4 +1,4 @@
-//! A worker in an owner's books: what it carries, its lease, its hold.
+//! Holds an owner's state of one worker instance: its tasks and capacity, its lease, its renewals and its host's state.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -7,113 +7,113 @@
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, WorkerFact};
 
-/// A moment on a worker's clock.
+/// A reading of a worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockSample {
-    /// Ours, not before the worker read its own.
+    /// This owner's clock, at or after the moment at which the worker read its own.
     pub local_ms: Millis,
-    /// The worker's.
+    /// The worker's clock.
     pub worker_ms: Millis,
 }
 
 impl ClockSample {
-    /// What the worker's clock says at most now, were it not fast.
+    /// Returns the highest value that the worker's clock may show now, provided that it doesn't run fast.
     pub fn at(self, now_ms: Millis) -> Millis {
         self.worker_ms + now_ms.saturating_sub(self.local_ms)
     }
 }
 
-/// What is known of a worker's hold.
+/// State of a worker's lease renewal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RenewalPhase {
-    /// None is out; the next goes at once or by a timer.
+    /// None is out. The next one is sent at once or by a timer.
     #[default]
     Idle,
-    /// One is out since then.
-    Out(Millis),
-    /// Its ends are being recorded since then; the next goes after that.
+    /// One was sent at this time and has no answer yet.
+    Sent(Millis),
+    /// The ends that the worker reported are being recorded since this time. The next renewal is sent after that.
     Recording(Millis),
 }
 
-/// An end that was taken into the books and is not on record yet.
+/// A run end that was applied to the pool's state and is not recorded yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TakenEnd {
-    /// Its number.
+    /// Number of the end, as the worker counts them.
     pub number: u64,
-    /// The job that it changed, and which of the job's changes holds it; nothing where it changed none.
+    /// The job that the end changed and the number of that change, or `None` if it changed no job.
     pub change: Option<(JobKey, u64)>,
 }
 
-/// A worker's life in the books.
+/// One worker instance in the pool's state.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// As it states itself.
+    /// What the worker states about itself.
     pub fact: WorkerFact,
-    /// Whether it stands in the platform's list.
+    /// Whether it is in the platform's list.
     pub is_listed: bool,
-    /// What its tasks take.
+    /// Capacity that its tasks take.
     pub used: Capacity,
-    /// The tasks on it.
+    /// Tasks placed on it.
     pub tasks: BTreeSet<TaskKey>,
-    /// The newest look at its clock.
+    /// Newest reading of its clock.
     pub clock: Option<ClockSample>,
-    /// Everything ordered there before is over by then, heard or not.
+    /// Time by which everything ordered to it has expired, even if it never answers again.
     pub lease_end_ms: Millis,
-    /// Its hold.
+    /// State of its lease renewal.
     pub renewal: RenewalPhase,
-    /// Whether it answered the last hold.
+    /// Whether it answered the last renewal.
     pub answers: bool,
-    /// When it last answered one.
+    /// When it last answered a renewal; 0 if never.
     pub heard_ms: Millis,
-    /// When the first hold that it answered was sent.
+    /// When the first renewal that it answered was sent.
     pub first_asked_ms: Option<Millis>,
-    /// When its entry last named another address than before.
+    /// When its list entry last changed to another address.
     pub moved_ms: Option<Millis>,
-    /// Its last hold met no listener, or ended with its connection.
+    /// Whether its last renewal met no listener or ended with a closed connection.
     pub is_refusing: bool,
-    /// When it went with its connections: it ended one or took none, right after it had answered. One that first falls
-    /// silent may have been cut off, and what ran there may have ended before it crashed.
+    /// When its connections closed: it closed one or refused one right after it had answered. It stays `None` for a
+    /// worker that first falls silent, which may have been cut off, so that its runs may have ended before it crashed.
     pub broke_ms: Option<Millis>,
-    /// Its last account was asked for without a gap before that: no end can have come unheard.
-    pub is_heard_through: bool,
-    /// Ends up to this number were taken into the books.
+    /// Whether its last renewal followed the report before without a gap, so that no end can have gone unreported.
+    pub is_gapless: bool,
+    /// Number of the last end that was applied to the pool's state.
     pub taken: u64,
-    /// Ends up to this number are on record.
+    /// Number of the last end that is recorded.
     pub recorded: u64,
-    /// It was told that ends up to this number were seen; for the log.
+    /// Number of the last end that was acknowledged to the worker. Used for the log only.
     pub acked_through: u64,
-    /// Ends behind that, in order.
+    /// Ends after `recorded`, in order.
     pub unrecorded: VecDeque<TakenEnd>,
-    /// Entries of its last account that could not be read.
+    /// Number of entries in its last report that could not be read.
     pub unreadable: usize,
-    /// Tasks that failed there with none done in between.
+    /// Number of tasks that failed on it in a row.
     pub fails_in_row: u32,
-    /// How many times in a row it was left alone.
+    /// Number of times in a row that it was suspended.
     pub suspensions: u32,
-    /// It gets nothing new before.
+    /// Time before which it gets no new tasks.
     pub suspended_until_ms: Millis,
-    /// Its host is about to leave for upkeep.
+    /// Whether its host is about to leave for maintenance.
     pub is_closing: bool,
-    /// Its host's slot was asked for, and an order to leave may follow at any time.
+    /// Whether a maintenance slot was requested for its host, so that an order to leave may follow at any time.
     pub is_going: bool,
-    /// A wave has its host still before it.
+    /// Whether its host's turn in a maintenance wave is still to come.
     pub is_due: bool,
-    /// Its host is not wanted in the pool.
+    /// Whether its host is surplus to the pool.
     pub is_spare: bool,
-    /// Its host is on offer to other pools, or was taken.
+    /// Whether its host is offered to other pools or was taken by one.
     pub is_offered: bool,
-    /// It left the platform's list while it answered: it is about to end, and did not say so.
+    /// Whether it left the platform's list while it answered. It is about to end without having announced it.
     pub is_withdrawn: bool,
-    /// A later life answered under its id: nothing more is sent to it.
+    /// Whether a later instance answered under its id. Nothing more is sent to it.
     pub is_superseded: bool,
-    /// How often its id had begun anew as it was met; part of the fence of all orders to it.
+    /// Number of restarts of its id when the instance became known; part of the fencing token of all orders to it.
     pub restarts: u32,
-    /// It is not known yet whether it is up or an earlier life of its id: the first answer tells.
-    pub is_unproven: bool,
+    /// Whether an earlier instance of its id may still be running in its place. The first answer settles it.
+    pub is_unconfirmed: bool,
 }
 
 impl Worker {
-    /// A worker not yet heard.
+    /// Creates a worker that has not answered yet.
     pub fn new(fact: WorkerFact, lease_end_ms: Millis) -> Self {
         Self {
             fact,
@@ -129,7 +129,7 @@
             moved_ms: None,
             is_refusing: false,
             broke_ms: None,
-            is_heard_through: false,
+            is_gapless: false,
             taken: 0,
             recorded: 0,
             acked_through: 0,
@@ -146,11 +146,11 @@
             is_withdrawn: false,
             is_superseded: false,
             restarts: 0,
-            is_unproven: false,
+            is_unconfirmed: false,
         }
     }
 
-    /// Whether it may get new work.
+    /// Returns whether it may get new tasks.
     pub fn is_open(&self, now_ms: Millis) -> bool {
         self.is_listed
             && self.answers
@@ -161,48 +161,54 @@
             && now_ms >= self.suspended_until_ms
     }
 
-    /// Whether it is the life that began then; without a time on one side, the id alone tells.
+    /// Returns whether it is the instance that started at that time. If either time is unknown, the id alone decides.
     pub fn has_start_time(&self, born_wall_ms: Option<Millis>) -> bool {
         let ours = self.fact.born_wall_ms;
         ours.is_none() || born_wall_ms.is_none() || ours == born_wall_ms
     }
 
-    /// Whether its id has begun anew: an order that was on its way then is refused for its fence, whoever owns the pool.
+    /// Returns whether its id has restarted. An order that was on its way then is refused for its fencing token,
+    /// whoever owns the pool.
     pub fn has_restarted(&self) -> bool {
         self.is_superseded || self.restarts > 0
     }
 
-    /// Whether it was heard, or given work by this owner or a former one. Another may be younger than all that is known.
+    /// Returns whether it has answered, or was given work by this owner or a former one. Any other instance may be
+    /// newer than all that this owner knows.
     pub fn has_been_seen(&self) -> bool {
         self.heard_ms > 0 || !self.tasks.is_empty() || self.is_superseded
     }
 
-    /// Whether it has answered itself at the address that its entry names: another life that answers there is in its place.
+    /// Returns whether it has itself answered at the address in its list entry. Another instance that answers there has
+    /// then taken its place.
     pub fn has_answered_at_address(&self) -> bool {
         let is_settled = |moved_ms| self.heard_ms >= moved_ms + ADDRESS_SETTLED_MS;
         self.clock.is_some() && self.moved_ms.is_none_or(is_settled)
     }
 
-    /// Whether `later`, of the same host, shows that this one has crashed. A host carries two lives only while one of them
-    /// drains, and one that was met before this one was last heard may have been beside it.
+    /// Returns whether `later`, on the same host, shows that this instance has crashed. A host has two instances only
+    /// while one of them drains, and an instance that was first asked before this one last answered may have run beside
+    /// it.
     pub fn is_succeeded_by(&self, later: &Worker) -> bool {
-        let may_serve_on = self.fact.draining || self.is_withdrawn;
-        let is_gone = self.is_refusing && !may_serve_on;
-        let is_met_later = later.first_asked_ms.is_some_and(|at| self.heard_ms < at);
-        is_gone && self.has_been_seen() && later.answers && !later.fact.draining && is_met_later
+        let may_still_serve = self.fact.draining || self.is_withdrawn;
+        let is_gone = self.is_refusing && !may_still_serve;
+        let answered_later = later.first_asked_ms.is_some_and(|at| self.heard_ms < at);
+        is_gone && self.has_been_seen() && later.answers && !later.fact.draining && answered_later
     }
 
-    /// Whether it ever stood in the platform's list; others are known from what a former owner recorded.
+    /// Returns whether it was ever in the platform's list. Other workers are known only from what a former owner
+    /// recorded.
     pub fn is_known(&self) -> bool {
         self.fact.address.port() != 0
     }
 
-    /// Whether its life may be about to end by a plan that it did not tell: its own, or a move or upkeep of its host.
+    /// Returns whether it may be about to end by a plan that it did not announce: its own, or a move or maintenance of
+    /// its host.
     pub fn is_leaving(&self) -> bool {
         self.is_offered || self.is_withdrawn || self.is_going
     }
 
-    /// What it has free; nothing where it carries more than its room.
+    /// Returns its free capacity; zero for what it is overcommitted in.
     pub fn free(&self) -> Capacity {
         let (room, used) = (self.fact.capacity, self.used);
         Capacity {
@@ -212,40 +218,41 @@
         }
     }
 
-    /// Whether `demand` fits beside what it carries.
+    /// Returns whether `demand` fits in addition to its tasks.
     pub fn fits(&self, demand: Capacity) -> bool {
         let mut sum = self.used;
         sum.add(demand);
         self.is_large_enough(sum)
     }
 
-    /// Whether it could carry `demand` if it carried nothing else.
+    /// Returns whether `demand` would fit if it had no tasks.
     pub fn is_large_enough(&self, demand: Capacity) -> bool {
         self.fact.capacity.contains(demand)
     }
 
-    /// Its rack; by the platform's custom the label behind its kind.
+    /// Returns its rack, which the platform lists as the label after its kind.
     pub fn rack(&self) -> &str {
         self.fact.labels.get(1).map_or("", String::as_str)
     }
 
-    /// Notes a lease until `lease_until_ms` on its clock that was or may have been given.
+    /// Extends the end of its lease to cover a lease until `lease_until_ms` on its clock, which was or may have been
+    /// granted.
     pub fn note_lease(&mut self, lease_until_ms: Millis) {
         let Some(clock) = self.clock else { return };
         let ahead_ms = lease_until_ms.saturating_sub(clock.worker_ms);
         let longest_ms = ahead_ms * 100 / (100 - CLOCK_SLOW_PERCENT);
-        let over_ms = clock.local_ms + longest_ms + LEASE_SLACK_MS;
-        self.lease_end_ms = self.lease_end_ms.max(over_ms);
+        let end_ms = clock.local_ms + longest_ms + LEASE_SLACK_MS;
+        self.lease_end_ms = self.lease_end_ms.max(end_ms);
     }
 
-    /// Counts a task in.
+    /// Adds a task and the capacity that it takes.
     pub fn take(&mut self, key: TaskKey, demand: Capacity) {
         if self.tasks.insert(key) {
             self.used.add(demand);
         }
     }
 
-    /// Counts a task out.
+    /// Removes a task and releases its capacity.
     pub fn release(&mut self, key: TaskKey, demand: Capacity) {
         if self.tasks.remove(&key) {
             self.used.sub(demand);
--- a/src/core/sched/worker_losses.rs
+++ b/src/core/sched/worker_losses.rs
@@ -1,8 +1,9 @@
-//! What is known of the workers that ended under a task, kept with the task's record, and what follows from it.
+//! Counts the worker instances that ended while a task ran, and decides from the counts when the task is given up. The
+//! counts are stored with the task's progress.
 //!
-//! An end is evidence only as far as it is certain: the run was there when its worker went, and nobody had planned that.
-//! What an owner saw of a run is written as its worker's connections end, and, for tasks under which a life ended before,
-//! as the run begins; so a new owner that finds the life over knows what the former one knew.
+//! An end counts in full only if the run was certainly executing when its worker ended and the end was not planned. An
+//! owner records what it saw of a run when the worker's connections close and, for tasks that have lost an instance
+//! before, as soon as the run begins. A new owner that finds the instance ended thus knows what the former one knew.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,48 +13,49 @@
 };
 use crate::clock::Millis;
 
-/// With the third life that may have ended under a task the platform begins to count its starts.
-const COUNTED_FROM: u8 = 3;
+/// The platform starts to count a task's starts once the third instance may have ended under it.
+const STARTS_LIMITED_FROM: u8 = 3;
 
-/// Lives of workers that ended under a task, but for those whose end was planned.
+/// Counts of worker instances that ended under a task, without planned ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerLosses {
-    /// Those that crashed as they had just started it: it may be the cause.
+    /// Instances that crashed when they had just started the task, so that the task may be the cause.
     #[serde(rename = "b", default, skip_serializing_if = "is_default")]
     pub blamed: u8,
-    /// Those that certainly crashed under it.
+    /// Instances that certainly crashed while the task ran.
     #[serde(rename = "c", default, skip_serializing_if = "is_default")]
     pub crashed: u8,
-    /// Those that may have crashed under it: its run had begun, and may have come to its own end unheard, or before that
-    /// was on record.
+    /// Instances that may have crashed while the task ran: its run had begun, but may have ended by itself without a
+    /// report or a record of that.
     #[serde(rename = "l", default, skip_serializing_if = "is_default")]
     pub likely: u8,
-    /// All that are not known to have outlived its start, also those that were only cut off, or under which it may not
-    /// have begun.
+    /// All instances that are not known to have outlived the task's start, including those that were only cut off and
+    /// those on which the run may not have begun.
     #[serde(rename = "a", default, skip_serializing_if = "is_default")]
     pub all: u8,
-    /// The run under which the third of them all ended, moved on by later ones that never began; 0 before.
+    /// The run in which the third instance of `all` ended, plus one for each later run that never started; 0 before the
+    /// third.
     #[serde(rename = "t", default, skip_serializing_if = "is_default")]
     pub third_run: u32,
-    /// What was seen of its present run.
+    /// What was observed of the current run.
     #[serde(rename = "g", default, skip_serializing_if = "is_default")]
     pub seen: Seen,
 }
 
-/// What an owner saw of a run, for the next one: should its worker turn out to have ended, nobody else can tell.
+/// What an owner observed of a run. It is recorded because a later owner can't find out once the worker has ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Seen {
-    /// It may not have begun.
+    /// The run may not have begun.
     #[default]
     #[serde(rename = "n")]
     Nothing,
-    /// It had begun.
+    /// The run had begun.
     #[serde(rename = "b")]
     Begun,
-    /// It was there when its worker went with its connections.
+    /// The run was executing when its worker's connections closed.
     #[serde(rename = "g")]
     Gone,
-    /// That was as it had just begun.
+    /// The same, and the run had only just begun.
     #[serde(rename = "f")]
     GoneFresh,
 }
@@ -63,7 +65,7 @@
 }
 
 impl WorkerLosses {
-    /// Of a task that met none.
+    /// The losses of a task that has none.
     pub const NONE: Self = Self {
         blamed: 0,
         crashed: 0,
@@ -73,18 +75,19 @@
         seen: Seen::Nothing,
     };
 
-    /// Whether more is to be told of its runs than of others: a life ended under it.
+    /// Returns whether an instance has ended under the task, so that more of its runs is recorded.
     pub fn is_noted(self) -> bool {
         self.all > 0
     }
 
-    /// Whether its next start must tell whether it is the cause: the platform allows two more.
+    /// Returns whether the platform's limit on starts applies, which allows two more. The next start must then show
+    /// whether the task is the cause.
     pub fn is_near_bound(self) -> bool {
-        self.all >= COUNTED_FROM
+        self.all >= STARTS_LIMITED_FROM
     }
 
-    /// Whether the task is given up after that run. What lasts meets many ends that it has nothing to do with, and
-    /// nobody does its work in its place: it is tried again with a growing pause, and left alone on certain crashes only.
+    /// Returns whether the task is given up after the run `run`. A lasting task meets many ends that it didn't cause,
+    /// and no other task does its work, so it is retried with a growing pause and given up only after certain crashes.
     pub fn is_too_many(self, lasts: bool, run: u32) -> bool {
         let is_past_third = self.third_run > 0 && run >= self.third_run + PAST_THIRD_MAX;
         if lasts {
@@ -99,13 +102,14 @@
         is_crasher || is_likely || is_started_out || is_at_bound
     }
 
-    /// What the crashes weigh together.
+    /// Returns the combined weight of the certain and the likely crashes.
     fn weight(self) -> u8 {
         let crashed = self.crashed.saturating_mul(CRASHED_WEIGHT);
         crashed.saturating_add(self.likely)
     }
 
-    /// How long a task that lasts waits for its next start: the first crash may be anything, so nothing is lost by it.
+    /// Returns how long a lasting task waits before its next start. There is no pause after the first crash, since
+    /// anything may have caused it.
     pub fn pause_ms(self) -> Millis {
         match self.crashed {
             0 | 1 => 0,
@@ -113,20 +117,20 @@
         }
     }
 
-    /// Takes in that its last run certainly never began, so that it is no start.
-    pub fn note_unbegun(&mut self) {
+    /// Notes that the last run certainly never started, so that it doesn't count as a start.
+    pub fn note_never_started(&mut self) {
         if self.third_run > 0 {
             self.third_run += 1;
         }
     }
 
-    /// Adds what an end under that run counts.
+    /// Adds the losses of one worker's end, which happened during the run `run`.
     pub fn add(&mut self, end: Self, run: u32) {
         self.blamed = self.blamed.saturating_add(end.blamed);
         self.crashed = self.crashed.saturating_add(end.crashed);
         self.likely = self.likely.saturating_add(end.likely);
         self.all = self.all.saturating_add(end.all);
-        if self.third_run == 0 && self.all >= COUNTED_FROM {
+        if self.third_run == 0 && self.all >= STARTS_LIMITED_FROM {
             self.third_run = run;
         }
     }
