--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -272,6 +272,7 @@
     Later,
 }
 
+/// Compares the time of a member's loss with the losses of the other members of its gang in the same run.
 fn gang_loss_order(pool_state: &PoolState, key: TaskKey, end: WorkerEnd) -> GangLossOrder {
     let run = pool_state.task(key).map(|t| t.run);
     if !gang::is_member(pool_state, key) {
@@ -283,10 +284,10 @@
     };
     let ours_ms = end.lost_ms();
     let members = gang::members(pool_state, key).into_iter();
-    let peers = members.filter_map(|m| pool_state.task(m));
-    let peers = peers.filter(|t| Some(t.run) == run);
+    let others = members.filter_map(|m| pool_state.task(m));
+    let others = others.filter(|t| Some(t.run) == run);
     // Members on the same worker were lost at the same time and don't count.
-    let elsewhere = peers.filter_map(lost_ms).filter(|at| *at != ours_ms);
+    let elsewhere = others.filter_map(lost_ms).filter(|at| *at != ours_ms);
     match elsewhere.min() {
         Some(theirs_ms) if theirs_ms + REPORT_GAP_MAX_MS < ours_ms => GangLossOrder::Later,
         Some(theirs_ms) if theirs_ms < ours_ms + REPORT_GAP_MAX_MS => GangLossOrder::Tied,
@@ -294,6 +295,8 @@
     }
 }
 
+/// Adds a worker's end to the losses of one task, and logs it from [`LOSSES_LOGGED_FROM`] losses on or if the task is a
+/// suspect or given up.
 fn count_loss(pool_state: &mut PoolState, key: TaskKey, end: WorkerEnd, ctx: &mut Ctx<'_>) {
     let Some(spec) = pool_state.step_spec(key).cloned() else {
         return;
@@ -345,7 +348,7 @@
         .is_some_and(|t| t.ended.is_too_many(lasts, t.run))
 }
 
-/// Queues the job of a given-up task to be ended. If the step lasts and its availability limit is set, the job
+/// Queues the job of a given-up task to be ended. If the step limits how many of its tasks may be away, the job
 /// continues while another task runs or may run, since ending it would stop all of them. Once none is left, the job
 /// ends, and its caller sees that it failed.
 pub(super) fn queue_if_given_up(pool_state: &mut PoolState, key: TaskKey) {
--- a/src/core/sched/limits.rs
+++ b/src/core/sched/limits.rs
@@ -52,8 +52,8 @@
 /// eighth of a core owned pools of 85 workers, and of 0.25 and 0.26 when entries with half a core did.
 pub const CLAIM_WEAK_MS: Millis = 2_500;
 
-/// Changes of jobs are gathered for this long before they are committed: four answers of the store. Each call costs
-/// money, and 25 ms gained nothing more.
+/// Changes of jobs are gathered for this long before they are committed: four answers of the store. Each call is
+/// charged for, and 25 ms gained nothing more.
 pub const GATHER_MS: Millis = 16;
 
 /// A shard whose call has had no answer for this long, or for twice the store's last answer time, is skipped. Answers
@@ -82,7 +82,7 @@
 
 /// A worker that answered this recently is still the same instance. On the users' sites, a crashed worker is back after
 /// 0.3 s at the earliest.
-pub const SAME_LIFE_MS: Millis = 250;
+pub const SAME_INSTANCE_MS: Millis = 250;
 
 /// The id of a removed worker is kept for this long, since orders to it may be carried out seconds later.
 pub const DROPPED_KEPT_MS: Millis = 60_000;
@@ -98,7 +98,7 @@
 pub const STRAY_LEASE_MS: Millis =
     WORKER_LEASE_MAX_MS * 100 / (100 - CLOCK_SLOW_PERCENT) + LEASE_SLACK_MS;
 
-/// An instance that started this long ago can't be reached by orders that were meant for an earlier one. It is twice
+/// An instance that started this long ago can't be reached by orders that were meant for an earlier one: twice
 /// [`WORKER_LEASE_MAX_MS`], since wall clocks differ by seconds.
 pub const YOUNG_LIFE_MS: Millis = 2 * WORKER_LEASE_MAX_MS;
 
@@ -140,8 +140,8 @@
 /// after their start, and an owner at its peak load learns of it up to 100 ms later.
 pub const BLAME_WINDOW_MS: Millis = 250;
 
-/// A run whose worker answered this long after its start has outlived its start. The start of a lasting task takes 0.7
-/// s.
+/// A run whose worker answered this long after its start has outlived its start. The start of a lasting task takes
+/// 0.7 s.
 pub const START_WINDOW_MS: Millis = 1_000;
 
 /// A lasting task that a worker still reports after this long has outlived its start, even if it does not report that
@@ -197,8 +197,8 @@
 /// Longest pause of a lasting task. The platform expects it to run from 6 s after its last run.
 pub const PAUSE_MAX_MS: Millis = 5_000;
 
-/// No worker counts as crashing once none has crashed for this long. The next instance of a crashed worker comes within
-/// 3.4 s.
+/// A pool counts as calm once none of its workers has crashed for this long. The next instance of a crashed worker comes
+/// within 3.4 s.
 pub const CALM_MS: Millis = 3_000;
 
 /// Longest time that a lasting task waits for a moment without crashes.
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -11,7 +11,7 @@
 use super::keys::{TaskKey, WorkerKey};
 use super::limits::{
     RECORDING_WAIT_MS, RENEWAL_IDLE_WAIT_MS, RENEWAL_RETRY_MS, RENEWAL_WAIT_MS, REPORT_GAP_MAX_MS,
-    SAME_LIFE_MS, WORKER_LEASE_MS,
+    SAME_INSTANCE_MS, WORKER_LEASE_MS,
 };
 use super::pool_state::PoolState;
 use super::restarts;
@@ -57,11 +57,11 @@
     }
     // Ends are acknowledged only to the instance that reported them. A later instance would discard its own ends with
     // the same numbers before it had reported them.
-    let is_same_life = w.answers && ctx.now.ms < w.heard_ms + SAME_LIFE_MS;
-    let seen = if is_same_life { seen } else { 0 };
+    let is_same_instance = w.answers && ctx.now.ms < w.heard_ms + SAME_INSTANCE_MS;
+    let seen = if is_same_instance { seen } else { 0 };
     let wait_ms = match (lease_until_ms, w.tasks.is_empty()) {
         (None, _) => 0,
-        // With a wait, the worker would answer at once with the ends that are not recorded yet.
+        // The worker would not wait in any case: it answers at once with the ends that are not recorded yet.
         _ if !w.unrecorded.is_empty() => 0,
         (Some(_), true) => RENEWAL_IDLE_WAIT_MS,
         (Some(_), false) => RENEWAL_WAIT_MS,
@@ -124,6 +124,7 @@
     false
 }
 
+/// Marks a worker as not answering after a renewal failed, and schedules the next request and the end of its lease.
 fn handle_no_answer(
     pool_state: &mut PoolState,
     key: WorkerKey,
@@ -189,6 +190,7 @@
     pool_state.remove_worker(key, ctx.now.ms);
 }
 
+/// Applies a worker's report and sends the next renewal, unless the reported ends have to be recorded first.
 fn apply_report(
     pool_state: &mut PoolState,
     key: WorkerKey,
@@ -401,6 +403,7 @@
     }
 }
 
+/// Checks a run that a worker reports against the pool's state, and stops it if it is stray.
 fn expect(
     pool_state: &mut PoolState,
     worker: WorkerKey,
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -102,6 +102,7 @@
     }
 }
 
+/// Moves a task's current run from an earlier instance to `worker`, and stops it again if it was being stopped.
 fn adopt_task(
     pool_state: &mut PoolState,
     key: TaskKey,
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -144,9 +144,9 @@
             self.log(pool_state, ctx);
         }
         let name = RunName(&end.task, end.run);
-        let describe_task = describe_task(pool_state, &end.task, end.run, self.worker);
+        let description = describe_task(pool_state, &end.task, end.run, self.worker);
         self.list.add(format_args!(
-            "{}={name}:{:?}/{describe_task}",
+            "{}={name}:{:?}/{description}",
             end.number, end.kind
         ));
     }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -216,12 +216,14 @@
     }
 }
 
+/// Notes that the worker answered the order which led to the task's phase.
 fn mark_settled(pool_state: &mut PoolState, key: TaskKey, ctx: &Ctx<'_>) {
     if let Some(task) = pool_state.task_mut(key) {
         task.settled_ms = Some(ctx.now.ms);
     }
 }
 
+/// Suspends a worker for at least `ms` from now.
 fn pause(pool_state: &mut PoolState, worker: WorkerKey, ms: u64, ctx: &mut Ctx<'_>) {
     if let Some(w) = pool_state.workers.get_mut(worker) {
         w.suspended_until_ms = w.suspended_until_ms.max(ctx.now.ms + ms);
@@ -251,6 +253,7 @@
     send_stop(pool_state, key, worker, run, epoch, ctx);
 }
 
+/// Sends a stop, or tries again later if nothing may be sent now or the worker's address is unknown.
 fn send_stop(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -435,6 +438,7 @@
     }
 }
 
+/// Marks a task as done, opens the next steps, and completes the job if it was the last task.
 fn complete_task(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -573,6 +577,7 @@
     false
 }
 
+/// Counts a failed run, and ends the job if the task has used up its attempts.
 fn fail_run(
     pool_state: &mut PoolState,
     key: TaskKey,
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -169,7 +169,7 @@
     pub intake: Vec<String>,
     /// Shard that holds its progress; `None` before the first record.
     pub shard: Option<usize>,
-    /// Number of changes to be recorded.
+    /// Number of changes so far, each of which is to be recorded.
     pub changes: u64,
     /// Number of changes that are recorded.
     pub recorded_changes: u64,
