--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -1,4 +1,4 @@
-//! Detects tasks that crash the workers that start them, and gives these tasks up. Called by [`runs`](super::runs) as
+//! Detects tasks that crash the workers that start them, and gives these tasks up. Called by [`runs`] as
 //! workers end and by [`renewal`](super::renewal) as workers lose their connections or report runs.
 //!
 //! In a typical load, a few jobs among hundreds hold a task that crashes its worker milliseconds after its start; up to
--- a/src/core/sched/limits.rs
+++ b/src/core/sched/limits.rs
@@ -197,8 +197,8 @@
 /// Longest pause of a lasting task. The platform expects it to run from 6 s after its last run.
 pub const PAUSE_MAX_MS: Millis = 5_000;
 
-/// A pool counts as calm once none of its workers has crashed for this long. The next instance of a crashed worker comes
-/// within 3.4 s.
+/// A pool counts as calm once none of its workers has crashed for this long. The next instance of a crashed worker
+/// comes within 3.4 s.
 pub const CALM_MS: Millis = 3_000;
 
 /// Longest time that a lasting task waits for a moment without crashes.
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -1,4 +1,4 @@
-//! Handles workers that restart under the same id. Called by [`renewal`](super::renewal) as reports come in.
+//! Handles workers that restart under the same id. Called by [`renewal`] as reports come in.
 //!
 //! An order names its worker by id alone, so a later instance may carry out what was sent to an earlier one. Until a
 //! report of the later instance is in, nothing that may be on its way to it counts as over.
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -2,7 +2,7 @@
 //!
 //! A run is written as `job.round.step.task#run`. At a peak, ends and answers come by the hundred per second, and a
 //! line for each would cost processor time that small entries lack. They are gathered into lists of up to
-//! [`LISTED_MAX`] entries.
+//! `LISTED_MAX` entries.
 
 use std::fmt::{Display, Write};
 
