--- a/src/core/sched/accounts.rs
+++ b/src/core/sched/accounts.rs
@@ -1,4 +1,7 @@
-//! What client accounts have in a pool: the books' side of quotas and weights.
+//! Tracks what client accounts use, wait for and may use in a pool: the part of quotas and weights that is kept in
+//! the pool state.
+//!
+//! Placement asks it whether a task is within its account's limit; [`super::quota`] sets the limits.
 
 use super::fairness::Meter;
 use super::keys::{AccountKey, JobKey, TaskKey};
@@ -6,40 +9,41 @@
 use crate::clock::Millis;
 use crate::port::fleet::{AccountConfig, Capacity};
 
-/// What a client account has in a pool.
+/// What a client account uses and may use in a pool.
 #[derive(Clone, Debug, Default)]
 pub struct AccountUse {
-    /// Its name.
+    /// The account's name.
     pub name: String,
-    /// What its tasks take that run or may run.
+    /// Resources of its tasks that run or may run.
     pub used: Capacity,
-    /// What those ask for that wait for a place.
+    /// Resources that its waiting tasks ask for.
     pub waiting: Capacity,
-    /// What may be taken at most; nothing for no limit.
+    /// The most that its tasks may use now; `None` for no limit.
     pub limit: Option<Capacity>,
-    /// What could be granted here at most, beside what other pools have.
+    /// The most that could be granted to this pool: the quota less what other pools are granted.
     pub ceiling: Capacity,
-    /// Jobs a second that it was promised; 0 for no bound.
+    /// Jobs per second that the account was promised; 0 for no bound.
     pub weight: u64,
-    /// What it sent of late.
+    /// Counts its recent jobs against its weight.
     pub meter: Meter,
-    /// The newest version of the configuration that one of its jobs was accepted by.
-    pub named_by: u64,
+    /// The newest version of the configuration that accepted one of its jobs.
+    pub config_version: u64,
 }
 
 impl PoolState {
-    /// The key of an account, which is new where it had no job before; what has a quota, or is not configured, may take nothing
-    /// yet. `named_by` is the version of the configuration that a job of it was accepted by.
+    /// Returns the key of an account and adds the account if it had no job before. An account that has a quota, or
+    /// is not configured, may use nothing at first. `config_version` is the version of the configuration that accepted
+    /// the account's job.
     pub fn account_key(
         &mut self,
         name: &str,
         config: Option<&AccountConfig>,
-        named_by: u64,
+        config_version: u64,
     ) -> AccountKey {
         let has_quota = config.is_none_or(|a| a.quota != Capacity::default());
         if let Some(key) = self.account_keys.get(name).copied() {
             let account = self.account_mut(key);
-            account.named_by = account.named_by.max(named_by);
+            account.config_version = account.config_version.max(config_version);
             self.wants_quota |= config.is_none();
             return key;
         }
@@ -48,7 +52,7 @@
             name: name.to_string(),
             limit: has_quota.then(Capacity::default),
             weight: config.map_or(0, |a| a.weight),
-            named_by,
+            config_version,
             ..AccountUse::default()
         });
         self.account_keys.insert(name.to_string(), key);
@@ -56,13 +60,13 @@
         key
     }
 
-    /// The account that a task counts for, and what.
+    /// Returns the account that a task counts for and the resources that it is charged with.
     pub fn charge(&self, key: TaskKey) -> Option<(AccountKey, Capacity)> {
         let account = self.jobs.get(key.job)?.account?;
         Some((account, self.step_spec(key)?.charge()))
     }
 
-    /// Whether so many tasks like this one may start within their account's limit.
+    /// Whether `count` tasks like this one may start within their account's limit.
     pub fn is_within_quota(&self, key: TaskKey, count: u64) -> bool {
         let Some((account, charge)) = self.charge(key) else {
             return true;
@@ -76,7 +80,7 @@
         limit.contains(sum)
     }
 
-    /// Counts a job that came now against its account's weight.
+    /// Counts a newly arrived job against its account's weight.
     pub fn meter(&mut self, key: JobKey, now_ms: Millis) {
         let Some(account) = self.jobs.get(key).and_then(|job| job.account) else {
             return;
@@ -86,7 +90,7 @@
         self.jobs[key].is_excess = !is_within;
     }
 
-    /// Whether what an account has and wants here is more than it could be granted.
+    /// Whether the account uses and waits for more than this pool could be granted.
     pub fn is_beyond_quota(&self, account: AccountKey) -> bool {
         let account = &self.accounts[usize::from(account.0)];
         let mut sum = account.used;
@@ -98,7 +102,7 @@
         &mut self.accounts[usize::from(key.0)]
     }
 
-    /// Counts a waiting task into what its account waits for, or out of it.
+    /// Adds a task to what its account waits for, or subtracts it.
     pub(super) fn note_waiting(&mut self, key: TaskKey, waits: bool) {
         let Some((account, charge)) = self.charge(key) else {
             return;
--- a/src/core/sched/fairness.rs
+++ b/src/core/sched/fairness.rs
@@ -1,35 +1,37 @@
-//! Whose work goes first where there is not room for all: accounts have what they were promised before any has more.
+//! Shares a pool fairly between accounts: each gets what it was promised before any gets more.
 //!
-//! The load that this answers: one account sends many times what it usually does, and its jobs fill a pool's queue. By
-//! earliest objective alone all accounts then wait for the flood. So each account is counted: jobs within its weight, so
-//! many a second, compete as ever; what it sends beyond that waits behind them, and takes the room that they leave. It
-//! counts as no need for hosts that another pool needs, and goes on as soon as there is room.
+//! The overload that this handles: one account sends many times its usual load, and its jobs fill a pool's queue.
+//! With the earliest deadline first alone, all accounts would wait behind them. So each account's jobs are counted:
+//! those within its weight, which is a number of jobs per second, compete as usual; jobs beyond it wait behind them
+//! and use the room that is left. Excess jobs don't count as a need for hosts that another pool needs, and run as
+//! soon as there is room.
 //!
-//! Each pool's owner counts by itself, so an account may use its whole weight in each pool: what it sends turns from
-//! queue to queue, and owners tell each other nothing of single jobs.
+//! Each pool's owner counts by itself, so an account may use its whole weight in each pool: its load shifts between
+//! queues, and owners exchange nothing about single jobs.
 
 use crate::clock::Millis;
 
-/// An account may send what it has of its weight in so long at a time: the jobs of a second come together at times.
+/// Size of the bucket as time at the account's weight: the jobs of a second sometimes arrive together.
 const BURST_MS: u64 = 1_000;
 
-/// The least that it may send at a time, whatever its weight.
+/// The smallest bucket in jobs, whatever the weight.
 const BURST_JOBS_MIN: u64 = 2;
 
-/// Thousandths of a job.
+/// Thousandths of a job in one job.
 const JOB_MILLI: u64 = 1_000;
 
-/// Counts an account's jobs against its weight: a token bucket.
+/// A token bucket that counts an account's jobs against its weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Meter {
-    /// What it has spent of its bucket, in thousandths of a job.
+    /// Spent part of the bucket, in thousandths of a job.
     spent_milli: u64,
-    /// When that was.
+    /// When `spent_milli` was last brought up to date.
     at_ms: Millis,
 }
 
 impl Meter {
-    /// Counts a job that comes now from an account that may send `weight` a second; says whether it is within that.
+    /// Takes a token for a job that arrives now, from a bucket that refills with `weight` jobs per second. Returns
+    /// false without taking one if the bucket is empty.
     pub fn takes(&mut self, weight: u64, now_ms: Millis) -> bool {
         let size_milli = (weight * BURST_MS).max(BURST_JOBS_MIN * JOB_MILLI);
         let regained_milli = weight * now_ms.saturating_sub(self.at_ms);
--- a/src/core/sched/fragmentation.rs
+++ b/src/core/sched/fragmentation.rs
@@ -1,32 +1,35 @@
-//! Whether a pool has room that is only split up: enough of it in all, and too little on any one host.
+//! Tells whether a pool's free capacity is fragmented: enough in all, but too little on any one host.
+//!
+//! [`super::reservations`] reserves hosts by it, and [`super::sizing`] asks for more.
 
 use super::pool_state::PoolState;
 use super::tasks::Class;
 use crate::clock::Millis;
 use crate::port::fleet::Capacity;
 
-/// What is free holds a task so many times over, so that others lose no room for it.
-const ROOM_FACTOR: u64 = 2;
+/// The free capacity must hold the task this many times over, so that reserving a host takes no room from others.
+const FREE_FACTOR: u64 = 2;
 
-/// No more than that share of a pool's processors is taken, in percent: what is free is to be put together for any task.
-/// Where it is under half, a task of half a host or less finds a place unless another resource is short.
-const IDLE_PERCENT: u64 = 60;
+/// Highest percentage of the pool's processors in use at which fragmentation counts for any task. In a pool that is
+/// less than half full, a task of half a host or less finds a host unless another resource is short.
+const USED_MAX_PERCENT: u64 = 60;
 
-/// The same for tasks of more than half a host that can be in time. In fuller pools hosts are worth more to small tasks.
-const WIDE_PERCENT: u64 = 80;
+/// Highest percentage in use for tasks of more than half a host that can be in time. In fuller pools hosts are
+/// worth more to small tasks.
+const WIDE_USED_MAX_PERCENT: u64 = 80;
 
-/// What the open hosts of a pool have, and have free.
+/// Total and free capacity of the open hosts of a pool.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fragmentation {
     now_ms: Millis,
-    /// The open hosts.
+    /// Number of open hosts.
     pub(super) hosts: u64,
     capacity: Capacity,
     free: Capacity,
 }
 
 impl Fragmentation {
-    /// Of this pool.
+    /// Sums up the open hosts of a pool.
     pub(super) fn of(pool_state: &PoolState, now_ms: Millis) -> Self {
         let mut fragmentation = Self {
             now_ms,
@@ -42,13 +45,15 @@
         fragmentation
     }
 
-    /// Whether a task of this class waits only since no host alone has what is free in all.
+    /// Whether a task of this class and demand waits only because no single host has the capacity that is free in
+    /// all.
     pub(super) fn is_split(&self, pool_state: &PoolState, class: Class, demand: Capacity) -> bool {
         let used_percent = self.used_percent();
         let is_wide = || class <= Class::InTime && self.is_wide(demand);
-        let is_due = used_percent <= IDLE_PERCENT || used_percent <= WIDE_PERCENT && is_wide();
+        let is_due =
+            used_percent <= USED_MAX_PERCENT || used_percent <= WIDE_USED_MAX_PERCENT && is_wide();
         is_due
-            && self.free.contains(demand.times(ROOM_FACTOR))
+            && self.free.contains(demand.times(FREE_FACTOR))
             && !has_host(pool_state, demand, self.now_ms)
     }
 
@@ -57,13 +62,13 @@
         (used_cpu_milli * 100).div_ceil(self.capacity.cpu_milli.max(1))
     }
 
-    /// Whether a task takes more than half of a mean host.
+    /// Whether a task takes more than half of an average host.
     fn is_wide(&self, demand: Capacity) -> bool {
         !self.capacity.contains(demand.times(2 * self.hosts))
     }
 }
 
-/// Whether some open host that is reserved for no other task has that much free.
+/// Whether some open host without a reservation has `demand` free.
 fn has_host(pool_state: &PoolState, demand: Capacity, now_ms: Millis) -> bool {
     let slots = pool_state.free_index.workers_with_free(demand.cpu_milli);
     let slots = slots.filter(|slot| !pool_state.reserved.has(slot.worker));
--- a/src/core/sched/free_index.rs
+++ b/src/core/sched/free_index.rs
@@ -1,8 +1,8 @@
-//! Workers by the share of their processors that is free, all of them and by rack, so that a task's place is
-//! found without a walk over the pool.
+//! Indexes workers by the share of their processors that is free, over the pool and by rack, so that placement need
+//! not visit every worker.
 //!
-//! The index knows nothing of whether a worker may get work: who looks for a place checks that on the few that
-//! it is shown.
+//! The pool state keeps the index up to date. It doesn't know whether a worker may get work: the caller checks this
+//! for the few workers that it is given.
 
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Bound;
@@ -12,7 +12,7 @@
 use super::keys::WorkerKey;
 use super::worker::Worker;
 
-/// A worker's place in the order.
+/// A worker's position in the index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slot {
     /// Thousandths of its processors that are free.
@@ -21,7 +21,7 @@
     pub worker: WorkerKey,
 }
 
-/// The index.
+/// Index of workers by free processors.
 #[derive(Clone, Debug, Default)]
 pub struct FreeIndex {
     all: BTreeSet<Slot>,
@@ -32,7 +32,7 @@
 }
 
 impl FreeIndex {
-    /// Takes in what a worker has free now.
+    /// Updates the index with a worker's free processors and rack.
     pub fn note(&mut self, key: WorkerKey, worker: &Worker) {
         let room = worker.fact.capacity.cpu_milli;
         let free = room.saturating_sub(worker.used.cpu_milli);
@@ -52,7 +52,7 @@
         self.known.insert(key, (slot, rack));
     }
 
-    /// Drops a worker.
+    /// Removes a worker.
     pub fn remove(&mut self, key: WorkerKey) {
         let Some((slot, rack)) = self.known.remove(key) else {
             return;
@@ -66,25 +66,26 @@
         }
     }
 
-    /// Workers that may have so many thousandths of a core free, the fullest first.
+    /// Returns the workers that may have `cpu_milli` thousandths of a core free, the fullest first.
     pub fn workers_with_free(&self, cpu_milli: u64) -> impl Iterator<Item = Slot> + '_ {
-        let range = (self.first(cpu_milli), Bound::Unbounded);
+        let range = (self.lower_bound(cpu_milli), Bound::Unbounded);
         self.all.range(range).copied()
     }
 
-    /// The same in one rack.
+    /// Returns the workers of one rack that may have `cpu_milli` thousandths of a core free, the fullest first.
     pub fn rack_workers_with_free(
         &self,
         rack: &str,
         cpu_milli: u64,
     ) -> impl Iterator<Item = Slot> + '_ {
-        let range = (self.first(cpu_milli), Bound::Unbounded);
+        let range = (self.lower_bound(cpu_milli), Bound::Unbounded);
         let in_rack = self.by_rack.get(rack).into_iter();
         in_rack.flat_map(move |slots| slots.range(range).copied())
     }
 
-    /// Below the first worker that has so much free, were it as large as the largest.
-    fn first(&self, cpu_milli: u64) -> Bound<Slot> {
+    /// Returns the lower bound of the slots that may have `cpu_milli` free. It assumes the largest worker, so
+    /// smaller workers with less may be included.
+    fn lower_bound(&self, cpu_milli: u64) -> Bound<Slot> {
         let free_milli = cpu_milli * 1_000 / self.largest_cpu_milli.max(1);
         free_milli.checked_sub(1).map_or(Bound::Unbounded, |below| {
             Bound::Excluded(Slot {
--- a/src/core/sched/gang.rs
+++ b/src/core/sched/gang.rs
@@ -1,5 +1,7 @@
-//! Steps whose tasks work only together: all members get places at once or none does, under one run number;
-//! where one member is lost, the others are stopped and all start anew.
+//! Places gangs: steps whose tasks work only together. Either all members are placed at once under one run number
+//! or none is, and if one member is lost, the others are stopped and all start again.
+//!
+//! [`super::place`] calls `place` for gangs; the owner of a pool calls `stop_broken` after losses.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -16,13 +18,13 @@
     pool_state.step_spec(key).is_some_and(|s| s.gang)
 }
 
-/// All tasks of a task's step, itself included.
+/// Returns all tasks of a task's step, including the task itself.
 pub fn members(pool_state: &PoolState, key: TaskKey) -> Vec<TaskKey> {
     let count = pool_state.step_spec(key).map_or(0, |s| s.count);
     (0..count).map(|index| TaskKey { index, ..key }).collect()
 }
 
-/// Gives places to a whole gang, if all its members wait and there is room for all.
+/// Places a whole gang if all its members wait and there is room for all of them.
 pub(super) fn place(pool_state: &mut PoolState, key: TaskKey, ctx: &mut Ctx<'_>) {
     let members = members(pool_state, key);
     let waits = |m: &TaskKey| pool_state.task(*m).is_some_and(|t| t.phase == Phase::Ready);
@@ -39,28 +41,28 @@
     let last_run = runs.map(|t| t.run).max().unwrap_or(0);
     for (member, worker) in members.into_iter().zip(places) {
         if let Some(task) = pool_state.task_mut(member) {
-            // The members of a gang share the number of their run.
+            // All members of a gang run under the same run number.
             task.run = last_run;
         }
         place::assign(pool_state, member, worker, ctx);
     }
 }
 
-/// Places for all members: in one rack where the step asks for that and one has room, else anywhere.
+/// Finds workers for all members: in one rack if the step asks for it and a rack has room, else in any rack.
 fn find_places(pool_state: &PoolState, members: &[TaskKey], now_ms: u64) -> Option<Vec<WorkerKey>> {
     let spec = pool_state.step_spec(*members.first()?)?;
     if spec.same_rack {
         let open = pool_state.workers.values().filter(|w| w.is_open(now_ms));
         let racks: BTreeSet<&str> = open.map(|w| w.rack()).collect();
-        let in_rack = |rack: &&str| find_in(pool_state, members, Some(rack), now_ms);
+        let in_rack = |rack: &&str| find_places_in(pool_state, members, Some(rack), now_ms);
         if let Some(places) = racks.iter().find_map(in_rack) {
             return Some(places);
         }
     }
-    find_in(pool_state, members, None, now_ms)
+    find_places_in(pool_state, members, None, now_ms)
 }
 
-fn find_in(
+fn find_places_in(
     pool_state: &PoolState,
     members: &[TaskKey],
     rack: Option<&str>,
@@ -79,7 +81,10 @@
             used.add(demand);
             let is_in_rack = rack.is_none_or(|r| r == w.rack());
             let is_apart = most == 0 || count < most;
-            is_in_rack && is_apart && w.fits(used) && place::suits(pool_state, *member, spec, *key)
+            is_in_rack
+                && is_apart
+                && w.fits(used)
+                && place::meets_constraints(pool_state, *member, spec, *key)
         });
         let cost = |key: &WorkerKey| {
             let (used, _) = taken.get(key).copied().unwrap_or_default();
@@ -94,7 +99,7 @@
     Some(places)
 }
 
-/// Stops what is left of gangs that lost a member.
+/// Stops the remaining members of gangs that lost a member.
 pub(super) fn stop_broken(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     for key in std::mem::take(&mut pool_state.broken_gangs) {
         for member in members(pool_state, key) {
@@ -108,7 +113,7 @@
             }
         }
     }
-    // Members that go back to wait by these stops tell nothing new: taken for a loss, they would stop the gang's next run
-    // before it is sent, and that one the next, for good.
+    // Stopping a member marks its gang as broken again. Without this the gang's next run would be stopped before it
+    // is sent, and so would each later one.
     pool_state.broken_gangs.clear();
 }
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -1,8 +1,8 @@
-//! Orders to hosts, all from one entry: the owner of one pool carries them out for the fleet.
+//! Sends orders to hosts, all from one entry: the owner of one pool carries them out for the whole fleet.
 //!
-//! Two holders must not order one host about in turn, so neither pools' owners nor anybody else sends
-//! such orders. Owners say in their heartbeats what they want, in a row of offers which hosts they can spare,
-//! and in a wave's row which host holds a slot; this entry moves hosts and takes them down.
+//! Two entries must not send orders to one host in turn, so no other entry sends them. Owners publish in their
+//! heartbeats how many hosts they want, in a row of offers which hosts they can spare, and in a wave's row which
+//! host holds a slot. This entry moves hosts and takes them down accordingly.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,58 +20,59 @@
     Write,
 };
 
-/// How often orders to hosts are looked at.
+/// How often orders to hosts are reconciled.
 pub const RECONCILE_MS: Millis = 100;
 
-/// How often an owner looks whether its pool carries the orders now.
+/// How often an owner checks whether its pool is now the one that carries out the orders.
 pub const IDLE_RECONCILE_MS: Millis = 1_000;
 
 /// How often the list of hosts is read.
 const LIST_MS: Millis = 600;
 
-/// Orders of two entries to one host are kept so far apart: the platform's pages bound them by 3 s, an order's
-/// way and a late timer on top.
+/// Least time between orders of two entries to one host: the platform documents a bound of 3 s, and an order's
+/// transit and a late timer come on top.
 pub const ORDERS_APART_MS: Millis = 3_300;
 
-/// A take that met newer offers is tried again at once, so many times between two looks. Owner and orderer both
-/// look every 0.1 s: in step, the owner changed its offers just before each take, and 150 hosts stayed on offer for
-/// 2.6 s while another pool needed 200.
+/// Most retries, between two passes, of a take that met newer offers. The pool's owner and this entry both make a
+/// pass every 0.1 s. When they ran in step, the owner changed its offers just before each take, and 150 hosts
+/// stayed on offer for 2.6 s while another pool needed 200.
 const RETAKES_MAX: u32 = 3;
 
-/// Pause before an order to a host is sent again that got no answer.
+/// Pause before an order to a host that got no answer is sent again.
 const RETRY_MS: Millis = 400;
 
-/// The same for one that may still be answered, and for a host whose order was refused.
+/// Pause before an order that may still be answered is sent again, and before a host whose order was refused gets
+/// another one.
 pub(super) const RETRY_SENT_MS: Millis = 2 * RETRY_MS;
 
-/// What a pool needs counts for so long after its owner was last heard: a lease and the time that a new owner
-/// takes to read the rows.
+/// How long a pool's need counts after its owner was last heard: a lease and the time that a new owner takes to
+/// read the rows.
 pub const NEED_KEPT_MS: Millis = 3_000;
 
-/// A move that could not be put on record, or whose host could not be taken, is given up by then: both take one
-/// answer of the store, 300 ms each on the users' slow days.
+/// How long a move waits to be recorded and for its host to be taken before it is given up: each takes one answer
+/// of the store, 300 ms on the users' slow days.
 const UNSENT_MAX_MS: Millis = 2_000;
 
-/// A move that is not seen in the list by then is forgotten. A move takes 2 s.
+/// How long a sent move waits to appear in the list of hosts before it is forgotten. A move takes 2 s.
 const MOVE_MAX_MS: Millis = 6_000;
 
-/// What a pool's owner says of its size.
+/// What a pool's owner has published about the pool's size.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolNeed<'a> {
-    /// The pool.
+    /// The pool's name.
     pub pool: &'a str,
-    /// Hosts that it wants.
+    /// Hosts that the pool wants.
     pub wanted: u64,
-    /// Hosts that its work needs now.
+    /// Hosts that the pool's work needs now.
     pub needed: u64,
-    /// Hosts that are to leave it.
+    /// Hosts that the pool offers, and those that were taken from it.
     pub offers: &'a Offers,
-    /// When its owner was last heard.
+    /// When the owner's heartbeat was last seen.
     pub heard_ms: Millis,
 }
 
 impl<'a> PoolNeed<'a> {
-    /// As this entry has heard of the pool.
+    /// Returns the need of a pool as this entry knows it.
     pub fn of(pool: &'a Pool) -> Self {
         Self {
             pool: &pool.name,
@@ -82,137 +83,142 @@
         }
     }
 
-    /// Whether the host is to leave this pool.
-    pub(super) fn gives(&self, host: &str) -> bool {
+    /// Whether the host is on offer or was taken from this pool.
+    pub(super) fn gives_away(&self, host: &str) -> bool {
         let row = &self.offers.row;
         row.offered.contains_key(host) || row.taken.contains_key(host)
     }
 }
 
-/// What a host is to do.
+/// What a host is ordered to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostTask {
-    /// Go to this pool.
+    /// Move to this pool.
     Move(String),
-    /// Go down for its upkeep in this wave.
+    /// Go down for its maintenance in this wave.
     Upkeep(u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct HostOrder {
     task: HostTask,
-    /// The pool that offers the host, until it is taken.
+    /// The pool that offers the host; `None` once the host is taken, or if it need not be.
     offered_by: Option<String>,
-    /// It is on record that the host is ordered about.
+    /// Whether the stored row of orders names the host.
     is_recorded: bool,
-    /// The order went out; before, the host was taken and the order put on record.
+    /// Whether the order was sent. Before that, the host is taken and the order recorded.
     is_sent: bool,
-    /// Sent again then; nothing once it was accepted.
-    again_ms: Option<Millis>,
-    /// When it was accepted, or first sent.
+    /// When the order is sent again; `None` once it was accepted.
+    retry_at_ms: Option<Millis>,
+    /// When the order was accepted, else when it was first sent, else when it was created.
     since_ms: Millis,
 }
 
-/// A change of a wave's row that is out.
+/// A change of a wave's row that is being written.
 #[derive(Clone, Debug)]
 struct WaveChange {
     wave: u64,
     row: WaveRow,
-    /// The revision that it asks for.
+    /// The revision that the write is conditional on.
     after: Revision,
 }
 
-/// What the entry that orders hosts knows.
+/// State of the entry that orders hosts.
 #[derive(Clone, Debug, Default)]
 pub struct HostController {
     pub(super) list: HostList,
     orders: BTreeMap<String, HostOrder>,
     pending: Option<WaveChange>,
-    /// Hosts that are being put on record.
+    /// Hosts whose orders are being recorded.
     recording: Option<BTreeSet<String>>,
     /// Hosts on offer, and since when.
     pub(super) offered_ms: BTreeMap<String, Millis>,
-    /// Changes of offers that are out, by pool.
+    /// Changes of offers that are being written, by pool.
     taking: BTreeMap<String, OffersRow>,
-    /// Takes that were tried again since the last look.
+    /// Retries of takes since the last pass.
     retakes: u32,
-    /// When hosts were last ordered about by this entry.
+    /// When this entry last sent an order to each host.
     pub(super) sent_ms: BTreeMap<String, Millis>,
-    /// What the former holder left is known.
+    /// Whether the orders that the former owner left are known.
     is_ready: bool,
-    /// Hosts that a former holder ordered about last, until when they are left alone.
-    quiet: BTreeMap<String, Millis>,
-    /// Until when all hosts are left alone: what the former holder ordered can't be read.
-    all_quiet_ms: Millis,
+    /// Hosts that a former owner ordered last, and until when they get no order.
+    quiet_until_ms: BTreeMap<String, Millis>,
+    /// Until when no host gets an order, because the former owner's orders can't be read.
+    all_quiet_until_ms: Millis,
 }
 
 impl HostController {
-    /// The duty as a former holder left it; the same holder need not leave any host alone.
+    /// Takes over from a former owner of the orders. If this entry was the owner itself, it need not wait for any
+    /// host.
     pub fn new(
         rows: &[StoredRow],
         former: &FormerOrders,
-        is_same_holder: bool,
+        is_same_owner: bool,
         ctx: &mut Ctx<'_>,
     ) -> Self {
         let mut controller = Self {
             is_ready: true,
             ..Self::default()
         };
-        if is_same_holder {
+        if is_same_owner {
             return controller;
         }
-        let over_ms = former.over_ms + ORDERS_APART_MS;
+        let quiet_end_ms = former.over_ms + ORDERS_APART_MS;
         for row in rows {
             let value = row.value.as_deref().unwrap_or_default();
             match rows::decode::<HostOrdersRow>(value) {
                 Ok(row) => controller
-                    .quiet
-                    .extend(row.hosts.into_iter().map(|host| (host, over_ms))),
+                    .quiet_until_ms
+                    .extend(row.hosts.into_iter().map(|host| (host, quiet_end_ms))),
                 Err(e) => {
-                    controller.all_quiet_ms = over_ms;
+                    controller.all_quiet_until_ms = quiet_end_ms;
                     ctx.log(Decision::new(Code::BadRow, Subject::Host, &row.key, e));
                 }
             }
         }
-        // Of those that it named in a heartbeat, the time of the order is known better.
-        let told = former.reported_ms.iter();
+        // For hosts that the former owner named in a heartbeat, the time of the order is known more exactly.
+        let reported = former.reported_ms.iter();
         controller
-            .quiet
-            .extend(told.map(|(host, at_ms)| (host.clone(), at_ms + ORDERS_APART_MS)));
+            .quiet_until_ms
+            .extend(reported.map(|(host, at_ms)| (host.clone(), at_ms + ORDERS_APART_MS)));
         controller
     }
 
-    /// Hosts that were ordered about of late, by this entry or a former holder, and the latest time of that.
+    /// Returns the hosts that recently got orders from this entry or a former owner, and the latest time of each.
     pub fn ordered_ms(&self, now_ms: Millis) -> BTreeMap<String, Millis> {
-        let quiet = self.quiet.iter().filter(|(_, until)| now_ms < **until);
-        let former = quiet.map(|(host, until)| (host, until.saturating_sub(ORDERS_APART_MS)));
+        let quiet_until_ms = self
+            .quiet_until_ms
+            .iter()
+            .filter(|(_, until)| now_ms < **until);
+        let former =
+            quiet_until_ms.map(|(host, until)| (host, until.saturating_sub(ORDERS_APART_MS)));
         let mut all: BTreeMap<String, Millis> =
             former.map(|(host, at_ms)| (host.clone(), at_ms)).collect();
         all.extend(self.sent_ms.iter().map(|(host, at)| (host.clone(), *at)));
         all
     }
 
-    /// Whether what the former holder left is known.
+    /// Whether the orders that the former owner left are known.
     pub fn is_ready(&self) -> bool {
         self.is_ready
     }
 
-    /// Whether an order to this host is out, or about to be.
+    /// Whether an order to this host is pending or about to be sent.
     pub fn has_order(&self, host: &str) -> bool {
         self.orders.contains_key(host)
     }
 
-    /// What a host is ordered to do, or about to be.
+    /// Returns what a host is, or is about to be, ordered to do.
     pub(super) fn task_of(&self, host: &str) -> Option<&HostTask> {
         self.orders.get(host).map(|order| &order.task)
     }
 
-    /// How many hosts are ordered to do the same, or about to be.
-    pub(super) fn count_of(&self, task: &HostTask) -> usize {
+    /// Returns how many hosts are, or are about to be, ordered to do `task`.
+    pub(super) fn count_orders(&self, task: &HostTask) -> usize {
         self.orders.values().filter(|o| o.task == *task).count()
     }
 
-    /// Wants an order to a host; it goes out once it is on record, and the host taken from the pool that offers
+    /// Creates an order to a host. It is sent once it is recorded and the host is taken from the pool that offers
     /// it.
     pub(super) fn begin(
         &mut self,
@@ -226,38 +232,42 @@
             offered_by,
             is_recorded: false,
             is_sent: false,
-            again_ms: Some(ctx.now.ms),
+            retry_at_ms: Some(ctx.now.ms),
             since_ms: ctx.now.ms,
         };
         self.orders.insert(host.to_string(), order);
     }
 
     pub(super) fn is_quiet(&self, host: &str, now_ms: Millis) -> bool {
-        now_ms < self.all_quiet_ms || self.quiet.get(host).is_some_and(|until| now_ms < *until)
+        now_ms < self.all_quiet_until_ms
+            || self
+                .quiet_until_ms
+                .get(host)
+                .is_some_and(|until| now_ms < *until)
     }
 }
 
-/// The pool whose owner orders hosts: the first parked one, else the first.
+/// Returns the pool whose owner orders hosts: the first parked one, else the first.
 pub fn controller_pool(config: &FleetConfig) -> Option<&str> {
     let parked = config.pools.iter().find(|(_, p)| p.is_parked);
     let pool = parked.or_else(|| config.pools.iter().next());
     pool.map(|(name, _)| name.as_str())
 }
 
-/// What a look is made with.
+/// Inputs of one pass over the hosts.
 pub struct Inputs<'a> {
     /// The configuration.
     pub config: &'a FleetConfig,
-    /// What owners said.
+    /// The needs that the pools' owners published.
     pub needs: &'a [PoolNeed<'a>],
-    /// The pool that carries the orders.
+    /// The pool whose owner carries out the orders.
     pub pool: &'a str,
-    /// The epoch: fence of all orders.
+    /// The owner's epoch, which fences all orders.
     pub epoch: u64,
 }
 
 impl Inputs<'_> {
-    /// Whether nobody may need a host where it is: its pool is parked, or it was taken from it.
+    /// Whether a host may leave its pool: the pool is parked, or this owner took the host from it.
     fn is_given(&self, host: &str, record: Option<&HostRecord>) -> bool {
         let Some(record) = record else { return false };
         let pool = self.config.pools.get(&record.pool);
@@ -268,83 +278,83 @@
     }
 }
 
-/// Looks at what hosts are to do.
+/// Reconciles the orders with the list of hosts, the waves and the pools' needs, and sets the timer for the next
+/// pass.
 pub fn reconcile(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     ctx.after(RECONCILE_MS, Timer::Hosts);
     if controller.list.start_read_if_due(ctx.now.ms, LIST_MS) {
-        ctx.out.push(Effect::ReadHosts(ctx.pool, with.epoch));
+        ctx.out.push(Effect::ReadHosts(ctx.pool, inputs.epoch));
     }
     if !controller.is_ready || !ctx.may_send() || controller.list.asked_ms() == 0 {
         return;
     }
     controller.retakes = 0;
-    settle_orders(controller, waves, with, ctx);
+    settle_orders(controller, waves, inputs, ctx);
     for wave in waves.values().filter(|w| !w.is_done) {
-        order_upkeep(controller, wave, with.epoch, ctx);
+        order_upkeep(controller, wave, inputs.epoch, ctx);
     }
-    send_hosts(controller, waves, with, ctx);
+    order_moves(controller, waves, inputs, ctx);
 }
 
-/// Looks again at once for hosts to move: those that were to be taken were not, and the offers are known as they
-/// are now.
+/// Looks for hosts to move again at once after a take failed, since the pool's newest offers are known now.
 pub fn retake(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     if controller.retakes >= RETAKES_MAX || !controller.is_ready || !ctx.may_send() {
         return;
     }
     controller.retakes += 1;
-    send_hosts(controller, waves, with, ctx);
+    order_moves(controller, waves, inputs, ctx);
 }
 
-fn send_hosts(
+fn order_moves(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    moves::move_hosts(controller, waves, with, ctx);
-    take_hosts(controller, with, ctx);
-    record_orders(controller, with, ctx);
+    moves::move_hosts(controller, waves, inputs, ctx);
+    take_hosts(controller, inputs, ctx);
+    record_orders(controller, inputs, ctx);
 }
 
-/// Takes the hosts that are about to be moved from those that offer them, and gives back what was taken and is
-/// not moved.
-fn take_hosts(controller: &mut HostController, with: &Inputs<'_>, ctx: &mut Ctx<'_>) {
-    for need in with.needs {
+/// Takes the hosts that are about to be moved from the pools that offer them, and gives back those that were taken
+/// and are not moved.
+fn take_hosts(controller: &mut HostController, inputs: &Inputs<'_>, ctx: &mut Ctx<'_>) {
+    for need in inputs.needs {
         if controller.taking.contains_key(need.pool) {
             continue;
         }
-        drop_withdrawn(controller, need);
-        let Some(row) = with_taken(controller, need, with.epoch, ctx.now.ms) else {
+        drop_withdrawn_orders(controller, need);
+        let Some(row) = with_taken(controller, need, inputs.epoch, ctx.now.ms) else {
             continue;
         };
         let tx = need.offers.write(need.pool, &row);
         controller.taking.insert(need.pool.to_string(), row);
         let pool = need.pool.to_string();
         ctx.out
-            .push(Effect::TakeHosts(ctx.pool, with.epoch, pool, tx));
+            .push(Effect::TakeHosts(ctx.pool, inputs.epoch, pool, tx));
     }
 }
 
-/// Drops orders for hosts that are on offer no more.
-fn drop_withdrawn(controller: &mut HostController, need: &PoolNeed<'_>) {
+/// Drops orders for hosts that are no longer on offer.
+fn drop_withdrawn_orders(controller: &mut HostController, need: &PoolNeed<'_>) {
     controller.orders.retain(|host, order| {
         let is_theirs = order.offered_by.as_deref() == Some(need.pool);
-        !is_theirs || need.gives(host)
+        !is_theirs || need.gives_away(host)
     });
 }
 
-/// A pool's offers once the hosts that orders wait for are taken and those given back that need no mark; nothing
-/// where that changes nothing.
+/// Returns a pool's offers with the hosts taken that orders wait for, and without the taken hosts that need no mark
+/// any more. Returns `None` if that changes nothing.
 fn with_taken(
     controller: &HostController,
     need: &PoolNeed<'_>,
@@ -376,8 +386,7 @@
     Some(row)
 }
 
-/// Whether something of ours can still move a host that was taken: not once it was moved, and not where it was
-/// never ordered.
+/// Whether an order can still move a host that was taken: not once it was moved, and not if it was never ordered.
 fn needs_mark(
     controller: &HostController,
     pool: &str,
@@ -394,7 +403,7 @@
     is_there && taken.epoch == epoch && controller.sent_ms.contains_key(host)
 }
 
-/// Settles a change of a pool's offers; gives the row as it is now known, if it was written.
+/// Applies the outcome of a change of a pool's offers. Returns the row as it is now known if it was written.
 pub fn taken(
     controller: &mut HostController,
     pool: &str,
@@ -404,8 +413,9 @@
 ) -> Option<OffersRow> {
     let row = controller.taking.remove(pool)?;
     if !matches!(outcome, TxOutcome::Committed(_)) {
-        tell_not_taken(controller, pool, outcome, ctx);
-        // Where it took effect without an answer, the feed tells; the next look goes by the row as it is then.
+        log_not_taken(controller, pool, outcome, ctx);
+        // If the write took effect without an answer, the change feed shows it, and the next pass goes by the row
+        // as it is then.
         controller
             .orders
             .retain(|_, order| order.offered_by.as_deref() != Some(pool));
@@ -420,12 +430,14 @@
     Some(row)
 }
 
-fn tell_not_taken(controller: &HostController, pool: &str, outcome: &TxOutcome, ctx: &mut Ctx<'_>) {
+fn log_not_taken(controller: &HostController, pool: &str, outcome: &TxOutcome, ctx: &mut Ctx<'_>) {
     let why = match outcome {
         TxOutcome::Committed(_) => return,
-        TxOutcome::Conflict(_) => "the pool's offers changed meanwhile",
-        TxOutcome::Refused => "the store refused",
-        TxOutcome::Unknown => "no answer; the feed tells whether it took effect",
+        TxOutcome::Conflict(_) => "the pool's offers changed before the write",
+        TxOutcome::Refused => "the store refused the write",
+        TxOutcome::Unknown => {
+            "the store did not answer; the change feed will show whether the write took effect"
+        }
     };
     let waiting = controller.orders.values();
     let waiting = waiting.filter(|order| order.offered_by.as_deref() == Some(pool));
@@ -434,8 +446,8 @@
     ctx.log(decision.with("orders_dropped", dropped));
 }
 
-/// Puts on record which hosts are about to be ordered about.
-fn record_orders(controller: &mut HostController, with: &Inputs<'_>, ctx: &mut Ctx<'_>) {
+/// Records which hosts are about to get orders.
+fn record_orders(controller: &mut HostController, inputs: &Inputs<'_>, ctx: &mut Ctx<'_>) {
     let fresh = controller
         .orders
         .iter()
@@ -452,8 +464,8 @@
     row.hosts.extend(controller.orders.keys().cloned());
     row.hosts.extend(controller.sent_ms.keys().cloned());
     let tx = RowTx {
-        part: with.pool.to_string(),
-        guards: vec![epoch_guard(with.epoch)],
+        part: inputs.pool.to_string(),
+        guards: vec![epoch_guard(inputs.epoch)],
         writes: vec![Write {
             table: Table::HostOrders,
             key: HOST_ORDERS_KEY.to_string(),
@@ -462,10 +474,10 @@
     };
     controller.recording = Some(fresh);
     ctx.out
-        .push(Effect::RecordHostOrders(ctx.pool, with.epoch, tx));
+        .push(Effect::RecordHostOrders(ctx.pool, inputs.epoch, tx));
 }
 
-/// Takes note of the orders that are on record now.
+/// Applies the outcome of recording orders, and sends those that are ready.
 pub fn recorded(
     controller: &mut HostController,
     outcome: &TxOutcome,
@@ -474,7 +486,7 @@
 ) {
     let hosts = controller.recording.take().unwrap_or_default();
     if !matches!(outcome, TxOutcome::Committed(_)) {
-        // The next look tries again; with another epoch the pool is lost, as the next renewal tells.
+        // The next pass tries again. If the epoch has changed, the next renewal shows that the pool is lost.
         return;
     }
     for host in hosts {
@@ -485,7 +497,7 @@
     send_ready(controller, epoch, ctx);
 }
 
-/// Sends the orders that are on record and whose hosts were taken.
+/// Sends the orders that are recorded and whose hosts were taken.
 fn send_ready(controller: &mut HostController, epoch: u64, ctx: &mut Ctx<'_>) {
     let mut ready = Vec::new();
     for (host, order) in &mut controller.orders {
@@ -494,7 +506,7 @@
         }
         order.is_sent = true;
         order.since_ms = ctx.now.ms;
-        order.again_ms = Some(ctx.now.ms + RETRY_SENT_MS);
+        order.retry_at_ms = Some(ctx.now.ms + RETRY_SENT_MS);
         ready.push((host.clone(), order.task.clone()));
     }
     for (host, task) in ready {
@@ -502,16 +514,16 @@
     }
 }
 
-/// Takes in the list of hosts.
+/// Applies the list of hosts as it was read.
 pub fn list_read(controller: &mut HostController, list: Vec<HostRecord>) {
     controller.list.replace(list);
 }
 
-/// Sends again what got no answer, and drops what is seen to be done.
+/// Sends orders without an answer again, and drops those that are done or can't be carried out any more.
 fn settle_orders(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     let now_ms = ctx.now.ms;
@@ -523,9 +535,9 @@
         match &order.task {
             HostTask::Move(to) => {
                 let is_there = record.is_some_and(|h| h.pool == *to && h.state == HostState::Up);
-                let is_done = order.again_ms.is_none() && is_listed_since && is_there;
-                let is_due = order.again_ms.is_some_and(|at| now_ms >= at);
-                let is_refuted = order.is_sent && is_due && !with.is_given(host, record);
+                let is_done = order.retry_at_ms.is_none() && is_listed_since && is_there;
+                let is_due = order.retry_at_ms.is_some_and(|at| now_ms >= at);
+                let is_refuted = order.is_sent && is_due && !inputs.is_given(host, record);
                 let most_ms = if order.is_sent {
                     MOVE_MAX_MS
                 } else {
@@ -542,16 +554,16 @@
     let again: Vec<(String, HostTask)> = controller
         .orders
         .iter()
-        .filter(|(_, order)| order.is_sent && order.again_ms.is_some_and(|at| now_ms >= at))
+        .filter(|(_, order)| order.is_sent && order.retry_at_ms.is_some_and(|at| now_ms >= at))
         .map(|(host, order)| (host.clone(), order.task.clone()))
         .collect();
     for (host, task) in again {
         if let Some(order) = controller.orders.get_mut(&host) {
-            order.again_ms = Some(now_ms + RETRY_SENT_MS);
+            order.retry_at_ms = Some(now_ms + RETRY_SENT_MS);
         }
-        send(controller, &host, &task, with.epoch, ctx);
+        send(controller, &host, &task, inputs.epoch, ctx);
     }
-    record_accepted(controller, waves, with.epoch, ctx);
+    record_accepted(controller, waves, inputs.epoch, ctx);
 }
 
 fn send(
@@ -587,7 +599,7 @@
         if record.is_some_and(|h| h.pool == slot.pool) {
             controller.begin(host, HostTask::Upkeep(wave.order.wave), None, ctx);
         } else if record.is_some() {
-            // It was moved before its slot was taken: its new pool takes it through.
+            // The host was moved before its slot was taken; its new pool takes it through the wave.
             let mut row = wave.row.clone();
             row.out.remove(host);
             settle(controller, wave, row, epoch, ctx);
@@ -595,7 +607,7 @@
     }
 }
 
-/// Puts on record which slots' hosts are out.
+/// Records in the waves' rows which slots' hosts have accepted their orders.
 fn record_accepted(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
@@ -606,7 +618,7 @@
         let mut row = wave.row.clone();
         for (host, order) in &controller.orders {
             let is_accepted =
-                order.task == HostTask::Upkeep(wave.order.wave) && order.again_ms.is_none();
+                order.task == HostTask::Upkeep(wave.order.wave) && order.retry_at_ms.is_none();
             if let Some(slot) = row.out.get_mut(host).filter(|_| is_accepted) {
                 slot.is_ordered = true;
             }
@@ -636,7 +648,7 @@
     ctx.out.push(Effect::SettleOrdered(ctx.pool, epoch, tx));
 }
 
-/// Takes in what became of a change of a wave's row.
+/// Applies the outcome of a change of a wave's row.
 pub fn settled(
     controller: &mut HostController,
     waves: &mut BTreeMap<u64, WaveKnown>,
@@ -660,7 +672,7 @@
     }
 }
 
-/// Settles an order to a host.
+/// Applies a host's reply to an order.
 pub fn ordered(controller: &mut HostController, host: &str, reply: HostReply, ctx: &mut Ctx<'_>) {
     let Some(order) = controller.orders.get_mut(host) else {
         return;
@@ -669,16 +681,16 @@
     ctx.log(Decision::new(Code::HostAnswered, Subject::Host, host, why));
     match reply {
         HostReply::Accepted => {
-            order.again_ms = None;
+            order.retry_at_ms = None;
             order.since_ms = ctx.now.ms;
             controller.list.schedule_read(ctx.now.ms + RECONCILE_MS);
         }
         HostReply::Silent | HostReply::TooMany => {
-            order.again_ms = Some(ctx.now.ms + RETRY_MS);
+            order.retry_at_ms = Some(ctx.now.ms + RETRY_MS);
         }
         HostReply::Busy | HostReply::Wrong | HostReply::Fenced => {
             let is_move = matches!(order.task, HostTask::Move(_));
-            order.again_ms = Some(ctx.now.ms + RETRY_MS);
+            order.retry_at_ms = Some(ctx.now.ms + RETRY_MS);
             if is_move {
                 controller.orders.remove(host);
             }
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -1,8 +1,8 @@
-//! Hosts that leave their pool: offered by the pool's owner, taken by the entry that orders hosts.
+//! Transfers hosts out of their pool: the pool's owner offers them, and the entry that orders hosts takes them.
 //!
-//! One row a pool holds both, and each side changes it by condition on its revision. A host on offer carries
-//! nothing and gets nothing. Its owner may use it again once the offer is off the row; the other side may move
-//! it once it is taken. So neither acts on how old a word is, however slow the store.
+//! One row per pool holds both, and each side changes it on condition of its revision. A host on offer runs nothing
+//! and gets nothing. Its owner may use it again once the offer is off the row; the other side may move it once it
+//! is taken. So neither side depends on the age of its information, however slow the store.
 
 use std::collections::BTreeMap;
 
@@ -15,19 +15,19 @@
 /// Key of a pool's row of offers.
 pub const OFFERS_KEY: &str = "offers";
 
-/// A host that was taken.
+/// A host that was taken from its pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Taken {
-    /// The worker's life that was on offer.
+    /// The worker instance that was on offer.
     pub life: String,
-    /// Epoch of the entry that orders hosts.
+    /// Epoch of the entry that took the host.
     pub epoch: Revision,
 }
 
-/// What the row holds.
+/// A pool's row of offers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OffersRow {
-    /// Hosts on offer, and the worker's life on each.
+    /// Hosts on offer, and the worker instance on each.
     pub offered: BTreeMap<String, String>,
     /// Hosts that were taken and may be moved.
     pub taken: BTreeMap<String, Taken>,
@@ -38,16 +38,16 @@
 pub struct Offers {
     /// The newest row.
     pub row: OffersRow,
-    /// Its revision.
+    /// The row's revision, or a newer one that an answer named.
     pub revision: Revision,
-    /// The owner's change that is out.
+    /// The owner's change that is being written.
     pub pending: Option<OffersRow>,
-    /// Offers whose writing got no answer: they may still take effect while the row is the same.
+    /// Offers whose write got no answer: they may still take effect as long as the row has not changed.
     pub unsure: BTreeMap<String, String>,
 }
 
 impl Offers {
-    /// Takes in the row as read.
+    /// Applies the row as it was read, unless it is older than the known one.
     pub fn observe(&mut self, row: &StoredRow) -> Result<(), String> {
         if row.revision <= self.revision {
             return Ok(());
@@ -58,8 +58,9 @@
         Ok(())
     }
 
-    /// Takes in the row as a conflict found it. As this entry knows it, at a lower revision: an answer told a newer one than
-    /// the row's, and no condition on that is ever met. A conflict that comes late may tell of an older row; that one differs.
+    /// Applies the row that a conflict returned. If it equals the known row at a lower revision, an answer had
+    /// named a newer revision than the row's, and a condition on that revision would never be met. A late conflict
+    /// may return an older row, which differs from the known one.
     pub fn observe_found(&mut self, row: &StoredRow) -> Result<(), String> {
         let found: OffersRow = rows::decode(row.value.as_deref().unwrap_or_default())?;
         if found == self.row {
@@ -68,26 +69,27 @@
         self.observe(row)
     }
 
-    /// Whether the host is on offer, or may be; by whichever life, since whoever takes it may know of no later one.
+    /// Whether the host is on offer, or may be, by any worker instance: whoever takes it may not know of a later
+    /// one.
     pub fn is_offered(&self, host: &str) -> bool {
         let is_in = |map: &BTreeMap<String, String>| map.contains_key(host);
         let pending = self.pending.as_ref().is_some_and(|p| is_in(&p.offered));
         is_in(&self.row.offered) || is_in(&self.unsure) || pending
     }
 
-    /// Whether this life of the host was taken.
+    /// Whether this worker instance's host was taken.
     pub fn is_taken(&self, host: &str, life: &str) -> bool {
         let taken = self.row.taken.get(host);
         taken.is_some_and(|taken| taken.life == life)
     }
 
-    /// Whether this life of the host is on offer, or may be, or was taken: nothing may run there.
+    /// Whether the host is on offer, or may be, or was taken with this worker instance: nothing may run there.
     pub fn is_given(&self, host: &str, life: &str) -> bool {
         self.is_offered(host) || self.is_taken(host, life)
     }
 
-    /// The owner's change to what it wants on offer, if one is needed and none is out. `is_known` says whether
-    /// a life is in the owner's books: what was taken and is gone from there needs no mark any more.
+    /// Returns the owner's change to the offers, if one is needed and none is being written. `is_known` says
+    /// whether the pool state has a worker instance: a taken host whose instance is gone needs no mark any more.
     pub fn change(
         &mut self,
         part: &str,
@@ -107,7 +109,7 @@
         Some(tx)
     }
 
-    /// The owner's change was written.
+    /// Applies the owner's change, which was written.
     pub fn changed(&mut self, revision: Revision) {
         let Some(row) = self.pending.take() else {
             return;
@@ -115,7 +117,7 @@
         self.took(row, revision);
     }
 
-    /// A row was written in place of the one that was known.
+    /// Applies a row that was written in place of the known one.
     pub fn took(&mut self, row: OffersRow, revision: Revision) {
         if revision > self.revision {
             self.row = row;
@@ -124,7 +126,7 @@
         }
     }
 
-    /// The owner's change got no answer.
+    /// Keeps the offers of the owner's change, which got no answer, as unsure.
     pub fn left_open(&mut self) {
         let Some(row) = self.pending.take() else {
             return;
@@ -135,7 +137,7 @@
         self.unsure.extend(new);
     }
 
-    /// The transaction that puts `row` in place of the one that is known.
+    /// Returns the transaction that replaces the known row by `row`.
     pub fn write(&self, part: &str, row: &OffersRow) -> RowTx {
         RowTx {
             part: part.to_string(),
--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -1,4 +1,6 @@
-//! The order of waiting tasks: by what each job can still earn, and by what the pool's room allows together.
+//! Orders waiting tasks by class and due time, and defers jobs that can't all be in time with the pool's capacity.
+//!
+//! Placement takes its candidates from here; the owner of a pool calls `resort` regularly.
 
 use std::collections::HashMap;
 use std::ops::Bound;
@@ -11,17 +13,18 @@
 use super::tasks::{Class, Outlook, Rank};
 use crate::clock::Millis;
 
-/// Where the looks at tasks behind the first ones have come to.
+/// Position of the scan over tasks behind the first [`PLACE_SCAN_MAX`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ScanCursor {
-    /// The last task looked at; nothing where the next look begins right behind the first ones.
+    /// The last task that was scanned; `None` if the next scan begins right behind the first ones.
     after: Option<Rank>,
-    /// When that was.
+    /// When the last scan was.
     at_ms: Millis,
 }
 
 impl PoolState {
-    /// Waiting tasks that a round of placement looks at: the first ones, and now and then some of those behind, by turns.
+    /// Returns the waiting tasks for a round of placement: the first ones, and every [`RESORT_MS`] also the next
+    /// part of those behind them, in turn.
     pub(super) fn next_to_place(&mut self, now_ms: Millis) -> Vec<Rank> {
         let mut ranks = self.placeable(None, now_ms);
         let is_cut = ranks.len() == PLACE_SCAN_MAX;
@@ -39,7 +42,8 @@
         ranks
     }
 
-    /// The first waiting tasks after a rank, but for those that are held or have no quota left: these hold up nobody.
+    /// Returns the first waiting tasks after a rank. Tasks that are delayed, have no attempt left or exceed their
+    /// quota are skipped, so that they don't block others.
     fn placeable(&self, after: Option<Rank>, now_ms: Millis) -> Vec<Rank> {
         let first = after.map_or(Bound::Unbounded, Bound::Excluded);
         let waiting = self.ready.range((first, Bound::Unbounded));
@@ -67,8 +71,8 @@
         })
     }
 
-    /// Sets jobs behind where not all can be in time.
-    fn review(&mut self, now_ms: Millis) {
+    /// Defers jobs where not all can be in time.
+    fn defer_jobs(&mut self, now_ms: Millis) {
         let supply = self.supply(now_ms);
         let open = self.jobs.iter().filter(|(_, job)| {
             let is_open = !job.state.is_final() && !job.spec.is_lasting();
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Processors of the hosts that take work now, and of those that are on their way.
+    /// Returns the processors of the hosts that take work now and of those that are expected.
     fn supply(&self, now_ms: Millis) -> Supply {
         let open = self.workers.values().filter(|w| w.is_open(now_ms));
         let (mut now_cpu_milli, mut free_cpu_milli) = (0, 0);
@@ -99,9 +103,9 @@
         }
     }
 
-    /// Puts jobs that can't be in time, or not with all others, behind those that can.
+    /// Ranks jobs that can't be in time, or not together with all others, behind those that can.
     pub fn resort(&mut self, now_ms: Millis) {
-        self.review(now_ms);
+        self.defer_jobs(now_ms);
         let waiting: Vec<Rank> = self.ready.iter().copied().collect();
         let mut classes: HashMap<JobKey, Class> = HashMap::new();
         for rank in waiting.into_iter().filter(|r| r.class > Class::Lasting) {
--- a/src/core/sched/overload.rs
+++ b/src/core/sched/overload.rs
@@ -1,46 +1,46 @@
-//! Which jobs can be in time together, where a pool has more work than room.
+//! Decides which jobs to defer where a pool has more work than capacity, so that as many as possible are in time.
 //!
-//! The load that this answers: a queue asks five times its mean for some seconds, more than its pool holds. By
-//! earliest objective alone each job then waits for all before it, and nearly all end a little late. So the jobs
-//! are taken in the order in which they must start, and where the work up to one of them is more than the room
-//! until then can take, the one with the most work left is set behind (Moore and Hodgson's rule): as few as possible miss
-//! their objectives. What is set behind goes on as soon as there is room, and counts in full in what the pool
-//! needs.
+//! The overload that this handles: a queue gets five times its mean load for some seconds, more than its pool can
+//! run. With the earliest deadline first alone, each job waits for all before it, and nearly all end a little late.
+//! So jobs are taken in the order in which they must start, and where the work up to one of them exceeds the
+//! capacity until then, the job with the most work left is deferred (Moore and Hodgson's rule), which minimizes the
+//! number of late jobs. Deferred jobs run as soon as there is room, and count in full in the pool's need for hosts.
+//! The `order` module calls this one.
 
 use std::collections::BinaryHeap;
 
 use super::keys::JobKey;
 use crate::clock::Millis;
 
-/// A job that was set behind stays there for so long, so that its tasks do not change places with others at each
-/// look. About as long as jobs have until their objectives on the users' sites: in a replayed peak of twice the
-/// room, 451 of 750 jobs were in time with it, 432 with 1 s, and 393 with none set behind.
-const BEHIND_MS: Millis = 4_000;
+/// How long a job stays deferred, so that its tasks don't change places with others in each pass. It is about the
+/// time that jobs have until their deadlines. In a replayed peak of twice the capacity, 451 of 750 jobs were in
+/// time with it, 432 with 1 s, and 393 without deferral.
+const DEFERRAL_MS: Millis = 4_000;
 
-/// Hosts that a pool lacks are counted as there so long after it began to lack them: a move takes 1.5 s, and the
-/// way to it 0.5 s. Where they have not come by then, only those that are there count.
+/// Missing hosts count as available this long after the pool began to lack them: a move takes 1.5 s, and ordering
+/// it 0.5 s. If they have not arrived by then, only the present hosts count.
 pub const COMING_MS: Millis = 2_000;
 
-/// Share of the room that work can use in percent: tasks do not fill hosts to the brim. 75 gave the same in that
-/// peak, 110 less (431).
+/// Percentage of the capacity that work can use, since tasks don't fill hosts completely. In the replayed peak of
+/// `DEFERRAL_MS`, 75 gave the same result, and with 110 only 431 jobs were in time.
 const FILL_PERCENT: u64 = 90;
 
 /// The processors of a pool, now and soon, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Supply {
-    /// Those of hosts that take work now.
+    /// Processors of the hosts that take work now.
     pub now_cpu_milli: u64,
-    /// Those of them that nothing runs on.
+    /// The part of `now_cpu_milli` that is free.
     pub free_cpu_milli: u64,
-    /// Those of the hosts that the pool needs, if they are expected at all.
+    /// Processors of all hosts that the pool needs, if missing ones are expected; else 0.
     pub coming_cpu_milli: u64,
-    /// How long until those are there.
+    /// How long until the missing hosts are expected.
     pub coming_in_ms: Millis,
 }
 
 impl Supply {
-    /// Core-milliseconds of work, in tasks of `task_ms`, that can be started within `ms`: what is free takes tasks
-    /// at once, and what is full as its tasks end.
+    /// Returns the core-milliseconds of work, in tasks of `task_ms`, that can be started within `ms`. Free
+    /// processors take tasks at once, and busy ones as their tasks end.
     pub fn startable(&self, ms: Millis, task_ms: Millis) -> u64 {
         let more_milli = self.coming_cpu_milli.saturating_sub(self.now_cpu_milli);
         let more_ms = match ms.checked_sub(self.coming_in_ms) {
@@ -52,53 +52,53 @@
     }
 }
 
-/// A job that could be in time, were it alone.
+/// A job that could be in time if it were alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Contender {
     /// The job.
     pub job: JobKey,
-    /// When its last tasks must start for it to be in time.
+    /// The latest start of its last tasks with which it is in time.
     pub start_by_ms: Millis,
-    /// How long its tasks take, those of its longest step.
+    /// Duration of the tasks of its longest step.
     pub task_ms: Millis,
-    /// The work of its tasks that were not started, in core-milliseconds.
+    /// Work of its tasks that have not started, in core-milliseconds.
     pub work: u64,
 }
 
-/// The jobs that are to be set behind for the others to be in time.
+/// Returns the jobs to defer so that the others can be in time.
 pub fn jobs_to_defer(mut jobs: Vec<Contender>, supply: &Supply, now_ms: Millis) -> Vec<JobKey> {
     jobs.sort_unstable_by_key(|job| (job.start_by_ms, job.job));
     let mut kept: BinaryHeap<(u64, JobKey)> = BinaryHeap::new();
     let mut sum = 0;
-    let mut behind = Vec::new();
+    let mut deferred = Vec::new();
     for job in jobs {
         kept.push((job.work, job.job));
         sum += job.work;
-        let most = supply.startable(job.start_by_ms.saturating_sub(now_ms), job.task_ms);
-        while sum > most {
+        let startable_work = supply.startable(job.start_by_ms.saturating_sub(now_ms), job.task_ms);
+        while sum > startable_work {
             let Some((work, largest)) = kept.pop() else {
                 break;
             };
             sum -= work;
-            behind.push(largest);
+            deferred.push(largest);
         }
     }
-    behind
+    deferred
 }
 
-/// Whether a job counts as set behind, and since when that was found.
+/// Whether a job is deferred, and until when.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Deferral {
     until_ms: Millis,
 }
 
 impl Deferral {
-    /// Sets the job behind from now on.
+    /// Defers the job for `DEFERRAL_MS` from now.
     pub fn set(&mut self, now_ms: Millis) {
-        self.until_ms = now_ms + BEHIND_MS;
+        self.until_ms = now_ms + DEFERRAL_MS;
     }
 
-    /// Whether it is behind now.
+    /// Whether the job is deferred now.
     pub fn is_set(self, now_ms: Millis) -> bool {
         now_ms < self.until_ms
     }
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -1,4 +1,7 @@
-//! Where waiting tasks get their place.
+//! Places waiting tasks on workers.
+//!
+//! The owner of a pool calls [`place`] when tasks wait or workers have become free. Each task goes to the allowed
+//! worker of least cost; reservations and gangs are handled by their own modules.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -16,16 +19,17 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::Capacity;
 
-/// Added to a worker's cost, in thousandths, where the data lies elsewhere.
-const FAR_MILLI: u64 = 1_000;
+/// Added to a worker's cost, in thousandths, where it is in another rack than the task's data.
+const REMOTE_DATA_COST_MILLI: u64 = 1_000;
 
-/// The same, for a task that lasts, where the host is due for upkeep: it would have to move.
-const DUE_MILLI: u64 = 700;
+/// Added to a worker's cost, in thousandths, for a lasting task where the host is due for maintenance: the task
+/// would have to move.
+const DUE_HOST_COST_MILLI: u64 = 700;
 
-/// The same for each task that failed there in a row.
-const FAILS_MILLI: u64 = 300;
+/// Added to a worker's cost, in thousandths, for each task in a row that failed there.
+const FAILURE_COST_MILLI: u64 = 300;
 
-/// Gives places to waiting tasks, in their order, as far as there is room.
+/// Places waiting tasks in their order as far as workers have room.
 pub fn place(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     pool_state.wants_placing = false;
     reservations::settle(pool_state, ctx);
@@ -36,7 +40,7 @@
             continue;
         };
         if spec.gang {
-            // Its other members are in the list, too.
+            // The other members of the gang are in the list, too.
             if tried_gangs.insert(TaskKey { index: 0, ..key }) {
                 gang::place(pool_state, key, ctx);
             }
@@ -49,24 +53,25 @@
         match choose(pool_state, key, ctx.now.ms) {
             Choice::Worker(worker) => assign(pool_state, key, worker, ctx),
             Choice::NoRoom => too_large.push(demand),
-            Choice::Barred => {}
+            Choice::NoneAllowed => {}
         }
     }
     reservations::reserve(pool_state, ctx);
 }
 
-/// What a look for a task's place came to.
+/// The result of the search for a task's worker.
 enum Choice {
-    /// A worker takes it.
+    /// This worker takes the task.
     Worker(WorkerKey),
-    /// No open worker has that much room.
+    /// No open worker has enough room for the task.
     NoRoom,
-    /// Some have, and none of them takes this task.
-    Barred,
+    /// Some open workers have room, but none of them may take the task.
+    NoneAllowed,
 }
 
-/// The place of a suspect of crashes: where least runs that would end with the worker.
-fn choose_apart(search: &Search<'_>) -> Option<WorkerKey> {
+/// Returns the worker for a task that is suspected of crashing workers: the one with the fewest tasks, since all of
+/// them would end with the worker.
+fn choose_for_suspect(search: &Search<'_>) -> Option<WorkerKey> {
     let cpu_milli = search.spec.demand().cpu_milli;
     let slots = search
         .pool_state
@@ -80,10 +85,11 @@
     })
 }
 
-/// The place of a task: on a worker that is reserved for another one only if it lasts and there is no other.
+/// Returns the worker for a task. A worker that is reserved for another task is chosen only for a lasting task that
+/// has no other worker.
 fn choose(pool_state: &PoolState, key: TaskKey, now_ms: u64) -> Choice {
     let Some(spec) = pool_state.step_spec(key) else {
-        return Choice::Barred;
+        return Choice::NoneAllowed;
     };
     let mut search = Search {
         pool_state,
@@ -101,48 +107,53 @@
     }
     match worker {
         Some(worker) => Choice::Worker(worker),
-        None if search.has_room.get() => Choice::Barred,
+        None if search.has_room.get() => Choice::NoneAllowed,
         None => Choice::NoRoom,
     }
 }
 
-/// The place of least cost: in the rack where the data lies if one there fits, else anywhere.
+/// Returns the worker of least cost. A worker elsewhere costs [`REMOTE_DATA_COST_MILLI`] more than one in the rack
+/// of the task's data.
 fn choose_cheapest(search: &Search<'_>) -> Option<WorkerKey> {
-    let room = &search.pool_state.free_index;
+    let free_index = &search.pool_state.free_index;
     let cpu_milli = search.spec.demand().cpu_milli;
     let Some(rack) = search.spec.data_rack.as_deref() else {
-        let best = search.best(room.workers_with_free(cpu_milli), 0, None);
+        let best = search.best(free_index.workers_with_free(cpu_milli), 0, None);
         return best.map(|(_, worker)| worker);
     };
-    let near = search.best(room.rack_workers_with_free(rack, cpu_milli), 0, None);
-    let best = search.best(room.workers_with_free(cpu_milli), FAR_MILLI, near);
+    let near = search.best(free_index.rack_workers_with_free(rack, cpu_milli), 0, None);
+    let best = search.best(
+        free_index.workers_with_free(cpu_milli),
+        REMOTE_DATA_COST_MILLI,
+        near,
+    );
     best.map(|(_, worker)| worker)
 }
 
-/// A look for a task's place.
+/// A search for a task's worker.
 struct Search<'a> {
     pool_state: &'a PoolState,
     spec: &'a StepSpec,
     key: TaskKey,
     now_ms: u64,
-    /// The task goes on no worker that has a suspect of crashes.
+    /// The task must not go to a worker that runs a task suspected of crashes.
     is_apart: bool,
-    /// An open worker with room for the task was met, whether or not it may take it.
+    /// Set once an open worker with room for the task was found, whether or not it may take the task.
     has_room: Cell<bool>,
-    /// It goes on workers that are reserved for others, too.
+    /// Workers that are reserved for other tasks are allowed, too.
     takes_reserved: bool,
 }
 
 impl Search<'_> {
     fn choose(&self) -> Option<WorkerKey> {
         match self.pool_state.task(self.key).is_some_and(Task::is_suspect) {
-            true => choose_apart(self),
+            true => choose_for_suspect(self),
             false => choose_cheapest(self),
         }
     }
 
-    /// The worker of least cost and that cost, of `slots` in their order and of `best`; each slot costs what it
-    /// has free and `more_milli` at the least, so that the first ones usually settle it.
+    /// Returns the cheapest worker of `slots` and `best`, with its cost. A slot costs at least its free share plus
+    /// `more_milli`, and `slots` are sorted by free share, so the loop usually ends after the first few.
     fn best(
         &self,
         slots: impl Iterator<Item = Slot>,
@@ -165,7 +176,8 @@
         best
     }
 
-    /// Whether a worker is reserved for another task. What lasts goes there all the same where it finds no other place.
+    /// Whether a worker is reserved for another task. A lasting task goes there all the same if it finds no other
+    /// worker.
     fn is_reserved(&self, key: WorkerKey) -> bool {
         !self.takes_reserved
             && self
@@ -181,15 +193,15 @@
             return false;
         }
         self.has_room.set(true);
-        suits(self.pool_state, self.key, self.spec, key)
-            && !failed_there(self.pool_state, self.key, self.spec, key, self.now_ms)
+        meets_constraints(self.pool_state, self.key, self.spec, key)
+            && !should_avoid(self.pool_state, self.key, self.spec, key, self.now_ms)
             && !(self.is_apart && self.pool_state.is_watched(key))
     }
 }
 
 /// Whether the task's last run failed on this worker and another one may take it, with room now or soon: three
 /// failures on one bad worker would end the job.
-fn failed_there(
+fn should_avoid(
     pool_state: &PoolState,
     key: TaskKey,
     spec: &StepSpec,
@@ -199,7 +211,7 @@
     let Some(task) = pool_state.task(key).filter(|t| t.failed_on == Some(worker)) else {
         return false;
     };
-    let until_ms = task.failed_ms + avoid_ms(task.fails());
+    let until_ms = task.failed_ms + avoidance_ms(task.fails());
     let mut others = pool_state
         .workers
         .iter()
@@ -208,17 +220,17 @@
         && others.any(|(other, w)| {
             w.is_open(until_ms)
                 && w.is_large_enough(spec.demand())
-                && suits(pool_state, key, spec, other)
+                && meets_constraints(pool_state, key, spec, other)
         })
 }
 
-/// How long a task waits for another worker than the one where it failed: what is left of its attempts is worth more with
-/// each failure.
-fn avoid_ms(fails: u32) -> Millis {
+/// How long a task avoids the worker on which it failed. The time doubles with each failure, since the remaining
+/// attempts become more valuable.
+fn avoidance_ms(fails: u32) -> Millis {
     (SUSPEND_MS << fails.min(4)).min(SUSPEND_MAX_MS)
 }
 
-/// Whether a task could go to another worker than the one it is on.
+/// Whether a task could be placed on another worker than this one.
 pub fn has_other(pool_state: &PoolState, key: TaskKey, worker: WorkerKey, now_ms: u64) -> bool {
     let Some(spec) = pool_state.step_spec(key) else {
         return false;
@@ -228,11 +240,11 @@
     let mut others = slots.map(|slot| slot.worker).filter(|w| *w != worker);
     others.any(|other| {
         let w = &pool_state.workers[other];
-        w.is_open(now_ms) && w.fits(demand) && suits(pool_state, key, spec, other)
+        w.is_open(now_ms) && w.fits(demand) && meets_constraints(pool_state, key, spec, other)
     })
 }
 
-pub(super) fn suits(
+pub(super) fn meets_constraints(
     pool_state: &PoolState,
     key: TaskKey,
     spec: &StepSpec,
@@ -248,8 +260,9 @@
     most == 0 || pool_state.siblings_on(key, worker) < most
 }
 
-/// How much a worker is to be avoided, in thousandths of its room that stay free; `more` is about to be placed
-/// there, too. Full workers first: others stay empty and can go where they are wanted.
+/// Returns the cost of a worker: the thousandths of its processors that stay free, plus what its rack, its
+/// maintenance and its failures add. `more` is about to be placed there, too. Full workers are cheapest, so that
+/// others stay empty and can move to pools that need them.
 pub(super) fn cost_milli(
     pool_state: &PoolState,
     spec: &StepSpec,
@@ -265,12 +278,12 @@
         .as_deref()
         .is_some_and(|rack| rack != w.rack())
     {
-        cost += FAR_MILLI;
+        cost += REMOTE_DATA_COST_MILLI;
     }
     if spec.lasting && w.is_due {
-        cost += DUE_MILLI;
+        cost += DUE_HOST_COST_MILLI;
     }
-    cost + u64::from(w.fails_in_row) * FAILS_MILLI
+    cost + u64::from(w.fails_in_row) * FAILURE_COST_MILLI
 }
 
 pub(super) fn assign(
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -1,16 +1,17 @@
-//! What client accounts may have running in a pool: parts of their quotas, granted by a row an account.
+//! Manages what client accounts may have running in a pool: parts of their quotas, granted by one row per account.
 //!
-//! An account's quota holds over all pools, and each pool has an owner of its own. So a row an account holds what is
-//! granted to each pool, and the grants never sum up to more than the quota: an owner raises its own by condition on the
-//! row, as far as there is room, and starts nothing beyond it. The load that this answers: peaks turn from queue to
-//! queue every few seconds, and an account's need with them. An owner gives back what its work does not need: at once
-//! where another pool's owner tells that the account is short there, else after a second.
+//! An account's quota covers all pools, and each pool has its own owner. So one row per account holds what is
+//! granted to each pool, and the grants never add up to more than the quota: an owner raises its own grant by a
+//! conditional write, as far as there is room, and starts nothing beyond it. Peaks shift from queue to queue every
+//! few seconds, and the accounts' needs with them. So an owner gives back what its work doesn't need: at once if
+//! another pool's owner reports that the account is short there, else after `SURPLUS_KEPT_MS`.
 //!
-//! A grant is the pool's, not the owner's: what a former owner started still counts, in the books and in the grant. A
-//! new owner puts its epoch into the grant before it starts anything under it, so that no late write of the former one
-//! can take back what it uses. A quota that was lowered below what is granted stops nothing; nothing more starts until
-//! all owners have given back so much. The row names the newest configuration that it was written by: owners that have
-//! an older one raise nothing, and one that knows of a lower quota starts nothing before the row says so.
+//! A grant belongs to the pool, not to its owner: what a former owner started still counts, in the pool state and
+//! in the grant. A new owner writes its epoch into the grant before it starts anything under it, so that no late
+//! write of the former owner can take back what it uses. If a quota is lowered below what is granted, nothing is
+//! stopped, but nothing more starts until the owners have given back the difference. The row names the newest
+//! configuration that it was written under. An owner with an older one raises nothing, and an owner that knows of a
+//! lower quota starts nothing until the row was written under the configuration that lowered it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,37 +28,38 @@
 };
 use crate::util::fnv1a;
 
-/// How often grants are looked at: as often as a pool's size.
+/// How often grants are reconciled: as often as a pool's size.
 const RECONCILE_MS: Millis = 100;
 
-/// The same where no account is configured.
+/// How often grants are reconciled while no account is configured.
 const IDLE_RECONCILE_MS: Millis = 1_000;
 
-/// What a pool does not need is given back after so long, if nobody asks for it sooner: jobs come one by one, and a
-/// grant that follows each would cost a call each.
+/// How long a pool keeps a surplus that nobody asks for: jobs arrive one by one, and a grant that followed each of
+/// them would cost one call per job.
 const SURPLUS_KEPT_MS: Millis = 1_000;
 
-/// Grants are asked for with so much on top of what is needed now, in percent, so that not each job asks again.
-const ROOM_PERCENT: u64 = 125;
+/// Size of a requested grant as a percentage of the current need, so that not every job needs another request.
+const HEADROOM_PERCENT: u64 = 125;
 
-/// And with this share of the quota: the least that is worth a call.
-const STEP_SHARE: u64 = 16;
+/// A requested grant is also larger by the quota divided by this number, the smallest step that is worth a call.
+const STEP_DIVISOR: u64 = 16;
 
-/// A row that has no room is read again after so long: five answers of the store to another owner's give-back.
+/// Pause before a row without room is read again: five store answers to another owner's give-back.
 const READ_AGAIN_MS: Millis = 100;
 
-/// Parts that the rows of accounts are spread over: the store takes a part's writes in turn.
+/// Number of partitions that the accounts' rows are spread over, since the store applies the writes of one
+/// partition one after another.
 const PARTS: u64 = 8;
 
-/// Name of the partition that holds an account's row.
+/// Returns the name of the partition that holds an account's row.
 pub fn quota_part(account: &str) -> String {
     format!("quota/{}", fnv1a(account.bytes()) % PARTS)
 }
 
-/// What is granted to a pool.
+/// What an account's row grants to one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Epoch of the owner that wrote it.
+    /// Epoch of the owner that wrote the grant.
     pub epoch: Revision,
     /// Thousandths of a core.
     pub cpu_milli: u64,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// What may run.
+    /// Returns the granted resources.
     pub fn capacity(&self) -> Capacity {
         Capacity {
             cpu_milli: self.cpu_milli,
@@ -87,17 +89,17 @@
     }
 }
 
-/// An account's row: grants by pool.
+/// An account's row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantsRow {
-    /// The grants.
+    /// The grants by pool.
     pub grants: BTreeMap<String, Grant>,
-    /// The newest version of the configuration that an owner went by who wrote it.
+    /// The newest version of the configuration that the row was written under.
     pub config: u64,
 }
 
 impl GrantsRow {
-    /// What all pools but this one are granted together.
+    /// Returns the sum of the grants of all other pools.
     fn others(&self, pool: &str) -> Capacity {
         let others = self.grants.iter().filter(|(name, _)| *name != pool);
         let mut sum = Capacity::default();
@@ -106,22 +108,22 @@
     }
 }
 
-/// An account's row as an owner knows it.
+/// An account's row as an owner knows it, and the owner's change to it.
 #[derive(Clone, Debug, Default)]
 struct Ledger {
     row: GrantsRow,
     revision: Revision,
-    /// The change that is out, or whose fate is open.
+    /// The change that is being written, or whose result is unknown.
     pending: Option<Pending>,
-    /// The quota that was last looked at.
+    /// The quota at the last pass.
     quota: Capacity,
-    /// The version of the configuration that lowered it last.
+    /// The version of the configuration that last lowered the quota.
     lowered_by: u64,
     /// Since when more is granted than is needed.
-    surplus_ms: Option<Millis>,
-    /// When the row was last asked for, since it had no room.
+    surplus_since_ms: Option<Millis>,
+    /// When the row was last read because it had no room.
     read_ms: Millis,
-    /// When it was last told that tasks wait.
+    /// When waiting tasks were last logged; 0 for never.
     logged_ms: Millis,
 }
 
@@ -129,201 +131,208 @@
 #[derive(Clone, Debug)]
 struct Pending {
     row: GrantsRow,
-    /// A sending of it got no answer and may yet take effect: it is sent again, by the same condition, until its fate
-    /// is known.
-    is_open: bool,
-    /// It is on its way now.
-    is_out: bool,
+    /// An attempt got no answer and may still take effect. The write is repeated under the same condition until its
+    /// result is known.
+    may_take_effect: bool,
+    /// An attempt is in flight.
+    is_in_flight: bool,
 }
 
-/// What a pool's owner knows of quotas.
+/// What a pool's owner knows about the accounts' quotas.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaController {
     ledgers: BTreeMap<String, Ledger>,
-    /// Accounts of which more waits here than is granted.
+    /// Accounts whose need in this pool exceeds their grant.
     pub short: BTreeSet<String>,
 }
 
-/// What a look is made with.
+/// Inputs of one pass over the grants.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
-    /// The pool.
+    /// The pool's name.
     pub pool: &'a str,
     /// The owner's epoch.
     pub epoch: Revision,
     /// The configuration.
     pub config: &'a FleetConfig,
-    /// Accounts that are short in other pools.
+    /// Accounts that are short in other pools, as the owners' heartbeats report.
     pub short_elsewhere: &'a BTreeSet<String>,
 }
 
-/// Looks at the grants of all accounts that have work here, or had some.
+/// Reconciles the grants of all accounts that have or had work in the pool, and sets the timer for the next pass.
 pub fn reconcile(
     pool_state: &mut PoolState,
     controller: &mut QuotaController,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    let pause_ms = match with.config.accounts.is_empty() {
+    let pause_ms = match inputs.config.accounts.is_empty() {
         true => IDLE_RECONCILE_MS,
         false => RECONCILE_MS,
     };
     ctx.after(pause_ms, Timer::Quota);
-    adjust(pool_state, controller, with, ctx);
+    adjust(pool_state, controller, inputs, ctx);
 }
 
-/// Asks for what is needed and gives back what is not.
+/// Requests what the accounts need, gives back what they don't need, and sets their limits.
 pub fn adjust(
     pool_state: &mut PoolState,
     controller: &mut QuotaController,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     pool_state.wants_quota = false;
     let mut short = BTreeSet::new();
     for account in &mut pool_state.accounts {
-        let config = with.config.accounts.get(&account.name);
+        let config = inputs.config.accounts.get(&account.name);
         account.weight = config.map_or(0, |a| a.weight);
         let quota = config.map(|a| a.quota);
         let Some(quota) = quota.filter(|q| *q != Capacity::default()) else {
-            // Its jobs were accepted by a newer configuration, which may have given it a quota.
-            let is_news = config.is_none() && account.named_by > with.config.version;
-            let limit = is_news.then(Capacity::default);
+            // A newer configuration accepted the account's jobs and may have given it a quota.
+            let is_newer_config =
+                config.is_none() && account.config_version > inputs.config.version;
+            let limit = is_newer_config.then(Capacity::default);
             if account.limit != limit {
                 account.limit = limit;
                 pool_state.wants_placing = true;
             }
-            if is_news && need(account) != Capacity::default() {
+            if is_newer_config && need(account) != Capacity::default() {
                 let ledger = controller.ledgers.entry(account.name.clone()).or_default();
-                tell_held(account, ledger, Capacity::default(), with, ctx);
+                log_held(account, ledger, Capacity::default(), inputs, ctx);
             }
             continue;
         };
         let ledger = controller.ledgers.entry(account.name.clone()).or_default();
-        note_quota(ledger, quota, with.config.version);
+        record_quota(ledger, quota, inputs.config.version);
         match &ledger.pending {
-            None => settle_need(account, ledger, quota, with, ctx),
-            Some(pending) if !pending.is_out && ctx.may_send() => {
+            None => update_grant(account, ledger, quota, inputs, ctx),
+            Some(pending) if !pending.is_in_flight && ctx.may_send() => {
                 let pending = pending.clone();
-                write(ledger, &account.name, pending, with.epoch, ctx);
+                write(ledger, &account.name, pending, inputs.epoch, ctx);
             }
             Some(_) => {}
         }
-        let limit = ledger.limit(with, quota);
+        let limit = ledger.limit(inputs, quota);
         if account.limit != Some(limit) {
             pool_state.wants_placing = true;
         }
         account.limit = Some(limit);
-        account.ceiling = limited(minus(quota, ledger.row.others(with.pool)), quota);
+        account.ceiling = lift_unlimited(minus(quota, ledger.row.others(inputs.pool)), quota);
         if !limit.contains(need(account)) {
-            tell_held(account, ledger, limit, with, ctx);
+            log_held(account, ledger, limit, inputs, ctx);
             short.insert(account.name.clone());
         }
     }
     controller.short = short;
 }
 
-/// Takes note of an account's quota, and of the version that lowered it.
-fn note_quota(ledger: &mut Ledger, quota: Capacity, version: u64) {
+/// Records an account's quota, and the configuration's version if that lowered it.
+fn record_quota(ledger: &mut Ledger, quota: Capacity, version: u64) {
     let before = std::mem::replace(&mut ledger.quota, quota);
-    if before != Capacity::default() && !limited(quota, quota).contains(limited(before, before)) {
+    if before != Capacity::default()
+        && !lift_unlimited(quota, quota).contains(lift_unlimited(before, before))
+    {
         ledger.lowered_by = version;
     }
 }
 
-/// Sends the change that the pool's need for the account asks for, if it asks for one.
-fn settle_need(
+/// Writes the change of the grant that the account's need in the pool requires, if any.
+fn update_grant(
     account: &AccountUse,
     ledger: &mut Ledger,
     quota: Capacity,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     if !ctx.may_send() {
         return;
     }
     let need = need(account);
-    let held = ledger.held(with.pool);
+    let held = ledger.held(inputs.pool);
     let current = held.map(|grant| grant.capacity()).unwrap_or_default();
     let has_need = need != Capacity::default();
-    if !ledger.is_ours(with) {
+    if !ledger.is_ours(inputs) {
         if has_need {
-            send(ledger, account, most(current, account.used), with, ctx);
+            send(ledger, account, most(current, account.used), inputs, ctx);
         }
         return;
     }
-    let others = ledger.row.others(with.pool);
-    let is_over = !limited(quota, quota).contains(sum(others, current));
+    let others = ledger.row.others(inputs.pool);
+    let is_over = !lift_unlimited(quota, quota).contains(sum(others, current));
     let target = match (is_over, has_need) {
         (true, _) | (false, false) => account.used,
-        (false, true) => least(with_room(need, quota), limited(minus(quota, others), quota)),
+        (false, true) => least(
+            with_headroom(need, quota),
+            lift_unlimited(minus(quota, others), quota),
+        ),
     };
     let target = most(target, account.used);
     if !current.contains(need) && !is_over {
-        raise(account, ledger, most(current, target), current, with, ctx);
+        raise(account, ledger, most(current, target), current, inputs, ctx);
         return;
     }
     let has_surplus = target != current && current.contains(target);
     if !has_surplus {
-        ledger.surplus_ms = None;
+        ledger.surplus_since_ms = None;
         return;
     }
-    let since_ms = *ledger.surplus_ms.get_or_insert(ctx.now.ms);
+    let since_ms = *ledger.surplus_since_ms.get_or_insert(ctx.now.ms);
     let is_kept = ctx.now.ms < since_ms + SURPLUS_KEPT_MS;
     let is_large = !has_need || !sum(target, target).contains(current);
-    let is_asked = is_over || with.short_elsewhere.contains(&account.name);
+    let is_asked = is_over || inputs.short_elsewhere.contains(&account.name);
     if is_asked || (is_large && !is_kept) {
-        ledger.surplus_ms = None;
-        send(ledger, account, target, with, ctx);
+        ledger.surplus_since_ms = None;
+        send(ledger, account, target, inputs, ctx);
     }
 }
 
-/// Asks for a larger grant, or where there is no room for one, looks whether others gave some back.
+/// Requests a larger grant or, if there is no room for one, reads the row to see whether other pools gave some
+/// back.
 fn raise(
     account: &AccountUse,
     ledger: &mut Ledger,
     raised: Capacity,
     current: Capacity,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    // Who has an older configuration than the row may know a quota that was lowered since.
-    let may_raise = ledger.row.config <= with.config.version;
+    // An owner with an older configuration than the row may not know of a lowered quota.
+    let may_raise = ledger.row.config <= inputs.config.version;
     if raised != current && may_raise {
-        send(ledger, account, raised, with, ctx);
+        send(ledger, account, raised, inputs, ctx);
     } else if ctx.now.ms >= ledger.read_ms + READ_AGAIN_MS {
-        // What others give back shows only in the row.
+        // What other pools give back shows only in the row.
         ledger.read_ms = ctx.now.ms;
-        let read = Effect::ReadQuota(ctx.pool, with.epoch, account.name.clone());
+        let read = Effect::ReadQuota(ctx.pool, inputs.epoch, account.name.clone());
         ctx.out.push(read);
     }
 }
 
-/// Sends a grant of this pool in place of the one that is known.
+/// Writes a new grant of this pool in place of the known one.
 fn send(
     ledger: &mut Ledger,
     account: &AccountUse,
     granted: Capacity,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
     let mut row = ledger.row.clone();
-    row.config = row.config.max(with.config.version);
+    row.config = row.config.max(inputs.config.version);
     if granted == Capacity::default() && need(account) == granted {
-        row.grants.remove(with.pool);
+        row.grants.remove(inputs.pool);
     } else {
-        let grant = Grant::new(with.epoch, granted);
-        row.grants.insert(with.pool.to_string(), grant);
+        let grant = Grant::new(inputs.epoch, granted);
+        row.grants.insert(inputs.pool.to_string(), grant);
     }
     let pending = Pending {
         row,
-        is_open: false,
-        is_out: false,
+        may_take_effect: false,
+        is_in_flight: false,
     };
-    write(ledger, &account.name, pending, with.epoch, ctx);
+    write(ledger, &account.name, pending, inputs.epoch, ctx);
 }
 
-/// Writes a row in place of the one that is known.
+/// Writes a row on condition that the known one has not changed.
 fn write(ledger: &mut Ledger, account: &str, pending: Pending, epoch: Revision, ctx: &mut Ctx<'_>) {
     let tx = RowTx {
         part: quota_part(account),
@@ -339,14 +348,15 @@
         }],
     };
     ledger.pending = Some(Pending {
-        is_out: true,
+        is_in_flight: true,
         ..pending
     });
     let settle = Effect::SettleQuota(ctx.pool, epoch, account.to_string(), tx);
     ctx.out.push(settle);
 }
 
-/// Settles a change of a grant; books that are being read look at grants once they are there.
+/// Applies the outcome of a change of a grant. A pool state that is still being read looks at its grants once it is
+/// complete.
 pub fn settled(
     pool_state: Option<&mut PoolState>,
     controller: &mut QuotaController,
@@ -365,26 +375,26 @@
         TxOutcome::Committed(revision) => {
             ledger.row = pending.row;
             ledger.revision = revision;
-            tell_granted(ledger, pool, account, ctx);
+            log_granted(ledger, pool, account, ctx);
         }
-        // One of ours that took effect without an answer is told by the row, too.
+        // The row also shows whether an earlier attempt of ours took effect without an answer.
         TxOutcome::Conflict(found) => {
             let row = found.into_iter().map(|(_, row)| row).next();
             ledger.observe(row, account, ctx);
         }
-        // Until its fate is known, the lesser of the two rows counts.
+        // Until the result is known, the lesser of the two rows counts.
         TxOutcome::Unknown => {
             ledger.pending = Some(Pending {
-                is_open: true,
-                is_out: false,
+                may_take_effect: true,
+                is_in_flight: false,
                 ..pending
             });
             return;
         }
-        // A refusal speaks of its own sending only.
+        // A refusal says nothing about earlier attempts.
         TxOutcome::Refused => {
-            ledger.pending = pending.is_open.then_some(Pending {
-                is_out: false,
+            ledger.pending = pending.may_take_effect.then_some(Pending {
+                is_in_flight: false,
                 ..pending
             });
             return;
@@ -395,7 +405,7 @@
     }
 }
 
-/// Takes in an account's row as read.
+/// Applies an account's row as it was read.
 pub fn read(
     pool_state: &mut PoolState,
     controller: &mut QuotaController,
@@ -422,24 +432,24 @@
         self.row.grants.get(pool).copied()
     }
 
-    /// Whether the row, as it is known, holds a grant of this owner that any later one must reckon with.
-    fn is_ours(&self, with: &Inputs<'_>) -> bool {
-        let held = self.held(with.pool);
-        held.is_some_and(|grant| grant.epoch == with.epoch) && self.row.config >= self.lowered_by
+    /// Whether the known row holds a grant of this owner that every later writer has to respect.
+    fn is_ours(&self, inputs: &Inputs<'_>) -> bool {
+        let held = self.held(inputs.pool);
+        held.is_some_and(|grant| grant.epoch == inputs.epoch) && self.row.config >= self.lowered_by
     }
 
-    /// What may run in the pool now: the lesser of what is granted and of what is being written.
-    fn limit(&self, with: &Inputs<'_>, quota: Capacity) -> Capacity {
-        let held = self.held(with.pool).filter(|_| self.is_ours(with));
+    /// Returns what may run in the pool now: the lesser of the grant and of the one that is being written.
+    fn limit(&self, inputs: &Inputs<'_>, quota: Capacity) -> Capacity {
+        let held = self.held(inputs.pool).filter(|_| self.is_ours(inputs));
         let Some(held) = held else {
-            return limited(Capacity::default(), quota);
+            return lift_unlimited(Capacity::default(), quota);
         };
-        let all = sum(self.row.others(with.pool), held.capacity());
-        if !limited(quota, quota).contains(all) {
-            return limited(Capacity::default(), quota);
+        let all = sum(self.row.others(inputs.pool), held.capacity());
+        if !lift_unlimited(quota, quota).contains(all) {
+            return lift_unlimited(Capacity::default(), quota);
         }
         let pending = self.pending.as_ref();
-        let pending = pending.map(|pending| pending.row.grants.get(with.pool));
+        let pending = pending.map(|pending| pending.row.grants.get(inputs.pool));
         let room = match pending {
             None => held.capacity(),
             Some(after) => least(
@@ -447,7 +457,7 @@
                 after.map(Grant::capacity).unwrap_or_default(),
             ),
         };
-        limited(room, quota)
+        lift_unlimited(room, quota)
     }
 
     fn observe(&mut self, row: Option<StoredRow>, account: &str, ctx: &mut Ctx<'_>) {
@@ -466,7 +476,7 @@
     }
 }
 
-fn tell_granted(ledger: &Ledger, pool: &str, account: &str, ctx: &mut Ctx<'_>) {
+fn log_granted(ledger: &Ledger, pool: &str, account: &str, ctx: &mut Ctx<'_>) {
     let granted = ledger.held(pool).unwrap_or_default();
     let decision = Decision::new(Code::QuotaGranted, Subject::Pool, pool, account);
     ctx.log(
@@ -479,28 +489,28 @@
     );
 }
 
-/// Tells now and then that an account's tasks wait for its quota.
-fn tell_held(
+/// Logs that an account's tasks wait for its quota, at most once per `SURPLUS_KEPT_MS`.
+fn log_held(
     account: &AccountUse,
     ledger: &mut Ledger,
     limit: Capacity,
-    with: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    let is_told = ledger.logged_ms > 0 && ctx.now.ms < ledger.logged_ms + SURPLUS_KEPT_MS;
-    if is_told || ledger.pending.is_some() {
+    let is_logged = ledger.logged_ms > 0 && ctx.now.ms < ledger.logged_ms + SURPLUS_KEPT_MS;
+    if is_logged || ledger.pending.is_some() {
         return;
     }
     ledger.logged_ms = ctx.now.ms;
     ctx.log(
-        Decision::new(Code::QuotaHeld, Subject::Pool, with.pool, &*account.name)
-            .with("config", with.config.version)
+        Decision::new(Code::QuotaHeld, Subject::Pool, inputs.pool, &*account.name)
+            .with("config", inputs.config.version)
             .with("quota_cpu_milli", ledger.quota.cpu_milli)
             .with(
                 "granted_cpu_milli",
                 limit.cpu_milli.min(ledger.quota.cpu_milli),
             )
-            .with("others_cpu_milli", ledger.row.others(with.pool).cpu_milli)
+            .with("others_cpu_milli", ledger.row.others(inputs.pool).cpu_milli)
             .with("used_cpu_milli", account.used.cpu_milli)
             .with("waiting_cpu_milli", account.waiting.cpu_milli)
             .with("used_mem_mb", account.used.mem_mb)
@@ -517,7 +527,7 @@
     a
 }
 
-fn by_kind(a: Capacity, b: Capacity, of: impl Fn(u64, u64) -> u64) -> Capacity {
+fn combine(a: Capacity, b: Capacity, of: impl Fn(u64, u64) -> u64) -> Capacity {
     Capacity {
         cpu_milli: of(a.cpu_milli, b.cpu_milli),
         mem_mb: of(a.mem_mb, b.mem_mb),
@@ -526,28 +536,28 @@
 }
 
 fn minus(a: Capacity, b: Capacity) -> Capacity {
-    by_kind(a, b, u64::saturating_sub)
+    combine(a, b, u64::saturating_sub)
 }
 
 fn most(a: Capacity, b: Capacity) -> Capacity {
-    by_kind(a, b, u64::max)
+    combine(a, b, u64::max)
 }
 
 fn least(a: Capacity, b: Capacity) -> Capacity {
-    by_kind(a, b, u64::min)
+    combine(a, b, u64::min)
 }
 
-/// No limit on the kinds of which the quota names none.
-fn limited(room: Capacity, quota: Capacity) -> Capacity {
-    by_kind(room, quota, |room, quota| match quota {
+/// Replaces each kind of resource that the quota does not limit by no limit.
+fn lift_unlimited(room: Capacity, quota: Capacity) -> Capacity {
+    combine(room, quota, |room, quota| match quota {
         0 => u64::MAX,
         _ => room,
     })
 }
 
-/// What is asked for where so much is needed.
-fn with_room(need: Capacity, quota: Capacity) -> Capacity {
-    by_kind(need, quota, |need, quota| {
-        need * ROOM_PERCENT / 100 + quota / STEP_SHARE
+/// Returns the grant to request for a need: the need plus headroom.
+fn with_headroom(need: Capacity, quota: Capacity) -> Capacity {
+    combine(need, quota, |need, quota| {
+        need * HEADROOM_PERCENT / 100 + quota / STEP_DIVISOR
     })
 }
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -1,8 +1,9 @@
-//! Room for tasks that fit on no host beside what runs there, although there is enough of it in all: one host is
-//! reserved, and nothing else is placed there until the task fits.
+//! Reserves hosts for tasks that fit on no host although the pool has enough free capacity in all. Nothing else is
+//! placed on a reserved host until the task fits.
 //!
-//! Small tasks that come all the time are placed as soon as they fit somewhere, so that none of a pool's hosts need ever
-//! become empty by itself. Tasks that last are not moved: hosts on which they leave too little room are passed over.
+//! Small tasks that arrive all the time are placed as soon as they fit somewhere, so a host may never become empty
+//! by itself. Lasting tasks are not moved: a host on which they leave too little room is skipped. [`super::place`]
+//! calls `settle` before and `reserve` after each round of placement.
 
 use super::fragmentation::Fragmentation;
 use super::job::StepSpec;
@@ -18,25 +19,25 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::Capacity;
 
-/// A task that has waited so long gets a host reserved: by then one that was on offer is back.
+/// How long a task waits before a host is reserved for it: by then a host that was on offer is back.
 const WAIT_MS: Millis = 1_000;
 
-/// One open host of so many is reserved at a time, and one in a smaller pool.
+/// One host may be reserved at a time for each this many open hosts; a smaller pool may have one, too.
 const HOSTS_PER_RESERVATION: u64 = 32;
 
-/// A host whose tasks take longer than that to make room is not reserved.
+/// A host whose tasks take longer than this to make room is not reserved.
 const DRAIN_MAX_MS: Millis = 60_000;
 
-/// Most steps for which one look searches a host: a search walks over all hosts and their tasks.
+/// Most demands for which one pass finds no host before it ends: each search visits all hosts and their tasks.
 const SEARCHES_MAX: usize = 8;
 
-/// The hosts of a pool that are reserved.
+/// The reserved hosts of a pool.
 #[derive(Clone, Debug, Default)]
 pub struct Reservations {
-    held: Vec<Reservation>,
-    /// The host that was given up last for taking too long.
+    list: Vec<Reservation>,
+    /// The host whose reservation was last dropped for taking too long.
     avoided: Option<WorkerKey>,
-    next_look_ms: Millis,
+    next_pass_ms: Millis,
 }
 
 /// A host that is reserved for a task.
@@ -46,65 +47,73 @@
     task: TaskKey,
     since_ms: Millis,
     until_ms: Millis,
-    /// Up to when what it left idle is summed up.
+    /// The time up to which `idle` is counted.
     seen_ms: Millis,
-    /// Processors that it had free, times how long: thousandths of a core times milliseconds.
+    /// Free processors times how long they were free, in thousandths of a core times milliseconds.
     idle: u64,
 }
 
-/// What becomes of a reservation.
+/// What happens to a reservation in a pass.
 enum Outcome {
     Waits,
     Fits,
-    Over(&'static str),
-    TooLong,
+    Dropped(&'static str),
+    Overdue,
 }
 
 impl Reservations {
-    /// Whether a worker is reserved for another task than this one.
+    /// Whether a worker is reserved for another task than `task`.
     pub fn is_reserved_for_other(&self, worker: WorkerKey, task: TaskKey) -> bool {
-        let mut held = self.held.iter();
-        held.any(|r| r.worker == worker && r.task != task)
+        let mut list = self.list.iter();
+        list.any(|r| r.worker == worker && r.task != task)
     }
 
     /// Whether a worker is reserved for some task.
     pub fn has(&self, worker: WorkerKey) -> bool {
-        self.held.iter().any(|r| r.worker == worker)
+        self.list.iter().any(|r| r.worker == worker)
     }
 
     /// Whether no worker is reserved.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.list.is_empty()
     }
 
     fn is_for(&self, task: TaskKey) -> bool {
-        self.held.iter().any(|r| r.task == task)
+        self.list.iter().any(|r| r.task == task)
     }
 }
 
-/// Places tasks on the hosts that are reserved for them as soon as they fit, and gives up hosts that are of no use.
+/// Places tasks on the hosts that are reserved for them as soon as they fit, and drops reservations that are of no
+/// more use.
 pub(super) fn settle(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     if pool_state.reserved.is_empty() {
         return;
     }
     let now_ms = ctx.now.ms;
-    for mut held in std::mem::take(&mut pool_state.reserved.held) {
-        held.note_idle(pool_state, now_ms);
-        match held.outcome(pool_state, now_ms) {
-            Outcome::Waits => pool_state.reserved.held.push(held),
+    for mut reservation in std::mem::take(&mut pool_state.reserved.list) {
+        reservation.add_idle(pool_state, now_ms);
+        match reservation.outcome(pool_state, now_ms) {
+            Outcome::Waits => pool_state.reserved.list.push(reservation),
             Outcome::Fits => {
-                held.log(pool_state, Code::ReservationUsed, "the task fits", ctx);
-                place::assign(pool_state, held.task, held.worker, ctx);
+                reservation.log(
+                    pool_state,
+                    Code::ReservationUsed,
+                    "the task fits on the reserved host",
+                    ctx,
+                );
+                place::assign(pool_state, reservation.task, reservation.worker, ctx);
             }
-            Outcome::Over(why) => held.log(pool_state, Code::ReservationDropped, why, ctx),
-            Outcome::TooLong => {
-                held.log(
+            Outcome::Dropped(why) => {
+                reservation.log(pool_state, Code::ReservationDropped, why, ctx)
+            }
+            Outcome::Overdue => {
+                reservation.log(
                     pool_state,
                     Code::ReservationDropped,
                     "it takes too long",
                     ctx,
                 );
-                pool_state.reserved.avoided = Some(held.worker);
+                pool_state.reserved.avoided = Some(reservation.worker);
             }
         }
     }
@@ -113,37 +122,39 @@
 /// Reserves hosts for tasks that have waited long enough, in the order of waiting tasks.
 pub(super) fn reserve(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     let now_ms = ctx.now.ms;
-    if pool_state.ready.is_empty() || now_ms < pool_state.reserved.next_look_ms {
+    if pool_state.ready.is_empty() || now_ms < pool_state.reserved.next_pass_ms {
         return;
     }
-    pool_state.reserved.next_look_ms = now_ms + RESORT_MS;
+    pool_state.reserved.next_pass_ms = now_ms + RESORT_MS;
     let waiting = waiting_long(pool_state, now_ms);
     if waiting.is_empty() {
         return;
     }
     let fragmentation = Fragmentation::of(pool_state, now_ms);
-    let most = (fragmentation.hosts / HOSTS_PER_RESERVATION).max(1);
-    let mut in_vain: Vec<Capacity> = Vec::new();
+    let reservations_max = (fragmentation.hosts / HOSTS_PER_RESERVATION).max(1);
+    let mut not_found: Vec<Capacity> = Vec::new();
     for rank in waiting {
-        if pool_state.reserved.held.len() as u64 >= most || in_vain.len() >= SEARCHES_MAX {
+        if pool_state.reserved.list.len() as u64 >= reservations_max
+            || not_found.len() >= SEARCHES_MAX
+        {
             return;
         }
         let Some(spec) = pool_state.step_spec(rank.task) else {
             continue;
         };
         let demand = spec.demand();
-        let is_known = in_vain.iter().any(|d| demand.contains(*d));
+        let is_known = not_found.iter().any(|d| demand.contains(*d));
         if is_known || !fragmentation.is_split(pool_state, rank.class, demand) {
             continue;
         }
         match Search::new(pool_state, rank.task, spec, now_ms).best() {
-            Some(host) => hold(pool_state, rank, host, ctx),
-            None => in_vain.push(demand),
+            Some(host) => reserve_host(pool_state, rank, host, ctx),
+            None => not_found.push(demand),
         }
     }
 }
 
-/// Tasks that may start, have waited for long and have no host reserved.
+/// Returns the tasks that may start, have waited for [`WAIT_MS`] and have no host reserved.
 fn waiting_long(pool_state: &PoolState, now_ms: Millis) -> Vec<Rank> {
     let waits_long = |rank: &&Rank| {
         let (Some(task), Some(spec)) =
@@ -162,10 +173,10 @@
     waiting.copied().collect()
 }
 
-fn hold(pool_state: &mut PoolState, rank: Rank, host: Candidate, ctx: &mut Ctx<'_>) {
+fn reserve_host(pool_state: &mut PoolState, rank: Rank, host: Candidate, ctx: &mut Ctx<'_>) {
     let now_ms = ctx.now.ms;
     let drain_ms = host.free_ms.saturating_sub(now_ms);
-    let held = Reservation {
+    let reservation = Reservation {
         worker: host.worker,
         task: rank.task,
         since_ms: now_ms,
@@ -173,18 +184,18 @@
         seen_ms: now_ms,
         idle: 0,
     };
-    pool_state.reserved.held.push(held);
+    pool_state.reserved.list.push(reservation);
     pool_state.reserved.avoided = None;
-    held.log(
+    reservation.log(
         pool_state,
         Code::HostReserved,
-        "no host has room for it",
+        "no host has room for the task",
         ctx,
     );
 }
 
 impl Reservation {
-    fn note_idle(&mut self, pool_state: &PoolState, now_ms: Millis) {
+    fn add_idle(&mut self, pool_state: &PoolState, now_ms: Millis) {
         let free = pool_state.workers.get(self.worker).map(Worker::free);
         let free_milli = free.map_or(0, |free| free.cpu_milli);
         self.idle += free_milli * now_ms.saturating_sub(self.seen_ms);
@@ -194,37 +205,39 @@
     fn outcome(&self, pool_state: &PoolState, now_ms: Millis) -> Outcome {
         let waits = |t: &Task| t.phase == Phase::Ready;
         let Some(spec) = pool_state.step_spec(self.task) else {
-            return Outcome::Over("its job is gone");
+            return Outcome::Dropped("its job no longer exists");
         };
         if !pool_state.task(self.task).is_some_and(waits) {
-            return Outcome::Over("the task waits no more");
+            return Outcome::Dropped("the task is no longer waiting");
         }
         let worker = pool_state.workers.get(self.worker);
         let Some(worker) = worker.filter(|w| w.is_open(now_ms)) else {
-            return Outcome::Over("its host takes no work");
+            return Outcome::Dropped("its host takes no work");
         };
         let is_barred =
             is_held(pool_state, self.task, now_ms) || runs::is_exhausted(pool_state, self.task);
         if is_barred || !pool_state.is_within_quota(self.task, 1) {
-            return Outcome::Over("the task may not start");
+            return Outcome::Dropped(
+                "the task may not start now: quota, attempts or a pause before its next start",
+            );
         }
         let demand = spec.demand();
         if worker.fits(demand) {
             return Outcome::Fits;
         }
         if free_ms(pool_state, worker, demand, now_ms).is_none() {
-            return Outcome::Over("its host will not have the room");
+            return Outcome::Dropped("its host will not have the room");
         }
         match now_ms < self.until_ms {
             true => Outcome::Waits,
-            false => Outcome::TooLong,
+            false => Outcome::Overdue,
         }
     }
 
     fn log(&self, pool_state: &PoolState, code: Code, why: &'static str, ctx: &mut Ctx<'_>) {
         let id = pool_state.jobs.get(self.task.job).map_or("", |job| &job.id);
         let demand = pool_state.step_spec(self.task).map(StepSpec::demand);
-        let mut told = Decision::new(code, Subject::Job, id, why)
+        let mut decision = Decision::new(code, Subject::Job, id, why)
             .with("round", u64::from(self.task.round))
             .with("step", u64::from(self.task.step))
             .with("task", u64::from(self.task.index))
@@ -233,12 +246,12 @@
             .with("most_ms", self.until_ms.saturating_sub(self.since_ms))
             .with("idle_core_ms", self.idle / 1_000);
         if let Some(worker) = pool_state.workers.get(self.worker) {
-            told = told
+            decision = decision
                 .naming("worker", &*worker.fact.id)
                 .naming("on", &*worker.fact.host)
                 .with("used_cpu_milli", worker.used.cpu_milli);
         }
-        ctx.log(told);
+        ctx.log(decision);
     }
 }
 
@@ -250,7 +263,7 @@
     free_ms: Millis,
 }
 
-/// A look for the host to be reserved for a task.
+/// A search for the host to reserve for a task.
 struct Search<'a> {
     pool_state: &'a PoolState,
     key: TaskKey,
@@ -268,7 +281,8 @@
         }
     }
 
-    /// The host on which the task fits soonest; hosts without a task that lasts go first.
+    /// Returns the host on which the task fits soonest. Hosts without a lasting task come first, and the host that
+    /// was dropped last comes last.
     fn best(&self) -> Option<Candidate> {
         let workers = self.pool_state.workers.iter();
         let hosts = workers.filter_map(|(key, worker)| {
@@ -290,7 +304,7 @@
         let failed_there = |t: &Task| t.failed_on == Some(key);
         let may_take = worker.is_open(self.now_ms)
             && !self.pool_state.reserved.has(key)
-            && place::suits(self.pool_state, self.key, self.spec, key)
+            && place::meets_constraints(self.pool_state, self.key, self.spec, key)
             && !self.pool_state.task(self.key).is_some_and(failed_there);
         if !may_take {
             return None;
@@ -300,13 +314,14 @@
     }
 }
 
-/// Whether a task that lasts is to wait before its next start.
+/// Whether a lasting task has to wait before its next start.
 fn is_held(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
     let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
     lasts && pool_state.is_held(key, now_ms)
 }
 
-/// When `demand` is expected to fit on a worker that gets nothing new; never, where what stays is too much.
+/// Returns when `demand` is expected to fit on a worker that gets no new task, or `None` if lasting tasks take too
+/// much of it.
 fn free_ms(
     pool_state: &PoolState,
     worker: &Worker,
@@ -342,8 +357,8 @@
     }
 }
 
-/// When a task's run is expected to end; never, where it lasts. One that is past its time takes half as long again, for
-/// all that is known.
+/// Returns when a task's run is expected to end, or `None` for a lasting task. A run that is past its expected end
+/// is assumed to take half of its time so far in addition.
 fn end_ms(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> Option<Millis> {
     let job = pool_state.jobs.get(key.job)?;
     let step = usize::from(key.step);
--- a/src/core/sched/routing.rs
+++ b/src/core/sched/routing.rs
@@ -1,8 +1,9 @@
-//! Which queue a call is for and whose key it carries: indexes that are built once a configuration.
+//! Finds the queue that a request is for and the account whose key it carries, by indexes that are built once per
+//! configuration.
 //!
-//! A configuration may hold 1,500 queues and an entry has an eighth of a core: a walk over all of them took 7.3 us for
-//! each call (0.05 at ten), the two indexes together take 0.52 (0.35), and 1.1 ms to build (`cargo bench --bench
-//! decisions`, medians on a whole core).
+//! A configuration may hold 1,500 queues and an entry has an eighth of a core: a scan of all queues took 7.3 us per
+//! request (0.05 with ten queues). The two indexes together take 0.52 us (0.35), and 1.1 ms to build (`cargo bench
+//! --bench decisions`, medians on a whole core).
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +11,7 @@
 use crate::auth::TokenHash;
 use crate::port::fleet::{AccountConfig, FleetConfig, QueueConfig};
 
-/// A configuration as calls are answered by it.
+/// A configuration with its indexes for requests.
 #[derive(Clone, Debug, Default)]
 pub struct Routing {
     /// The configuration.
@@ -23,9 +24,9 @@
 /// The queues of one host name.
 #[derive(Clone, Debug, Default)]
 struct Prefixes {
-    /// Names of queues by the beginning of the path.
+    /// Names of queues by path prefix.
     queues: HashMap<String, String>,
-    /// Lengths of those beginnings, the longest first.
+    /// Lengths of the path prefixes, the longest first.
     lengths: Vec<usize>,
 }
 
@@ -63,13 +64,13 @@
         }
     }
 
-    /// The queue that a host name and a path choose: the longest beginning wins.
+    /// Returns the queue for a host name and a path: the longest path prefix wins.
     pub fn queue(&self, host: &str, path: &str) -> Option<&QueueConfig> {
         let name = self.hosts.get(host)?.longest(path)?;
         self.config.queues.get(name)
     }
 
-    /// The account that a key belongs to.
+    /// Returns the account that a key belongs to.
     pub fn account(&self, key: &str) -> Option<&AccountConfig> {
         let name = self.accounts.get(&TokenHash::of(key))?;
         self.config.accounts.get(name)
--- a/src/core/sched/times.rs
+++ b/src/core/sched/times.rs
@@ -1,8 +1,9 @@
-//! How long steps really take, learned by queue: callers' estimates of a queue's jobs are far off, the jobs
-//! themselves are alike.
+//! Learns how long steps really take, by queue: callers' estimates are far off, but the jobs of one queue are
+//! alike.
 //!
-//! Times and errors are taken as log-normal, since both are ratios. A job's expected time weighs its own
-//! estimate against what the queue's steps took, each by how little it scatters.
+//! Durations and errors of estimates are treated as log-normal, since both are ratios. A job's expected time
+//! combines its own estimate with the queue's durations, each weighted by the inverse of its variance. The owner of
+//! a pool stores the result with its heartbeat.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +12,16 @@
 use super::job::JobSpec;
 use crate::clock::Millis;
 
-/// Steps of a queue that must have ended before what was learned counts.
+/// Steps of a queue that must have ended before the learned times are used.
 const SAMPLES_MIN: u32 = 12;
 
-/// Newer steps replace older ones: the average runs over about so many.
+/// Number of recent steps that the running average covers.
 const SAMPLES_KEPT: u32 = 200;
 
-/// Least variance that is believed of either, against a weight without bound.
+/// Lower bound of both variances, so that no weight grows without bound.
 const VARIANCE_MIN: f64 = 0.01;
 
-/// The times of all queues of a pool.
+/// Learned step durations of all queues of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Times {
@@ -43,9 +44,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct QueueTimes {
     samples: u32,
-    /// Logarithm of what steps took, in milliseconds.
+    /// Logarithm of the steps' durations in milliseconds.
     took: Spread,
-    /// Logarithm of the estimate over what the step took.
+    /// Logarithm of the estimate divided by the step's duration.
     error: Spread,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl Times {
-    /// Notes that a step with such an estimate took so long, by its longest task.
+    /// Records that a step with this estimate took `took_ms`, which is the time of its longest task.
     pub fn note(&mut self, queue: &str, estimate_ms: Millis, took_ms: Millis) {
         let times = match self.by_queue.get_mut(queue) {
             Some(times) => times,
@@ -76,7 +77,7 @@
         times.error.note(estimate - took, times.samples);
     }
 
-    /// How long the steps of a job are expected to take.
+    /// Returns how long the steps of a job are expected to take.
     pub fn expect(&self, spec: &JobSpec) -> Vec<Millis> {
         let times = self.by_queue.get(&spec.queue);
         let expected = spec.steps.iter().map(|step| match times {
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -1,9 +1,9 @@
-//! Waves of upkeep: every host of a list goes out once, with at most so many out at a time.
+//! Runs waves of maintenance: every host of a list goes down once, with a limited number down at a time.
 //!
-//! The owner of a host's pool takes it through: no new work goes there, short tasks end, lasting tasks
-//! move as far as their steps allow, then a slot of the wave is taken by a conditional row. Whoever orders
-//! hosts ([`super::hosts`]) sees the slot and sends the order. A wave spans pools; its row counts the
-//! slots for all of them.
+//! The owner of a host's pool takes the host through its turn: it gets no new work, short tasks end, lasting tasks
+//! move as far as their steps allow, and then a slot of the wave is taken by a conditional write. The entry that
+//! orders hosts ([`super::hosts`]) sees the slot and sends the order. A wave spans pools; its row counts the slots
+//! of all of them.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -22,59 +22,59 @@
     Guard, HostRecord, HostState, Revision, RowTx, StoredRow, Table, TxOutcome, WaveState, Write,
 };
 
-/// How often a wave is looked at.
+/// How often waves are reconciled.
 pub const RECONCILE_MS: Millis = 150;
 
 /// How often the list of hosts is read while a wave runs.
-const HOSTS_MS: Millis = 700;
+const LIST_MS: Millis = 700;
 
-/// The same while a host is out: only the list tells that it is back.
-const HOSTS_AWAY_MS: Millis = 300;
+/// How often the list is read while a host is down: only the list shows that the host is back.
+const LIST_AWAY_MS: Millis = 300;
 
-/// What a host's turn takes: closing, upkeep, the list's lag. From runs on the users' sites.
+/// Expected duration of a host's turn on the users' sites: closing, maintenance and the list's lag.
 pub(super) const TURN_MS: Millis = 6_500;
 
-/// Share of a wave's time that is planned with, so that a late host is still in time.
-const TIME_PERCENT: u64 = 75;
+/// Percentage of a wave's duration that is planned with, so that a late host is still in time.
+const PLANNED_PERCENT: u64 = 75;
 
-/// At most one in so many of a pool's hosts is closing or out at a time: the others carry its work.
-const POOL_PART: usize = 3;
+/// At most one in this many of a pool's hosts is closing or down at a time: the others carry its work.
+const POOL_DIVISOR: usize = 3;
 
-/// How long short tasks may keep a host that is to go.
-const CLOSE_MS: Millis = 3_000;
+/// How long a closing host waits for its short tasks to end before they are stopped.
+const SHORT_TASK_WAIT_MS: Millis = 3_000;
 
-/// A host that could not be cleared by then serves its pool again.
+/// A closing host that is not cleared after this time serves its pool again.
 const CLOSE_MAX_MS: Millis = 6_000;
 
-/// For so long at least.
-const REOPENED_MS: Millis = 3_000;
+/// Least time that a reopened host serves before its turn may begin again.
+const REOPENED_MIN_MS: Millis = 3_000;
 
-/// An account older than that tells nothing of what is at work; holds come back every second.
-const HEARD_MS: Millis = 1_500;
+/// Greatest age of a worker's report that counts for what is at work; renewals are answered every second.
+const REPORT_MAX_AGE_MS: Millis = 1_500;
 
-/// Where a host's turn stands.
+/// State of a host's turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// It gets nothing new; since then.
+    /// The host has got no new tasks since this time.
     Closing(Millis),
-    /// It holds a slot, and waits for the order.
+    /// The host holds a slot and waits for the order.
     Holding,
-    /// It was ordered out, as is known since then.
+    /// The host was ordered down; this owner learned it at this time.
     Away(Millis),
 }
 
-/// A change of a wave's row that is out.
+/// A change of a wave's row that is being written.
 #[derive(Clone, Debug)]
 pub struct Pending {
     wave: u64,
-    /// The revision that it asks for.
+    /// The revision that the write is conditional on.
     after: Revision,
     row: WaveRow,
     host: String,
     is_take: bool,
 }
 
-/// What an owner does for waves.
+/// State of a pool's owner about waves.
 #[derive(Clone, Debug, Default)]
 pub struct WaveController {
     pub(super) turns: BTreeMap<String, (u64, Turn)>,
@@ -82,18 +82,18 @@
     /// Hosts whose turn was broken off, and when it may begin again.
     reopened: BTreeMap<String, Millis>,
     pub(super) hosts: HostList,
-    /// Since when nothing changed in waves.
+    /// When each wave last made progress.
     pub(super) waits: Waits,
 }
 
 impl WaveController {
-    /// Whether a change of a wave's row is out.
-    pub(super) fn is_settling(&self) -> bool {
+    /// Whether a change of a wave's row is being written.
+    pub(super) fn is_writing(&self) -> bool {
         self.pending.is_some()
     }
 }
 
-/// Looks at all waves that are not done.
+/// Reconciles all waves that are not done, and sets the timer for the next pass.
 pub fn reconcile(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
@@ -120,7 +120,7 @@
             continue;
         }
         let due = due_hosts(wave);
-        recover(pool_state, controller, wave, pool);
+        resume_slots(pool_state, controller, wave, pool);
         mark_due(pool_state, &due);
         advance(pool_state, controller, wave, pool, epoch, ctx);
         begin_turns(pool_state, controller, wave, &due, pool, ctx);
@@ -131,8 +131,8 @@
     }
     let is_away = |(_, turn): &(u64, Turn)| matches!(turn, Turn::Away(_));
     let pause_ms = match controller.turns.values().any(is_away) {
-        true => HOSTS_AWAY_MS,
-        false => HOSTS_MS,
+        true => LIST_AWAY_MS,
+        false => LIST_MS,
     };
     if controller.hosts.start_read_if_due(ctx.now.ms, pause_ms) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, epoch));
@@ -140,7 +140,8 @@
     ctx.after(RECONCILE_MS, Timer::Wave);
 }
 
-/// Opens hosts whose turn in a wave is left when that is done: they left the fleet meanwhile, and may come back.
+/// Opens the hosts that still have a turn in a wave that is done: they left the fleet during their turn, and may
+/// come back.
 fn end_turns(pool_state: &mut PoolState, controller: &mut WaveController, wave: u64) {
     let left = controller
         .turns
@@ -153,7 +154,7 @@
     }
 }
 
-/// Hosts of a wave that are not back yet.
+/// Returns the hosts of a wave that are not back yet.
 fn due_hosts(wave: &WaveKnown) -> BTreeSet<&str> {
     let back: HashSet<&str> = wave.row.back.iter().map(String::as_str).collect();
     let hosts = wave.order.hosts.iter().map(String::as_str);
@@ -162,7 +163,7 @@
 
 /// Whether every host that still exists is back.
 fn is_complete(wave: &WaveKnown, due: &BTreeSet<&str>, controller: &WaveController) -> bool {
-    // A list that is older than the wave lacks hosts that came since.
+    // A list that is older than the wave lacks hosts that were added since.
     let is_newer = controller.hosts.asked_ms() > wave.seen_ms;
     let is_gone = |host: &&str| {
         let is_listed =
@@ -172,9 +173,10 @@
     due.iter().all(is_gone)
 }
 
-/// Slots that this pool's former owner took, or this one without an answer. Their hosts are about to be ordered out and get
-/// nothing new: what lasts would be ended there beside what this owner moves elsewhere.
-fn recover(
+/// Resumes the turns of slots that this pool's former owner took, or this owner without an answer. Their hosts are
+/// about to be ordered down and get no new work: lasting tasks placed there would be ended in addition to those
+/// that this owner moves elsewhere.
+fn resume_slots(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
     wave: &WaveKnown,
@@ -194,7 +196,7 @@
     }
 }
 
-/// Closes the hosts that are on their way out in books that were just read.
+/// Closes the hosts that are about to leave in a pool state that was just read.
 pub(super) fn close_leaving(pool_state: &mut PoolState, controller: &WaveController) {
     let asked = controller
         .pending
@@ -237,12 +239,18 @@
                 controller.turns.remove(&host);
                 pool_state.set_closing(&host, false);
             }
-            // A former owner, or the next one, took it through.
+            // A former owner, or the next one, took the host through.
             Turn::Closing(_) if wave.row.back.contains(&host) => {
-                reopen(pool_state, controller, &host, "it has been through", ctx);
+                reopen(
+                    pool_state,
+                    controller,
+                    &host,
+                    "the host has already been through the wave",
+                    ctx,
+                );
             }
             Turn::Closing(since_ms) => {
-                if clear(pool_state, &host, since_ms, epoch, ctx) {
+                if clear_host(pool_state, &host, since_ms, epoch, ctx) {
                     if take_slot(controller, wave, &host, (pool, epoch), ctx) {
                         pool_state.set_going(&host);
                     }
@@ -251,19 +259,19 @@
                         pool_state,
                         controller,
                         &host,
-                        "what lasts there could not move, or its ends are not on record",
+                        "its lasting tasks could not move, or its ended runs are not recorded yet",
                         ctx,
                     );
                 }
             }
-            Turn::Holding => go_out(pool_state, controller, wave, &host, ctx),
-            Turn::Away(since_ms) => give_back(controller, wave, &host, since_ms, epoch, ctx),
+            Turn::Holding => advance_holding(pool_state, controller, wave, &host, ctx),
+            Turn::Away(since_ms) => return_slot(controller, wave, &host, since_ms, epoch, ctx),
         }
     }
 }
 
-/// Moves what lasts and waits for the rest; says whether the host may go.
-fn clear(
+/// Moves lasting tasks away and waits for the others to end. Returns whether the host may go down.
+fn clear_host(
     pool_state: &mut PoolState,
     host: &str,
     since_ms: Millis,
@@ -271,18 +279,18 @@
     ctx: &mut Ctx<'_>,
 ) -> bool {
     let Some(worker) = pool_state.worker_on(host) else {
-        // A life that left the list may serve on for seconds, and what it carries would end with it.
+        // A worker instance that left the list may run on for seconds, and its tasks would end with the host.
         return pool_state
             .instances_on(host)
-            .all(|(life, _)| pool_state.is_clear(life));
+            .all(|(instance, _)| pool_state.is_clear(instance));
     };
     let tasks: Vec<TaskKey> = pool_state.workers[worker].tasks.iter().copied().collect();
-    let is_patient = ctx.now.ms < since_ms + CLOSE_MS;
+    let may_wait = ctx.now.ms < since_ms + SHORT_TASK_WAIT_MS;
     let mut lasting_left = 0;
     for key in &tasks {
         if !pool_state.step_spec(*key).is_some_and(|s| s.lasting) {
-            if !is_patient {
-                stop_short(pool_state, *key, epoch, ctx);
+            if !may_wait {
+                stop_short_task(pool_state, *key, epoch, ctx);
             }
             continue;
         }
@@ -290,32 +298,33 @@
         let is_running = pool_state
             .task(*key)
             .is_some_and(|t| matches!(t.phase, Phase::Running(_)));
-        if is_running && may_miss(pool_state, *key, ctx.now.ms) {
+        if is_running && may_stop_lasting(pool_state, *key, ctx.now.ms) {
             runs::stop(pool_state, *key, epoch, ctx);
         }
     }
     lasting_left == 0 && pool_state.is_clear(worker)
 }
 
-/// Stops a task that ends by itself, but not in time. Left at work as its host went, it could be done behind its owner's back:
-/// 32 of 40 such tasks were started again by the next one.
-fn stop_short(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
+/// Stops a short task that does not end in time. If it were left at work while its host goes down, it could finish
+/// without its owner's knowledge: 32 of 40 such tasks were started again by the next owner.
+fn stop_short_task(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
     let phase = pool_state.task(key).map(|task| task.phase);
     if matches!(phase, Some(Phase::Starting(_) | Phase::Running(_))) {
         runs::stop(pool_state, key, epoch, ctx);
     }
 }
 
-/// Whether everything that lasts on a worker could go elsewhere now.
+/// Whether all lasting tasks on a worker could be placed elsewhere now.
 pub(super) fn can_clear(pool_state: &PoolState, worker: WorkerKey, now_ms: Millis) -> bool {
     let tasks = pool_state.workers[worker].tasks.iter();
     let mut lasting = tasks.filter(|key| pool_state.step_spec(**key).is_some_and(|s| s.lasting));
     lasting.all(|key| {
-        may_miss(pool_state, *key, now_ms) && place::has_other(pool_state, *key, worker, now_ms)
+        may_stop_lasting(pool_state, *key, now_ms)
+            && place::has_other(pool_state, *key, worker, now_ms)
     })
 }
 
-/// Gives a host back to its pool for a while.
+/// Breaks off a host's turn and gives the host back to its pool for a while.
 fn reopen(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
@@ -324,14 +333,14 @@
     ctx: &mut Ctx<'_>,
 ) {
     controller.turns.remove(host);
-    let again_ms = ctx.now.ms + REOPENED_MS;
+    let again_ms = ctx.now.ms + REOPENED_MIN_MS;
     controller.reopened.insert(host.to_string(), again_ms);
     pool_state.set_closing(host, false);
     ctx.log(Decision::new(Code::HostReopened, Subject::Host, host, why));
 }
 
-/// Whether the system may take a lasting task away now: few enough of its step are away already.
-pub fn may_miss(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
+/// Whether a lasting task may be stopped now: few enough tasks of its step are not at work.
+pub fn may_stop_lasting(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
     let Some(spec) = pool_state.step_spec(key) else {
         return false;
     };
@@ -347,16 +356,16 @@
     away.count() < most
 }
 
-/// Whether a task is at work, by an account that is not old.
+/// Whether a task is at work according to a recent report of its worker.
 fn is_at_work(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
     let Some(task) = pool_state.task(key).filter(|t| t.is_at_work) else {
         return false;
     };
     let worker = task.phase.worker().and_then(|w| pool_state.workers.get(w));
-    worker.is_some_and(|w| w.answers && now_ms < w.heard_ms + HEARD_MS)
+    worker.is_some_and(|w| w.answers && now_ms < w.heard_ms + REPORT_MAX_AGE_MS)
 }
 
-/// The transaction that changes a wave's row, if nobody else changed it.
+/// Returns the transaction that changes a wave's row, on condition that nobody else has changed it.
 pub(super) fn row_tx(wave: &WaveKnown, row: &WaveRow) -> RowTx {
     let key = wave.order.wave.to_string();
     RowTx {
@@ -394,7 +403,7 @@
     ctx.out.push(Effect::SettleWave(ctx.pool, epoch, tx));
 }
 
-/// Asks for a slot of a wave; says whether that went out.
+/// Requests a slot of a wave. Returns whether the request was sent.
 fn take_slot(
     controller: &mut WaveController,
     wave: &WaveKnown,
@@ -422,9 +431,9 @@
     true
 }
 
-/// Gives the slot of a host back that is up again by a list that was asked for after its order was accepted. A
-/// new life alone proves nothing: it may have come of a crash, with the upkeep still to follow.
-fn give_back(
+/// Returns the slot of a host that is up again according to a list that was requested after its order was accepted.
+/// A new worker instance alone proves nothing: it may follow a crash, with the maintenance still to come.
+fn return_slot(
     controller: &mut WaveController,
     wave: &WaveKnown,
     host: &str,
@@ -445,14 +454,14 @@
     settle(controller, wave, row, host, false, epoch, ctx);
 }
 
-/// Whether a host is still this pool's.
+/// Whether a host still belongs to this pool.
 fn has_host(pool_state: &PoolState, controller: &WaveController, host: &str, pool: &str) -> bool {
     let record = controller.hosts.get(host);
     pool_state.worker_on(host).is_some() || record.is_none_or(|h| h.pool == pool)
 }
 
-/// Takes note that the host of a slot was ordered out, or that its slot was given up for it.
-fn go_out(
+/// Advances the turn of a host that holds a slot: once it was ordered down, or if its slot was given up.
+fn advance_holding(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
     wave: &WaveKnown,
@@ -460,14 +469,14 @@
     ctx: &mut Ctx<'_>,
 ) {
     let Some(slot) = wave.row.out.get(host) else {
-        let why = "its slot was given up";
+        let why = "the host's slot in the wave was given up";
         reopen(pool_state, controller, host, why, ctx);
         return;
     };
     if !slot.is_ordered {
         return;
     }
-    // The life that was there is over; the next one is open once its slot was given back, or at once.
+    // The worker instance on the host has ended. The next one is open at once, or once its slot was returned.
     pool_state.closing.remove(host);
     pool_state.going.remove(host);
     let turn = Turn::Away(ctx.now.ms);
@@ -476,7 +485,8 @@
         .insert(host.to_string(), (wave.order.wave, turn));
 }
 
-/// Takes in what became of a change of a wave's row; books that are being read close and open hosts by its row later.
+/// Applies the outcome of a change of a wave's row. A pool state that is still being read closes and opens hosts by
+/// the row later.
 pub fn settled(
     pool_state: Option<&mut PoolState>,
     controller: &mut WaveController,
@@ -499,7 +509,7 @@
             for (_, row) in found {
                 observe(wave, &row, ctx);
             }
-            // An earlier sending of ours may have taken effect.
+            // An earlier attempt of ours may have taken effect.
             wave.row == pending.row
         }
         TxOutcome::Refused | TxOutcome::Unknown => false,
@@ -531,7 +541,7 @@
     }
 }
 
-/// Takes in a wave's row as read, or as a conflict found it.
+/// Applies a wave's row that was read or that a conflict returned.
 pub fn observe(wave: &mut WaveKnown, row: &StoredRow, ctx: &mut Ctx<'_>) {
     let Some(value) = &row.value else { return };
     match rows::decode(value) {
@@ -540,12 +550,12 @@
     }
 }
 
-/// Takes in the list of hosts.
+/// Applies the list of hosts as it was read.
 pub fn hosts_read(controller: &mut WaveController, hosts: Vec<HostRecord>) {
     controller.hosts.replace(hosts);
 }
 
-/// Closes as many hosts as the wave's time asks for.
+/// Begins the turns of as many hosts as the wave needs to be done in time.
 fn begin_turns(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
@@ -562,8 +572,8 @@
         .count();
     let left = candidates.len() + in_turn;
     let listed = pool_state.workers.values().filter(|w| w.is_listed).count();
-    let most = (listed / POOL_PART).max(1);
-    let allowed = side_by_side(wave, left, ctx.now.ms).min(most);
+    let most = (listed / POOL_DIVISOR).max(1);
+    let allowed = turns_at_once(wave, left, ctx.now.ms).min(most);
     for (host, _) in candidates.into_iter().take(allowed.saturating_sub(in_turn)) {
         pool_state.set_closing(&host, true);
         let turn = Turn::Closing(ctx.now.ms);
@@ -576,9 +586,9 @@
     }
 }
 
-/// How many hosts of a pool take their turns at a time, so that all are through in time.
-fn side_by_side(wave: &WaveKnown, left: usize, now_ms: Millis) -> usize {
-    let planned_ms = wave.order.duration_ms * TIME_PERCENT / 100;
+/// Returns how many hosts of a pool take their turns at a time so that all are done in time.
+fn turns_at_once(wave: &WaveKnown, left: usize, now_ms: Millis) -> usize {
+    let planned_ms = wave.order.duration_ms * PLANNED_PERCENT / 100;
     let left_ms = (wave.seen_ms + planned_ms)
         .saturating_sub(now_ms)
         .max(TURN_MS);
@@ -586,7 +596,7 @@
     at_a_time.clamp(1, wave.order.out_max)
 }
 
-/// Hosts of the pool whose turn may begin, those with the least work first.
+/// Returns the hosts of the pool whose turn may begin and their work, those with the least work first.
 fn candidates(
     pool_state: &PoolState,
     controller: &WaveController,
--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -1,4 +1,6 @@
-//! What a wave waits for, told where none of its hosts goes a step on for too long.
+//! Logs what a wave waits for when none of its hosts has made progress for too long.
+//!
+//! [`super::wave`] calls `log` in each pass over a wave.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,19 +11,20 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::HostState;
 
-/// A wave in which nothing changed for so long waits: one turn that was broken off, and another.
-const WAITS_MS: Millis = 2 * TURN_MS;
+/// How long a wave makes no progress before that is logged: the time of one turn that was broken off and of
+/// another.
+const STALLED_MS: Millis = 2 * TURN_MS;
 
-/// It is told again after so long.
-const AGAIN_MS: Millis = 60_000;
+/// Pause before the same wait is logged again.
+const REPEAT_LOG_MS: Millis = 60_000;
 
-/// Hosts that are told of at a time.
-const HOSTS_TOLD: usize = 4;
+/// Most hosts that are logged at a time.
+const HOSTS_LOGGED_MAX: usize = 4;
 
-/// Slots that were taken, hosts that were ordered out, hosts that are back.
+/// Numbers of slots that are taken, of hosts that were ordered down and of hosts that are back.
 type Steps = (usize, usize, usize);
 
-/// What is known of a wave's progress.
+/// A wave's progress, and since when it has not changed.
 #[derive(Clone, Copy, Debug, Default)]
 struct Wait {
     steps: Steps,
@@ -29,12 +32,12 @@
     logged_ms: Option<Millis>,
 }
 
-/// Waves that are not done, and since when nothing changed in each.
+/// Progress of waves by number.
 #[derive(Clone, Debug, Default)]
 pub struct Waits(BTreeMap<u64, Wait>);
 
 impl Waits {
-    /// Takes note of a wave as it is now; says since when it waits, if that is to be told.
+    /// Records a wave's progress. Returns since when the wave waits, if that is to be logged now.
     fn note(&mut self, wave: &WaveKnown, now_ms: Millis) -> Option<Millis> {
         let steps = steps(wave);
         let fresh = Wait {
@@ -48,7 +51,9 @@
         }
         let due_ms = wait
             .logged_ms
-            .map_or(wait.since_ms + WAITS_MS, |logged_ms| logged_ms + AGAIN_MS);
+            .map_or(wait.since_ms + STALLED_MS, |logged_ms| {
+                logged_ms + REPEAT_LOG_MS
+            });
         if now_ms < due_ms {
             return None;
         }
@@ -62,7 +67,7 @@
     (wave.row.out.len(), ordered.count(), wave.row.back.len())
 }
 
-/// Tells what a wave waits for in this pool, if that takes too long.
+/// Logs what a wave waits for in this pool, if it waits for too long.
 pub(super) fn log(
     pool_state: &PoolState,
     controller: &mut WaveController,
@@ -83,20 +88,21 @@
             reason(pool_state, controller, wave, host, pool, ctx.now.ms)?,
         ))
     });
-    let told: Vec<(&str, &str)> = ours.take(HOSTS_TOLD).collect();
-    let Some((first, why)) = told.first() else {
+    let logged_hosts: Vec<(&str, &str)> = ours.take(HOSTS_LOGGED_MAX).collect();
+    let Some((first, why)) = logged_hosts.first() else {
         return;
     };
     let decision = Decision::new(Code::WaveWaits, Subject::Wave, &number.to_string(), *why);
     let decision = decision.with("waited_ms", waited_ms);
     ctx.log(decision.with("left", due.len() as u64).naming("on", *first));
-    for (host, why) in told {
+    for (host, why) in logged_hosts {
         let decision = Decision::new(Code::HostWaits, Subject::Host, host, why);
         ctx.log(decision.with("wave", number).with("waited_ms", waited_ms));
     }
 }
 
-/// What a host of this pool waits for in a wave; nothing for one of another pool, or one that is gone.
+/// Returns what a host of this pool waits for in a wave, or `None` for a host that belongs to another pool or is
+/// gone.
 fn reason(
     pool_state: &PoolState,
     controller: &WaveController,
@@ -110,43 +116,53 @@
             .hosts
             .get(host)
             .is_some_and(|h| h.pool == slot.pool);
-        return (!is_listed).then_some("another pool holds its slot, and it is not listed there");
+        return (!is_listed).then_some(
+            "another pool holds the host's slot, but the host is not listed in that pool",
+        );
     }
     if let Some((number, turn)) = controller.turns.get(host) {
         return Some(match (turn, *number == wave.order.wave) {
-            (_, false) => "it has its turn in another wave",
-            (Turn::Closing(_), _) if controller.is_settling() => {
-                "a change of a wave's row has no answer"
+            (_, false) => "the host has its turn in another wave",
+            (Turn::Closing(_), _) if controller.is_writing() => {
+                "a change of a wave's row has not been answered yet"
             }
             (Turn::Closing(_), _) if wave.row.out.len() >= wave.order.out_max => {
                 "all slots of the wave are taken"
             }
-            (Turn::Closing(_), _) => "work there has not left, or its ends are not on record",
-            (Turn::Holding, _) => "it holds a slot, and no order to it is on record",
-            (Turn::Away(_), _) if controller.is_settling() => {
-                "a change of a wave's row has no answer"
+            (Turn::Closing(_), _) => {
+                "the host still has tasks, or its ended runs are not recorded yet"
+            }
+            (Turn::Holding, _) => {
+                "the host holds a slot, but its order is not recorded as accepted"
+            }
+            (Turn::Away(_), _) if controller.is_writing() => {
+                "a change of a wave's row has not been answered yet"
+            }
+            (Turn::Away(_), _) => {
+                "the host was ordered down, and the list of hosts has not shown it as up since"
             }
-            (Turn::Away(_), _) => "it was ordered out, and the list does not name it as up since",
         });
     }
     let Some(key) = pool_state.worker_on(host) else {
         let record = controller.hosts.get(host).filter(|h| h.pool == pool)?;
         return Some(match record.state {
-            HostState::Up if record.life.is_empty() => "hosts before it have their turns",
-            HostState::Up => "the list of workers lacks the life that the list of hosts names",
-            _ => "the list of hosts does not name it as up",
+            HostState::Up if record.life.is_empty() => "other hosts have their turns first",
+            HostState::Up => {
+                "the worker instance named in the list of hosts is missing in the list of workers"
+            }
+            _ => "the list of hosts does not show the host as up",
         });
     };
     let worker = &pool_state.workers[key];
     Some(if !worker.answers {
-        "its worker does not answer"
+        "the host's worker does not answer"
     } else if worker.fact.draining {
-        "its worker is draining"
+        "the host's worker is draining"
     } else if worker.is_offered {
-        "it is on offer to other pools"
+        "the host is on offer to other pools"
     } else if !wave::can_clear(pool_state, key, now_ms) {
-        "what lasts there can't move"
+        "lasting tasks on the host can't move"
     } else {
-        "hosts before it have their turns, or its own was broken off"
+        "other hosts have their turns first, or the host's own turn was broken off"
     })
 }
