--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -139,7 +139,7 @@
                 "a change of a wave's row has not been answered yet"
             }
             (Turn::Away(_), _) => {
-                "the host was ordered down, and the list of hosts has not shown it as up since"
+                "the host was ordered down, and the list of hosts does not name it as up since then"
             }
         });
     }
@@ -150,7 +150,7 @@
             HostState::Up => {
                 "the worker instance named in the list of hosts is missing in the list of workers"
             }
-            _ => "the list of hosts does not show the host as up",
+            _ => "the list of hosts does not name it as up",
         });
     };
     let worker = &pool_state.workers[key];
