--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -32,13 +32,13 @@
             return ranks;
         }
         let after = self.scan_cursor.after.max(ranks.last().copied());
-        let behind = self.placeable(after, now_ms);
-        let is_cut = behind.len() == PLACE_SCAN_MAX;
+        let later = self.placeable(after, now_ms);
+        let is_cut = later.len() == PLACE_SCAN_MAX;
         self.scan_cursor = ScanCursor {
-            after: behind.last().copied().filter(|_| is_cut),
+            after: later.last().copied().filter(|_| is_cut),
             at_ms: now_ms,
         };
-        ranks.extend(behind);
+        ranks.extend(later);
         ranks
     }
 
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -248,8 +248,8 @@
         return;
     }
     let need = need(account);
-    let held = ledger.held(inputs.pool);
-    let current = held.map(|grant| grant.capacity()).unwrap_or_default();
+    let own = ledger.granted_to(inputs.pool);
+    let current = own.map(|grant| grant.capacity()).unwrap_or_default();
     let has_need = need != Capacity::default();
     if !ledger.is_ours(inputs) {
         if has_need {
@@ -428,32 +428,34 @@
 }
 
 impl Ledger {
-    fn held(&self, pool: &str) -> Option<Grant> {
+    fn granted_to(&self, pool: &str) -> Option<Grant> {
         self.row.grants.get(pool).copied()
     }
 
     /// Whether the known row holds a grant of this owner that every later writer has to respect.
     fn is_ours(&self, inputs: &Inputs<'_>) -> bool {
-        let held = self.held(inputs.pool);
-        held.is_some_and(|grant| grant.epoch == inputs.epoch) && self.row.config >= self.lowered_by
+        let own = self.granted_to(inputs.pool);
+        own.is_some_and(|grant| grant.epoch == inputs.epoch) && self.row.config >= self.lowered_by
     }
 
     /// Returns what may run in the pool now: the lesser of the grant and of the one that is being written.
     fn limit(&self, inputs: &Inputs<'_>, quota: Capacity) -> Capacity {
-        let held = self.held(inputs.pool).filter(|_| self.is_ours(inputs));
-        let Some(held) = held else {
+        let own = self
+            .granted_to(inputs.pool)
+            .filter(|_| self.is_ours(inputs));
+        let Some(own) = own else {
             return lift_unlimited(Capacity::default(), quota);
         };
-        let all = sum(self.row.others(inputs.pool), held.capacity());
+        let all = sum(self.row.others(inputs.pool), own.capacity());
         if !lift_unlimited(quota, quota).contains(all) {
             return lift_unlimited(Capacity::default(), quota);
         }
         let pending = self.pending.as_ref();
         let pending = pending.map(|pending| pending.row.grants.get(inputs.pool));
         let room = match pending {
-            None => held.capacity(),
+            None => own.capacity(),
             Some(after) => least(
-                held.capacity(),
+                own.capacity(),
                 after.map(Grant::capacity).unwrap_or_default(),
             ),
         };
@@ -477,7 +479,7 @@
 }
 
 fn log_granted(ledger: &Ledger, pool: &str, account: &str, ctx: &mut Ctx<'_>) {
-    let granted = ledger.held(pool).unwrap_or_default();
+    let granted = ledger.granted_to(pool).unwrap_or_default();
     let decision = Decision::new(Code::QuotaGranted, Subject::Pool, pool, account);
     ctx.log(
         decision
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -454,7 +454,7 @@
     let room: u64 = open.iter().map(|w| w.fact.capacity.cpu_milli).sum();
     let used: u64 = open.iter().map(|w| w.used.cpu_milli).sum();
     let count = |class: Class| pool_state.ready.iter().filter(|r| r.class == class).count() as u64;
-    let (in_time, behind) = (count(Class::InTime), count(Class::Deferred));
+    let (in_time, deferred) = (count(Class::InTime), count(Class::Deferred));
     let name = pool_state.name.clone();
     ctx.log(
         Decision::new(
@@ -469,6 +469,6 @@
         .with("used_cpu_milli", used)
         .with("waiting", pool_state.ready.len() as u64)
         .with("in_time", in_time)
-        .with("behind", behind),
+        .with("behind", deferred),
     );
 }
--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -81,14 +81,14 @@
     };
     let number = wave.order.wave;
     let waited_ms = ctx.now.ms - since_ms;
-    let ours = due.iter().copied();
-    let ours = ours.filter_map(|host| {
+    let own_hosts = due.iter().copied();
+    let own_hosts = own_hosts.filter_map(|host| {
         Some((
             host,
             reason(pool_state, controller, wave, host, pool, ctx.now.ms)?,
         ))
     });
-    let logged_hosts: Vec<(&str, &str)> = ours.take(HOSTS_LOGGED_MAX).collect();
+    let logged_hosts: Vec<(&str, &str)> = own_hosts.take(HOSTS_LOGGED_MAX).collect();
     let Some((first, why)) = logged_hosts.first() else {
         return;
     };
