--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -46,7 +46,7 @@
 }
 
 /// Runs the control thread; returns only when the process ends.
-pub(super) fn run<P>(platform: P, shared: &Arc<Shared>, leave: Receiver<()>)
+pub(super) fn run<P>(platform: P, shared: &Arc<Shared>, stop_receiver: Receiver<()>)
 where
     P: Rows + Directory + WorkerOrders + HostMoves + WaveStatus + Clone + 'static,
 {
@@ -70,7 +70,7 @@
     let intake = feeds::follow_intake(platform, Rc::clone(&runner.owned), events.clone());
     executor.spawn(intake).detach();
     let stop_on_signal = async move {
-        if leave.recv().await.is_ok() {
+        if stop_receiver.recv().await.is_ok() {
             let _ = events.send(Event::Stop).await;
         }
     };
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -41,7 +41,7 @@
     let metrics_listener = settings.metrics.map(|a| bind("metrics", a)).transpose()?;
     let shared = Arc::new(Shared::new(settings, Log::new()?));
     log_start(&shared);
-    let (leave, left) = smol::channel::bounded(1);
+    let (stop_sender, stop_receiver) = smol::channel::bounded(1);
     let traffic = Arc::clone(&shared);
     std::thread::Builder::new()
         .name("traffic".to_string())
@@ -50,9 +50,9 @@
     let control = Arc::clone(&shared);
     std::thread::Builder::new()
         .name("control".to_string())
-        .spawn(move || control::run(platform(&control), &control, left))
+        .spawn(move || control::run(platform(&control), &control, stop_receiver))
         .map_err(|e| Error::Io("control thread".to_string(), e))?;
-    smol::block_on(until_stopped(&shared, leave))?;
+    smol::block_on(until_stopped(&shared, stop_sender))?;
     shared.log.close();
     Ok(())
 }
@@ -102,7 +102,7 @@
 
 /// Waits for SIGTERM or SIGINT and then for the end of the stop. The entry is not ready and gives up its pools at once,
 /// and callers are answered until their connections are closed or the time is over.
-async fn until_stopped(shared: &Shared, leave: smol::channel::Sender<()>) -> Result<()> {
+async fn until_stopped(shared: &Shared, stop_sender: smol::channel::Sender<()>) -> Result<()> {
     let term = signal_flag(signal_hook::consts::SIGTERM)?;
     let int = signal_flag(signal_hook::consts::SIGINT)?;
     let hup = signal_flag(signal_hook::consts::SIGHUP)?;
@@ -123,7 +123,7 @@
         "signal",
     ));
     // The control thread ends only with the process; a full channel means that it has the message already.
-    let _ = leave.try_send(());
+    let _ = stop_sender.try_send(());
     let mut stop = Stop::new();
     loop {
         Timer::after(Duration::from_millis(SIGNAL_POLL_MS)).await;
--- a/src/serve/operations.rs
+++ b/src/serve/operations.rs
@@ -38,7 +38,7 @@
 /// twice the time of one attempt.
 const WRITE_TIMEOUT_MS: Millis = 1_700;
 
-/// The part of a caller's deadline that is reserved for the way of the answer.
+/// The part of a caller's deadline that is reserved for sending the answer.
 const ANSWER_RESERVE_MS: Millis = 100;
 
 /// The usual `retry-after` of a call that was not accepted: the balancer needs two seconds to send it to another entry.
@@ -303,7 +303,7 @@
     }))
 }
 
-/// Looks for a job's progress in all shards but the first, which holds most of it.
+/// Looks for a job's progress in the shards after the first one; few jobs have theirs there.
 async fn find_in_other_shards<R: Rows>(
     store: &R,
     pool: &str,
--- a/src/serve/shared.rs
+++ b/src/serve/shared.rs
@@ -22,7 +22,7 @@
 use crate::port::timeout::AdaptiveTimeout;
 use crate::util::lock;
 
-/// One part in so many of `config_within_ms` is kept back as a margin: a call that is accepted now takes effect
+/// The divisor of `config_within_ms` that gives the margin kept back from it: a call that is accepted now takes effect
 /// later.
 const CONFIG_MARGIN_DIVISOR: Millis = 5;
 
