--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -1,29 +1,31 @@
-//! Who is let in: quotas of accounts, and the queue in front of a service.
+//! Admission of requests at one entry: the rate limits of accounts, and the queue of a service.
+//!
+//! The traffic threads take a token from the account's bucket, and then queue the request if no slot is free.
 
 use std::collections::VecDeque;
 
 use super::config::Class;
 use crate::clock::Millis;
 
-/// Thousandths of a request, the unit that quotas are counted in.
+/// Thousandths in one request; rate limits are counted in thousandths.
 const MILLI: u64 = 1_000;
 
-/// A token bucket: an account's quota at one entry.
+/// A token bucket that holds an account's rate limit at one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
-    /// Requests a second; 0 for no bound.
+    /// Thousandths of a request earned per second; 0 for no limit.
     rate_per_s: u64,
-    /// Bound on what is saved, in thousandths.
+    /// Maximum of `saved_milli`.
     burst_milli: u64,
     saved_milli: u64,
     filled_ms: Millis,
 }
 
 impl Bucket {
-    /// An account's bucket split over so many entries, full.
+    /// Creates a full bucket with one entry's share of an account's limit, split over `entries`.
     pub fn new(rate_per_s: u64, burst: u64, entries: usize, now_ms: Millis) -> Self {
         let parts = entries.max(1) as u64;
-        // Rounded down, so that the parts together never pass the whole; but a part can always hold one.
+        // Rounded down so that the shares together do not exceed the limit, but each share holds at least one request.
         let burst_milli = (burst * MILLI / parts).max(MILLI);
         Self {
             rate_per_s: rate_per_s * MILLI / parts,
@@ -33,14 +35,14 @@
         }
     }
 
-    /// Takes one request's worth, or says how long to wait for it.
+    /// Takes one request from the bucket, or returns how many milliseconds to wait for it.
     pub fn take(&mut self, now_ms: Millis) -> Result<(), Millis> {
         if self.rate_per_s == 0 {
             return Ok(());
         }
         let passed_ms = now_ms.saturating_sub(self.filled_ms);
         self.filled_ms = now_ms;
-        // The rate is in thousandths a second, so this is in thousandths after division by a second.
+        // Thousandths per second times milliseconds; the division by 1000 ms gives thousandths.
         let earned = self.rate_per_s * passed_ms / 1_000;
         if earned == 0 {
             self.filled_ms = now_ms - passed_ms;
@@ -55,20 +57,20 @@
     }
 }
 
-/// Why a request is not let into the queue.
+/// Why a request is refused by the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shed {
-    /// The queue is as long as it may get.
+    /// The queue has reached its maximum length.
     Full,
-    /// The wait would pass the deadline.
+    /// The request would miss its deadline while it waits.
     TooLate,
 }
 
-/// The queue in front of a service at one entry; `T` wakes the one who waits.
+/// The queue of a service at one entry, with one list per class. `T` is what wakes a waiting request.
 #[derive(Debug)]
 pub struct Queue<T> {
     waiting: [VecDeque<T>; 3],
-    /// Smoothed time of one exchange, and of its deviation.
+    /// Smoothed duration of an exchange; the next field is its smoothed deviation.
     exchange_ms: u64,
     deviation_ms: u64,
 }
@@ -80,7 +82,7 @@
 }
 
 impl<T> Queue<T> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self {
             waiting: [VecDeque::new(), VecDeque::new(), VecDeque::new()],
@@ -89,17 +91,17 @@
         }
     }
 
-    /// How many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.iter().map(VecDeque::len).sum()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many wait that would go before a newcomer of `class`.
+    /// Returns the number of waiting requests that go before a new one of `class`.
     pub fn ahead_of(&self, class: Class) -> usize {
         self.waiting[..=class as usize]
             .iter()
@@ -107,7 +109,7 @@
             .sum()
     }
 
-    /// Takes the length of an exchange in, smoothed as TCP does with round trips (RFC 6298).
+    /// Records the duration of an exchange, smoothed as TCP smooths round-trip times (RFC 6298).
     pub fn note_exchange(&mut self, ms: Millis) {
         if self.exchange_ms == 0 {
             self.exchange_ms = ms;
@@ -118,19 +120,19 @@
         self.exchange_ms = (self.exchange_ms * 7 + ms) / 8;
     }
 
-    /// The time that one exchange takes with fair certainty, 0 where none was seen.
+    /// Returns a duration that most exchanges do not exceed: the mean plus two deviations, 0 before the first exchange.
     pub fn likely_exchange_ms(&self) -> Millis {
         self.exchange_ms + 2 * self.deviation_ms
     }
 
-    /// The wait that a newcomer of `class` must expect with so many places at work.
+    /// Returns the expected wait of a new request of `class` while `places` requests run at once.
     pub fn expected_wait_ms(&self, class: Class, places: usize) -> Millis {
         let turns = (self.ahead_of(class) as u64 + 1).div_ceil(places.max(1) as u64);
         turns * self.exchange_ms
     }
 
-    /// Lets a request in, unless it would be in vain. An urgent one pushes out the youngest of the
-    /// lowest class where the queue is full; who was pushed out is given back.
+    /// Adds a request to the queue, unless it would miss its deadline. If the queue is full, it replaces the youngest
+    /// waiting request of the lowest class below its own, which is returned.
     pub fn enqueue(
         &mut self,
         class: Class,
@@ -162,17 +164,17 @@
             .find_map(VecDeque::pop_back)
     }
 
-    /// Puts one back that was called and found no place: it keeps its turn.
+    /// Puts a request that was taken and found no free slot back at the head of its class.
     pub fn put_back_first(&mut self, class: Class, waiter: T) {
         self.waiting[class as usize].push_front(waiter);
     }
 
-    /// The next to go: of the highest class, the one that came first.
+    /// Takes the oldest request of the highest class.
     pub fn dequeue(&mut self) -> Option<T> {
         self.waiting.iter_mut().find_map(VecDeque::pop_front)
     }
 
-    /// Takes out those for whom `gone` holds.
+    /// Removes the requests for which `gone` returns true.
     pub fn remove_where(&mut self, gone: impl Fn(&T) -> bool) {
         for q in &mut self.waiting {
             q.retain(|w| !gone(w));
--- a/src/core/budget.rs
+++ b/src/core/budget.rs
@@ -1,42 +1,43 @@
-//! The availability budget of a pool: who may leave, counting failures and maintenance together.
+//! The availability budget of a pool: whether a host may leave, with failed hosts and hosts in maintenance counted
+//! together. Operators' drains, waves and the sizing of pools ask it.
 
 use super::config::Reserve;
 
-/// A host of the pool, as the budget sees it.
+/// The properties of a pool's host that the budget depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its rack, as any number that is the same for hosts that fail together.
+    /// Number of its rack; hosts with the same number fail together.
     pub rack: usize,
-    /// Whether it serves and is alive.
+    /// Whether it serves and is live.
     pub serving: bool,
-    /// Whether it is on its way out, out, or not yet back.
+    /// Whether it is draining, out or returning.
     pub out: bool,
 }
 
-/// What a pool promises.
+/// The availability that a pool's configuration demands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// How many must serve.
+    /// Minimum number of serving hosts.
     pub serving_min: usize,
-    /// The failure that must be survivable on top.
+    /// The failure that must still leave `serving_min` hosts.
     pub reserve: Reserve,
 }
 
-/// The figures that a verdict rests on.
+/// Whether a host may leave, with the figures behind the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     /// Whether the host may leave.
     pub allowed: bool,
     /// Hosts that would serve after it left.
     pub serving_after: usize,
-    /// Hosts that the reserved-for failure would take on top.
+    /// Number of serving hosts kept for the failure in `reserve`.
     pub reserved: usize,
 }
 
 impl Budget {
-    /// Whether the host at `leaving` may leave now.
+    /// Checks whether the host at index `leaving` may leave now.
     ///
-    /// A host that does not serve takes nothing away, so it may always leave.
+    /// A host that does not serve may always leave, since the number of serving hosts stays the same.
     pub fn may_leave(&self, members: &[Member], leaving: usize) -> Verdict {
         let stays = |i: usize, m: &Member| m.serving && i != leaving;
         let after: Vec<Member> = members
@@ -54,7 +55,7 @@
         }
     }
 
-    /// How many serving hosts the reserved-for failure takes at worst.
+    /// Returns the number of serving hosts that the failure in `reserve` takes down in the worst case.
     fn reserved(&self, serving: &[Member]) -> usize {
         match self.reserve {
             Reserve::None => 0,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// How many hosts could be out at once if none had failed and all served.
+    /// Returns how many hosts may be out at once while none has failed.
     pub fn max_unavailable(&self, members: &[Member]) -> usize {
         let all: Vec<Member> = members.to_vec();
         let reserved = self.reserved(&all);
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -1,4 +1,7 @@
-//! Leaving hosts, from the mark to the reboot and back.
+//! Draining of hosts: the grant, the release by every entry, the reboot or the move, and the return to service.
+//!
+//! The entry that owns a host's pool advances its draining hosts on every decision. Operators' edits, waves and the
+//! sizing of pools grant drains through this module.
 
 use super::members::expect;
 use super::reduce::{Effect, Purpose as Why};
@@ -10,23 +13,23 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::{Check, Put};
 
-/// Time between two log lines on the same held drain.
+/// Minimum interval between log lines about the same drain that is held up.
 const HELD_LOG_MS: Millis = 60_000;
 
-/// A leave to be granted.
+/// A drain to be granted.
 pub(super) struct Grant {
-    /// Which host.
+    /// The host to drain.
     pub(super) host: HostKey,
-    /// What it leaves for.
+    /// What the host drains for.
     pub(super) purpose: Purpose,
-    /// The wave that takes it.
+    /// The wave that takes the host, if any.
     pub(super) wave: Option<String>,
-    /// The reason, for history and log.
+    /// The reason, for the host's history and the log.
     pub(super) why: String,
 }
 
 impl State {
-    /// A host's next row: the change and the step that tells it.
+    /// Returns a copy of a host's row with the current time and a new step in its history.
     pub(super) fn next_row(&self, host: &Host, now: Now, what: &str) -> HostRow {
         let mut row = host.row.clone();
         row.since_ms = now.wall_ms;
@@ -34,7 +37,7 @@
         row
     }
 
-    /// A step of a row's history, in this entry's name.
+    /// Returns a history step in this entry's name.
     pub(super) fn step(&self, now: Now, what: &str) -> Step {
         Step {
             at_ms: now.wall_ms,
@@ -43,12 +46,12 @@
         }
     }
 
-    /// A write of a host's row, on condition that it is as we know it.
+    /// Returns a write of a host's row that is conditional on the known version.
     pub(super) fn put_host(&self, host: &Host, row: &HostRow) -> Put {
         Put::new(host_key(&host.id), expect(host.version), row)
     }
 
-    /// A write of a pool's row, on condition that it is as we know it.
+    /// Returns a write of a pool's row, changed by `change`, that is conditional on the known version.
     pub(super) fn put_pool(&self, pool: PoolKey, change: impl FnOnce(&mut PoolRow)) -> Put {
         let p = &self.pools[pool];
         let mut row = p.row.clone();
@@ -56,7 +59,7 @@
         Put::new(pool_key(&p.name), expect(p.version), &row)
     }
 
-    /// The condition that the configuration is the one we decided on.
+    /// Returns the check that the configuration in the table is still the known version.
     pub(super) fn same_config(&self) -> Vec<Check> {
         vec![Check {
             key: HEAD_KEY.to_string(),
@@ -64,7 +67,7 @@
         }]
     }
 
-    /// Whether no transaction of ours is changing the host or its pool.
+    /// Whether no transaction of this entry is changing the host's row or its pool's row.
     pub(super) fn may_change(&self, host: &Host) -> bool {
         let pool_free = match &host.row.pool {
             Some(p) => self.is_unlocked(&pool_key(p)),
@@ -73,9 +76,9 @@
         pool_free && self.is_unlocked(&host_key(&host.id))
     }
 
-    /// Marks a host as leaving, together with its pool's row, on condition of both.
+    /// Marks a host as draining and lists it in its pool's row, in one transaction conditional on both rows.
     ///
-    /// `make` says on whose behalf, given the log line.
+    /// `make` turns the log line into the purpose of the transaction.
     pub(super) fn grant_drain(
         &mut self,
         grant: Grant,
@@ -107,12 +110,12 @@
         self.commit(checks, puts, make(line), out);
     }
 
-    /// Jobs whose present attempt may be running on a host.
+    /// Returns the jobs whose current attempt may be running on a host.
     pub fn jobs_on(&self, host: &str) -> &[JobKey] {
         self.placed_on.get(host).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes each leaving host that this entry decides for one step further.
+    /// Advances every host out of service that this entry owns by one step.
     pub(super) fn drive_drains(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
         let keys: Vec<HostKey> = self
             .hosts
@@ -224,16 +227,21 @@
             return;
         }
         host.asked_ms = Some(now.ms);
-        // The row's version names this maintenance: a second order for it changes nothing.
+        // The row's version identifies this maintenance, so a repeated order has no further effect.
         let token = format!("{}-{}", host.id, host.version);
         let id = host.id.clone();
-        let d = Decision::new(Code::RebootOrdered, Subject::Host, &id, "let go by all")
-            .with("boots", boots);
+        let d = Decision::new(
+            Code::RebootOrdered,
+            Subject::Host,
+            &id,
+            "every entry has released the host",
+        )
+        .with("boots", boots);
         out.push(Effect::Reboot { host: id, token });
         out.push(Effect::Log(d));
     }
 
-    /// An order to reboot that the platform did not take is given again at the next tick.
+    /// Forgets a reboot order that the platform refused, so that the next tick sends it again.
     pub(super) fn forget_reboot_order(&mut self, host: &str) {
         if let Some(key) = self.host_ids.get(host) {
             self.hosts[*key].asked_ms = None;
@@ -265,7 +273,7 @@
             Code::HostServing,
             Subject::Host,
             &host.id,
-            "back and steady",
+            "the host has stayed live since it came back",
         );
         self.serve_again(
             key,
@@ -276,7 +284,7 @@
         );
     }
 
-    /// Puts a host back to work for its pool, or among the free hosts.
+    /// Returns a host to service in its pool, or to the free hosts if it has none.
     pub(super) fn serve_again(
         &mut self,
         key: HostKey,
--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -1,4 +1,6 @@
-//! Which host belongs to which pool, and which host runs which job.
+//! Placement: which host belongs to which pool, and which host runs which job.
+//!
+//! The reducer calls it for the pools that this entry owns.
 
 use super::config::Class;
 use super::drain::Grant;
@@ -11,23 +13,23 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::Life;
 
-/// How long jobs avoid a host that failed several of them.
+/// How long jobs avoid a host on which several of them failed.
 const FAILING_MS: Millis = 600_000;
 
-/// Waiting so long lifts a job by a class, and lets it hold a host that it needs for itself.
+/// Waiting time after which a job counts as one class higher, and may reserve a host on which it does not fit yet.
 const LIFT_MS: Millis = 600_000;
 
-/// Different jobs in a row that a host must fail to be avoided.
+/// Number of different jobs that must fail on a host, with no success between, before jobs avoid it.
 pub(super) const FAILING_JOBS: usize = 3;
 
-/// Share of a host's cores that batch jobs leave free: one in so many.
+/// Batch jobs leave one part in `BATCH_LEAVES` of a host's cores free for the other classes.
 const BATCH_LEAVES: u32 = 8;
 
 impl State {
-    /// Gives free hosts to a pool that is short, or releases one that it has beyond its size.
+    /// Assigns a free host to a pool that has too few, or releases a host of a pool that has too many.
     ///
-    /// Spares are shared: a pool that could let nobody leave borrows a free host for its wave, and
-    /// gives one back afterwards.
+    /// Pools share the free hosts as spares: a pool whose budget lets no host leave borrows a free host for its wave,
+    /// and releases one afterwards.
     pub(super) fn assign_hosts(&mut self, pool: PoolKey, now: Now, out: &mut Vec<Effect>) {
         let name = self.pools[pool].name.clone();
         if !self.is_unlocked(&pool_key(&name)) {
@@ -66,7 +68,7 @@
             .any(|(_, w)| w.state == WaveState::Running && (w.pool == pool || w.pool == EVERY_POOL))
     }
 
-    /// Hosts that a pool can count on: those gone for long are replaced.
+    /// Counts the hosts that stay in a pool, without those that have been gone long enough to be replaced.
     fn lasting_hosts(&self, pool: PoolKey, now: Now) -> usize {
         let lasts = |h: &Host| match h.gone_since_ms {
             Some(t) => now.ms < t + self.tuning.replace_ms,
@@ -80,8 +82,9 @@
             .count()
     }
 
-    /// The free host that suits a pool best: it runs the pool's services, stands in the rack where the
-    /// pool has fewest, and has had its turn in a running wave.
+    /// Returns the best free host for a pool. It must run all of the pool's services. One that no running wave still
+    /// has to take comes first, then one in the rack and the hall with the fewest hosts of the pool, then one with few
+    /// cores.
     fn best_free(&self, pool: PoolKey) -> Option<HostKey> {
         let p = &self.pools[pool];
         let services = &self.config.pools.get(&p.name)?.services;
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Whether a free host takes requests because no pool for its services has any host yet.
+    /// Whether a free host takes requests because no pool for one of its services has any host yet.
     pub(super) fn serves_unassigned(&self, host: &Host) -> bool {
         let Some(fact) = &host.fact else {
             return false;
@@ -190,7 +193,7 @@
         })
     }
 
-    /// Whether a job can fit some host of its pool, or any host where the pool has none yet.
+    /// Whether a job fits on some empty host of its pool, or on any empty host if the pool has none yet.
     pub(super) fn can_ever_fit(&self, pool: &str, cores: u32, memory_mb: u64) -> bool {
         let members = self
             .pool_names
@@ -207,9 +210,9 @@
         members.iter().any(|k| fits(&self.hosts[*k]))
     }
 
-    /// The host for a job's next attempt: it fits, has not failed this job, does not fail jobs in
-    /// general, is not held for another job, and of those one that is not about to leave for a wave;
-    /// then the one with the least free room, so that large jobs find room elsewhere.
+    /// Returns the host for a job's next attempt: a suitable host with enough free cores and memory that is not in
+    /// `held`. One that no running wave still has to take comes first, then the one with the fewest free cores, which
+    /// leaves the emptier hosts to large jobs.
     pub(super) fn place_job(&self, job: JobKey, held: &[HostKey], now: Now) -> Option<HostKey> {
         let spec = &self.jobs[job].row.spec;
         self.suitable(job, now)
@@ -220,8 +223,8 @@
             .map(|(k, _)| k)
     }
 
-    /// Serving hosts of a job's pool that do not fail jobs in general; those that it has failed on only
-    /// where there is no other.
+    /// Returns the serving hosts of a job's pool that jobs do not avoid. Hosts on which this job has failed are included
+    /// only if there is no other.
     fn suitable(&self, job: JobKey, now: Now) -> impl Iterator<Item = HostKey> + '_ {
         let row = &self.jobs[job].row;
         let pool = self.pool_names.get(&row.spec.pool);
@@ -237,8 +240,9 @@
         members.iter().copied().filter(fits)
     }
 
-    /// The host to be held for a job that has waited for long and finds no room: it would fit there if
-    /// nothing else ran, and the least is running there. Smaller jobs would pass it for ever otherwise.
+    /// Returns the host to reserve for a job that has waited for `LIFT_MS` and fits nowhere now: the suitable host with
+    /// the fewest jobs on which it would fit if the host were empty. Without this, smaller jobs could take the free
+    /// capacity ahead of it for ever.
     pub(super) fn host_to_hold(&self, job: JobKey, held: &[HostKey], now: Now) -> Option<HostKey> {
         let row = &self.jobs[job].row;
         if now.wall_ms < row.submitted_ms + LIFT_MS {
@@ -258,13 +262,13 @@
             })
     }
 
-    /// Whether jobs avoid a host since it failed several different ones in a row.
+    /// Whether jobs avoid a host because several different ones failed on it in a row.
     pub fn is_failing(&self, host: &Host, now: Now) -> bool {
         host.failing_since_ms
             .is_some_and(|t| now.ms < t + FAILING_MS)
     }
 
-    /// Cores and memory that a job of a class may still take on a host.
+    /// Returns the cores and the memory in MB that a job of a class may still take on a live host.
     fn room(&self, host: HostKey, class: Class, asked: u32) -> Option<(u32, u64)> {
         let h = &self.hosts[host];
         let fact = h.fact.as_ref().filter(|f| f.life == Life::Live)?;
@@ -278,7 +282,7 @@
             memory_mb = memory_mb.saturating_sub(spec.memory_mb);
             others += 1;
         }
-        // A job larger than the batch share gets an empty host, or it could never run.
+        // A batch job that needs more than the batch share may have an empty host, since it could never run otherwise.
         let alone = others == 0 && asked > fact.cores - fact.cores / BATCH_LEAVES;
         if class == Class::Batch && !alone {
             cores = cores.saturating_sub(fact.cores / BATCH_LEAVES);
@@ -286,8 +290,8 @@
         Some((cores, memory_mb))
     }
 
-    /// Waiting jobs of a pool in the order in which they are placed: class, then the account with the
-    /// least at work, then age. Long waiting lifts a job class by class, so that nothing starves.
+    /// Returns the waiting jobs of a pool in the order in which they are placed: by class, then by the cores that their
+    /// account has in use, then by age. Every `LIFT_MS` of waiting raises a job by one class, so that no job starves.
     pub(super) fn waiting_order(&self, pool: &str, now: Now) -> Vec<JobKey> {
         let mut at_work: std::collections::HashMap<&str, u32> = std::collections::HashMap::new();
         for j in self
@@ -312,7 +316,7 @@
         waiting.into_iter().map(|w| w.4).collect()
     }
 
-    /// A write of a job's row, on condition that it is as we know it.
+    /// Returns a write of a job's row that is conditional on the known version.
     pub(super) fn put_job(&self, job: JobKey, row: &super::rows::JobRow) -> crate::port::Put {
         let j = &self.jobs[job];
         crate::port::Put::new(super::rows::job_key(&j.id), expect(j.version), row)
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -1,4 +1,6 @@
-//! The one reducer: events in, effects out, nothing else.
+//! The reducer of an entry: takes one event, changes the in-memory state and returns the effects to perform.
+//!
+//! It does no I/O itself. The entry's control thread calls [`reduce`] and carries out the effects.
 
 use std::collections::HashSet;
 
@@ -12,13 +14,13 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::{Changes, Check, HostFact, Outcome, Put, Transaction};
 
-/// Most rows that one answer to a peer carries.
+/// Maximum number of rows in one answer to a peer.
 const PEER_ROWS_MAX: usize = 400;
 
-/// Time between two looks at the host list and the task reports.
+/// Interval between reads of the host list and of the task reports.
 const LISTS_MS: Millis = 1_000;
 
-/// Takes in one event and says what follows from it.
+/// Applies one event to the state and returns the resulting effects.
 pub fn reduce(state: &mut State, event: Event, now: Now) -> Vec<Effect> {
     let mut out = Vec::new();
     match event {
@@ -102,11 +104,16 @@
     }
 }
 
-/// After a pause nothing in hand is fresh: what was on its way when we stopped is answered to nobody.
+/// Reads the table anew after the process was paused: an answer that was on its way is lost, so the state is stale.
 fn resumed(state: &mut State, gap_ms: Millis, out: &mut Vec<Effect>) {
     let me = state.me.name.clone();
-    let d = Decision::new(Code::Resumed, Subject::Entry, &me, "the clock jumped")
-        .with("gap_ms", gap_ms);
+    let d = Decision::new(
+        Code::Resumed,
+        Subject::Entry,
+        &me,
+        "the entry was paused between two ticks",
+    )
+    .with("gap_ms", gap_ms);
     out.push(Effect::Log(d));
     state.reads.outstanding = false;
     state.reads.next_ms = 0;
@@ -120,7 +127,7 @@
             Code::Isolated,
             Subject::Entry,
             &state.me.name,
-            "hears nobody",
+            "neither the table nor a peer confirms the view",
         )
         .with("silent_ms", silent_ms);
         out.push(Effect::Log(d));
@@ -142,7 +149,8 @@
     }
 }
 
-/// Nothing that needs a new durable fact is begun while the table is out of reach.
+/// Whether this entry may decide: it needs a registered row, a complete view, the host list and a reachable table,
+/// since every decision is committed to the table.
 fn may_decide(state: &State) -> bool {
     !state.stopping
         && state.reads.complete
@@ -187,7 +195,12 @@
         let pause_ms = state.reads.backoff.fail(&mut state.rng);
         state.reads.next_ms = now.ms + pause_ms;
         if !state.reads.failing {
-            let d = Decision::new(Code::StoreLost, Subject::Entry, &state.me.name, "no answer");
+            let d = Decision::new(
+                Code::StoreLost,
+                Subject::Entry,
+                &state.me.name,
+                "a read of the table failed",
+            );
             out.push(Effect::Log(d.with("retry_ms", pause_ms)));
         }
         state.reads.failing = true;
@@ -200,7 +213,7 @@
             Code::StoreFound,
             Subject::Entry,
             &state.me.name,
-            "answers again",
+            "a read of the table succeeded again",
         );
         out.push(Effect::Log(d));
     }
@@ -220,7 +233,7 @@
     answer_lost_applies(state, out);
     state.edit_again(Some(begun_ms), now, out);
     state.keep_own_row(now, out);
-    // The next step follows from what was read, without waiting for the tick.
+    // Decides on the new rows at once instead of at the next tick.
     if news && may_decide(state) {
         decide(state, now, out);
     }
@@ -234,7 +247,7 @@
     for (ticket, base, version) in std::mem::take(&mut state.lost_applies) {
         let changed = super::config::differences(&base, &state.config).join("; ");
         let detail = format!(
-            "version {version} was taken meanwhile, the version is now {}: {changed}",
+            "another change took version {version} first, the version is now {}: {changed}",
             state.config_version
         );
         let result = Err(Kind::Conflict.because(detail));
@@ -255,7 +268,7 @@
     }
     let more = changes.more;
     state.take_rows(changes.rows, changes.seq, now.ms, out);
-    // We asked unregistered, so the peer took note of us before it answered.
+    // An unregistered entry is sponsored by the peer, which records it before it answers the poll.
     state.spoken_for |= !state.is_registered();
     if !more {
         state.reads.complete = true;
@@ -289,7 +302,7 @@
 }
 
 impl State {
-    /// Reads the table now, or as soon as the read under way has ended; not while it is out of reach.
+    /// Reads the table now, or as soon as the outstanding read ends. Does nothing while the table is unreachable.
     pub(super) fn read_soon(&mut self, now: Now, out: &mut Vec<Effect>) {
         if self.reads.failing {
             return;
@@ -305,7 +318,7 @@
         self.hosts.values().filter_map(|h| h.fact.clone()).collect()
     }
 
-    /// Sends a transaction, and leaves its rows alone until its outcome is in the view.
+    /// Sends a transaction and locks its rows until its outcome is in the view.
     pub fn commit(
         &mut self,
         checks: Vec<Check>,
@@ -329,8 +342,8 @@
 }
 
 impl State {
-    /// A placement that did not come about holds no room. One that may have come about is in the next
-    /// read, and counts from there.
+    /// Stops counting a placement that was not committed against its host's free capacity. If the outcome is unknown and
+    /// the placement was committed, the next read of the table shows it, and it counts from then on.
     fn give_up_placing(&mut self, key: &str) {
         let job = key.strip_prefix("job/").and_then(|id| self.job_ids.get(id));
         if let Some(job) = job {
@@ -339,12 +352,12 @@
     }
 }
 
-/// A transaction whose outcome is awaited.
+/// A transaction that was sent and whose outcome is not known yet.
 #[derive(Debug)]
 pub struct Pending {
-    /// Why it was sent.
+    /// Why it was sent, which says what to do with the outcome.
     pub purpose: Purpose,
-    /// The rows that it writes.
+    /// Keys of the rows that it writes.
     pub keys: Vec<String>,
 }
 
@@ -364,7 +377,7 @@
             }
         }
     }
-    // The sooner the view has it, the sooner the next step follows.
+    // The next decision waits until the outcome is in the view, so the table is read at once.
     state.read_soon(now, out);
     settle(state, pending.purpose, outcome, out);
 }
@@ -388,7 +401,7 @@
                     out.push(Effect::Log(line));
                     Ok(reply)
                 }
-                Some(kind) => Err(kind.because("try again after a look at the present state")),
+                Some(kind) => Err(kind.because("read the current state, then try again")),
             };
             out.push(Effect::Answer { ticket, result });
         }
@@ -398,14 +411,19 @@
             base,
         } => match failure(outcome) {
             None => {
-                let d = Decision::new(Code::ConfigAccepted, Subject::Config, "head", "committed");
+                let d = Decision::new(
+                    Code::ConfigAccepted,
+                    Subject::Config,
+                    "head",
+                    "the new configuration was committed",
+                );
                 out.push(Effect::Log(d.with("version", version)));
                 let result = Ok(Reply::Version(version));
                 out.push(Effect::Answer { ticket, result });
             }
             Some(Kind::Conflict) => state.lost_applies.push((ticket, base, version)),
             Some(kind) => {
-                let detail = format!("look whether the version is {version} now");
+                let detail = format!("check whether the version is {version} now");
                 let result = Err(kind.because(detail));
                 out.push(Effect::Answer { ticket, result });
             }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -1,20 +1,20 @@
-//! Which backend server gets a request, from what one entry can see.
+//! The choice of a backend server for a request, from what one entry knows by itself.
 //!
-//! Nine entries share a backend server's slots without talking about it: each keeps a window of how
-//! many requests it may have there at once. A refusal shrinks the window, answers let it grow again.
+//! Several entries share a backend server's slots without coordination: each keeps a window of how many requests it
+//! may have in flight there. A refusal shrinks the window, and answers let it grow again.
 
 use super::config::Class;
 
-/// Parts of one request that windows are counted in, so that they can grow slowly.
+/// Number of parts in one request. Windows are counted in parts so that they can grow slowly.
 const PART: u32 = 16;
 
-/// Parts that an answer adds while the window is in full use: sixteen such answers for one more request.
+/// Parts that an answer adds while the window is in full use, which makes sixteen answers for one more request.
 const GROW: u32 = 1;
 
-/// One in so many of the places together is kept from batch.
+/// Batch requests leave one slot in `BATCH_LEAVES` free for the other classes.
 const BATCH_LEAVES: u32 = 8;
 
-/// How many requests this entry may have at a backend server at once.
+/// The number of requests that this entry may have in flight at a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
     parts: u32,
@@ -22,8 +22,8 @@
 }
 
 impl Window {
-    /// Starts at the share that an equal split among `entries` would give, so that a start of many
-    /// entries together does not overrun the backend server.
+    /// Creates a window of the entry's equal share of the slots, so that many entries that start together do not
+    /// overload the backend server.
     pub fn new(slots: u32, entries: usize) -> Self {
         let entries = u32::try_from(entries.max(1)).unwrap_or(u32::MAX);
         let most = slots.max(1) * PART;
@@ -33,32 +33,32 @@
         }
     }
 
-    /// Whole requests that it allows.
+    /// Returns the window in whole requests.
     pub fn size(&self) -> u32 {
         self.parts / PART
     }
 
-    /// After a refusal: three quarters, one at least.
+    /// Shrinks the window after a refusal to three quarters, at least to one request.
     pub fn shrink(&mut self) {
         self.parts = (self.parts * 3 / 4).max(PART);
     }
 
-    /// After an answer that came while the window was in full use.
+    /// Grows the window after an answer that came while the window was in full use, at most to all slots.
     pub fn grow(&mut self) {
         self.parts = (self.parts + GROW).min(self.most);
     }
 }
 
-/// A backend server as the choice sees it.
+/// The properties of a backend server that the choice depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Requests of this entry in flight there.
+    /// Number of this entry's requests in flight there.
     pub in_flight: u32,
-    /// How many may be.
+    /// Maximum number of this entry's requests in flight there.
     pub window: u32,
-    /// Whether it is ejected, closed, or was asked before for this request.
+    /// Whether it may not be picked: it is ejected or closed, or was already tried for this request.
     pub barred: bool,
-    /// Whether it stands in this entry's hall.
+    /// Whether it is in this entry's hall.
     pub near: bool,
 }
 
@@ -67,15 +67,16 @@
         !self.barred && self.in_flight < self.window
     }
 
-    /// Load in thousandths of the window, then distance.
+    /// Returns the load in thousandths of the window, and whether the backend server is in another hall.
     fn load(&self) -> (u32, bool) {
         (self.in_flight * 1_000 / self.window.max(1), !self.near)
     }
 }
 
-/// Picks the less loaded of two drawn at random among those with room; none where there is no room.
+/// Returns the index of the less loaded of two random backend servers with a free slot in their windows, or `None`
+/// if there is none.
 ///
-/// `look` gives the candidate at an index below `count`; only those drawn are looked at.
+/// `look` returns the candidate at an index below `count`, and is called only for indexes that are drawn.
 pub fn pick<F>(count: usize, look: F, rng: &mut fastrand::Rng) -> Option<usize>
 where
     F: Fn(usize) -> Candidate,
@@ -89,7 +90,7 @@
     }
 }
 
-/// Draws evenly among those with room: a few blind draws first, then a walk from a random start.
+/// Draws a random candidate with a free slot: a few random tries first, then a scan from a random start.
 fn draw<F>(count: usize, look: &F, rng: &mut fastrand::Rng) -> Option<usize>
 where
     F: Fn(usize) -> Candidate,
@@ -110,10 +111,10 @@
         .find(|i| look(*i).has_room())
 }
 
-/// Whether a request of `class` may take a place now, given the places in use and all there are.
+/// Whether a request of `class` may take a slot now, given the batch requests in flight and the number of all slots.
 ///
-/// Batch is also held to this entry's part of all slots, so that the batch of all entries together
-/// leaves the last slots to the others.
+/// Batch requests are limited to this entry's share, so that the batch requests of all entries together leave the
+/// last slots to the other classes.
 pub fn class_may_enter(class: Class, batch_in_flight: u32, all_slots: u32, entries: usize) -> bool {
     if class != Class::Batch {
         return true;
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -1,4 +1,6 @@
-//! What an entry knows: the table's rows decoded into arenas, the platform's lists, its peers.
+//! The in-memory state of an entry: the table's rows decoded into arenas, the platform's lists, and its peers.
+//!
+//! Only the reducer changes it. The other modules of the core add the decisions as methods of [`State`].
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -22,36 +24,36 @@
 use crate::port::{HostFact, Life, Row, Stamped, TaskRef, TaskReport};
 
 new_key_type! {
-    /// Names a host in the arena.
+    /// Arena key of a host.
     pub struct HostKey;
-    /// Names a pool in the arena.
+    /// Arena key of a pool.
     pub struct PoolKey;
-    /// Names a job in the arena.
+    /// Arena key of a job.
     pub struct JobKey;
-    /// Names a transaction whose outcome is awaited.
+    /// Arena key of a transaction whose outcome is not known yet.
     pub struct TxnKey;
 }
 
-/// A host.
+/// A host with its row in the table and what the platform says about it.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Name.
+    /// Id under which the platform lists the host.
     pub id: String,
-    /// The platform's word on it.
+    /// The host's entry in the platform's list; `None` if the platform does not list it.
     pub fact: Option<HostFact>,
-    /// Our row on it.
+    /// The host's row in the table; the default if there is none.
     pub row: HostRow,
-    /// The row's version, 0 where there is none.
+    /// Version of the row, 0 if there is none.
     pub version: u64,
-    /// When this entry first saw it gone.
+    /// When this entry first saw that the host was not live; `None` while it is live.
     pub gone_since_ms: Option<Millis>,
-    /// When this entry first saw it in its present row.
+    /// When this entry first saw the current version of the row.
     pub seen_ms: Millis,
-    /// When this entry last asked for its reboot, or logged what holds its drain.
+    /// When this entry last ordered the host's reboot, or logged what holds its drain.
     pub asked_ms: Option<Millis>,
-    /// Jobs that failed here one after the other, the latest last.
+    /// Different jobs that failed here since the last success, the latest last.
     pub failed_jobs: Vec<String>,
-    /// When jobs began to avoid it.
+    /// When jobs began to avoid the host because several of them had failed here.
     pub failing_since_ms: Option<Millis>,
 }
 
@@ -61,18 +63,18 @@
         self.fact.as_ref().is_some_and(|f| f.life == Life::Live)
     }
 
-    /// Whether it serves its pool and is alive.
+    /// Whether it serves its pool and is live.
     pub fn is_serving(&self) -> bool {
         self.row.state == HostState::Serving && self.is_live()
     }
 
-    /// Whether it drains to leave its pool for good.
+    /// Whether it drains to leave its pool for another pool or for the free hosts.
     pub fn is_moving_out(&self) -> bool {
         let leaves = matches!(self.row.purpose, Purpose::Move(_) | Purpose::Release);
         self.row.state == HostState::Draining && leaves
     }
 
-    /// Hall and rack, for people and for ordering.
+    /// Returns hall and rack, both empty while the platform does not list the host.
     pub fn place(&self) -> (&str, &str) {
         match &self.fact {
             Some(f) => (&f.hall, &f.rack),
@@ -81,40 +83,40 @@
     }
 }
 
-/// A pool's row; what it promises is in the configuration.
+/// A pool's row and members. Its size and budget are in the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    /// Name.
+    /// Name of the pool in the configuration.
     pub name: String,
-    /// Our row on it.
+    /// The pool's row in the table; the default if there is none.
     pub row: PoolRow,
-    /// The row's version, 0 where there is none.
+    /// Version of the row, 0 if there is none.
     pub version: u64,
-    /// Hosts that belong to it, in order of id.
+    /// Hosts whose rows name this pool, ordered by id.
     pub members: Vec<HostKey>,
-    /// When this entry last logged that a wave waits here.
+    /// When this entry last logged that a wave is held up in this pool.
     pub held_logged_ms: Option<Millis>,
 }
 
-/// A job.
+/// A job with its row in the table and the state of its current attempt.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Id.
+    /// Id in the job's row key and in the platform's tasks.
     pub id: String,
-    /// Our row on it.
+    /// The job's row in the table.
     pub row: JobRow,
-    /// The row's version.
+    /// Version of the row.
     pub version: u64,
-    /// When this entry last asked for a start or a stop of this attempt.
+    /// When this entry last ordered a start or a stop of the current attempt.
     pub asked_ms: Option<Millis>,
-    /// Whether the platform confirmed the start of this attempt to us.
+    /// Whether the platform confirmed the start of the current attempt to this entry.
     pub confirmed: bool,
-    /// Whether a stop was asked for, so that the attempt never starts or ends.
+    /// Whether a stop was ordered, which ends the current attempt or keeps it from ever starting.
     pub stopping: bool,
 }
 
 impl Job {
-    /// The present attempt, as the platform names it.
+    /// Returns the current attempt under the platform's name for it.
     pub fn task(&self) -> TaskRef {
         TaskRef {
             job: self.id.clone(),
@@ -123,14 +125,14 @@
     }
 }
 
-/// How the reading of the table goes.
+/// The state of this entry's reads of the table.
 #[derive(Clone, Debug, Default)]
 pub struct Reads {
     /// Whether a read is under way.
     pub outstanding: bool,
-    /// When the next may begin.
+    /// When the next read may begin.
     pub next_ms: Millis,
-    /// Pauses between failures.
+    /// Pauses after failed reads.
     pub backoff: Backoff,
     /// Whether the last read failed.
     pub failing: bool,
@@ -138,96 +140,97 @@
     pub complete: bool,
 }
 
-/// Everything an entry knows.
+/// The in-memory state of an entry.
 pub struct State {
-    /// Who we are.
+    /// Identity of this entry.
     pub me: Me,
-    /// Lengths of time.
+    /// Intervals and timeouts.
     pub tuning: Tuning,
-    /// Seeded generator.
+    /// Seeded random generator, so that a run can be repeated.
     pub rng: fastrand::Rng,
-    /// The table is known completely up to here.
+    /// Number of the table's changes up to which this entry has all rows.
     pub seq: u64,
-    /// Rows as they came, for peers.
+    /// Undecoded rows by key, to answer peers with.
     pub raw: HashMap<String, Row>,
-    /// Row names by version, for peers.
+    /// Row keys by version, to find the rows that a peer lacks.
     pub by_version: BTreeMap<u64, String>,
-    /// Hosts.
+    /// All hosts that have a row or are listed by the platform.
     pub hosts: SlotMap<HostKey, Host>,
-    /// Hosts by name.
+    /// Hosts by id.
     pub host_ids: BTreeMap<String, HostKey>,
-    /// Pools.
+    /// All pools named by the configuration or by a row.
     pub pools: SlotMap<PoolKey, Pool>,
     /// Pools by name.
     pub pool_names: BTreeMap<String, PoolKey>,
-    /// Jobs.
+    /// All jobs that have a row.
     pub jobs: SlotMap<JobKey, Job>,
     /// Jobs by id.
     pub job_ids: BTreeMap<String, JobKey>,
-    /// Jobs whose present attempt may be running, by host.
+    /// Jobs whose current attempt may be running, by host.
     pub placed_on: HashMap<String, Vec<JobKey>>,
-    /// Waves by id, with version.
+    /// Waves by id, each with the version of its row.
     pub waves: BTreeMap<String, (u64, WaveRow)>,
-    /// Entries by name.
+    /// Entries by name, this one included.
     pub members: BTreeMap<String, Member>,
-    /// Unregistered peers that took their view from us.
+    /// Unregistered peers that took their view from this entry, by name.
     pub sponsored: BTreeMap<String, Sponsored>,
-    /// Whether a peer that gave us its view speaks for us until we are registered.
+    /// Whether a peer that gave this entry its view sponsors it until it is registered.
     pub spoken_for: bool,
-    /// Entries whose host the platform has certainly ended.
+    /// Entries that the platform reports as ended for certain.
     pub ended_entries: Vec<String>,
     /// The configuration in force.
     pub config: Arc<Config>,
-    /// Its version, 0 for none.
+    /// Version of the configuration in force, 0 if there is none.
     pub config_version: u64,
-    /// Version of the head row.
+    /// Row version of the configuration's head row.
     pub head_version: u64,
-    /// Reading of the table.
+    /// State of the reads of the table.
     pub reads: Reads,
-    /// Reading of the host list and of reports: when the next may begin.
+    /// When the host list and the task reports may be read next.
     pub lists_next_ms: Millis,
     /// Whether the host list was read at least once.
     pub hosts_known: bool,
-    /// Task reports are known up to here.
+    /// Number of the last task report read.
     pub reports_seq: u64,
-    /// Whether reports were read at least once.
+    /// Whether the task reports were read at least once.
     pub reports_known: bool,
-    /// The latest report on each attempt that is still of interest.
+    /// The latest report on each attempt, without ended jobs and earlier attempts.
     pub reports: HashMap<TaskRef, TaskReport>,
-    /// When the view was last confirmed: the begin of the last answered read or poll.
+    /// When the view was last confirmed: the start of the last read or poll that was answered.
     pub confirmed_ms: Millis,
-    /// Whether we know ourselves to be cut off.
+    /// Whether neither the table nor a peer has confirmed the view for too long.
     pub isolated: bool,
-    /// The last tick.
+    /// Time of the last tick.
     pub tick_ms: Millis,
-    /// Routes in force take the table in up to here.
+    /// Number of the table's changes up to which the routes in force include them.
     pub published_seq: u64,
     /// Leaving hosts on which this entry has requests in flight.
     pub busy: Vec<String>,
-    /// When the entry's own row was last written.
+    /// When the entry's own row was last written as an acknowledgement.
     pub ack_ms: Millis,
-    /// Transactions under way.
+    /// Transactions whose outcome is not known yet.
     pub pending: SlotMap<TxnKey, Pending>,
-    /// Rows that a transaction of ours is changing, until the view has passed this number.
+    /// Rows that a transaction of this entry changes, with the change number that the view must reach to unlock them.
     pub locked: HashMap<String, u64>,
-    /// Operators' applies that lost a race, to be answered with what changed.
+    /// Operators' `apply` requests that met a conflict, to be answered with what changed.
     pub lost_applies: Vec<(Ticket, Arc<Config>, u64)>,
-    /// Edits that named something unknown here, to be looked at again after a read begun since then.
+    /// Edits that named something unknown here, with the time of the request: they are checked again after a read of
+    /// the table that began later.
     pub unknown_edits: Vec<(Ticket, Edit, Millis)>,
-    /// Whether routes must be published anew.
+    /// Whether the routes must be rebuilt and published.
     pub routes_dirty: bool,
-    /// Hosts of placements whose outcome is not in the view yet.
+    /// Chosen hosts by job, for placements whose outcome is not in the view yet.
     pub placing: HashMap<JobKey, String>,
-    /// Last renewal of leases.
+    /// When the tasks' leases were last renewed.
     pub renewed_ms: Millis,
-    /// Run times learned, by account and pool.
+    /// Latest run times, by account and pool.
     pub learned: HashMap<(String, String), VecDeque<Millis>>,
-    /// Whether the entry is stopping.
+    /// Whether the entry is shutting down.
     pub stopping: bool,
 }
 
 impl State {
-    /// An entry that knows nothing yet.
+    /// Creates the state of an entry that has read nothing yet.
     pub fn new(me: Me, tuning: Tuning, seed: u64) -> Self {
         Self {
             me,
@@ -275,12 +278,12 @@
         }
     }
 
-    /// Whether a view of the table exists, from the table or from a peer.
+    /// Whether the entry has a complete view, read from the table or from a peer.
     pub fn has_view(&self) -> bool {
         self.reads.complete
     }
 
-    /// Whether our own row is in our own view, so that no mark can pass us by.
+    /// Whether this entry's own row is in its view. From then on no host can leave without its acknowledgement.
     pub fn is_registered(&self) -> bool {
         self.members
             .get(&self.me.name)
@@ -288,7 +291,7 @@
             .is_some_and(|r| r.incarnation == self.me.incarnation && r.state == EntryState::Live)
     }
 
-    /// Takes in rows of a read or of a peer; older ones change nothing.
+    /// Stores rows from a read or from a peer, and ignores those that are not newer than the known ones.
     pub fn take_rows(&mut self, rows: Vec<Row>, upto: u64, now_ms: Millis, out: &mut Vec<Effect>) {
         for row in rows {
             let known = self.raw.get(&row.key).map_or(0, |r| r.version);
@@ -407,7 +410,7 @@
         Ok(())
     }
 
-    /// Takes a job off the host that it was placed on.
+    /// Removes a job from the list of its host.
     fn unplace(&mut self, key: JobKey) {
         let host = self.jobs.get(key).and_then(|j| j.row.host.as_ref());
         let Some(list) = host.and_then(|h| self.placed_on.get_mut(h)) else {
@@ -445,14 +448,14 @@
             Code::ConfigAdopted,
             Subject::Config,
             "head",
-            "a higher version",
+            "the table has a newer version",
         )
         .with("version", head.version);
         out.push(Effect::Log(d));
         Ok(())
     }
 
-    /// The arena's key for a host, made where it is new.
+    /// Returns a host's arena key, and adds the host if it is unknown.
     pub fn host_for(&mut self, id: &str) -> HostKey {
         if let Some(key) = self.host_ids.get(id) {
             return *key;
@@ -472,7 +475,7 @@
         key
     }
 
-    /// The arena's key for a pool, made where it is new.
+    /// Returns a pool's arena key, and adds the pool if it is unknown.
     pub fn pool_for(&mut self, name: &str) -> PoolKey {
         if let Some(key) = self.pool_names.get(name) {
             return *key;
@@ -485,7 +488,7 @@
         key
     }
 
-    /// Sorts hosts into the pools that their rows name.
+    /// Rebuilds the member lists of all pools from the hosts' rows.
     fn rebuild_members(&mut self) {
         for pool in self.pools.values_mut() {
             pool.members.clear();
@@ -504,7 +507,7 @@
         }
     }
 
-    /// Takes in the platform's list of hosts.
+    /// Stores the platform's list of hosts.
     pub fn take_hosts(&mut self, facts: Vec<HostFact>, now_ms: Millis, out: &mut Vec<Effect>) {
         let mut listed = std::collections::HashSet::new();
         for fact in facts {
@@ -538,7 +541,7 @@
         self.hosts_known = true;
     }
 
-    /// Rows that changed after `since`, for a peer.
+    /// Returns at most `most` rows that changed after `since`, and the change number up to which they are complete.
     pub fn rows_after(&self, since: u64, most: usize) -> (Vec<Row>, u64) {
         let mut rows = Vec::new();
         for (version, key) in self.by_version.range(since + 1..) {
@@ -550,9 +553,10 @@
         (rows, self.seq)
     }
 
-    /// What peers are told of us.
+    /// Returns what this entry reports to its peers.
     ///
-    /// An unregistered peer that lives on our view is spoken for: what it has not let go of, we have not.
+    /// It includes the unregistered peers that it sponsors: a host that one of them has not released counts as not
+    /// released by this entry.
     pub fn digest(&self) -> Digest {
         let mut view_seq = self.published_seq;
         let mut busy = self.busy.clone();
@@ -573,13 +577,13 @@
         }
     }
 
-    /// Whether a row may be decided on: no transaction of ours is changing it.
+    /// Whether no transaction of this entry is changing the row.
     pub fn is_unlocked(&self, key: &str) -> bool {
         !self.locked.contains_key(key)
     }
 }
 
-/// Reads a row's content; a deleted row has none.
+/// Decodes a row's value; returns `None` for a deleted row.
 pub fn decode<T: DeserializeOwned>(row: &Row) -> Result<Option<T>, String> {
     let Some(text) = &row.value else {
         return Ok(None);
--- a/src/core/wave.rs
+++ b/src/core/wave.rs
@@ -1,4 +1,6 @@
-//! Maintenance waves: which host leaves next, as parallel as the budgets allow.
+//! Maintenance waves: which host drains next, with as many at once as the pools' budgets, windows and pace allow.
+//!
+//! The owner of a pool grants the pool's drains; the owner of a wave closes it.
 
 use std::collections::BTreeMap;
 
@@ -13,29 +15,29 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::Put;
 
-/// Names every host.
+/// Stands for every host in place of a pool's name.
 pub const EVERY_POOL: &str = "*";
 
-/// Time between two log lines on the same held wave.
+/// Minimum interval between log lines about waves held up in the same pool.
 const HELD_LOG_MS: Millis = 30_000;
 
-/// A pool's hosts as its budget sees them.
+/// A pool's hosts and budget, for the question of whether one may leave.
 pub struct PoolView {
-    /// The arena's keys, in the order of `members`.
+    /// Arena keys of the hosts, in the order of `members`.
     pub keys: Vec<HostKey>,
-    /// What the budget counts.
+    /// The hosts' properties that the budget depends on.
     pub members: Vec<Member>,
-    /// What the pool promises.
+    /// The budget from the pool's configuration.
     pub budget: Budget,
 }
 
 impl PoolView {
-    /// How many are on their way out, out, or not yet back.
+    /// Counts the hosts that are draining, out or returning.
     pub fn out(&self) -> usize {
         self.members.iter().filter(|m| m.out).count()
     }
 
-    /// Whether a host may leave.
+    /// Checks whether a host may leave; returns `None` if it is not in the pool.
     pub fn may_leave(&self, host: HostKey) -> Option<Verdict> {
         let at = self.keys.iter().position(|k| *k == host)?;
         Some(self.budget.may_leave(&self.members, at))
@@ -43,7 +45,7 @@
 }
 
 impl State {
-    /// A pool's hosts as its budget sees them; a pool that is not configured promises nothing.
+    /// Returns a pool's hosts and budget. A pool without a configuration keeps no hosts back.
     pub fn pool_view(&self, pool: PoolKey) -> PoolView {
         let p = &self.pools[pool];
         let budget = match self.config.pools.get(&p.name) {
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The running wave that concerns a pool, the oldest first.
+    /// Returns the oldest running wave over a pool.
     fn running_wave(&self, pool: &str) -> Option<String> {
         self.waves
             .iter()
@@ -84,7 +86,7 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// Whether a wave is running whose turn a host has not had.
+    /// Whether a running wave still has to take the host.
     pub(super) fn awaits_wave(&self, host: HostKey) -> bool {
         let h = &self.hosts[host];
         let pool = h.row.pool.as_deref().unwrap_or(EVERY_POOL);
@@ -98,17 +100,17 @@
         any_open(own, now.wall_ms) && any_open(pools.unwrap_or_default(), now.wall_ms)
     }
 
-    /// Lets as many hosts of a pool leave as its budget, its windows and its pace allow.
+    /// Grants the drain of one more host of a pool if the budget, the windows and the pace allow it.
     ///
-    /// One grant at a time for each pool: each is conditional on the pool's row, and the next one is
-    /// decided on the view that has it.
+    /// A pool has one grant at a time: each is conditional on the pool's row, and the next is decided on a view that
+    /// includes it.
     pub(super) fn grant_wave(&mut self, pool: PoolKey, now: Now, out: &mut Vec<Effect>) {
         let name = self.pools[pool].name.clone();
         let Some(wave) = self.running_wave(&name) else {
             return;
         };
         if !self.window_open(&name, &wave, now) {
-            self.report_wave_held(pool, &wave, "its window is closed", now, out);
+            self.report_wave_held(pool, &wave, "the maintenance window is closed", now, out);
             return;
         }
         let view = self.pool_view(pool);
@@ -141,8 +143,8 @@
         self.grant_drain(grant, Why::Decision, now, out);
     }
 
-    /// The host whose leaving keeps the most for the reserved-for failure; of equals, the one with the
-    /// fewest jobs, then by name.
+    /// Returns the host to drain next: the one whose leaving makes the reserve for a failure smallest, then the one with
+    /// the fewest jobs, then one in the rack with the most hosts out, then the first by id.
     fn next_of(&self, view: &PoolView, waiting: &[HostKey]) -> Option<HostKey> {
         waiting
             .iter()
@@ -195,7 +197,8 @@
         )));
     }
 
-    /// Lets free hosts go through a wave over every host; they owe nobody anything.
+    /// Grants the drains of free hosts for a wave over every host. No budget applies to them; those that take requests
+    /// because no pool for their services has hosts yet stay.
     pub(super) fn grant_free_hosts(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
         let Some(wave) = self.running_wave(EVERY_POOL) else {
             return;
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Closes waves that every host has been through.
+    /// Marks waves as done that no host is left in.
     pub(super) fn close_waves(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
         let done: Vec<String> = self
             .waves
@@ -237,14 +240,20 @@
             row.state = WaveState::Done;
             row.ended_ms = now.wall_ms;
             let took_ms = now.wall_ms.saturating_sub(row.started_ms);
-            let line = Decision::new(Code::WaveDone, Subject::Wave, &id, "every host was through")
-                .with("took_ms", took_ms);
+            let line = Decision::new(
+                Code::WaveDone,
+                Subject::Wave,
+                &id,
+                "the wave has taken every live host",
+            )
+            .with("took_ms", took_ms);
             let put = Put::new(wave_key(&id), expect(version), &row);
             self.commit(vec![], vec![put], Why::Decision(line), out);
         }
     }
 
-    /// Hosts that a wave still has to take or to bring back; hosts that are gone are not waited for.
+    /// Counts the hosts that a wave still has to take, or has taken and not yet returned. A host that is not live and was
+    /// never taken does not count.
     pub fn wave_left(&self, id: &str) -> usize {
         let Some((_, wave)) = self.waves.get(id) else {
             return 0;
@@ -266,7 +275,7 @@
     }
 }
 
-/// How many hosts of a pool may be out at once at this pace; one at least, so that a wave gets on.
+/// Returns how many hosts of a pool may be out at once at this pace, at least one so that a wave makes progress.
 pub fn pace_limit(max_unavailable: usize, pace_percent: u64) -> usize {
     let pace = usize::try_from(pace_percent).unwrap_or(100);
     (max_unavailable * pace / 100).max(1)
