--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -1,4 +1,6 @@
-//! Templates and the parameters that accounts fill in: TOML for people, checked whole.
+//! The configuration: services, accounts, pool templates and the parameters that accounts fill in.
+//!
+//! Operators write it as TOML. [`parse`] checks a whole text, and an entry accepts or adopts it as a whole.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,17 +17,17 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Passes all others.
+    /// Goes before all other classes.
     Urgent,
-    /// Where nothing is said.
+    /// The default for requests.
     #[default]
     Normal,
-    /// May wait; never takes the last slots.
+    /// Goes after all other classes and never takes the last slots.
     Batch,
 }
 
 impl Class {
-    /// Reads the value of the `Rockwick-Class` header.
+    /// Parses a lower-case name, as in the `Rockwick-Class` header.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "urgent" => Some(Class::Urgent),
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Lower-case name.
+    /// Returns the lower-case name.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Urgent => "urgent",
@@ -45,30 +47,30 @@
     }
 }
 
-/// Which failure, on top of everything else, a pool must survive.
+/// The failure for which a pool keeps hosts in reserve beyond its minimum of serving hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reserve {
-    /// None.
+    /// No failure.
     None,
-    /// Any one host.
+    /// The failure of any one host.
     #[default]
     Host,
-    /// Any one rack.
+    /// The failure of any one rack.
     Rack,
 }
 
-/// A daily span in which maintenance is allowed, in UTC.
+/// A daily window in UTC in which maintenance is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
     /// Start, in milliseconds after midnight.
     pub from_ms: Millis,
-    /// End, in milliseconds after midnight; before `from_ms` where it passes midnight.
+    /// End, in milliseconds after midnight; less than `from_ms` if the window passes midnight.
     pub to_ms: Millis,
 }
 
 impl Window {
-    /// Reads `HH:MM-HH:MM`.
+    /// Parses `HH:MM-HH:MM`.
     pub fn parse(text: &str) -> Option<Self> {
         let (from, to) = text.split_once('-')?;
         Some(Self {
@@ -77,7 +79,7 @@
         })
     }
 
-    /// Whether a wall-clock instant lies inside.
+    /// Whether the window is open at a wall-clock time.
     pub fn contains(&self, wall_ms: Millis) -> bool {
         let t = wall_ms % DAY_MS;
         if self.from_ms <= self.to_ms {
@@ -95,26 +97,26 @@
     valid.then_some((h * 60 + m) * MINUTE_MS)
 }
 
-/// Whether no window is named, or one of them is open.
+/// Whether one of the windows is open, or there is none, which allows any time.
 pub fn any_open(windows: &[Window], wall_ms: Millis) -> bool {
     windows.is_empty() || windows.iter().any(|w| w.contains(wall_ms))
 }
 
-/// A service, as callers name it.
+/// The settings of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Name in the path.
+    /// Name in the path of its requests.
     pub name: String,
-    /// Whether any of its requests may be sent twice.
+    /// Whether all of its requests may be sent twice.
     pub repeatable: bool,
-    /// Longest time for one request, queueing included.
+    /// Maximum time for one request, queueing included.
     pub timeout_ms: Millis,
-    /// How many requests may wait at one entry.
+    /// Maximum number of requests that wait at one entry.
     pub queue_max: usize,
 }
 
 impl Service {
-    /// A service about which nothing is configured.
+    /// Creates a service with the default settings.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_string(),
@@ -125,41 +127,41 @@
     }
 }
 
-/// A caller account.
+/// The settings of a caller's account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
-    /// Name.
+    /// Name, unique among accounts.
     pub name: String,
-    /// SHA-256 of its token, in hexadecimal.
+    /// SHA-256 of its token, in lower-case hexadecimal.
     pub token_sha256: String,
-    /// Requests a second over all entries; 0 for no bound.
+    /// Maximum requests per second over all entries; 0 for no limit.
     pub rate_per_s: u64,
-    /// How many requests may come at once after a silence.
+    /// Maximum number of requests at once after an idle time, over all entries.
     pub burst: u64,
 }
 
-/// A pool with its template's fields filled in.
+/// The settings of a pool: its template with the account's parameters filled in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Name.
+    /// Name, unique among pools.
     pub name: String,
-    /// The account whose parameters it has.
+    /// Name of the account that set its parameters.
     pub account: String,
-    /// Services whose backend servers its hosts run.
+    /// Names of the services whose backend servers its hosts run.
     pub services: Vec<String>,
-    /// How many hosts it should have.
+    /// Wanted number of hosts.
     pub hosts: usize,
-    /// How many must serve at any time.
+    /// Minimum number of serving hosts.
     pub serving_min: usize,
-    /// The failure that must be survivable on top.
+    /// The failure that must still leave `serving_min` hosts.
     pub reserve: Reserve,
-    /// When its hosts may leave for maintenance.
+    /// Windows in which its hosts may leave for maintenance; empty for any time.
     pub windows: Vec<Window>,
-    /// Share of the hosts that the budget can spare which a wave may take at once.
+    /// Percentage of the hosts that the budget can spare which a wave may take at once.
     pub pace_percent: u64,
 }
 
-/// A whole configuration, checked.
+/// A whole configuration that has been checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Config {
     /// Services by name.
@@ -170,12 +172,12 @@
     pub pools: BTreeMap<String, Pool>,
 }
 
-/// What is wrong with a configuration text, and where.
+/// An error in a configuration text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Line, counted from 1; 0 where none can be named.
+    /// Line, counted from 1; 0 if it is unknown.
     pub line: usize,
-    /// The reason.
+    /// What is wrong, and what is allowed.
     pub reason: String,
 }
 
@@ -245,7 +247,7 @@
     parameters: BTreeMap<Spanned<String>, Spanned<toml::Value>>,
 }
 
-/// What a template's field may hold.
+/// The type of a template's field.
 #[derive(Clone, Copy, PartialEq)]
 enum FieldType {
     Integer { min: i64, max: i64 },
@@ -253,7 +255,7 @@
     Windows,
 }
 
-/// The fields that a pool template knows: name, type with its widest range, default.
+/// The fields of a pool template: name, type with its widest range, and default.
 const FIELDS: [(&str, FieldType, &str); 6] = [
     ("hosts", FieldType::Integer { min: 1, max: 500 }, "1"),
     ("serving_min", FieldType::Integer { min: 0, max: 500 }, "0"),
@@ -303,7 +305,7 @@
         if s.is_empty() || s.len() > 64 || !s.bytes().all(fits) {
             return self.flaw(
                 name,
-                format!("name {s:?}: 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'"),
+                format!("name {s:?}: must be 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'"),
             );
         }
         Ok(s.clone())
@@ -329,7 +331,10 @@
         };
         if !range.contains(v.get_ref()) {
             let (min, max) = range.into_inner();
-            return self.flaw(v, format!("{what} = {}: {min} to {max}", v.get_ref()));
+            return self.flaw(
+                v,
+                format!("{what} = {}: must be {min} to {max}", v.get_ref()),
+            );
         }
         Ok(u64::try_from(*v.get_ref()).unwrap_or(default))
     }
@@ -356,7 +361,10 @@
         let name = self.unique(seen, &raw.name)?;
         let hash = raw.token_sha256.get_ref().to_ascii_lowercase();
         if hash.len() != 64 || !hash.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return self.flaw(&raw.token_sha256, "token_sha256: 64 hexadecimal digits");
+            return self.flaw(
+                &raw.token_sha256,
+                "token_sha256: must be 64 hexadecimal digits",
+            );
         }
         let rate_per_s = self.bounded(&raw.rate_per_s, "rate_per_s", 0..=1_000_000, 0)?;
         let burst = self.bounded(&raw.burst, "burst", 1..=1_000_000, rate_per_s.max(1))?;
@@ -431,7 +439,8 @@
         Ok(text.parse().unwrap_or(0))
     }
 
-    /// The value of a field as text: the account's parameter, the template's default, or ours.
+    /// Returns the value of a field as text: the account's parameter, else the template's default, else the default in
+    /// `FIELDS`.
     fn value(&self, raw: &RawPool, template: &RawTemplate, field: usize) -> Checked<String> {
         let (name, kind, default) = FIELDS[field];
         let limits = template.fields.get(name);
@@ -456,7 +465,7 @@
                 let min = limits.and_then(|l| l.min).unwrap_or(min).max(min);
                 let max = limits.and_then(|l| l.max).unwrap_or(max).min(max);
                 if !(min..=max).contains(n) {
-                    return self.flaw(given, format!("{name} = {n}: {min} to {max}"));
+                    return self.flaw(given, format!("{name} = {n}: must be {min} to {max}"));
                 }
                 Ok(n.to_string())
             }
@@ -467,7 +476,7 @@
                     None => all.to_vec(),
                 };
                 if !allowed.contains(&s.as_str()) || !all.contains(&s.as_str()) {
-                    return self.flaw(given, format!("{name} = {s:?}: one of {allowed:?}"));
+                    return self.flaw(given, format!("{name} = {s:?}: must be one of {allowed:?}"));
                 }
                 Ok(s.clone())
             }
@@ -477,20 +486,27 @@
                     match item.as_str().filter(|s| Window::parse(s).is_some()) {
                         Some(s) => spans.push(s.to_string()),
                         None => {
-                            return self.flaw(given, format!("{name}: \"HH:MM-HH:MM\", not {item}"))
+                            return self.flaw(
+                                given,
+                                format!("{name}: must be \"HH:MM-HH:MM\", not {item}"),
+                            )
                         }
                     }
                 }
                 Ok(spans.join(" "))
             }
-            (FieldType::Integer { .. }, v) => self.flaw(given, format!("{name} = {v}: an integer")),
-            (FieldType::Choice(_), v) => self.flaw(given, format!("{name} = {v}: a string")),
-            (FieldType::Windows, v) => self.flaw(given, format!("{name} = {v}: a list")),
+            (FieldType::Integer { .. }, v) => {
+                self.flaw(given, format!("{name} = {v}: must be an integer"))
+            }
+            (FieldType::Choice(_), v) => {
+                self.flaw(given, format!("{name} = {v}: must be a string"))
+            }
+            (FieldType::Windows, v) => self.flaw(given, format!("{name} = {v}: must be a list")),
         }
     }
 }
 
-/// Reads and checks a whole configuration text.
+/// Parses and checks a whole configuration text.
 pub fn parse(text: &str) -> Result<Config, ConfigError> {
     let checker = Checker { text };
     let raw: RawFile = toml::from_str(text).map_err(|e| ConfigError {
@@ -527,7 +543,7 @@
         for (field, limits) in &t.fields {
             let Some((_, kind, _)) = FIELDS.iter().find(|(n, _, _)| n == field.get_ref()) else {
                 let known: Vec<&str> = FIELDS.iter().map(|(n, _, _)| *n).collect();
-                let reason = format!("field {:?}: one of {known:?}", field.get_ref());
+                let reason = format!("field {:?}: must be one of {known:?}", field.get_ref());
                 return checker.flaw(field, reason);
             };
             if let Some(default) = &limits.default {
@@ -541,7 +557,7 @@
     Ok(templates)
 }
 
-/// Names what differs between two configurations, a line each.
+/// Returns one line for each service, account and pool that differs between two configurations.
 pub fn differences(old: &Config, new: &Config) -> Vec<String> {
     let mut lines = Vec::new();
     compare("service", &old.services, &new.services, &mut lines);
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -273,7 +273,7 @@
             Code::HostServing,
             Subject::Host,
             &host.id,
-            "the host has stayed live since it came back",
+            "the host came back and is live",
         );
         self.serve_again(
             key,
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -1,4 +1,4 @@
-//! What happens to an entry, and what it wants done: the reducer's input and output.
+//! The input and output of the reducer: events that happen to an entry, and effects to be performed for it.
 
 use std::sync::Arc;
 
@@ -14,181 +14,181 @@
     Changes, HostFact, Listing, OrderAnswer, Outcome, Reports, TaskRef, TaskStart, Transaction,
 };
 
-/// Names an operator's or caller's question that awaits its answer.
+/// Identifies a request of an operator, a caller or a peer that waits for its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(pub u64);
 
-/// What can happen to an entry.
+/// An event at an entry.
 #[derive(Debug)]
 pub enum Event {
-    /// Time passed. With the leaving hosts that have requests in flight here, counted under routes that
-    /// take the table in up to `published_seq`.
+    /// Time passed. Carries the leaving hosts that have requests in flight here, as counted while the routes in force
+    /// included the table's changes up to `published_seq`.
     Tick {
-        /// Up to where the routes in force take the table in.
+        /// Number of the table's changes up to which the routes in force include them.
         published_seq: u64,
-        /// Leaving hosts with requests in flight.
+        /// Ids of leaving hosts with requests in flight.
         busy: Vec<String>,
     },
-    /// A read of the table that began at `begun_ms` ended.
+    /// A read of the table ended.
     TableRead {
-        /// When it began.
+        /// When the read began.
         begun_ms: Millis,
-        /// What it gave; nothing where the table did not answer.
+        /// The rows read; `None` if the table did not answer.
         changes: Option<Changes>,
     },
-    /// The platform's host list was read; nothing where it did not answer or has not changed.
+    /// The platform's host list was read; `None` if it did not answer or the list has not changed.
     HostsRead(Option<Listing>),
-    /// Task reports were read.
+    /// Task reports were read; `None` if the platform did not answer.
     ReportsRead(Option<Reports>),
-    /// A transaction of ours came to its end.
+    /// A transaction of this entry ended.
     Committed {
-        /// Which.
+        /// Key of the transaction.
         txn: TxnKey,
-        /// How.
+        /// Whether it was committed.
         outcome: Outcome,
     },
-    /// A peer answered our poll.
+    /// A peer answered a poll of this entry.
     PeerAnswered {
         /// When the poll began.
         begun_ms: Millis,
-        /// What the peer says of itself.
+        /// The peer's report about itself.
         digest: Digest,
-        /// Rows that it has and we had not.
+        /// Rows that this entry lacked when it polled.
         changes: Changes,
-        /// Whether the peer itself has a whole view.
+        /// Whether the peer has a complete view.
         complete: bool,
-        /// Its host list, where we had none.
+        /// The peer's host list, if this entry had none.
         hosts: Vec<HostFact>,
     },
-    /// A peer polls us; it is answered under `ticket`.
+    /// A peer polled this entry.
     PeerPolled {
-        /// Where to answer.
+        /// The request to answer.
         ticket: Ticket,
-        /// What the peer says of itself.
+        /// The peer's report about itself.
         digest: Digest,
-        /// Up to where it knows the table.
+        /// Number of the table's changes up to which the peer has all rows.
         since: u64,
     },
-    /// An operator or a caller asks for a change.
+    /// An operator or a caller requested a change.
     Asked {
-        /// Where to answer.
+        /// The request to answer.
         ticket: Ticket,
-        /// The change.
+        /// The requested change.
         edit: Edit,
     },
-    /// The platform answered a start.
+    /// The platform answered a start order, or the answer was lost.
     StartAnswered {
-        /// The attempt.
+        /// The attempt to be started.
         task: TaskRef,
-        /// Nothing where the answer was lost.
+        /// `None` if the answer was lost.
         answer: Option<OrderAnswer>,
     },
-    /// The platform answered a stop.
+    /// The platform answered a stop order, or the answer was lost.
     StopAnswered {
-        /// The attempt.
+        /// The attempt to be stopped.
         task: TaskRef,
-        /// Nothing where the answer was lost.
+        /// `None` if the answer was lost.
         answer: Option<OrderAnswer>,
     },
-    /// The platform answered an order to reboot, or did not.
+    /// The platform answered a reboot order, or the answer was lost.
     RebootAnswered {
-        /// Which host.
+        /// Id of the host.
         host: String,
-        /// Whether the order was taken; if not, it is given again.
+        /// Whether the platform accepted the order; if not, it is sent again.
         accepted: bool,
     },
-    /// The entry was told to stop.
+    /// The entry must shut down.
     Stop,
 }
 
-/// What is to be done.
+/// An action that the reducer requests.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Read the table's changes.
     ReadTable {
-        /// After this number.
+        /// Number of the last change that is known.
         since: u64,
     },
     /// Read the host list.
     ReadHosts,
     /// Read the task reports.
     ReadReports {
-        /// After this number.
+        /// Number of the last report that is known.
         since: u64,
     },
-    /// Commit a transaction and tell its outcome.
+    /// Commit a transaction and report its outcome as [`Event::Committed`].
     Commit {
-        /// Which.
+        /// Key of the transaction.
         txn: TxnKey,
-        /// What.
+        /// The checks and writes.
         transaction: Transaction,
     },
-    /// Put these routes in force.
+    /// Publish these routes to the traffic threads.
     Publish(Box<RouteTable>),
     /// Start a task.
     StartTask(TaskStart),
-    /// Stop a task, or see to it that it never starts.
+    /// Stop a task, or make sure that it never starts.
     StopTask(TaskRef),
-    /// Renew leases.
+    /// Renew the leases of tasks.
     RenewTasks(Vec<TaskRef>),
     /// Reboot a host.
     Reboot {
-        /// Which.
+        /// Id of the host.
         host: String,
-        /// Unique to this maintenance.
+        /// Identifies the maintenance, so that a repeated order has no further effect.
         token: String,
     },
     /// Answer an operator or a caller.
     Answer {
-        /// Which.
+        /// The request to answer.
         ticket: Ticket,
-        /// What.
+        /// The reply, or why the change was refused or failed.
         result: Result<Reply, Failure>,
     },
     /// Answer a peer.
     AnswerPeer {
-        /// Which.
+        /// The request to answer.
         ticket: Ticket,
-        /// Ourselves.
+        /// This entry's report about itself.
         digest: Digest,
-        /// Rows that it lacks.
+        /// Rows that the peer lacks.
         changes: Changes,
-        /// Whether our own view is whole.
+        /// Whether this entry has a complete view.
         complete: bool,
-        /// The host list, where the peer has none.
+        /// The host list, if the peer has none.
         hosts: Vec<HostFact>,
     },
     /// Log a decision.
     Log(Decision),
 }
 
-/// Why a transaction was sent.
+/// Why a transaction was sent, and what to do with its outcome.
 #[derive(Debug)]
 pub enum Purpose {
     /// To register this entry.
     Register,
-    /// To acknowledge marks through the table.
+    /// To write this entry's releases of leaving hosts to the table.
     Acknowledge,
-    /// To take this entry out in order.
+    /// To mark this entry as shut down.
     Leave,
-    /// A decision of our own; the log line is due when it took effect.
+    /// A decision of this entry, logged with this line once it is committed.
     Decision(Decision),
-    /// For an operator or a caller.
+    /// A change that an operator or a caller requested.
     Edit {
-        /// Who asked.
+        /// The request to answer.
         ticket: Ticket,
-        /// The answer when it took effect.
+        /// The answer once it is committed.
         reply: Reply,
-        /// The log line then.
+        /// The log line once it is committed.
         line: Decision,
     },
-    /// A new configuration; a lost race is answered with what changed.
+    /// A new configuration. A conflict is answered with what the other change changed.
     Apply {
-        /// Who asked.
+        /// The request to answer.
         ticket: Ticket,
-        /// The version it would become.
+        /// The version that it gets.
         version: u64,
-        /// The configuration that it was based on.
+        /// The configuration in force when it was sent.
         base: Arc<Config>,
     },
 }
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -1,37 +1,39 @@
-//! The health of a backend server, from the outcomes that this entry saw.
+//! The health of a backend server, judged by the outcomes of this entry's own exchanges with it.
+//!
+//! The traffic threads report each outcome, and send no requests to a backend server that is ejected or full.
 
 use crate::clock::Millis;
 
-/// Failures in a row that eject.
+/// Number of failures in a row after which a backend server is ejected.
 const FAILURES_MAX: u32 = 5;
 
-/// First ejection; each one that follows without a success between is twice as long.
+/// Length of the first ejection. Each further one with no success between is twice as long.
 const EJECT_MS: Millis = 2_000;
 
-/// Longest ejection.
+/// Maximum length of an ejection.
 const EJECT_MAX_MS: Millis = 60_000;
 
-/// After an ejection, the time over which a backend server's share grows back to the whole.
+/// Time after an ejection over which a backend server's share of requests grows back to 100 percent.
 const RAMP_MS: Millis = 5_000;
 
-/// Share of a service's backend servers that may be ejected at once: beyond it the failure is more
-/// likely the entry's own, or everybody's, and ejecting would empty the pool.
+/// Maximum percentage of a service's backend servers that are ejected at once. If more of them fail, the cause is
+/// more likely this entry or common to all, and further ejections would leave no backend server.
 const EJECTED_MAX_PERCENT: usize = 50;
 
-/// After a refusal a backend server is full for so long at least; each further one in a row doubles it.
+/// Time for which a backend server counts as full after a refusal; each further refusal in a row doubles it.
 const FULL_MS: Millis = 5;
 
-/// Longest time that it is taken for full: short, since it may have been one request that it refuses.
+/// Maximum time for which it counts as full. It is short because the refusals may concern a single request.
 const FULL_MAX_MS: Millis = 100;
 
-/// What an exchange says about a backend server.
+/// The outcome of an exchange with a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// A whole answer that is not a server error.
+    /// It answered completely and without a server error.
     Good,
-    /// It refused before running: it is alive, and full.
+    /// It refused the request before running it: it is alive and full.
     Full,
-    /// A server error, a broken answer, no connection or no answer in time.
+    /// It answered with a server error or a broken answer, or there was no connection or no answer in time.
     Bad,
 }
 
@@ -45,19 +47,19 @@
     full_until_ms: Millis,
 }
 
-/// What a sign changed.
+/// How an outcome changed the health of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// It changed nothing that must be acted on.
     None,
-    /// It gets no work until then.
+    /// It is ejected and gets no requests until the given time.
     Ejected(Millis),
-    /// It has proved itself after an ejection.
+    /// It answered well for the first time after an ejection.
     Readmitted,
 }
 
 impl Health {
-    /// Takes in a sign; `may_eject` says whether few enough others are ejected.
+    /// Records an outcome. `may_eject` says whether the number of ejected backend servers allows one more.
     pub fn note(&mut self, sign: Sign, may_eject: bool, now_ms: Millis) -> Change {
         match sign {
             Sign::Full => {
@@ -94,24 +96,24 @@
         Change::Ejected(self.ejected_until_ms)
     }
 
-    /// Until when it gets no work; 0 where it was never ejected.
+    /// Returns the end of its last ejection; 0 if it was never ejected.
     pub fn ejected_until_ms(&self) -> Millis {
         self.ejected_until_ms
     }
 
-    /// Until when it gets no work, ejected or taken for full.
+    /// Returns the time until which it gets no requests because it is ejected or full.
     pub fn barred_until_ms(&self) -> Millis {
         self.ejected_until_ms.max(self.full_until_ms)
     }
 
-    /// Whether it gets no work now.
+    /// Whether it is ejected now.
     pub fn is_ejected(&self, now_ms: Millis) -> bool {
         now_ms < self.ejected_until_ms
     }
 }
 
-/// The share of its usual work that a backend server may get now, in percent: it grows back over a
-/// while after an ejection that lasted until `ejected_until_ms`.
+/// Returns the percentage of its usual requests that a backend server may get now. It grows from 10 to 100 over
+/// `RAMP_MS` after an ejection that lasted until `ejected_until_ms`.
 pub fn share_percent(ejected_until_ms: Millis, now_ms: Millis) -> u64 {
     if ejected_until_ms == 0 {
         return 100;
@@ -120,7 +122,7 @@
     (since_ms * 100 / RAMP_MS).clamp(10, 100)
 }
 
-/// Whether one more may be ejected, given how many of all are.
+/// Whether one more backend server may be ejected, given that `ejected` of `all` are.
 pub fn may_eject(ejected: usize, all: usize) -> bool {
     (ejected + 1) * 100 <= all * EJECTED_MAX_PERCENT
 }
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,8 +1,9 @@
-//! Jobs: placed under an attempt number, watched by reports, never run twice where that is forbidden.
+//! Jobs: placement under an attempt number, starts and stops, and the handling of task reports. A job that is not
+//! repeatable never runs twice.
 //!
-//! The row with the attempt is committed before the start is asked for. A start that may have been lost
-//! is asked for again under the same attempt, which the platform runs once at most. An attempt counts
-//! as not begun only when the platform promised that it never will.
+//! The row with the attempt is committed before the start is ordered. A start that may have been lost is ordered
+//! again under the same attempt, which the platform runs at most once. An attempt counts as never started only when
+//! the platform has promised that it never will. The entry that owns a job's pool decides for the job.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -14,23 +15,23 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::{OrderAnswer, Put, Reports, TaskRef, TaskStart, TaskState};
 
-/// Pause between two asks for the same start or stop.
+/// Minimum interval between orders to start or stop the same attempt.
 const ASK_MS: Millis = 2_000;
 
-/// Different hosts that a job must fail on to be given up: then it is the job's fault.
+/// Number of failed attempts, which go to different hosts where possible, after which a job is given up as faulty.
 const FAILURES_MAX: usize = 3;
 
-/// Lost attempts after which a repeatable job is given up.
+/// Number of requeues after which a lost attempt ends a repeatable job.
 const LOSSES_MAX: u32 = 20;
 
-/// New placements in one tick for each pool, so that a wave of jobs does not flood the table.
+/// Maximum number of placements per pool and decision, so that many new jobs do not flood the table.
 const PLACEMENTS_MAX: usize = 16;
 
-/// Run times kept for each account and pool.
+/// Maximum number of run times kept per account and pool.
 const LEARNED_MAX: usize = 64;
 
 impl State {
-    /// Takes in task reports; only those on the present attempt of a job are of interest.
+    /// Stores task reports, and drops those on ended jobs and earlier attempts.
     pub(super) fn take_reports(&mut self, r: Reports, out: &mut Vec<Effect>) {
         self.reports_seq = r.seq;
         self.reports_known = true;
@@ -65,7 +66,8 @@
         }
     }
 
-    /// The run time to expect of a job: the longest of the latest ones of its kind, or what is declared.
+    /// Returns the expected run time of a job: the longest of the latest run times of its account in its pool, or the
+    /// declared one if there are none.
     pub fn expected_run_ms(&self, row: &JobRow) -> Millis {
         let key = (row.account.clone(), row.spec.pool.clone());
         let learned = self.learned.get(&key).and_then(|t| t.iter().max());
@@ -98,7 +100,7 @@
                 host.failed_jobs.push(report.job.clone());
                 if host.failed_jobs.len() >= FAILING_JOBS && host.failing_since_ms.is_none() {
                     host.failing_since_ms = Some(tick_ms);
-                    let why = "different jobs failed here one after the other";
+                    let why = "several different jobs failed on this host in a row";
                     let d = Decision::new(Code::HostFailsJobs, Subject::Host, &host.id, why);
                     out.push(Effect::Log(d.with("jobs", host.failed_jobs.len() as u64)));
                 }
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Takes each job of the owned pools one step further.
+    /// Advances each job of the owned pools by one step.
     pub(super) fn drive_jobs(&mut self, owned: &HashSet<PoolKey>, now: Now, out: &mut Vec<Effect>) {
         let mine: Vec<JobKey> = self
             .jobs
@@ -171,7 +173,7 @@
             .with("expected_ms", expected_ms)
             .with("waited_ms", waited_ms);
         let put = self.put_job(key, &row);
-        // Counted at once, so that the next placement sees the room gone.
+        // Counted at once, so that the next placement does not use the same capacity.
         self.placing.insert(key, host.to_string());
         self.commit(vec![], vec![put], Why::Decision(line), out);
     }
@@ -206,7 +208,7 @@
         }
     }
 
-    /// A job is stopped on its caller's wish, or moved off a leaving host if it may be run again.
+    /// Whether an attempt must be stopped: the caller cancelled the job, or its host drains and the job is repeatable.
     fn must_stop(&self, key: JobKey) -> bool {
         let row = &self.jobs[key].row;
         let host = row.host.as_ref().and_then(|h| self.host_ids.get(h));
@@ -313,7 +315,7 @@
         self.write_job(key, &row, Code::JobRequeued, why.to_string(), out);
     }
 
-    /// Takes in the answer to a start.
+    /// Handles the platform's answer to a start order.
     pub(super) fn start_answered(
         &mut self,
         task: &TaskRef,
@@ -327,8 +329,8 @@
         match answer {
             Some(OrderAnswer::Accepted) => self.jobs[key].confirmed = true,
             Some(OrderAnswer::NoHost | OrderAnswer::Fenced) => {
-                // Only a stop makes certain that this attempt never begins. Fenced it may be by a stop
-                // whose answer was lost, or by an entry that died before it could say so.
+                // Only a stop makes sure that this attempt never starts. It may be fenced by a stop whose answer was
+                // lost, or by an entry that crashed before it could record the stop.
                 self.jobs[key].stopping = true;
                 self.jobs[key].asked_ms = Some(now.ms);
                 out.push(Effect::StopTask(task.clone()));
@@ -337,7 +339,7 @@
         }
     }
 
-    /// Takes in the answer to a stop.
+    /// Handles the platform's answer to a stop order.
     pub(super) fn stop_answered(
         &mut self,
         task: &TaskRef,
@@ -398,7 +400,7 @@
             Code::JobEnded,
             Subject::Job,
             &id,
-            "forgotten after its time",
+            "the row is removed, its retention time has passed",
         );
         self.commit(vec![], vec![put], Why::Decision(line), out);
     }
--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -1,7 +1,8 @@
-//! Membership between entries: who is believed alive, and who has let go of a leaving host.
+//! Membership of entries: which are considered alive, which owns a pool, host or wave, and which have released a
+//! leaving host.
 //!
-//! Two different questions. Being believed alive only spreads the work; a wrong belief costs a lost
-//! race. Having let go is a promise: it is never concluded from silence.
+//! Liveness only spreads the work: if it is wrong, two owners decide and one commit ends in a conflict. A release is
+//! a promise to send no more requests to the host, and is never concluded from silence.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -14,59 +15,60 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::{Expect, Put};
 
-/// How long peers' acknowledgements are waited for before ours goes through the table as well.
+/// Time after a host began to drain when this entry also writes its release to the table, in case a peer was not
+/// reached.
 const ACK_BY_TABLE_MS: Millis = 1_500;
 
-/// The least time between two writes of our own row for acknowledgements.
+/// Minimum interval between writes of this entry's row for acknowledgements.
 const ACK_PAUSE_MS: Millis = 1_000;
 
-/// What an entry tells its peers of itself.
+/// What an entry reports about itself to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Its name.
+    /// Name of the entry.
     pub name: String,
-    /// Random, new with each start.
+    /// Random number, new with each start.
     pub incarnation: u64,
-    /// Whether its own row is in its view.
+    /// Whether its own row is in its view of the table.
     pub registered: bool,
-    /// Its routes have taken in the table up to here.
+    /// Number of the table's changes up to which its routes include them.
     pub view_seq: u64,
-    /// The configuration in force there.
+    /// Version of the configuration in force at the entry.
     pub config_version: u64,
-    /// Whether it has a list of hosts.
+    /// Whether it has read the list of hosts.
     pub hosts_known: bool,
     /// Leaving hosts on which it has requests in flight.
     pub busy: Vec<String>,
 }
 
-/// An entry, as known here.
+/// An entry with its row and its last report.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
-    /// Its registration.
+    /// Its row in the table, if any.
     pub row: Option<EntryRow>,
-    /// The row's version.
+    /// Version of the row, 0 if there is none.
     pub version: u64,
-    /// The last it told us itself.
+    /// The newest report received from the entry itself.
     pub digest: Option<Digest>,
-    /// When it last told us something.
+    /// Start of the last exchange with it that succeeded.
     pub heard_ms: Option<Millis>,
-    /// Whether the loss of it was logged.
+    /// Whether its loss was logged.
     pub lost_logged: bool,
 }
 
-/// An unregistered peer that took its view from us.
+/// An unregistered peer that took its view from this entry.
 #[derive(Clone, Debug)]
 pub struct Sponsored {
-    /// Its incarnation.
+    /// Incarnation of the peer.
     pub incarnation: u64,
-    /// Its routes have taken in our view up to here.
+    /// Number of the table's changes up to which its routes include them.
     pub view_seq: u64,
     /// Leaving hosts on which it has requests in flight.
     pub busy: Vec<String>,
 }
 
 impl State {
-    /// Names of the entries believed alive, ourselves among them.
+    /// Returns the sorted names of the entries considered alive, with this one unless it is stopping.
     pub fn alive_entries(&self) -> Vec<&str> {
         let peer_ms = self.tuning.peer_ms;
         let heard = |m: &Member| m.heard_ms.is_some_and(|t| t + peer_ms > self.tick_ms);
@@ -86,20 +88,20 @@
         names
     }
 
-    /// Whether this entry decides for the thing called `name`: rendezvous hashing over those alive.
+    /// Whether this entry owns the pool, host or wave called `name`.
     pub fn owns(&self, name: &str, alive: &[&str]) -> bool {
         self.owner(name, alive) == Some(self.me.name.as_str())
     }
 
-    /// The entry that decides for the thing called `name`.
+    /// Returns the entry that owns the pool, host or wave called `name`, by rendezvous hashing over `alive`.
     pub fn owner<'a>(&self, name: &str, alive: &[&'a str]) -> Option<&'a str> {
         alive.iter().copied().max_by_key(|e| rank(e, name))
     }
 
-    /// Entries that may still send work to a host that was marked as leaving in its present row.
+    /// Returns the entries that may still send requests to a host whose current row marks it as leaving.
     ///
-    /// Every registered entry counts until it said itself that its routes have taken the mark in and
-    /// nothing of it is in flight there, or the platform says that its host has ended.
+    /// Every registered entry counts until it reports that its routes include the row and that it has no request in
+    /// flight on the host, or until the platform reports the entry as ended.
     pub fn holders(&self, host: &Host) -> Vec<String> {
         let mut names = Vec::new();
         for (name, m) in &self.members {
@@ -127,7 +129,7 @@
         names
     }
 
-    /// Takes in what a peer said of itself in an exchange that began at `begun_ms`.
+    /// Stores a peer's report from an exchange that began at `begun_ms`.
     pub fn take_digest(&mut self, d: Digest, begun_ms: Millis, out: &mut Vec<Effect>) {
         if d.name == self.me.name {
             return;
@@ -138,7 +140,7 @@
         let member = self.members.entry(d.name.clone()).or_default();
         let was_lost = member.heard_ms.is_none() || member.lost_logged;
         if was_lost {
-            let why = "answers";
+            let why = "the peer answered or polled this entry";
             out.push(Effect::Log(Decision::new(
                 Code::PeerHeard,
                 Subject::Entry,
@@ -149,7 +151,7 @@
         }
         member.lost_logged = false;
         member.heard_ms = Some(member.heard_ms.unwrap_or(0).max(begun_ms));
-        // Of one incarnation only the newest counts: a view never goes back.
+        // A view never goes back within one incarnation, so a report with an older view is outdated.
         let newer = member
             .digest
             .as_ref()
@@ -159,14 +161,14 @@
         }
     }
 
-    /// Speaks for an unregistered peer from now on.
+    /// Sponsors an unregistered peer: from now on this entry's reports include what the peer has not released.
     pub fn sponsor(&mut self, d: &Digest, out: &mut Vec<Effect>) {
         if d.registered || d.name == self.me.name {
             return;
         }
         let known = self.sponsored.get(&d.name).map(|s| s.incarnation);
         if known != Some(d.incarnation) {
-            let why = "it has no row in the table yet";
+            let why = "the peer has no row in the table yet";
             let line = Decision::new(Code::PeerSponsored, Subject::Entry, &d.name, why);
             out.push(Effect::Log(line));
         }
@@ -178,7 +180,7 @@
         self.sponsored.insert(d.name.clone(), sponsored);
     }
 
-    /// Logs peers that fell silent, and drops sponsorships that are over.
+    /// Logs peers that no longer answer, and stops sponsoring peers that are registered or ended.
     pub(super) fn watch_members(&mut self, now: Now, out: &mut Vec<Effect>) {
         let peer_ms = self.tuning.peer_ms;
         for (name, m) in &mut self.members {
@@ -186,8 +188,13 @@
             if heard + peer_ms <= now.ms && !m.lost_logged {
                 m.lost_logged = true;
                 self.routes_dirty = true;
-                let d = Decision::new(Code::PeerLost, Subject::Entry, name, "no answer")
-                    .with("silent_ms", now.ms - heard);
+                let d = Decision::new(
+                    Code::PeerLost,
+                    Subject::Entry,
+                    name,
+                    "the peer does not answer",
+                )
+                .with("silent_ms", now.ms - heard);
                 out.push(Effect::Log(d));
             }
         }
@@ -200,7 +207,7 @@
         });
     }
 
-    /// Registers this entry, or writes what it has let go of where peers did not hear it.
+    /// Registers this entry, or writes its releases to the table if peers may not have received them.
     pub(super) fn keep_own_row(&mut self, now: Now, out: &mut Vec<Effect>) {
         let key = entry_key(&self.me.name);
         if !self.reads.complete || self.reads.failing || !self.is_unlocked(&key) || self.stopping {
@@ -254,7 +261,7 @@
     }
 }
 
-/// The condition that a row is as we know it.
+/// Returns the condition that a row still has the given version, or is absent if that is 0.
 pub fn expect(version: u64) -> Expect {
     match version {
         0 => Expect::Absent,
@@ -263,7 +270,8 @@
 }
 
 fn rank(entry: &str, name: &str) -> u64 {
-    // Stable within one build, which is enough: a difference between builds costs lost races only.
+    // The hash is stable within one build. If builds differ, two entries may both own a name, and the only cost is
+    // conflicts in the table.
     let mut hasher = DefaultHasher::new();
     entry.hash(&mut hasher);
     name.hash(&mut hasher);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,4 +1,7 @@
-//! The decisions, pure: no I/O, no clock reads, no randomness but a seeded generator passed in.
+//! The decisions of an entry, as pure functions over its in-memory state.
+//!
+//! Nothing here does I/O or reads a clock, and random numbers come only from a seeded generator, so that a run can be
+//! repeated exactly.
 
 pub mod admit;
 pub mod budget;
--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -1,4 +1,6 @@
-//! What operators and callers may ask for, checked against what is known, then committed.
+//! Requests of operators and callers for a change: each is checked against the in-memory state, then committed.
+//!
+//! The reducer passes them in as [`Edit`]s, and answers each with a [`Reply`] or a failure.
 
 use std::sync::Arc;
 
@@ -19,87 +21,87 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::Put;
 
-/// Bound on a job's payload.
+/// Maximum size of a job's payload.
 pub const PAYLOAD_MAX_BYTES: usize = 16 << 10;
 
-/// A change that somebody asks for.
+/// A change that an operator or a caller requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case")]
 pub enum Edit {
-    /// A new configuration, on condition of the present version.
+    /// Replace the configuration, if its current version is `expect`.
     Apply {
-        /// The version that it replaces; 0 for none.
+        /// The version to be replaced; 0 if there is none yet.
         expect: u64,
-        /// The text, whole.
+        /// The whole text of the new configuration.
         text: String,
     },
-    /// Drain a host; it stays out until it is returned.
+    /// Drain a host; without `reboot` it stays out until an operator returns it.
     Drain {
-        /// Which.
+        /// Id of the host.
         host: String,
-        /// Whether it is rebooted and returned by itself.
+        /// Whether the host is rebooted and then returns to service without an operator.
         reboot: bool,
-        /// Why, for the history.
+        /// The operator's reason, kept in the host's history.
         why: String,
     },
-    /// Return a host that was drained, or take its drain back.
+    /// Return a drained host to service, or cancel its drain.
     Return {
-        /// Which.
+        /// Id of the host.
         host: String,
     },
     /// Move a host to another pool, or to the free hosts.
     Move {
-        /// Which.
+        /// Id of the host.
         host: String,
-        /// Where to; nothing for the free hosts.
+        /// The pool to move to; `None` for the free hosts.
         pool: Option<String>,
     },
-    /// Start a wave.
+    /// Start a maintenance wave.
     StartWave {
-        /// The pool, or `*`.
+        /// Name of the pool, or `*` for every host.
         pool: String,
-        /// Times of day, `HH:MM-HH:MM`; empty for the pools' own.
+        /// Daily windows in UTC as `HH:MM-HH:MM`; empty if only the pools' own windows apply.
         windows: Vec<String>,
     },
-    /// Stop a wave.
+    /// Stop a wave; hosts that it has already taken come back.
     StopWave {
-        /// Which.
+        /// Id of the wave.
         wave: String,
     },
-    /// Vouch that an entry has ended.
+    /// Remove an entry, on the operator's assurance that its process has ended.
     RemoveEntry {
-        /// Which.
+        /// Name of the entry.
         entry: String,
     },
-    /// Take a job.
+    /// Submit a job.
     Submit {
         /// The account that it belongs to.
         account: String,
-        /// Its id, made from the caller's key where one was given.
+        /// The job's id, derived from the caller's key; `None` if the caller gave no key.
         id: Option<String>,
-        /// What is asked for.
+        /// What the job needs and runs.
         spec: JobSpec,
     },
-    /// Stop a job.
+    /// Cancel a job.
     Cancel {
-        /// The account that asks; nothing for an operator.
+        /// The account that requests it; `None` for an operator.
         account: Option<String>,
-        /// Which.
+        /// Id of the job.
         job: String,
     },
 }
 
-/// What a change that took effect is answered with.
+/// The answer to a change that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// The version of the configuration.
+    /// The new version of the configuration.
     Version(u64),
-    /// The id of the wave.
+    /// The id of the new wave.
     Wave(String),
-    /// The id of the job.
+    /// The id of the submitted job.
     Job(String),
-    /// What was done, in words.
+    /// What was done, as text for people.
     Done(String),
 }
 
@@ -111,10 +113,10 @@
 }
 
 impl State {
-    /// Checks what is asked for and commits it, or refuses it.
+    /// Checks an edit and commits it, or refuses it.
     ///
-    /// What is not known here may have been committed at another entry a moment ago, so such an edit is
-    /// looked at once more after a fresh read of the table.
+    /// Something unknown here may just have been committed by another entry, so an edit that names it is checked once
+    /// more after a fresh read of the table.
     pub(super) fn edit(&mut self, ticket: Ticket, edit: Edit, now: Now, out: &mut Vec<Effect>) {
         match self.checked(ticket, edit.clone(), now, out) {
             Ok(()) => {}
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Looks again at edits that named something unknown, after a read begun at `begun_ms`.
+    /// Checks edits that named something unknown again, after a read that began at `begun_ms`, or after a failed read if
+    /// it is `None`.
     pub(super) fn edit_again(&mut self, begun_ms: Option<u64>, now: Now, out: &mut Vec<Effect>) {
         for (ticket, edit, asked_ms) in std::mem::take(&mut self.unknown_edits) {
             if begun_ms.is_some_and(|t| t < asked_ms) {
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Commits an edit of one row, answered with `reply` when it took effect.
+    /// Commits an edit of one row, to be answered with `reply` once it is committed.
     fn commit_edit(
         &mut self,
         ticket: Ticket,
@@ -209,7 +212,7 @@
         }
         if wanted != self.config_version || !self.is_unlocked(HEAD_KEY) {
             let detail = format!(
-                "the version is {}, not {wanted}; show it and apply to it",
+                "the version is {}, not {wanted}; read it and base the change on it",
                 self.config_version
             );
             return Err(Kind::Conflict.because(detail));
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Refuses where the pool's budget does not let the host leave.
+    /// Returns an error if the pool's budget does not let the host leave.
     fn check_budget(&self, host: HostKey, out: &mut Vec<Effect>) -> Result<(), Refusal> {
         let h = &self.hosts[host];
         let Some(pool) = h.row.pool.as_ref().and_then(|p| self.pool_names.get(p)) else {
@@ -254,7 +257,7 @@
             return Ok(());
         };
         let detail = format!(
-            "{} would serve, {} must, and {} more are held for a failure",
+            "{} hosts would serve, but {} must, and {} more are reserved for a failure",
             verdict.serving_after, view.budget.serving_min, verdict.reserved
         );
         let d = Decision::new(Code::DrainRefused, Subject::Host, &h.id, detail.clone())
@@ -319,7 +322,7 @@
             let detail = format!("the host is {}", state.as_str());
             return Err(Kind::NotAllowed.because(detail));
         }
-        // The order to reboot may still be on its way, and must not hit a host that serves again.
+        // The reboot order may still be on its way, and must not reach a host that serves again.
         let rebooting = self.hosts[host].row.purpose == Purpose::Maintenance;
         if state == HostState::Out && rebooting {
             let detail = "its reboot is ordered; it returns by itself";
@@ -350,7 +353,7 @@
         }
         self.at_rest(host)?;
         if self.hosts[host].row.pool == to {
-            return Err(Kind::NotAllowed.because("the host is there already"));
+            return Err(Kind::NotAllowed.because("the host is already there"));
         }
         self.check_budget(host, out)?;
         let (purpose, why) = match to {
@@ -390,7 +393,9 @@
         let mut spans = Vec::new();
         for text in windows {
             let span = Window::parse(text);
-            let span = span.ok_or_else(|| Kind::BadRequest.because(format!("window {text:?}")))?;
+            let span = span.ok_or_else(|| {
+                Kind::BadRequest.because(format!("window {text:?}: must be HH:MM-HH:MM"))
+            })?;
             spans.push(span);
         }
         let id = format!("w-{:08x}", self.rng.u32(..));
@@ -432,7 +437,12 @@
             ended_ms: now.wall_ms,
             ..row
         };
-        let line = Decision::new(Code::WaveStopped, Subject::Wave, id, "operator");
+        let line = Decision::new(
+            Code::WaveStopped,
+            Subject::Wave,
+            id,
+            "stopped by an operator",
+        );
         let reply = Reply::Done(format!("wave {id} is stopped"));
         let put = Put::new(wave_key(id), expect(version), &row);
         self.commit_edit(ticket, reply, line, put, out);
@@ -459,7 +469,12 @@
             state: EntryState::Left,
             ..row
         };
-        let line = Decision::new(Code::EntryRemoved, Subject::Entry, name, "operator vouches");
+        let line = Decision::new(
+            Code::EntryRemoved,
+            Subject::Entry,
+            name,
+            "an operator confirmed that the entry has ended",
+        );
         let reply = Reply::Done(format!("entry {name} is removed"));
         let put = Put::new(entry_key(name), expect(version), &row);
         self.commit_edit(ticket, reply, line, put, out);
@@ -476,7 +491,9 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
         if spec.payload.len() > PAYLOAD_MAX_BYTES {
-            return Err(Kind::BodyTooLarge.because(format!("payload: {PAYLOAD_MAX_BYTES} bytes")));
+            return Err(
+                Kind::BodyTooLarge.because(format!("payload: at most {PAYLOAD_MAX_BYTES} bytes"))
+            );
         }
         if let Some(known) = id.as_ref().and_then(|i| self.job_ids.get(i)) {
             return self.submitted_before(ticket, &account, &spec, *known, out);
@@ -485,7 +502,7 @@
             return Err(Kind::UnknownPool.because(spec.pool.as_str()));
         }
         if !self.hosts_known {
-            return Err(Kind::NotReady.because("no list of hosts yet"));
+            return Err(Kind::NotReady.because("the list of hosts has not been read yet"));
         }
         if spec.cores == 0 || !self.can_ever_fit(&spec.pool, spec.cores, spec.memory_mb) {
             let detail = format!(
@@ -502,7 +519,7 @@
             Code::JobAccepted,
             Subject::Job,
             &id,
-            format!("for {account}"),
+            format!("submitted by account {account}"),
         )
         .with("cores", u64::from(spec.cores))
         .with("memory_mb", spec.memory_mb);
@@ -524,7 +541,7 @@
         Ok(())
     }
 
-    /// The same key again: the same job, if it asks for the same.
+    /// Answers a repeated key with the existing job, or refuses it if the request differs.
     fn submitted_before(
         &self,
         ticket: Ticket,
@@ -567,7 +584,7 @@
             return Ok(());
         }
         if !self.is_unlocked(&job_key(id)) {
-            return Err(Kind::Conflict.because("the job is being placed; ask again"));
+            return Err(Kind::Conflict.because("the job is being changed; try again"));
         }
         let mut row = job.row.clone();
         let (reply, what) = match row.state {
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -1,48 +1,48 @@
-//! When to try again: pauses that grow with jitter, and a budget as a share of traffic.
+//! Retries: pauses that grow with jitter, and a budget of retries as a share of the traffic.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
 use crate::clock::Millis;
 
-/// First pause after a failure.
+/// Length of the pause after the first failure, before jitter.
 const FIRST_MS: Millis = 500;
 
-/// Longest pause.
+/// Maximum length of a pause.
 const LAST_MS: Millis = 4_000;
 
-/// Pauses that double with each failure in a row.
+/// A pause that doubles with each failure in a row.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// Counts a failure and gives the pause after it: half of it fixed, half random, so that many
-    /// entries do not come back at the same moment.
+    /// Counts a failure and returns the pause after it, half of it fixed and half random, so that many entries do not
+    /// retry at the same moment.
     pub fn fail(&mut self, rng: &mut fastrand::Rng) -> Millis {
         let full = (FIRST_MS << self.failures.min(8)).min(LAST_MS);
         self.failures = self.failures.saturating_add(1);
         full / 2 + rng.u64(0..=full / 2)
     }
 
-    /// Starts over.
+    /// Resets the pause after a success.
     pub fn succeed(&mut self) {
         self.failures = 0;
     }
 }
 
-/// Hundredths of a retry that each first attempt earns: one repeat of work for ten requests.
+/// Hundredths of a retry that each first attempt earns, which allows one request in ten to be run again.
 const EARN: i64 = 10;
 
-/// Hundredths of a retry that each second earns, so that a service with little traffic can retry.
+/// Hundredths of a retry earned per second, so that a service with little traffic can retry too.
 const EARN_PER_S: i64 = 1_000;
 
-/// What a retry costs the backend servers, which is what it costs the budget.
+/// The cost of a retry in the budget, by the load that it puts on the backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cost {
-    /// The first attempt was refused before it ran: a round trip, no work.
+    /// The first attempt was refused before it ran, so the retry costs a round trip and no repeated work.
     Refused,
-    /// The first attempt may have run: its work is done twice.
+    /// The first attempt may have run, so its work may be done twice.
     Lost,
 }
 
@@ -55,13 +55,13 @@
     }
 }
 
-/// Time is credited in steps of at least so many hundredths.
+/// Minimum number of hundredths that are added for elapsed time at once.
 const FILL_STEP: i64 = 40;
 
-/// Hundredths that can be saved up.
+/// Maximum number of hundredths that can be saved.
 const SAVED_MAX: i64 = 1_000;
 
-/// A budget of retries as a share of the traffic, with a small floor.
+/// A budget of retries as a share of the traffic, with a small minimum rate. Threads share it without a lock.
 #[derive(Debug)]
 pub struct RetryBudget {
     saved: AtomicI64,
@@ -75,7 +75,7 @@
 }
 
 impl RetryBudget {
-    /// A budget with its savings full.
+    /// Creates a full budget.
     pub fn new() -> Self {
         Self {
             saved: AtomicI64::new(SAVED_MAX),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Adds the earnings of a first attempt.
     pub fn earn(&self) {
         self.add(EARN);
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes one retry, if there is one left at this time.
+    /// Takes the cost of one retry from the budget, and returns whether there was enough.
     pub fn spend(&self, cost: Cost, now_ms: Millis) -> bool {
         self.fill(now_ms);
         let cost = cost.hundredths();
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -1,4 +1,6 @@
-//! The routes that follow from what an entry knows: which backend servers take which service's requests.
+//! The route table: which backend servers take the requests of which service.
+//!
+//! The reducer builds it from the in-memory state and publishes it to the traffic threads.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +12,24 @@
 /// A backend server that a service's requests may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendSpec {
-    /// Its host.
+    /// Id of its host.
     pub host: String,
-    /// Its host's hall.
+    /// Name of its host's data hall.
     pub hall: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: std::net::SocketAddr,
-    /// Requests it works on at once.
+    /// Number of requests that it processes at once.
     pub slots: u32,
-    /// Connections it accepts from all entries together.
+    /// Number of connections that it accepts from all entries together.
     pub connections: u32,
 }
 
 /// A service with its backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteService {
-    /// The service.
+    /// Settings of the service.
     pub service: Service,
-    /// Backend servers that may be given new work.
+    /// Backend servers that may get new requests.
     pub backends: Vec<BackendSpec>,
 }
 
@@ -40,21 +42,21 @@
     }
 }
 
-/// Everything that the traffic threads need to know.
+/// The routes and accounts that the traffic threads work with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTable {
-    /// Version of the configuration that it follows.
+    /// Version of the configuration that it was built from.
     pub config_version: u64,
-    /// Services in order of name.
+    /// Services ordered by name.
     pub services: Vec<RouteService>,
-    /// Accounts in order of name.
+    /// Accounts ordered by name.
     pub accounts: Vec<Account>,
-    /// Entries believed alive, that quotas are split over.
+    /// Number of entries considered alive, over which rate limits are split.
     pub entries: usize,
 }
 
 impl State {
-    /// The routes that follow from what is known.
+    /// Builds the route table from the in-memory state.
     pub fn routes(&self) -> RouteTable {
         let mut services: BTreeMap<String, RouteService> = BTreeMap::new();
         for s in self.config.services.values() {
@@ -89,8 +91,8 @@
 
     /// Whether a host's backend server for `service` takes that service's requests.
     ///
-    /// It does as a member of a pool for the service. Where no pool for the service has any host yet,
-    /// every free host's does, so that a fleet can be taken under management while it serves.
+    /// It does if the host's pool has the service. While no pool with the service has a host yet, the free hosts take
+    /// its requests, so that a fleet can be taken under management while it serves.
     fn belongs(&self, host: &Host, service: &str) -> bool {
         let serves = |pool: &str| {
             self.config
--- a/src/core/rows.rs
+++ b/src/core/rows.rs
@@ -1,50 +1,52 @@
-//! The rows that entries keep in the platform's table, and their names.
+//! The rows that entries keep in the platform's table, and their keys.
+//!
+//! All modules of the core read and write these types. They are stored as JSON.
 
 use serde::{Deserialize, Serialize};
 
 use super::config::Class;
 use crate::clock::Millis;
 
-/// The spaces that every entry follows; runs under keys are read one by one instead.
+/// Key prefixes whose rows every entry follows. The rows of runs under callers' keys are read one by one instead.
 pub const FOLLOWED: [&str; 6] = ["config", "entry", "host", "job", "pool", "wave"];
 
-/// The row that says which configuration is in force.
+/// Key of the row with the configuration in force.
 pub const HEAD_KEY: &str = "config/head";
 
-/// How many steps a row's own history keeps.
+/// Maximum number of steps in a row's history.
 const HISTORY_MAX: usize = 12;
 
-/// The name of a host's row.
+/// Returns the key of a host's row.
 pub fn host_key(id: &str) -> String {
     format!("host/{id}")
 }
 
-/// The name of a pool's row.
+/// Returns the key of a pool's row.
 pub fn pool_key(name: &str) -> String {
     format!("pool/{name}")
 }
 
-/// The name of a wave's row.
+/// Returns the key of a wave's row.
 pub fn wave_key(id: &str) -> String {
     format!("wave/{id}")
 }
 
-/// The name of a job's row.
+/// Returns the key of a job's row.
 pub fn job_key(id: &str) -> String {
     format!("job/{id}")
 }
 
-/// The name of an entry's row.
+/// Returns the key of an entry's row.
 pub fn entry_key(name: &str) -> String {
     format!("entry/{name}")
 }
 
-/// The name of the row of a run under a caller's key.
+/// Returns the key of the row of a run under a caller's idempotency key.
 pub fn run_key(account: &str, key: &str) -> String {
     format!("run/{account}/{key}")
 }
 
-/// The name of the row that keeps a version of the configuration for good.
+/// Returns the key of the row that keeps a version of the configuration permanently.
 pub fn history_key(version: u64) -> String {
     format!("history/{version}")
 }
@@ -52,15 +54,15 @@
 /// One step of a row's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Wall clock of the entry that wrote it.
+    /// Wall-clock time of the entry that wrote it.
     pub at_ms: Millis,
-    /// The entry that wrote it.
+    /// Name of the entry that wrote it.
     pub by: String,
     /// What happened and why.
     pub what: String,
 }
 
-/// Adds a step and drops the oldest beyond the bound.
+/// Appends a step, and drops the oldest one if the history is full.
 pub fn push_step(history: &mut Vec<Step>, step: Step) {
     history.push(step);
     if history.len() > HISTORY_MAX {
@@ -71,35 +73,35 @@
 /// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// Counts up by one; a version is never changed or reused.
+    /// Increases by one with each change; a version is never changed or reused.
     pub version: u64,
-    /// The operator's text, whole.
+    /// The operator's whole text.
     pub text: String,
-    /// The entry that took it.
+    /// Name of the entry that accepted it.
     pub by: String,
-    /// Wall clock of that entry.
+    /// Wall-clock time of that entry when it accepted it.
     pub at_ms: Millis,
 }
 
-/// Where a host is in its life with us.
+/// The state of a host in its pool and its maintenance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
     /// In no pool.
     #[default]
     Free,
-    /// At work for its pool.
+    /// In service for its pool.
     Serving,
-    /// Takes no new work; what is in flight ends.
+    /// Takes no new work, and ends what is in flight.
     Draining,
-    /// Let go by every entry; may be rebooted.
+    /// Released by every entry; may be rebooted.
     Out,
-    /// Back, and watched for a moment before it serves.
+    /// Booted again; it must stay live for a while before it serves.
     Returning,
 }
 
 impl HostState {
-    /// Lower-case name.
+    /// Returns the lower-case name.
     pub fn as_str(self) -> &'static str {
         match self {
             HostState::Free => "free",
@@ -115,14 +117,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Purpose {
-    /// A reboot, then back to the same pool.
+    /// A reboot, then a return to the same pool.
     #[default]
     Maintenance,
-    /// Out by an operator's wish, until it is returned; no reboot.
+    /// Out at an operator's request until an operator returns it, without a reboot.
     Hold,
-    /// To another pool.
+    /// A move to the named pool.
     Move(String),
-    /// Back to the free hosts.
+    /// A move to the free hosts.
     Release,
 }
 
@@ -131,38 +133,39 @@
 pub struct HostRow {
     /// The one pool it belongs to, if any.
     pub pool: Option<String>,
-    /// Its state.
+    /// Current state of the host.
     pub state: HostState,
-    /// What it drains for; of meaning while draining or out.
+    /// What it drains for; used only while it drains or is out.
     pub purpose: Purpose,
     /// The last wave that took it.
     pub wave: Option<String>,
-    /// Boots counted when it went out.
+    /// The platform's count of its boots when it began to drain or went out.
     pub boots: u64,
-    /// Wall clock of the last change of state.
+    /// Wall-clock time of the row's last change.
     pub since_ms: Millis,
-    /// What happened to it lately.
+    /// Latest steps, oldest first.
     pub history: Vec<Step>,
 }
 
-/// A pool's lock: written with every grant to leave and every change of its members.
+/// A pool's row. Every grant of a drain and every change of the members writes it, so that concurrent changes of a
+/// pool conflict.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolRow {
     /// Hosts that are draining, out or returning.
     pub out: Vec<String>,
-    /// Hosts moved in or out so far.
+    /// Number of hosts that moved in or out so far.
     pub moves: u64,
 }
 
-/// Whether a wave goes on.
+/// The state of a wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WaveState {
-    /// It takes hosts as budgets allow.
+    /// It takes hosts as the budgets allow.
     Running,
     /// An operator stopped it; hosts already out come back.
     Stopped,
-    /// Every host has been through.
+    /// Every live host has been through it.
     Done,
 }
 
@@ -171,43 +174,43 @@
 pub struct WaveRow {
     /// The pool, or `*` for every host.
     pub pool: String,
-    /// Whether it goes on.
+    /// Current state of the wave.
     pub state: WaveState,
-    /// Times of day it may work in; empty for the pool's own windows.
+    /// Daily windows in which it may take hosts; empty if only the pools' own windows apply.
     pub windows: Vec<super::config::Window>,
-    /// Wall clock of its start.
+    /// Wall-clock time of its start.
     pub started_ms: Millis,
-    /// Wall clock of its end, 0 before.
+    /// Wall-clock time of its end, 0 while it runs.
     pub ended_ms: Millis,
-    /// The entry that took the order.
+    /// Name of the entry that accepted it.
     pub by: String,
 }
 
-/// How a job stands.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// Accepted, not placed.
+    /// Accepted, and not placed on a host.
     Waiting,
-    /// Placed: this attempt may have started on its host.
+    /// Placed on a host, where the current attempt may have started.
     Placed,
-    /// Ended well.
+    /// Ended successfully.
     Done,
     /// Ended with an error and is not tried again.
     Failed,
-    /// Cancelled before any start, or stopped on the caller's wish.
+    /// Cancelled by its caller or an operator, before a start or by a stop.
     Cancelled,
-    /// Lost sight of, and not to be repeated.
+    /// Lost with an unknown outcome, and not to be repeated.
     Unknown,
 }
 
 impl JobState {
-    /// Whether nothing more will happen to the job.
+    /// Whether the job has ended.
     pub fn is_final(self) -> bool {
         !matches!(self, JobState::Waiting | JobState::Placed)
     }
 
-    /// Lower-case name.
+    /// Returns the lower-case name.
     pub fn as_str(self) -> &'static str {
         match self {
             JobState::Waiting => "waiting",
@@ -220,27 +223,27 @@
     }
 }
 
-/// What a caller asks to have run.
+/// What a caller submits as a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The pool whose hosts run it.
+    /// Name of the pool whose hosts run it.
     pub pool: String,
-    /// Its class; batch where nothing is said.
+    /// Its class, batch by default.
     #[serde(default = "batch")]
     pub class: Class,
-    /// Cores it is declared to need.
+    /// Declared number of cores.
     #[serde(default = "one")]
     pub cores: u32,
-    /// Memory it is declared to need.
+    /// Declared memory in MB.
     #[serde(default)]
     pub memory_mb: u64,
-    /// Declared run time; learned against, 0 for not known.
+    /// Declared run time, used until run times of the account in the pool are known; 0 if unknown.
     #[serde(default)]
     pub run_ms: Millis,
-    /// Whether it may be run again after an attempt was lost.
+    /// Whether it may be run again after an attempt failed, was lost or was stopped.
     #[serde(default)]
     pub repeatable: bool,
-    /// Handed to the task as it is.
+    /// Passed to the task unchanged.
     #[serde(default)]
     pub payload: String,
 }
@@ -253,94 +256,94 @@
     1
 }
 
-/// A job.
+/// A job's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// The account that it belongs to.
+    /// Name of the account that it belongs to.
     pub account: String,
-    /// What was asked for.
+    /// What was submitted.
     pub spec: JobSpec,
-    /// How it stands.
+    /// Current state of the job.
     pub state: JobState,
-    /// The last attempt, 0 before the first.
+    /// Number of the last attempt, 0 before the first.
     pub attempt: u32,
-    /// Where the last attempt was placed.
+    /// Id of the host of the last attempt; `None` while it waits.
     pub host: Option<String>,
-    /// Hosts on which an attempt has failed.
+    /// Ids of the hosts on which attempts have failed, one for each failure.
     pub failed_on: Vec<String>,
-    /// Attempts lost or failed so far.
+    /// Number of attempts that were requeued so far.
     pub losses: u32,
-    /// Whether the caller wants it stopped.
+    /// Whether a cancellation was requested.
     pub cancel: bool,
-    /// Wall clock of its acceptance.
+    /// Wall-clock time of its acceptance.
     pub submitted_ms: Millis,
-    /// What happened to it.
+    /// Latest steps, oldest first.
     pub history: Vec<Step>,
 }
 
-/// Whether an entry is in service.
+/// Whether an entry is registered or has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryState {
-    /// Registered; must let go of a host before it is rebooted.
+    /// Registered; a draining host waits until it has released it.
     Live,
-    /// Stopped in order, or vouched for by an operator as ended.
+    /// Shut down, or confirmed by an operator to have ended.
     Left,
 }
 
 /// An entry's registration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRow {
-    /// Random, new with each start.
+    /// Random number, new with each start.
     pub incarnation: u64,
-    /// Whether it is in service.
+    /// Whether it is registered or has ended.
     pub state: EntryState,
-    /// Where its peers reach it.
+    /// Address at which its peers reach it.
     pub peer: String,
-    /// Its data hall.
+    /// Name of its data hall.
     pub hall: String,
-    /// Its routes have taken in the table up to here.
+    /// Number of the table's changes up to which its routes include them.
     pub view_seq: u64,
     /// Leaving hosts on which it has requests in flight.
     pub busy: Vec<String>,
 }
 
-/// A run under a caller's key.
+/// A run under a caller's idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRow {
     /// SHA-256 of the request, in hexadecimal.
     pub digest: String,
-    /// The entry that claimed the key.
+    /// Name of the entry that claimed the key.
     pub entry: String,
     /// That entry's incarnation.
     pub incarnation: u64,
-    /// The request's id there.
+    /// Id of the request at that entry.
     pub request: String,
-    /// Wall clock of the claim.
+    /// Wall-clock time of the claim.
     pub at_ms: Millis,
-    /// How it stands.
+    /// Current state of the run.
     pub state: RunState,
 }
 
-/// How a run under a key stands.
+/// The state of a run under a caller's key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RunState {
-    /// It may be sent, or has been.
+    /// The request may have been sent.
     Claimed,
-    /// It was certainly not run; the key may be claimed again.
+    /// The request was certainly not run; the key may be claimed again.
     NotRun,
-    /// Nobody knows whether it was run; it is not sent again.
+    /// It is unknown whether the request was run; it is not sent again.
     Lost,
-    /// It was run; this is the answer.
+    /// The request was run, with this answer.
     Done {
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// Media type.
+        /// Media type of the body.
         media: String,
-        /// The body where it is text and small.
+        /// The body, if it is text and small.
         body: Option<String>,
-        /// The object that holds the body otherwise.
+        /// Name of the object that holds the body otherwise.
         object: Option<String>,
     },
 }
--- a/src/core/tuning.rs
+++ b/src/core/tuning.rs
@@ -1,29 +1,29 @@
-//! Who an entry is, and the lengths of time that its decisions rest on.
+//! The identity of an entry, and the intervals and timeouts of its decisions.
 
 use crate::clock::{Millis, SECOND_MS};
 
-/// Lengths of time that decisions rest on.
+/// Intervals and timeouts of an entry's decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// Between two ticks.
+    /// Interval between ticks.
     pub tick_ms: Millis,
-    /// A silence of table and peers for so long stops new work here.
+    /// Time without an answer from the table or a peer after which the entry is isolated and takes no new work.
     pub isolation_ms: Millis,
-    /// A step of the clock between ticks of so long means that we were paused.
+    /// Gap between two ticks from which on the process counts as paused.
     pub pause_ms: Millis,
-    /// A peer unheard for so long is not given any pools.
+    /// Time without an exchange after which a peer is no longer considered alive and owns no pools.
     pub peer_ms: Millis,
-    /// A drain over this is reported with what holds it.
+    /// Length of a drain from which on the log says what holds it up.
     pub drain_ms: Millis,
-    /// A host that is back is watched for so long before it serves.
+    /// Time for which a host that came back must be seen before it serves again.
     pub return_ms: Millis,
-    /// A host gone for so long is replaced.
+    /// Time after which a host that is not live is replaced in its pool.
     pub replace_ms: Millis,
-    /// Length of a task's lease.
+    /// Length of a task's lease; it is renewed after a third of this.
     pub lease_ms: Millis,
-    /// A reboot that did not come back in this time is asked for again.
+    /// Time after which the reboot of a host that has not come back is ordered again.
     pub reboot_ms: Millis,
-    /// A job that ended is forgotten after so long.
+    /// Time after its end when a job's row is removed.
     pub keep_job_ms: Millis,
 }
 
@@ -44,17 +44,17 @@
     }
 }
 
-/// Who this entry is.
+/// The identity of this entry.
 #[derive(Clone, Debug)]
 pub struct Me {
-    /// Name, unique among entries.
+    /// Name of the entry, unique among entries.
     pub name: String,
-    /// Random, new with each start.
+    /// Random number, new with each start.
     pub incarnation: u64,
-    /// Data hall.
+    /// Name of the entry's data hall.
     pub hall: String,
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     pub peer: String,
-    /// Whether peers are configured, so that silence means something.
+    /// Whether peers are configured. An entry without peers never counts as isolated.
     pub has_peers: bool,
 }
--- a/src/core/wave.rs
+++ b/src/core/wave.rs
@@ -244,7 +244,7 @@
                 Code::WaveDone,
                 Subject::Wave,
                 &id,
-                "the wave has taken every live host",
+                "every live host has been through the wave",
             )
             .with("took_ms", took_ms);
             let put = Put::new(wave_key(&id), expect(version), &row);
