--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -137,7 +137,7 @@
         &mut self,
         class: Class,
         waiter: T,
-        most: usize,
+        len_max: usize,
         places: usize,
         left_ms: Millis,
     ) -> Result<Option<T>, Shed> {
@@ -146,7 +146,7 @@
             return Err(Shed::TooLate);
         }
         let mut pushed_out = None;
-        if self.len() >= most {
+        if self.len() >= len_max {
             pushed_out = self.push_out_below(class);
             if pushed_out.is_none() {
                 return Err(Shed::Full);
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -292,7 +292,7 @@
             .count()
     }
 
-    fn flaw<T, V>(&self, at: &Spanned<V>, reason: impl Into<String>) -> Checked<T> {
+    fn error_at<T, V>(&self, at: &Spanned<V>, reason: impl Into<String>) -> Checked<T> {
         Err(ConfigError {
             line: self.line_at(at.span().start),
             reason: reason.into(),
@@ -303,7 +303,7 @@
         let s = name.get_ref();
         let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
         if s.is_empty() || s.len() > 64 || !s.bytes().all(fits) {
-            return self.flaw(
+            return self.error_at(
                 name,
                 format!("name {s:?}: must be 1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'"),
             );
@@ -314,7 +314,7 @@
     fn unique<V>(&self, seen: &BTreeMap<String, V>, name: &Spanned<String>) -> Checked<String> {
         let plain = self.name(name)?;
         if seen.contains_key(&plain) {
-            return self.flaw(name, format!("{plain:?} is defined twice"));
+            return self.error_at(name, format!("{plain:?} is defined twice"));
         }
         Ok(plain)
     }
@@ -331,7 +331,7 @@
         };
         if !range.contains(v.get_ref()) {
             let (min, max) = range.into_inner();
-            return self.flaw(
+            return self.error_at(
                 v,
                 format!("{what} = {}: must be {min} to {max}", v.get_ref()),
             );
@@ -361,7 +361,7 @@
         let name = self.unique(seen, &raw.name)?;
         let hash = raw.token_sha256.get_ref().to_ascii_lowercase();
         if hash.len() != 64 || !hash.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return self.flaw(
+            return self.error_at(
                 &raw.token_sha256,
                 "token_sha256: must be 64 hexadecimal digits",
             );
@@ -385,16 +385,16 @@
         let name = self.unique(&config.pools, &raw.name)?;
         let account = raw.account.get_ref().clone();
         if !config.accounts.contains_key(&account) {
-            return self.flaw(&raw.account, format!("no account {account:?}"));
+            return self.error_at(&raw.account, format!("no account {account:?}"));
         }
         let Some(template) = templates.get(raw.template.get_ref()) else {
             let reason = format!("no template {:?}", raw.template.get_ref());
-            return self.flaw(&raw.template, reason);
+            return self.error_at(&raw.template, reason);
         };
         let mut services = Vec::new();
         for service in &raw.services {
             if !config.services.contains_key(service.get_ref()) {
-                return self.flaw(service, format!("no service {:?}", service.get_ref()));
+                return self.error_at(service, format!("no service {:?}", service.get_ref()));
             }
             services.push(service.get_ref().clone());
         }
@@ -402,7 +402,7 @@
             if !template.fields.contains_key(key.get_ref().as_str()) {
                 let t = raw.template.get_ref();
                 let reason = format!("template {t:?} has no field {:?}", key.get_ref());
-                return self.flaw(key, reason);
+                return self.error_at(key, reason);
             }
         }
         let hosts = self.integer(raw, template, 0)?;
@@ -411,7 +411,7 @@
         let serving_min = least.max((hosts * percent).div_ceil(100));
         if serving_min > hosts {
             let reason = format!("{serving_min} hosts must serve, but the pool has {hosts}");
-            return self.flaw(&raw.name, reason);
+            return self.error_at(&raw.name, reason);
         }
         let reserve = match self.value(raw, template, 3)?.as_str() {
             "none" => Reserve::None,
@@ -445,15 +445,15 @@
         let (name, kind, default) = FIELDS[field];
         let limits = template.fields.get(name);
         if let Some(given) = raw.parameters.get(name) {
-            return self.typed(name, kind, limits, given);
+            return self.check_value(name, kind, limits, given);
         }
         match limits.and_then(|l| l.default.as_ref()) {
-            Some(given) => self.typed(name, kind, limits, given),
+            Some(given) => self.check_value(name, kind, limits, given),
             None => Ok(default.to_string()),
         }
     }
 
-    fn typed(
+    fn check_value(
         &self,
         name: &str,
         kind: FieldType,
@@ -465,7 +465,7 @@
                 let min = limits.and_then(|l| l.min).unwrap_or(min).max(min);
                 let max = limits.and_then(|l| l.max).unwrap_or(max).min(max);
                 if !(min..=max).contains(n) {
-                    return self.flaw(given, format!("{name} = {n}: must be {min} to {max}"));
+                    return self.error_at(given, format!("{name} = {n}: must be {min} to {max}"));
                 }
                 Ok(n.to_string())
             }
@@ -476,7 +476,8 @@
                     None => all.to_vec(),
                 };
                 if !allowed.contains(&s.as_str()) || !all.contains(&s.as_str()) {
-                    return self.flaw(given, format!("{name} = {s:?}: must be one of {allowed:?}"));
+                    return self
+                        .error_at(given, format!("{name} = {s:?}: must be one of {allowed:?}"));
                 }
                 Ok(s.clone())
             }
@@ -486,7 +487,7 @@
                     match item.as_str().filter(|s| Window::parse(s).is_some()) {
                         Some(s) => spans.push(s.to_string()),
                         None => {
-                            return self.flaw(
+                            return self.error_at(
                                 given,
                                 format!("{name}: must be \"HH:MM-HH:MM\", not {item}"),
                             )
@@ -496,12 +497,14 @@
                 Ok(spans.join(" "))
             }
             (FieldType::Integer { .. }, v) => {
-                self.flaw(given, format!("{name} = {v}: must be an integer"))
+                self.error_at(given, format!("{name} = {v}: must be an integer"))
             }
             (FieldType::Choice(_), v) => {
-                self.flaw(given, format!("{name} = {v}: must be a string"))
+                self.error_at(given, format!("{name} = {v}: must be a string"))
+            }
+            (FieldType::Windows, v) => {
+                self.error_at(given, format!("{name} = {v}: must be a list"))
             }
-            (FieldType::Windows, v) => self.flaw(given, format!("{name} = {v}: must be a list")),
         }
     }
 }
@@ -513,7 +516,7 @@
         line: e.span().map_or(0, |s| checker.line_at(s.start)),
         reason: match e.message().replace('\n', " ") {
             empty if empty.is_empty() => "not valid TOML".to_string(),
-            told => told,
+            message => message,
         },
     })?;
     let mut config = Config::default();
@@ -544,14 +547,14 @@
             let Some((_, kind, _)) = FIELDS.iter().find(|(n, _, _)| n == field.get_ref()) else {
                 let known: Vec<&str> = FIELDS.iter().map(|(n, _, _)| *n).collect();
                 let reason = format!("field {:?}: must be one of {known:?}", field.get_ref());
-                return checker.flaw(field, reason);
+                return checker.error_at(field, reason);
             };
             if let Some(default) = &limits.default {
-                checker.typed(field.get_ref(), *kind, Some(limits), default)?;
+                checker.check_value(field.get_ref(), *kind, Some(limits), default)?;
             }
         }
         if templates.insert(name.clone(), t).is_some() {
-            return checker.flaw(&t.name, format!("{name:?} is defined twice"));
+            return checker.error_at(&t.name, format!("{name:?} is defined twice"));
         }
     }
     Ok(templates)
--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the check that the configuration in the table is still the known version.
-    pub(super) fn same_config(&self) -> Vec<Check> {
+    pub(super) fn config_check(&self) -> Vec<Check> {
         vec![Check {
             key: HEAD_KEY.to_string(),
             expect: expect(self.head_version),
@@ -97,7 +97,7 @@
         }
         let id = h.id.clone();
         let mut puts = vec![self.put_host(h, &row)];
-        let pool = h.row.pool.clone().map(|p| self.pool_for(&p));
+        let pool = h.row.pool.clone().map(|p| self.find_or_add_pool(&p));
         if let Some(pool) = pool {
             puts.push(self.put_pool(pool, |p| {
                 if !p.out.contains(&id) {
@@ -106,7 +106,7 @@
             }));
         }
         let line = Decision::new(Code::DrainGranted, Subject::Host, &id, why.as_str());
-        let checks = self.same_config();
+        let checks = self.config_check();
         self.commit(checks, puts, make(line), out);
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Advances every host out of service that this entry owns by one step.
-    pub(super) fn drive_drains(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
+    pub(super) fn advance_drains(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
         let keys: Vec<HostKey> = self
             .hosts
             .iter()
@@ -130,15 +130,15 @@
             .collect();
         for key in keys {
             match self.hosts[key].row.state {
-                HostState::Draining => self.drive_draining(key, now, out),
-                HostState::Out => self.drive_out(key, now, out),
-                HostState::Returning => self.drive_returning(key, now, out),
+                HostState::Draining => self.advance_draining(key, now, out),
+                HostState::Out => self.advance_out(key, now, out),
+                HostState::Returning => self.advance_returning(key, now, out),
                 HostState::Free | HostState::Serving => {}
             }
         }
     }
 
-    fn drive_draining(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
+    fn advance_draining(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         let mut held_by = self.holders(host);
         let jobs = self.jobs_on(&host.id);
@@ -148,9 +148,9 @@
             return;
         }
         match self.hosts[key].row.purpose.clone() {
-            Purpose::Maintenance | Purpose::Hold => self.let_out(key, now, out),
-            Purpose::Move(to) => self.rehome(key, Some(&to), now, out),
-            Purpose::Release => self.rehome(key, None, now, out),
+            Purpose::Maintenance | Purpose::Hold => self.mark_out(key, now, out),
+            Purpose::Move(to) => self.move_drained(key, Some(&to), now, out),
+            Purpose::Release => self.move_drained(key, None, now, out),
         }
     }
 
@@ -169,7 +169,7 @@
         out.push(Effect::Log(d));
     }
 
-    fn let_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
+    fn mark_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         let why = "every entry let go, no task is left";
         let mut row = self.next_row(host, now, &format!("out: {why}"));
@@ -181,7 +181,7 @@
         self.commit(vec![], puts, Why::Decision(line), out);
     }
 
-    fn rehome(&mut self, key: HostKey, to: Option<&str>, now: Now, out: &mut Vec<Effect>) {
+    fn move_drained(&mut self, key: HostKey, to: Option<&str>, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         let from = host.row.pool.clone();
         let why = match to {
@@ -198,7 +198,7 @@
         let id = host.id.clone();
         let mut puts = vec![self.put_host(host, &row)];
         for name in from.iter().map(String::as_str).chain(to) {
-            let pool = self.pool_for(name);
+            let pool = self.find_or_add_pool(name);
             if !self.is_unlocked(&pool_key(name)) {
                 return;
             }
@@ -211,7 +211,7 @@
         self.commit(vec![], puts, Why::Decision(line), out);
     }
 
-    fn drive_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
+    fn advance_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let reboot_ms = self.tuning.reboot_ms;
         let host = &mut self.hosts[key];
         if host.row.purpose != Purpose::Maintenance {
@@ -219,7 +219,7 @@
         }
         let boots = host.fact.as_ref().map_or(0, |f| f.boots);
         if boots > host.row.boots && host.is_live() {
-            self.come_back(key, boots, now, out);
+            self.mark_returning(key, boots, now, out);
             return;
         }
         let asked = host.asked_ms.is_some_and(|t| t + reboot_ms > now.ms);
@@ -248,7 +248,7 @@
         }
     }
 
-    fn come_back(&mut self, key: HostKey, boots: u64, now: Now, out: &mut Vec<Effect>) {
+    fn mark_returning(&mut self, key: HostKey, boots: u64, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         let mut row = self.next_row(host, now, "returning: the host has booted");
         row.state = HostState::Returning;
@@ -264,7 +264,7 @@
         self.commit(vec![], puts, Why::Decision(line), out);
     }
 
-    fn drive_returning(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
+    fn advance_returning(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         if !host.is_live() || now.ms < host.seen_ms + self.tuning.return_ms {
             return;
@@ -275,7 +275,7 @@
             &host.id,
             "the host came back and is live",
         );
-        self.serve_again(
+        self.return_to_service(
             key,
             Why::Decision(line),
             "serving: back and steady",
@@ -285,7 +285,7 @@
     }
 
     /// Returns a host to service in its pool, or to the free hosts if it has none.
-    pub(super) fn serve_again(
+    pub(super) fn return_to_service(
         &mut self,
         key: HostKey,
         purpose: Why,
@@ -303,7 +303,7 @@
         let id = host.id.clone();
         let mut puts = vec![self.put_host(host, &row)];
         if let Some(name) = host.row.pool.clone() {
-            let pool = self.pool_for(&name);
+            let pool = self.find_or_add_pool(&name);
             puts.push(self.put_pool(pool, |p| p.out.retain(|h| *h != id)));
         }
         self.commit(vec![], puts, purpose, out);
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -16,7 +16,7 @@
 use crate::port::{OrderAnswer, Put, Reports, TaskRef, TaskStart, TaskState};
 
 /// Minimum interval between orders to start or stop the same attempt.
-const ASK_MS: Millis = 2_000;
+const ORDER_INTERVAL_MS: Millis = 2_000;
 
 /// Number of failed attempts, which go to different hosts where possible, after which a job is given up as faulty.
 const FAILURES_MAX: usize = 3;
@@ -32,12 +32,12 @@
 
 impl State {
     /// Stores task reports, and drops those on ended jobs and earlier attempts.
-    pub(super) fn take_reports(&mut self, r: Reports, out: &mut Vec<Effect>) {
+    pub(super) fn apply_reports(&mut self, r: Reports, out: &mut Vec<Effect>) {
         self.reports_seq = r.seq;
         self.reports_known = true;
         for report in r.reports {
             if report.state == TaskState::Done {
-                self.learn(&report.job, report.ran_ms);
+                self.record_run_time(&report.job, report.ran_ms);
             }
             self.note_host_outcome(&report, out);
             let task = TaskRef {
@@ -54,12 +54,12 @@
         });
     }
 
-    fn learn(&mut self, job: &str, ran_ms: Millis) {
+    fn record_run_time(&mut self, job: &str, ran_ms: Millis) {
         let Some(j) = self.job_ids.get(job).map(|k| &self.jobs[*k]) else {
             return;
         };
         let key = (j.row.account.clone(), j.row.spec.pool.clone());
-        let times = self.learned.entry(key).or_default();
+        let times = self.run_times.entry(key).or_default();
         times.push_back(ran_ms);
         if times.len() > LEARNED_MAX {
             times.pop_front();
@@ -70,8 +70,8 @@
     /// declared one if there are none.
     pub fn expected_run_ms(&self, row: &JobRow) -> Millis {
         let key = (row.account.clone(), row.spec.pool.clone());
-        let learned = self.learned.get(&key).and_then(|t| t.iter().max());
-        learned.copied().unwrap_or(row.spec.run_ms)
+        let run_times = self.run_times.get(&key).and_then(|t| t.iter().max());
+        run_times.copied().unwrap_or(row.spec.run_ms)
     }
 
     fn note_host_outcome(&mut self, report: &crate::port::TaskReport, out: &mut Vec<Effect>) {
@@ -110,8 +110,13 @@
     }
 
     /// Advances each job of the owned pools by one step.
-    pub(super) fn drive_jobs(&mut self, owned: &HashSet<PoolKey>, now: Now, out: &mut Vec<Effect>) {
-        let mine: Vec<JobKey> = self
+    pub(super) fn advance_jobs(
+        &mut self,
+        owned: &HashSet<PoolKey>,
+        now: Now,
+        out: &mut Vec<Effect>,
+    ) {
+        let owned_jobs: Vec<JobKey> = self
             .jobs
             .iter()
             .filter(|(_, j)| {
@@ -120,14 +125,14 @@
             })
             .map(|(k, _)| k)
             .collect();
-        for key in &mine {
+        for key in &owned_jobs {
             match self.jobs[*key].row.state {
                 JobState::Waiting => {}
-                JobState::Placed => self.drive_placed(*key, now, out),
-                _ => self.forget_old(*key, now, out),
+                JobState::Placed => self.advance_placed(*key, now, out),
+                _ => self.remove_expired(*key, now, out),
             }
         }
-        let waiting = mine.iter().map(|k| &self.jobs[*k].row);
+        let waiting = owned_jobs.iter().map(|k| &self.jobs[*k].row);
         let waiting = waiting.filter(|r| r.state == JobState::Waiting);
         let pools: BTreeSet<PoolKey> = waiting
             .filter_map(|r| self.pool_names.get(&r.spec.pool).copied())
@@ -135,31 +140,31 @@
         for pool in pools {
             self.place_waiting(pool, now, out);
         }
-        self.renew(&mine, now, out);
+        self.renew_leases(&owned_jobs, now, out);
     }
 
     fn place_waiting(&mut self, pool: PoolKey, now: Now, out: &mut Vec<Effect>) {
         let name = self.pools[pool].name.clone();
         let mut placed = 0;
-        let mut held = Vec::new();
-        for key in self.waiting_order(&name, now) {
+        let mut reserved = Vec::new();
+        for key in self.sorted_waiting_jobs(&name, now) {
             if placed == PLACEMENTS_MAX {
                 return;
             }
             if !self.is_unlocked(&job_key(&self.jobs[key].id)) {
                 continue;
             }
-            let Some(host) = self.place_job(key, &held, now) else {
-                held.extend(self.host_to_hold(key, &held, now));
+            let Some(host) = self.choose_host(key, &reserved, now) else {
+                reserved.extend(self.host_to_reserve(key, &reserved, now));
                 continue;
             };
             placed += 1;
             let host = self.hosts[host].id.clone();
-            self.place(key, &host, now, out);
+            self.commit_placement(key, &host, now, out);
         }
     }
 
-    fn place(&mut self, key: JobKey, host: &str, now: Now, out: &mut Vec<Effect>) {
+    fn commit_placement(&mut self, key: JobKey, host: &str, now: Now, out: &mut Vec<Effect>) {
         let attempt = self.jobs[key].row.attempt + 1;
         let what = format!("attempt {attempt} placed on host {host}");
         let mut row = self.next_job(key, &what, now);
@@ -184,7 +189,7 @@
         row
     }
 
-    fn drive_placed(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
+    fn advance_placed(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
         let task = self.jobs[key].task();
         match self.reports.get(&task).map(|r| r.state) {
             Some(TaskState::Running) => self.jobs[key].confirmed = true,
@@ -194,7 +199,9 @@
             }
             None => {}
         }
-        let due = self.jobs[key].asked_ms.is_none_or(|t| t + ASK_MS <= now.ms);
+        let due = self.jobs[key]
+            .asked_ms
+            .is_none_or(|t| t + ORDER_INTERVAL_MS <= now.ms);
         if !due {
             return;
         }
@@ -204,7 +211,7 @@
             out.push(Effect::StopTask(task));
         } else if !self.jobs[key].confirmed && self.reports_known {
             self.jobs[key].asked_ms = Some(now.ms);
-            out.push(Effect::StartTask(self.start_of(key)));
+            out.push(Effect::StartTask(self.task_start(key)));
         }
     }
 
@@ -216,7 +223,7 @@
         row.cancel || (leaving && row.spec.repeatable)
     }
 
-    fn start_of(&self, key: JobKey) -> TaskStart {
+    fn task_start(&self, key: JobKey) -> TaskStart {
         let j = &self.jobs[key];
         TaskStart {
             job: j.id.clone(),
@@ -323,7 +330,7 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) {
-        let Some(key) = self.present(task) else {
+        let Some(key) = self.find_current_attempt(task) else {
             return;
         };
         match answer {
@@ -347,7 +354,7 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) {
-        let Some(key) = self.present(task) else {
+        let Some(key) = self.find_current_attempt(task) else {
             return;
         };
         let id = self.jobs[key].id.clone();
@@ -361,19 +368,19 @@
         }
     }
 
-    fn present(&self, task: &TaskRef) -> Option<JobKey> {
+    fn find_current_attempt(&self, task: &TaskRef) -> Option<JobKey> {
         let key = *self.job_ids.get(&task.job)?;
         let job = &self.jobs[key];
         let is_present = job.row.attempt == task.attempt && job.row.state == JobState::Placed;
         is_present.then_some(key)
     }
 
-    fn renew(&mut self, mine: &[JobKey], now: Now, out: &mut Vec<Effect>) {
+    fn renew_leases(&mut self, owned_jobs: &[JobKey], now: Now, out: &mut Vec<Effect>) {
         if now.ms < self.renewed_ms + self.tuning.lease_ms / 3 {
             return;
         }
         self.renewed_ms = now.ms;
-        let tasks: Vec<TaskRef> = mine
+        let tasks: Vec<TaskRef> = owned_jobs
             .iter()
             .filter_map(|k| self.jobs.get(*k))
             .filter(|j| j.row.state == JobState::Placed && j.confirmed)
@@ -384,7 +391,7 @@
         }
     }
 
-    fn forget_old(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
+    fn remove_expired(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
         let row = &self.jobs[key].row;
         let ended_ms = row.history.last().map_or(row.submitted_ms, |s| s.at_ms);
         if now.wall_ms < ended_ms + self.tuning.keep_job_ms {
--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -95,7 +95,10 @@
 
     /// Returns the entry that owns the pool, host or wave called `name`, by rendezvous hashing over `alive`.
     pub fn owner<'a>(&self, name: &str, alive: &[&'a str]) -> Option<&'a str> {
-        alive.iter().copied().max_by_key(|e| rank(e, name))
+        alive
+            .iter()
+            .copied()
+            .max_by_key(|e| rendezvous_rank(e, name))
     }
 
     /// Returns the entries that may still send requests to a host whose current row marks it as leaving.
@@ -110,18 +113,18 @@
             if ended {
                 continue;
             }
-            let freed_by =
+            let released_by =
                 |seq: u64, busy: &[String]| seq >= host.version && !busy.contains(&host.id);
-            let by_row = freed_by(row.view_seq, &row.busy);
+            let by_row = released_by(row.view_seq, &row.busy);
             let by_digest = match &m.digest {
                 Some(d) if *name != self.me.name => {
-                    d.incarnation == row.incarnation && freed_by(d.view_seq, &d.busy)
+                    d.incarnation == row.incarnation && released_by(d.view_seq, &d.busy)
                 }
                 _ => false,
             };
             let by_self = *name == self.me.name
                 && row.incarnation == self.me.incarnation
-                && freed_by(self.digest().view_seq, &self.digest().busy);
+                && released_by(self.digest().view_seq, &self.digest().busy);
             if !(by_row || by_digest || by_self) {
                 names.push(name.clone());
             }
@@ -208,7 +211,7 @@
     }
 
     /// Registers this entry, or writes its releases to the table if peers may not have received them.
-    pub(super) fn keep_own_row(&mut self, now: Now, out: &mut Vec<Effect>) {
+    pub(super) fn update_own_row(&mut self, now: Now, out: &mut Vec<Effect>) {
         let key = entry_key(&self.me.name);
         if !self.reads.complete || self.reads.failing || !self.is_unlocked(&key) || self.stopping {
             return;
@@ -229,13 +232,13 @@
             return false;
         };
         let digest = self.digest();
-        let told = |h: &Host| row.view_seq >= h.version && !row.busy.contains(&h.id);
+        let is_in_row = |h: &Host| row.view_seq >= h.version && !row.busy.contains(&h.id);
         let free = |h: &Host| digest.view_seq >= h.version && !digest.busy.contains(&h.id);
         self.hosts.values().any(|h| {
             h.row.state == HostState::Draining
                 && now.ms >= h.seen_ms + ACK_BY_TABLE_MS
                 && free(h)
-                && !told(h)
+                && !is_in_row(h)
         })
     }
 
@@ -269,7 +272,7 @@
     }
 }
 
-fn rank(entry: &str, name: &str) -> u64 {
+fn rendezvous_rank(entry: &str, name: &str) -> u64 {
     // The hash is stable within one build. If builds differ, two entries may both own a name, and the only cost is
     // conflicts in the table.
     let mut hasher = DefaultHasher::new();
--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -118,7 +118,7 @@
     /// Something unknown here may just have been committed by another entry, so an edit that names it is checked once
     /// more after a fresh read of the table.
     pub(super) fn edit(&mut self, ticket: Ticket, edit: Edit, now: Now, out: &mut Vec<Effect>) {
-        match self.checked(ticket, edit.clone(), now, out) {
+        match self.check_and_commit(ticket, edit.clone(), now, out) {
             Ok(()) => {}
             Err(f) if f.kind.is_unknown_thing() && !self.reads.failing => {
                 self.unknown_edits.push((ticket, edit, now.ms));
@@ -130,18 +130,18 @@
 
     /// Checks edits that named something unknown again, after a read that began at `begun_ms`, or after a failed read if
     /// it is `None`.
-    pub(super) fn edit_again(&mut self, begun_ms: Option<u64>, now: Now, out: &mut Vec<Effect>) {
+    pub(super) fn recheck_edits(&mut self, begun_ms: Option<u64>, now: Now, out: &mut Vec<Effect>) {
         for (ticket, edit, asked_ms) in std::mem::take(&mut self.unknown_edits) {
             if begun_ms.is_some_and(|t| t < asked_ms) {
                 self.unknown_edits.push((ticket, edit, asked_ms));
                 self.read_soon(now, out);
-            } else if let Err(failure) = self.checked(ticket, edit, now, out) {
+            } else if let Err(failure) = self.check_and_commit(ticket, edit, now, out) {
                 refuse(ticket, failure, out);
             }
         }
     }
 
-    fn may_edit(&self) -> Result<(), Refusal> {
+    fn check_ready(&self) -> Result<(), Refusal> {
         if self.stopping {
             return Err(Kind::Stopping.into());
         }
@@ -154,14 +154,14 @@
         Ok(())
     }
 
-    fn checked(
+    fn check_and_commit(
         &mut self,
         ticket: Ticket,
         edit: Edit,
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        self.may_edit()?;
+        self.check_ready()?;
         match edit {
             Edit::Apply { expect, text } => self.apply(ticket, expect, text, now, out),
             Edit::Drain { host, reboot, why } => self.drain(ticket, &host, reboot, &why, now, out),
@@ -200,15 +200,15 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        if let Err(flaw) = config::parse(&text) {
+        if let Err(error) = config::parse(&text) {
             let d = Decision::new(
                 Code::ConfigRefused,
                 Subject::Config,
                 "head",
-                flaw.to_string(),
+                error.to_string(),
             );
             out.push(Effect::Log(d));
-            return Err(Kind::InvalidTemplate.because(flaw.to_string()));
+            return Err(Kind::InvalidTemplate.because(error.to_string()));
         }
         if wanted != self.config_version || !self.is_unlocked(HEAD_KEY) {
             let detail = format!(
@@ -236,7 +236,7 @@
         Ok(())
     }
 
-    fn known_host(&self, id: &str) -> Result<HostKey, Refusal> {
+    fn find_changeable_host(&self, id: &str) -> Result<HostKey, Refusal> {
         let key = self.host_ids.get(id).copied();
         let key = key.ok_or_else(|| Kind::UnknownHost.because(id))?;
         if self.may_change(&self.hosts[key]) {
@@ -268,7 +268,7 @@
         Err(Kind::BudgetHolds.because(detail))
     }
 
-    fn at_rest(&self, host: HostKey) -> Result<(), Refusal> {
+    fn check_at_rest(&self, host: HostKey) -> Result<(), Refusal> {
         let h = &self.hosts[host];
         match h.row.state {
             HostState::Free | HostState::Serving => Ok(()),
@@ -285,8 +285,8 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let host = self.known_host(id)?;
-        self.at_rest(host)?;
+        let host = self.find_changeable_host(id)?;
+        self.check_at_rest(host)?;
         self.check_budget(host, out)?;
         let purpose = if reboot {
             Purpose::Maintenance
@@ -316,7 +316,7 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let host = self.known_host(id)?;
+        let host = self.find_changeable_host(id)?;
         let state = self.hosts[host].row.state;
         if matches!(state, HostState::Free | HostState::Serving) {
             let detail = format!("the host is {}", state.as_str());
@@ -335,7 +335,7 @@
             reply: Reply::Done(format!("host {id} is back")),
             line,
         };
-        self.serve_again(host, purpose, &what, now, out);
+        self.return_to_service(host, purpose, &what, now, out);
         Ok(())
     }
 
@@ -347,11 +347,11 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let host = self.known_host(id)?;
+        let host = self.find_changeable_host(id)?;
         if let Some(pool) = to.as_ref().filter(|p| !self.config.pools.contains_key(*p)) {
             return Err(Kind::UnknownPool.because(pool.as_str()));
         }
-        self.at_rest(host)?;
+        self.check_at_rest(host)?;
         if self.hosts[host].row.pool == to {
             return Err(Kind::NotAllowed.because("the host is already there"));
         }
@@ -496,7 +496,7 @@
             );
         }
         if let Some(known) = id.as_ref().and_then(|i| self.job_ids.get(i)) {
-            return self.submitted_before(ticket, &account, &spec, *known, out);
+            return self.answer_repeated_submit(ticket, &account, &spec, *known, out);
         }
         if !self.config.pools.contains_key(&spec.pool) {
             return Err(Kind::UnknownPool.because(spec.pool.as_str()));
@@ -542,7 +542,7 @@
     }
 
     /// Answers a repeated key with the existing job, or refuses it if the request differs.
-    fn submitted_before(
+    fn answer_repeated_submit(
         &self,
         ticket: Ticket,
         account: &str,
--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -17,13 +17,13 @@
 const FAILING_MS: Millis = 600_000;
 
 /// Waiting time after which a job counts as one class higher, and may reserve a host on which it does not fit yet.
-const LIFT_MS: Millis = 600_000;
+const CLASS_BOOST_MS: Millis = 600_000;
 
 /// Number of different jobs that must fail on a host, with no success between, before jobs avoid it.
 pub(super) const FAILING_JOBS: usize = 3;
 
-/// Batch jobs leave one part in `BATCH_LEAVES` of a host's cores free for the other classes.
-const BATCH_LEAVES: u32 = 8;
+/// Batch jobs leave one part in `BATCH_RESERVE_DIVISOR` of a host's cores free for the other classes.
+const BATCH_RESERVE_DIVISOR: u32 = 8;
 
 impl State {
     /// Assigns a free host to a pool that has too few, or releases a host of a pool that has too many.
@@ -35,10 +35,10 @@
         if !self.is_unlocked(&pool_key(&name)) {
             return;
         }
-        let wanted = self.wanted_hosts(pool);
-        let have = self.lasting_hosts(pool, now);
+        let wanted = self.count_wanted_hosts(pool);
+        let have = self.count_lasting_hosts(pool, now);
         if have < wanted {
-            if let Some(host) = self.best_free(pool) {
+            if let Some(host) = self.choose_free_host(pool) {
                 self.assign(host, pool, have, wanted, now, out);
             }
         } else if have > wanted {
@@ -46,7 +46,7 @@
         }
     }
 
-    fn wanted_hosts(&self, pool: PoolKey) -> usize {
+    fn count_wanted_hosts(&self, pool: PoolKey) -> usize {
         let p = &self.pools[pool];
         let Some(config) = self.config.pools.get(&p.name) else {
             return 0;
@@ -69,7 +69,7 @@
     }
 
     /// Counts the hosts that stay in a pool, without those that have been gone long enough to be replaced.
-    fn lasting_hosts(&self, pool: PoolKey, now: Now) -> usize {
+    fn count_lasting_hosts(&self, pool: PoolKey, now: Now) -> usize {
         let lasts = |h: &Host| match h.gone_since_ms {
             Some(t) => now.ms < t + self.tuning.replace_ms,
             None => true,
@@ -85,7 +85,7 @@
     /// Returns the best free host for a pool. It must run all of the pool's services. One that no running wave still
     /// has to take comes first, then one in the rack and the hall with the fewest hosts of the pool, then one with few
     /// cores.
-    fn best_free(&self, pool: PoolKey) -> Option<HostKey> {
+    fn choose_free_host(&self, pool: PoolKey) -> Option<HostKey> {
         let p = &self.pools[pool];
         let services = &self.config.pools.get(&p.name)?.services;
         let suits = |h: &Host| {
@@ -145,7 +145,7 @@
             self.put_host(h, &row),
             self.put_pool(pool, |p| p.moves += 1),
         ];
-        let checks = self.same_config();
+        let checks = self.config_check();
         self.commit(checks, puts, Why::Decision(line), out);
     }
 
@@ -211,13 +211,21 @@
     }
 
     /// Returns the host for a job's next attempt: a suitable host with enough free cores and memory that is not in
-    /// `held`. One that no running wave still has to take comes first, then the one with the fewest free cores, which
+    /// `reserved`. One that no running wave still has to take comes first, then the one with the fewest free cores, which
     /// leaves the emptier hosts to large jobs.
-    pub(super) fn place_job(&self, job: JobKey, held: &[HostKey], now: Now) -> Option<HostKey> {
+    pub(super) fn choose_host(
+        &self,
+        job: JobKey,
+        reserved: &[HostKey],
+        now: Now,
+    ) -> Option<HostKey> {
         let spec = &self.jobs[job].row.spec;
-        self.suitable(job, now)
-            .filter(|k| !held.contains(k))
-            .filter_map(|k| self.room(k, spec.class, spec.cores).map(|room| (k, room)))
+        self.suitable_hosts(job, now)
+            .filter(|k| !reserved.contains(k))
+            .filter_map(|k| {
+                self.free_capacity(k, spec.class, spec.cores)
+                    .map(|free_capacity| (k, free_capacity))
+            })
             .filter(|(_, (cores, memory_mb))| *cores >= spec.cores && *memory_mb >= spec.memory_mb)
             .min_by_key(|(k, (cores, _))| (self.awaits_wave(*k), *cores, self.hosts[*k].id.clone()))
             .map(|(k, _)| k)
@@ -225,7 +233,7 @@
 
     /// Returns the serving hosts of a job's pool that jobs do not avoid. Hosts on which this job has failed are included
     /// only if there is no other.
-    fn suitable(&self, job: JobKey, now: Now) -> impl Iterator<Item = HostKey> + '_ {
+    fn suitable_hosts(&self, job: JobKey, now: Now) -> impl Iterator<Item = HostKey> + '_ {
         let row = &self.jobs[job].row;
         let pool = self.pool_names.get(&row.spec.pool);
         let members = pool.map(|p| self.pools[*p].members.as_slice());
@@ -240,20 +248,25 @@
         members.iter().copied().filter(fits)
     }
 
-    /// Returns the host to reserve for a job that has waited for `LIFT_MS` and fits nowhere now: the suitable host with
+    /// Returns the host to reserve for a job that has waited for `CLASS_BOOST_MS` and fits nowhere now: the suitable host with
     /// the fewest jobs on which it would fit if the host were empty. Without this, smaller jobs could take the free
     /// capacity ahead of it for ever.
-    pub(super) fn host_to_hold(&self, job: JobKey, held: &[HostKey], now: Now) -> Option<HostKey> {
+    pub(super) fn host_to_reserve(
+        &self,
+        job: JobKey,
+        reserved: &[HostKey],
+        now: Now,
+    ) -> Option<HostKey> {
         let row = &self.jobs[job].row;
-        if now.wall_ms < row.submitted_ms + LIFT_MS {
+        if now.wall_ms < row.submitted_ms + CLASS_BOOST_MS {
             return None;
         }
         let fits = |k: &HostKey| {
             let fact = self.hosts[*k].fact.as_ref();
             fact.is_some_and(|f| f.cores >= row.spec.cores && f.memory_mb >= row.spec.memory_mb)
         };
-        self.suitable(job, now)
-            .filter(|k| !held.contains(k) && fits(k))
+        self.suitable_hosts(job, now)
+            .filter(|k| !reserved.contains(k) && fits(k))
             .min_by_key(|k| {
                 (
                     self.jobs_on(&self.hosts[*k].id).len(),
@@ -269,7 +282,7 @@
     }
 
     /// Returns the cores and the memory in MB that a job of a class may still take on a live host.
-    fn room(&self, host: HostKey, class: Class, asked: u32) -> Option<(u32, u64)> {
+    fn free_capacity(&self, host: HostKey, class: Class, asked: u32) -> Option<(u32, u64)> {
         let h = &self.hosts[host];
         let fact = h.fact.as_ref().filter(|f| f.life == Life::Live)?;
         let (mut cores, mut memory_mb) = (fact.cores, fact.memory_mb);
@@ -283,23 +296,24 @@
             others += 1;
         }
         // A batch job that needs more than the batch share may have an empty host, since it could never run otherwise.
-        let alone = others == 0 && asked > fact.cores - fact.cores / BATCH_LEAVES;
+        let alone = others == 0 && asked > fact.cores - fact.cores / BATCH_RESERVE_DIVISOR;
         if class == Class::Batch && !alone {
-            cores = cores.saturating_sub(fact.cores / BATCH_LEAVES);
+            cores = cores.saturating_sub(fact.cores / BATCH_RESERVE_DIVISOR);
         }
         Some((cores, memory_mb))
     }
 
     /// Returns the waiting jobs of a pool in the order in which they are placed: by class, then by the cores that their
-    /// account has in use, then by age. Every `LIFT_MS` of waiting raises a job by one class, so that no job starves.
-    pub(super) fn waiting_order(&self, pool: &str, now: Now) -> Vec<JobKey> {
-        let mut at_work: std::collections::HashMap<&str, u32> = std::collections::HashMap::new();
+    /// account has in use, then by age. Every `CLASS_BOOST_MS` of waiting raises a job by one class, so that no job starves.
+    pub(super) fn sorted_waiting_jobs(&self, pool: &str, now: Now) -> Vec<JobKey> {
+        let mut cores_in_use: std::collections::HashMap<&str, u32> =
+            std::collections::HashMap::new();
         for j in self
             .jobs
             .values()
             .filter(|j| j.row.state == JobState::Placed)
         {
-            *at_work.entry(&j.row.account).or_default() += j.row.spec.cores;
+            *cores_in_use.entry(&j.row.account).or_default() += j.row.spec.cores;
         }
         let mut waiting: Vec<_> = self
             .jobs
@@ -307,8 +321,11 @@
             .filter(|(_, j)| j.row.state == JobState::Waiting && j.row.spec.pool == pool)
             .map(|(k, j)| {
                 let waited_ms = now.wall_ms.saturating_sub(j.row.submitted_ms);
-                let lifted = (j.row.spec.class as u64).saturating_sub(waited_ms / LIFT_MS);
-                let share = at_work.get(j.row.account.as_str()).copied().unwrap_or(0);
+                let lifted = (j.row.spec.class as u64).saturating_sub(waited_ms / CLASS_BOOST_MS);
+                let share = cores_in_use
+                    .get(j.row.account.as_str())
+                    .copied()
+                    .unwrap_or(0);
                 (lifted, share, j.row.submitted_ms, j.id.clone(), k)
             })
             .collect();
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -18,7 +18,7 @@
 const PEER_ROWS_MAX: usize = 400;
 
 /// Interval between reads of the host list and of the task reports.
-const LISTS_MS: Millis = 1_000;
+const LISTS_INTERVAL_MS: Millis = 1_000;
 
 /// Applies one event to the state and returns the resulting effects.
 pub fn reduce(state: &mut State, event: Event, now: Now) -> Vec<Effect> {
@@ -39,10 +39,10 @@
         }
         Event::ReportsRead(reports) => {
             if let Some(r) = reports {
-                state.take_reports(r, &mut out);
+                state.apply_reports(r, &mut out);
             }
         }
-        Event::Committed { txn, outcome } => committed(state, txn, outcome, now, &mut out),
+        Event::Committed { txn, outcome } => handle_committed(state, txn, outcome, now, &mut out),
         Event::PeerAnswered {
             begun_ms,
             digest,
@@ -90,22 +90,22 @@
 fn tick(state: &mut State, published_seq: u64, busy: Vec<String>, now: Now, out: &mut Vec<Effect>) {
     let gap_ms = now.ms.saturating_sub(state.tick_ms);
     if state.tick_ms > 0 && gap_ms >= state.tuning.pause_ms {
-        resumed(state, gap_ms, out);
+        handle_pause(state, gap_ms, out);
     }
     state.tick_ms = now.ms;
     state.published_seq = state.published_seq.max(published_seq);
     state.busy = busy;
     state.watch_members(now, out);
     watch_isolation(state, now, out);
-    ask_for_reads(state, now, out);
-    state.keep_own_row(now, out);
-    if may_decide(state) {
+    start_due_reads(state, now, out);
+    state.update_own_row(now, out);
+    if can_decide(state) {
         decide(state, now, out);
     }
 }
 
 /// Reads the table anew after the process was paused: an answer that was on its way is lost, so the state is stale.
-fn resumed(state: &mut State, gap_ms: Millis, out: &mut Vec<Effect>) {
+fn handle_pause(state: &mut State, gap_ms: Millis, out: &mut Vec<Effect>) {
     let me = state.me.name.clone();
     let d = Decision::new(
         Code::Resumed,
@@ -135,13 +135,13 @@
     state.isolated = isolated;
 }
 
-fn ask_for_reads(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+fn start_due_reads(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     if !state.reads.outstanding && now.ms >= state.reads.next_ms {
         state.reads.outstanding = true;
         out.push(Effect::ReadTable { since: state.seq });
     }
     if !state.reads.failing && now.ms >= state.lists_next_ms {
-        state.lists_next_ms = now.ms + LISTS_MS;
+        state.lists_next_ms = now.ms + LISTS_INTERVAL_MS;
         out.push(Effect::ReadHosts);
         out.push(Effect::ReadReports {
             since: state.reports_seq,
@@ -151,7 +151,7 @@
 
 /// Whether this entry may decide: it needs a registered row, a complete view, the host list and a reachable table,
 /// since every decision is committed to the table.
-fn may_decide(state: &State) -> bool {
+fn can_decide(state: &State) -> bool {
     !state.stopping
         && state.reads.complete
         && !state.reads.failing
@@ -177,10 +177,10 @@
         state.grant_wave(*pool, now, out);
     }
     state.grant_free_hosts(&alive, now, out);
-    state.drive_drains(&alive, now, out);
+    state.advance_drains(&alive, now, out);
     state.close_waves(&alive, now, out);
     let owned: HashSet<_> = owned.into_iter().collect();
-    state.drive_jobs(&owned, now, out);
+    state.advance_jobs(&owned, now, out);
 }
 
 fn table_read(
@@ -205,7 +205,7 @@
         }
         state.reads.failing = true;
         answer_lost_applies(state, out);
-        state.edit_again(None, now, out);
+        state.recheck_edits(None, now, out);
         return;
     };
     if state.reads.failing {
@@ -220,7 +220,7 @@
     state.reads.failing = false;
     state.reads.backoff.succeed();
     let more = changes.more;
-    let news = !changes.rows.is_empty();
+    let has_new_rows = !changes.rows.is_empty();
     state.take_rows(changes.rows, changes.seq, now.ms, out);
     if more {
         state.reads.outstanding = true;
@@ -229,17 +229,17 @@
     }
     state.reads.complete = true;
     state.reads.next_ms = now.ms + state.tuning.tick_ms;
-    confirm(state, begun_ms);
+    confirm_view(state, begun_ms);
     answer_lost_applies(state, out);
-    state.edit_again(Some(begun_ms), now, out);
-    state.keep_own_row(now, out);
+    state.recheck_edits(Some(begun_ms), now, out);
+    state.update_own_row(now, out);
     // Decides on the new rows at once instead of at the next tick.
-    if news && may_decide(state) {
+    if has_new_rows && can_decide(state) {
         decide(state, now, out);
     }
 }
 
-fn confirm(state: &mut State, begun_ms: Millis) {
+fn confirm_view(state: &mut State, begun_ms: Millis) {
     state.confirmed_ms = state.confirmed_ms.max(begun_ms);
 }
 
@@ -272,7 +272,7 @@
     state.spoken_for |= !state.is_registered();
     if !more {
         state.reads.complete = true;
-        confirm(state, begun_ms);
+        confirm_view(state, begun_ms);
     }
 }
 
@@ -344,7 +344,7 @@
 impl State {
     /// Stops counting a placement that was not committed against its host's free capacity. If the outcome is unknown and
     /// the placement was committed, the next read of the table shows it, and it counts from then on.
-    fn give_up_placing(&mut self, key: &str) {
+    fn forget_placement(&mut self, key: &str) {
         let job = key.strip_prefix("job/").and_then(|id| self.job_ids.get(id));
         if let Some(job) = job {
             self.placing.remove(job);
@@ -361,7 +361,13 @@
     pub keys: Vec<String>,
 }
 
-fn committed(state: &mut State, txn: TxnKey, outcome: Outcome, now: Now, out: &mut Vec<Effect>) {
+fn handle_committed(
+    state: &mut State,
+    txn: TxnKey,
+    outcome: Outcome,
+    now: Now,
+    out: &mut Vec<Effect>,
+) {
     let Some(pending) = state.pending.remove(txn) else {
         return;
     };
@@ -373,7 +379,7 @@
             }
             _ => {
                 state.locked.remove(key);
-                state.give_up_placing(key);
+                state.forget_placement(key);
             }
         }
     }
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -5,10 +5,10 @@
 use crate::clock::Millis;
 
 /// Length of the pause after the first failure, before jitter.
-const FIRST_MS: Millis = 500;
+const PAUSE_FIRST_MS: Millis = 500;
 
 /// Maximum length of a pause.
-const LAST_MS: Millis = 4_000;
+const PAUSE_MAX_MS: Millis = 4_000;
 
 /// A pause that doubles with each failure in a row.
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,7 +20,7 @@
     /// Counts a failure and returns the pause after it, half of it fixed and half random, so that many entries do not
     /// retry at the same moment.
     pub fn fail(&mut self, rng: &mut fastrand::Rng) -> Millis {
-        let full = (FIRST_MS << self.failures.min(8)).min(LAST_MS);
+        let full = (PAUSE_FIRST_MS << self.failures.min(8)).min(PAUSE_MAX_MS);
         self.failures = self.failures.saturating_add(1);
         full / 2 + rng.u64(0..=full / 2)
     }
@@ -32,7 +32,7 @@
 }
 
 /// Hundredths of a retry that each first attempt earns, which allows one request in ten to be run again.
-const EARN: i64 = 10;
+const EARN_PER_ATTEMPT: i64 = 10;
 
 /// Hundredths of a retry earned per second, so that a service with little traffic can retry too.
 const EARN_PER_S: i64 = 1_000;
@@ -85,7 +85,7 @@
 
     /// Adds the earnings of a first attempt.
     pub fn earn(&self) {
-        self.add(EARN);
+        self.add(EARN_PER_ATTEMPT);
     }
 
     fn add(&self, hundredths: i64) {
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -6,19 +6,19 @@
 use super::config::Class;
 
 /// Number of parts in one request. Windows are counted in parts so that they can grow slowly.
-const PART: u32 = 16;
+const PARTS_PER_REQUEST: u32 = 16;
 
 /// Parts that an answer adds while the window is in full use, which makes sixteen answers for one more request.
-const GROW: u32 = 1;
+const GROW_PARTS: u32 = 1;
 
-/// Batch requests leave one slot in `BATCH_LEAVES` free for the other classes.
-const BATCH_LEAVES: u32 = 8;
+/// Batch requests leave one slot in `BATCH_RESERVE_DIVISOR` free for the other classes.
+const BATCH_RESERVE_DIVISOR: u32 = 8;
 
 /// The number of requests that this entry may have in flight at a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
     parts: u32,
-    most: u32,
+    parts_max: u32,
 }
 
 impl Window {
@@ -26,26 +26,26 @@
     /// overload the backend server.
     pub fn new(slots: u32, entries: usize) -> Self {
         let entries = u32::try_from(entries.max(1)).unwrap_or(u32::MAX);
-        let most = slots.max(1) * PART;
+        let parts_max = slots.max(1) * PARTS_PER_REQUEST;
         Self {
-            parts: (most / entries).max(PART),
-            most,
+            parts: (parts_max / entries).max(PARTS_PER_REQUEST),
+            parts_max,
         }
     }
 
     /// Returns the window in whole requests.
     pub fn size(&self) -> u32 {
-        self.parts / PART
+        self.parts / PARTS_PER_REQUEST
     }
 
     /// Shrinks the window after a refusal to three quarters, at least to one request.
     pub fn shrink(&mut self) {
-        self.parts = (self.parts * 3 / 4).max(PART);
+        self.parts = (self.parts * 3 / 4).max(PARTS_PER_REQUEST);
     }
 
     /// Grows the window after an answer that came while the window was in full use, at most to all slots.
     pub fn grow(&mut self) {
-        self.parts = (self.parts + GROW).min(self.most);
+        self.parts = (self.parts + GROW_PARTS).min(self.parts_max);
     }
 }
 
@@ -76,14 +76,14 @@
 /// Returns the index of the less loaded of two random backend servers with a free slot in their windows, or `None`
 /// if there is none.
 ///
-/// `look` returns the candidate at an index below `count`, and is called only for indexes that are drawn.
-pub fn pick<F>(count: usize, look: F, rng: &mut fastrand::Rng) -> Option<usize>
+/// `candidate_at` returns the candidate at an index below `count`, and is called only for indexes that are drawn.
+pub fn pick<F>(count: usize, candidate_at: F, rng: &mut fastrand::Rng) -> Option<usize>
 where
     F: Fn(usize) -> Candidate,
 {
-    let first = draw(count, &look, rng)?;
-    let second = draw(count, &look, rng)?;
-    if look(second).load() < look(first).load() {
+    let first = draw(count, &candidate_at, rng)?;
+    let second = draw(count, &candidate_at, rng)?;
+    if candidate_at(second).load() < candidate_at(first).load() {
         Some(second)
     } else {
         Some(first)
@@ -91,24 +91,24 @@
 }
 
 /// Draws a random candidate with a free slot: a few random tries first, then a scan from a random start.
-fn draw<F>(count: usize, look: &F, rng: &mut fastrand::Rng) -> Option<usize>
+fn draw<F>(count: usize, candidate_at: &F, rng: &mut fastrand::Rng) -> Option<usize>
 where
     F: Fn(usize) -> Candidate,
 {
-    const BLIND_DRAWS: usize = 4;
+    const RANDOM_TRIES: usize = 4;
     if count == 0 {
         return None;
     }
-    for _ in 0..BLIND_DRAWS {
+    for _ in 0..RANDOM_TRIES {
         let i = rng.usize(..count);
-        if look(i).has_room() {
+        if candidate_at(i).has_room() {
             return Some(i);
         }
     }
     let start = rng.usize(..count);
     (0..count)
         .map(|n| (start + n) % count)
-        .find(|i| look(*i).has_room())
+        .find(|i| candidate_at(*i).has_room())
 }
 
 /// Whether a request of `class` may take a slot now, given the batch requests in flight and the number of all slots.
@@ -120,6 +120,6 @@
         return true;
     }
     let entries = u32::try_from(entries.max(1)).unwrap_or(u32::MAX);
-    let for_batch = all_slots - all_slots / BATCH_LEAVES;
+    let for_batch = all_slots - all_slots / BATCH_RESERVE_DIVISOR;
     batch_in_flight < (for_batch / entries).max(1)
 }
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -224,7 +224,7 @@
     /// When the tasks' leases were last renewed.
     pub renewed_ms: Millis,
     /// Latest run times, by account and pool.
-    pub learned: HashMap<(String, String), VecDeque<Millis>>,
+    pub run_times: HashMap<(String, String), VecDeque<Millis>>,
     /// Whether the entry is shutting down.
     pub stopping: bool,
 }
@@ -273,7 +273,7 @@
             routes_dirty: true,
             placing: HashMap::new(),
             renewed_ms: 0,
-            learned: HashMap::new(),
+            run_times: HashMap::new(),
             stopping: false,
         }
     }
@@ -301,24 +301,24 @@
             self.by_version.remove(&known);
             self.by_version.insert(row.version, row.key.clone());
             self.raw.insert(row.key.clone(), row.clone());
-            self.take_row(&row, now_ms, out);
+            self.apply_row(&row, now_ms, out);
         }
         self.seq = self.seq.max(upto);
         let seq = self.seq;
         self.locked.retain(|_, until| *until > seq);
     }
 
-    fn take_row(&mut self, row: &Row, now_ms: Millis, out: &mut Vec<Effect>) {
+    fn apply_row(&mut self, row: &Row, now_ms: Millis, out: &mut Vec<Effect>) {
         let Some((space, name)) = row.key.split_once('/') else {
             return;
         };
         let taken = match space {
-            "host" => self.take_host(row, name, now_ms),
-            "pool" => self.take_pool(row, name),
-            "wave" => self.take_wave(row, name),
-            "job" => self.take_job(row, name),
-            "entry" => self.take_entry(row, name),
-            "config" if row.key == HEAD_KEY => self.take_head(row, out),
+            "host" => self.apply_host_row(row, name, now_ms),
+            "pool" => self.apply_pool_row(row, name),
+            "wave" => self.apply_wave_row(row, name),
+            "job" => self.apply_job_row(row, name),
+            "entry" => self.apply_entry_row(row, name),
+            "config" if row.key == HEAD_KEY => self.apply_head_row(row, out),
             _ => Ok(()),
         };
         if let Err(why) = taken {
@@ -328,9 +328,9 @@
         }
     }
 
-    fn take_host(&mut self, row: &Row, id: &str, now_ms: Millis) -> Result<(), String> {
+    fn apply_host_row(&mut self, row: &Row, id: &str, now_ms: Millis) -> Result<(), String> {
         let body: Option<HostRow> = decode(row)?;
-        let key = self.host_for(id);
+        let key = self.find_or_add_host(id);
         if let Some(host) = self.hosts.get_mut(key) {
             host.row = body.unwrap_or_default();
             host.version = row.version;
@@ -342,9 +342,9 @@
         Ok(())
     }
 
-    fn take_pool(&mut self, row: &Row, name: &str) -> Result<(), String> {
+    fn apply_pool_row(&mut self, row: &Row, name: &str) -> Result<(), String> {
         let body: Option<PoolRow> = decode(row)?;
-        let key = self.pool_for(name);
+        let key = self.find_or_add_pool(name);
         if let Some(pool) = self.pools.get_mut(key) {
             pool.row = body.unwrap_or_default();
             pool.version = row.version;
@@ -352,7 +352,7 @@
         Ok(())
     }
 
-    fn take_wave(&mut self, row: &Row, id: &str) -> Result<(), String> {
+    fn apply_wave_row(&mut self, row: &Row, id: &str) -> Result<(), String> {
         match decode(row)? {
             Some(body) => {
                 self.waves.insert(id.to_string(), (row.version, body));
@@ -364,11 +364,11 @@
         Ok(())
     }
 
-    fn take_job(&mut self, row: &Row, id: &str) -> Result<(), String> {
+    fn apply_job_row(&mut self, row: &Row, id: &str) -> Result<(), String> {
         let body: Option<JobRow> = decode(row)?;
         let known = self.job_ids.get(id).copied();
         if let Some(key) = known {
-            self.unplace(key);
+            self.remove_from_host(key);
         }
         let Some(body) = body else {
             if let Some(key) = known {
@@ -411,7 +411,7 @@
     }
 
     /// Removes a job from the list of its host.
-    fn unplace(&mut self, key: JobKey) {
+    fn remove_from_host(&mut self, key: JobKey) {
         let host = self.jobs.get(key).and_then(|j| j.row.host.as_ref());
         let Some(list) = host.and_then(|h| self.placed_on.get_mut(h)) else {
             return;
@@ -419,7 +419,7 @@
         list.retain(|k| *k != key);
     }
 
-    fn take_entry(&mut self, row: &Row, name: &str) -> Result<(), String> {
+    fn apply_entry_row(&mut self, row: &Row, name: &str) -> Result<(), String> {
         let body: Option<EntryRow> = decode(row)?;
         let member = self.members.entry(name.to_string()).or_default();
         member.row = body;
@@ -428,7 +428,7 @@
         Ok(())
     }
 
-    fn take_head(&mut self, row: &Row, out: &mut Vec<Effect>) -> Result<(), String> {
+    fn apply_head_row(&mut self, row: &Row, out: &mut Vec<Effect>) -> Result<(), String> {
         let head: Option<HeadRow> = decode(row)?;
         let Some(head) = head else {
             return Ok(());
@@ -441,7 +441,7 @@
         self.config = Arc::new(config);
         self.config_version = head.version;
         for name in self.config.pools.keys().cloned().collect::<Vec<_>>() {
-            self.pool_for(&name);
+            self.find_or_add_pool(&name);
         }
         self.routes_dirty = true;
         let d = Decision::new(
@@ -456,7 +456,7 @@
     }
 
     /// Returns a host's arena key, and adds the host if it is unknown.
-    pub fn host_for(&mut self, id: &str) -> HostKey {
+    pub fn find_or_add_host(&mut self, id: &str) -> HostKey {
         if let Some(key) = self.host_ids.get(id) {
             return *key;
         }
@@ -476,7 +476,7 @@
     }
 
     /// Returns a pool's arena key, and adds the pool if it is unknown.
-    pub fn pool_for(&mut self, name: &str) -> PoolKey {
+    pub fn find_or_add_pool(&mut self, name: &str) -> PoolKey {
         if let Some(key) = self.pool_names.get(name) {
             return *key;
         }
@@ -500,7 +500,7 @@
             .filter_map(|(k, h)| h.row.pool.clone().map(|p| (k, p)))
             .collect();
         for (host, pool) in placed {
-            let key = self.pool_for(&pool);
+            let key = self.find_or_add_pool(&pool);
             if let Some(pool) = self.pools.get_mut(key) {
                 pool.members.push(host);
             }
@@ -512,7 +512,7 @@
         let mut listed = std::collections::HashSet::new();
         for fact in facts {
             listed.insert(fact.id.clone());
-            let key = self.host_for(&fact.id);
+            let key = self.find_or_add_host(&fact.id);
             if let Some(host) = self.hosts.get_mut(key) {
                 if host.fact.as_ref() != Some(&fact) {
                     self.routes_dirty = true;
@@ -541,11 +541,11 @@
         self.hosts_known = true;
     }
 
-    /// Returns at most `most` rows that changed after `since`, and the change number up to which they are complete.
-    pub fn rows_after(&self, since: u64, most: usize) -> (Vec<Row>, u64) {
+    /// Returns at most `rows_max` rows that changed after `since`, and the change number up to which they are complete.
+    pub fn rows_after(&self, since: u64, rows_max: usize) -> (Vec<Row>, u64) {
         let mut rows = Vec::new();
         for (version, key) in self.by_version.range(since + 1..) {
-            if rows.len() == most {
+            if rows.len() == rows_max {
                 return (rows, version - 1);
             }
             rows.extend(self.raw.get(key).cloned());
--- a/src/core/wave.rs
+++ b/src/core/wave.rs
@@ -125,11 +125,11 @@
             return;
         }
         let pace = self.config.pools.get(&name).map_or(100, |p| p.pace_percent);
-        let most = pace_limit(view.budget.max_unavailable(&view.members), pace);
-        if view.out() >= most {
+        let out_max = pace_limit(view.budget.max_unavailable(&view.members), pace);
+        if view.out() >= out_max {
             return;
         }
-        let Some(next) = self.next_of(&view, &waiting) else {
+        let Some(next) = self.choose_next_host(&view, &waiting) else {
             let why = "the budget allows no host to leave";
             self.report_wave_held(pool, &wave, why, now, out);
             return;
@@ -145,7 +145,7 @@
 
     /// Returns the host to drain next: the one whose leaving makes the reserve for a failure smallest, then the one with
     /// the fewest jobs, then one in the rack with the most hosts out, then the first by id.
-    fn next_of(&self, view: &PoolView, waiting: &[HostKey]) -> Option<HostKey> {
+    fn choose_next_host(&self, view: &PoolView, waiting: &[HostKey]) -> Option<HostKey> {
         waiting
             .iter()
             .copied()
@@ -153,18 +153,18 @@
             .filter(|(_, v)| v.allowed)
             .min_by_key(|(k, v)| {
                 let h = &self.hosts[*k];
-                let rack_out = self.rack_out(view, *k);
+                let count_rack_out = self.count_rack_out(view, *k);
                 (
                     v.reserved,
                     self.jobs_on(&h.id).len(),
-                    usize::MAX - rack_out,
+                    usize::MAX - count_rack_out,
                     h.id.clone(),
                 )
             })
             .map(|(k, _)| k)
     }
 
-    fn rack_out(&self, view: &PoolView, host: HostKey) -> usize {
+    fn count_rack_out(&self, view: &PoolView, host: HostKey) -> usize {
         let Some(at) = view.keys.iter().position(|k| *k == host) else {
             return 0;
         };
