--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -266,7 +266,7 @@
 
     fn advance_returning(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
-        if !host.is_live() || now.ms < host.seen_ms + self.tuning.return_ms {
+        if !host.is_live() || now.ms < host.row_seen_ms + self.tuning.return_ms {
             return;
         }
         let line = Decision::new(
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -70,8 +70,8 @@
     /// declared one if there are none.
     pub fn expected_run_ms(&self, row: &JobRow) -> Millis {
         let key = (row.account.clone(), row.spec.pool.clone());
-        let run_times = self.run_times.get(&key).and_then(|t| t.iter().max());
-        run_times.copied().unwrap_or(row.spec.run_ms)
+        let longest = self.run_times.get(&key).and_then(|t| t.iter().max());
+        longest.copied().unwrap_or(row.spec.run_ms)
     }
 
     fn note_host_outcome(&mut self, report: &crate::port::TaskReport, out: &mut Vec<Effect>) {
@@ -192,7 +192,7 @@
     fn advance_placed(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
         let task = self.jobs[key].task();
         match self.reports.get(&task).map(|r| r.state) {
-            Some(TaskState::Running) => self.jobs[key].confirmed = true,
+            Some(TaskState::Running) => self.jobs[key].start_confirmed = true,
             Some(state) => {
                 self.attempt_ended(key, state, now, out);
                 return;
@@ -209,7 +209,7 @@
             self.jobs[key].stopping = true;
             self.jobs[key].asked_ms = Some(now.ms);
             out.push(Effect::StopTask(task));
-        } else if !self.jobs[key].confirmed && self.reports_known {
+        } else if !self.jobs[key].start_confirmed && self.reports_known {
             self.jobs[key].asked_ms = Some(now.ms);
             out.push(Effect::StartTask(self.task_start(key)));
         }
@@ -334,7 +334,7 @@
             return;
         };
         match answer {
-            Some(OrderAnswer::Accepted) => self.jobs[key].confirmed = true,
+            Some(OrderAnswer::Accepted) => self.jobs[key].start_confirmed = true,
             Some(OrderAnswer::NoHost | OrderAnswer::Fenced) => {
                 // Only a stop makes sure that this attempt never starts. It may be fenced by a stop whose answer was
                 // lost, or by an entry that crashed before it could record the stop.
@@ -383,7 +383,7 @@
         let tasks: Vec<TaskRef> = owned_jobs
             .iter()
             .filter_map(|k| self.jobs.get(*k))
-            .filter(|j| j.row.state == JobState::Placed && j.confirmed)
+            .filter(|j| j.row.state == JobState::Placed && j.start_confirmed)
             .map(|j| j.task())
             .collect();
         if !tasks.is_empty() {
--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -220,9 +220,9 @@
             self.write_own_row(EntryState::Live, Purpose::Register, out);
             return;
         }
-        let due = now.ms >= self.ack_ms + ACK_PAUSE_MS;
+        let due = now.ms >= self.ack_written_ms + ACK_PAUSE_MS;
         if due && self.must_ack_by_table(now) {
-            self.ack_ms = now.ms;
+            self.ack_written_ms = now.ms;
             self.write_own_row(EntryState::Live, Purpose::Acknowledge, out);
         }
     }
@@ -236,7 +236,7 @@
         let free = |h: &Host| digest.view_seq >= h.version && !digest.busy.contains(&h.id);
         self.hosts.values().any(|h| {
             h.row.state == HostState::Draining
-                && now.ms >= h.seen_ms + ACK_BY_TABLE_MS
+                && now.ms >= h.row_seen_ms + ACK_BY_TABLE_MS
                 && free(h)
                 && !is_in_row(h)
         })
--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -121,19 +121,19 @@
         match self.check_and_commit(ticket, edit.clone(), now, out) {
             Ok(()) => {}
             Err(f) if f.kind.is_unknown_thing() && !self.reads.failing => {
-                self.unknown_edits.push((ticket, edit, now.ms));
+                self.edits_to_recheck.push((ticket, edit, now.ms));
                 self.read_soon(now, out);
             }
             Err(failure) => refuse(ticket, failure, out),
         }
     }
 
-    /// Checks edits that named something unknown again, after a read that began at `begun_ms`, or after a failed read if
-    /// it is `None`.
+    /// Checks edits that named something unknown again, after a read that began at `begun_ms`, or after a failed read
+    /// if it is `None`.
     pub(super) fn recheck_edits(&mut self, begun_ms: Option<u64>, now: Now, out: &mut Vec<Effect>) {
-        for (ticket, edit, asked_ms) in std::mem::take(&mut self.unknown_edits) {
+        for (ticket, edit, asked_ms) in std::mem::take(&mut self.edits_to_recheck) {
             if begun_ms.is_some_and(|t| t < asked_ms) {
-                self.unknown_edits.push((ticket, edit, asked_ms));
+                self.edits_to_recheck.push((ticket, edit, asked_ms));
                 self.read_soon(now, out);
             } else if let Err(failure) = self.check_and_commit(ticket, edit, now, out) {
                 refuse(ticket, failure, out);
--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -211,8 +211,8 @@
     }
 
     /// Returns the host for a job's next attempt: a suitable host with enough free cores and memory that is not in
-    /// `reserved`. One that no running wave still has to take comes first, then the one with the fewest free cores, which
-    /// leaves the emptier hosts to large jobs.
+    /// `reserved`. One that no running wave still has to take comes first, then the one with the fewest free cores,
+    /// which leaves the emptier hosts to large jobs.
     pub(super) fn choose_host(
         &self,
         job: JobKey,
@@ -224,15 +224,15 @@
             .filter(|k| !reserved.contains(k))
             .filter_map(|k| {
                 self.free_capacity(k, spec.class, spec.cores)
-                    .map(|free_capacity| (k, free_capacity))
+                    .map(|free| (k, free))
             })
             .filter(|(_, (cores, memory_mb))| *cores >= spec.cores && *memory_mb >= spec.memory_mb)
             .min_by_key(|(k, (cores, _))| (self.awaits_wave(*k), *cores, self.hosts[*k].id.clone()))
             .map(|(k, _)| k)
     }
 
-    /// Returns the serving hosts of a job's pool that jobs do not avoid. Hosts on which this job has failed are included
-    /// only if there is no other.
+    /// Returns the serving hosts of a job's pool that jobs do not avoid. Hosts on which this job has failed are
+    /// included only if there is no other.
     fn suitable_hosts(&self, job: JobKey, now: Now) -> impl Iterator<Item = HostKey> + '_ {
         let row = &self.jobs[job].row;
         let pool = self.pool_names.get(&row.spec.pool);
@@ -248,9 +248,9 @@
         members.iter().copied().filter(fits)
     }
 
-    /// Returns the host to reserve for a job that has waited for `CLASS_BOOST_MS` and fits nowhere now: the suitable host with
-    /// the fewest jobs on which it would fit if the host were empty. Without this, smaller jobs could take the free
-    /// capacity ahead of it for ever.
+    /// Returns the host to reserve for a job that has waited for `CLASS_BOOST_MS` and fits nowhere now: the suitable
+    /// host with the fewest jobs on which it would fit if the host were empty. Without this, smaller jobs could take
+    /// the free capacity ahead of it for ever.
     pub(super) fn host_to_reserve(
         &self,
         job: JobKey,
@@ -304,7 +304,8 @@
     }
 
     /// Returns the waiting jobs of a pool in the order in which they are placed: by class, then by the cores that their
-    /// account has in use, then by age. Every `CLASS_BOOST_MS` of waiting raises a job by one class, so that no job starves.
+    /// account has in use, then by age. Every `CLASS_BOOST_MS` of waiting raises a job by one class, so that no job
+    /// starves.
     pub(super) fn sorted_waiting_jobs(&self, pool: &str, now: Now) -> Vec<JobKey> {
         let mut cores_in_use: std::collections::HashMap<&str, u32> =
             std::collections::HashMap::new();
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -34,7 +34,7 @@
         Event::HostsRead(listing) => {
             if let Some(l) = listing {
                 state.ended_entries = l.ended_entries;
-                state.take_hosts(l.hosts, now.ms, &mut out);
+                state.apply_host_list(l.hosts, now.ms, &mut out);
             }
         }
         Event::ReportsRead(reports) => {
@@ -52,7 +52,7 @@
         } => {
             state.take_digest(digest, begun_ms, &mut out);
             if !state.hosts_known && !hosts.is_empty() {
-                state.take_hosts(hosts, now.ms, &mut out);
+                state.apply_host_list(hosts, now.ms, &mut out);
             }
             take_peer_rows(state, begun_ms, changes, complete, now, &mut out);
         }
@@ -290,7 +290,7 @@
         false => state.host_facts(),
     };
     state.take_digest(digest, now.ms, out);
-    let (rows, seq) = state.rows_after(since, PEER_ROWS_MAX);
+    let (rows, seq) = state.rows_changed_after(since, PEER_ROWS_MAX);
     let more = seq < state.seq;
     out.push(Effect::AnswerPeer {
         ticket,
@@ -342,8 +342,8 @@
 }
 
 impl State {
-    /// Stops counting a placement that was not committed against its host's free capacity. If the outcome is unknown and
-    /// the placement was committed, the next read of the table shows it, and it counts from then on.
+    /// Stops counting a placement that was not committed against its host's free capacity. If the outcome is unknown
+    /// and the placement was committed, the next read of the table shows it, and it counts from then on.
     fn forget_placement(&mut self, key: &str) {
         let job = key.strip_prefix("job/").and_then(|id| self.job_ids.get(id));
         if let Some(job) = job {
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -48,7 +48,7 @@
     /// When this entry first saw that the host was not live; `None` while it is live.
     pub gone_since_ms: Option<Millis>,
     /// When this entry first saw the current version of the row.
-    pub seen_ms: Millis,
+    pub row_seen_ms: Millis,
     /// When this entry last ordered the host's reboot, or logged what holds its drain.
     pub asked_ms: Option<Millis>,
     /// Different jobs that failed here since the last success, the latest last.
@@ -110,7 +110,7 @@
     /// When this entry last ordered a start or a stop of the current attempt.
     pub asked_ms: Option<Millis>,
     /// Whether the platform confirmed the start of the current attempt to this entry.
-    pub confirmed: bool,
+    pub start_confirmed: bool,
     /// Whether a stop was ordered, which ends the current attempt or keeps it from ever starting.
     pub stopping: bool,
 }
@@ -153,7 +153,7 @@
     /// Undecoded rows by key, to answer peers with.
     pub raw: HashMap<String, Row>,
     /// Row keys by version, to find the rows that a peer lacks.
-    pub by_version: BTreeMap<u64, String>,
+    pub row_keys_by_version: BTreeMap<u64, String>,
     /// All hosts that have a row or are listed by the platform.
     pub hosts: SlotMap<HostKey, Host>,
     /// Hosts by id.
@@ -207,7 +207,7 @@
     /// Leaving hosts on which this entry has requests in flight.
     pub busy: Vec<String>,
     /// When the entry's own row was last written as an acknowledgement.
-    pub ack_ms: Millis,
+    pub ack_written_ms: Millis,
     /// Transactions whose outcome is not known yet.
     pub pending: SlotMap<TxnKey, Pending>,
     /// Rows that a transaction of this entry changes, with the change number that the view must reach to unlock them.
@@ -216,7 +216,7 @@
     pub lost_applies: Vec<(Ticket, Arc<Config>, u64)>,
     /// Edits that named something unknown here, with the time of the request: they are checked again after a read of
     /// the table that began later.
-    pub unknown_edits: Vec<(Ticket, Edit, Millis)>,
+    pub edits_to_recheck: Vec<(Ticket, Edit, Millis)>,
     /// Whether the routes must be rebuilt and published.
     pub routes_dirty: bool,
     /// Chosen hosts by job, for placements whose outcome is not in the view yet.
@@ -238,7 +238,7 @@
             rng: fastrand::Rng::with_seed(seed),
             seq: 0,
             raw: HashMap::new(),
-            by_version: BTreeMap::new(),
+            row_keys_by_version: BTreeMap::new(),
             hosts: SlotMap::with_key(),
             host_ids: BTreeMap::new(),
             pools: SlotMap::with_key(),
@@ -265,11 +265,11 @@
             tick_ms: 0,
             published_seq: 0,
             busy: Vec::new(),
-            ack_ms: 0,
+            ack_written_ms: 0,
             pending: SlotMap::with_key(),
             locked: HashMap::new(),
             lost_applies: Vec::new(),
-            unknown_edits: Vec::new(),
+            edits_to_recheck: Vec::new(),
             routes_dirty: true,
             placing: HashMap::new(),
             renewed_ms: 0,
@@ -298,8 +298,9 @@
             if row.version <= known {
                 continue;
             }
-            self.by_version.remove(&known);
-            self.by_version.insert(row.version, row.key.clone());
+            self.row_keys_by_version.remove(&known);
+            self.row_keys_by_version
+                .insert(row.version, row.key.clone());
             self.raw.insert(row.key.clone(), row.clone());
             self.apply_row(&row, now_ms, out);
         }
@@ -334,7 +335,7 @@
         if let Some(host) = self.hosts.get_mut(key) {
             host.row = body.unwrap_or_default();
             host.version = row.version;
-            host.seen_ms = now_ms;
+            host.row_seen_ms = now_ms;
             host.asked_ms = None;
         }
         self.rebuild_members();
@@ -385,7 +386,7 @@
         match known.and_then(|k| self.jobs.get_mut(k)) {
             Some(job) => {
                 if job.row.attempt != body.attempt || job.row.state != body.state {
-                    job.confirmed = false;
+                    job.start_confirmed = false;
                     job.stopping = false;
                     job.asked_ms = None;
                 }
@@ -398,7 +399,7 @@
                     row: body,
                     version: row.version,
                     asked_ms: None,
-                    confirmed: false,
+                    start_confirmed: false,
                     stopping: false,
                 });
                 self.job_ids.insert(id.to_string(), key);
@@ -466,7 +467,7 @@
             row: HostRow::default(),
             version: 0,
             gone_since_ms: None,
-            seen_ms: 0,
+            row_seen_ms: 0,
             asked_ms: None,
             failed_jobs: Vec::new(),
             failing_since_ms: None,
@@ -508,7 +509,7 @@
     }
 
     /// Stores the platform's list of hosts.
-    pub fn take_hosts(&mut self, facts: Vec<HostFact>, now_ms: Millis, out: &mut Vec<Effect>) {
+    pub fn apply_host_list(&mut self, facts: Vec<HostFact>, now_ms: Millis, out: &mut Vec<Effect>) {
         let mut listed = std::collections::HashSet::new();
         for fact in facts {
             listed.insert(fact.id.clone());
@@ -542,9 +543,9 @@
     }
 
     /// Returns at most `rows_max` rows that changed after `since`, and the change number up to which they are complete.
-    pub fn rows_after(&self, since: u64, rows_max: usize) -> (Vec<Row>, u64) {
+    pub fn rows_changed_after(&self, since: u64, rows_max: usize) -> (Vec<Row>, u64) {
         let mut rows = Vec::new();
-        for (version, key) in self.by_version.range(since + 1..) {
+        for (version, key) in self.row_keys_by_version.range(since + 1..) {
             if rows.len() == rows_max {
                 return (rows, version - 1);
             }
--- a/src/core/wave.rs
+++ b/src/core/wave.rs
@@ -143,8 +143,8 @@
         self.grant_drain(grant, Why::Decision, now, out);
     }
 
-    /// Returns the host to drain next: the one whose leaving makes the reserve for a failure smallest, then the one with
-    /// the fewest jobs, then one in the rack with the most hosts out, then the first by id.
+    /// Returns the host to drain next: the one whose leaving makes the reserve for a failure smallest, then the one
+    /// with the fewest jobs, then one in the rack with the most hosts out, then the first by id.
     fn choose_next_host(&self, view: &PoolView, waiting: &[HostKey]) -> Option<HostKey> {
         waiting
             .iter()
@@ -252,8 +252,8 @@
         }
     }
 
-    /// Counts the hosts that a wave still has to take, or has taken and not yet returned. A host that is not live and was
-    /// never taken does not count.
+    /// Counts the hosts that a wave still has to take, or has taken and not yet returned. A host that is not live and
+    /// was never taken does not count.
     pub fn wave_left(&self, id: &str) -> usize {
         let Some((_, wave)) = self.waves.get(id) else {
             return 0;
