--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -1,4 +1,7 @@
-//! Leaving hosts, from the mark to the reboot and back.
+//! Draining of hosts: the grant, the release by every entry, the reboot or the move, and the return to service.
+//!
+//! The entry that owns a host's pool advances its draining hosts on every decision. Operators' edits, waves and the
+//! sizing of pools grant drains through this module.
 
 use super::members::expect;
 use super::reduce::{Effect, Purpose as Why};
@@ -10,23 +13,23 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::{Check, Put};
 
-/// Time between two log lines on the same held drain.
+/// Minimum interval between log lines about the same drain that is held up.
 const HELD_LOG_MS: Millis = 60_000;
 
-/// A leave to be granted.
+/// A drain to be granted.
 pub(super) struct Grant {
-    /// Which host.
+    /// The host to drain.
     pub(super) host: HostKey,
-    /// What it leaves for.
+    /// What the host drains for.
     pub(super) purpose: Purpose,
-    /// The wave that takes it.
+    /// The wave that takes the host, if any.
     pub(super) wave: Option<String>,
-    /// The reason, for history and log.
+    /// The reason, for the host's history and the log.
     pub(super) why: String,
 }
 
 impl State {
-    /// A host's next row: the change and the step that tells it.
+    /// Returns a copy of a host's row with the current time and a new step in its history.
     pub(super) fn next_row(&self, host: &Host, now: Now, what: &str) -> HostRow {
         let mut row = host.row.clone();
         row.since_ms = now.wall_ms;
@@ -34,7 +37,7 @@
         row
     }
 
-    /// A step of a row's history, in this entry's name.
+    /// Returns a history step in this entry's name.
     pub(super) fn step(&self, now: Now, what: &str) -> Step {
         Step {
             at_ms: now.wall_ms,
@@ -43,12 +46,12 @@
         }
     }
 
-    /// A write of a host's row, on condition that it is as we know it.
+    /// Returns a write of a host's row that is conditional on the known version.
     pub(super) fn put_host(&self, host: &Host, row: &HostRow) -> Put {
         Put::new(host_key(&host.id), expect(host.version), row)
     }
 
-    /// A write of a pool's row, on condition that it is as we know it.
+    /// Returns a write of a pool's row, changed by `change`, that is conditional on the known version.
     pub(super) fn put_pool(&self, pool: PoolKey, change: impl FnOnce(&mut PoolRow)) -> Put {
         let p = &self.pools[pool];
         let mut row = p.row.clone();
@@ -56,15 +59,15 @@
         Put::new(pool_key(&p.name), expect(p.version), &row)
     }
 
-    /// The condition that the configuration is the one we decided on.
-    pub(super) fn same_config(&self) -> Vec<Check> {
+    /// Returns the check that the configuration in the table is still the known version.
+    pub(super) fn config_check(&self) -> Vec<Check> {
         vec![Check {
             key: HEAD_KEY.to_string(),
             expect: expect(self.head_version),
         }]
     }
 
-    /// Whether no transaction of ours is changing the host or its pool.
+    /// Whether no transaction of this entry is changing the host's row or its pool's row.
     pub(super) fn may_change(&self, host: &Host) -> bool {
         let pool_free = match &host.row.pool {
             Some(p) => self.is_unlocked(&pool_key(p)),
@@ -73,9 +76,9 @@
         pool_free && self.is_unlocked(&host_key(&host.id))
     }
 
-    /// Marks a host as leaving, together with its pool's row, on condition of both.
+    /// Marks a host as draining and lists it in its pool's row, in one transaction conditional on both rows.
     ///
-    /// `make` says on whose behalf, given the log line.
+    /// `make` turns the log line into the purpose of the transaction.
     pub(super) fn grant_drain(
         &mut self,
         grant: Grant,
@@ -94,7 +97,7 @@
         }
         let id = h.id.clone();
         let mut puts = vec![self.put_host(h, &row)];
-        let pool = h.row.pool.clone().map(|p| self.pool_for(&p));
+        let pool = h.row.pool.clone().map(|p| self.find_or_add_pool(&p));
         if let Some(pool) = pool {
             puts.push(self.put_pool(pool, |p| {
                 if !p.out.contains(&id) {
@@ -103,17 +106,17 @@
             }));
         }
         let line = Decision::new(Code::DrainGranted, Subject::Host, &id, why.as_str());
-        let checks = self.same_config();
+        let checks = self.config_check();
         self.commit(checks, puts, make(line), out);
     }
 
-    /// Jobs whose present attempt may be running on a host.
+    /// Returns the jobs whose current attempt may be running on a host.
     pub fn jobs_on(&self, host: &str) -> &[JobKey] {
         self.placed_on.get(host).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes each leaving host that this entry decides for one step further.
-    pub(super) fn drive_drains(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
+    /// Advances every host out of service that this entry owns by one step.
+    pub(super) fn advance_drains(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
         let keys: Vec<HostKey> = self
             .hosts
             .iter()
@@ -127,15 +130,15 @@
             .collect();
         for key in keys {
             match self.hosts[key].row.state {
-                HostState::Draining => self.drive_draining(key, now, out),
-                HostState::Out => self.drive_out(key, now, out),
-                HostState::Returning => self.drive_returning(key, now, out),
+                HostState::Draining => self.advance_draining(key, now, out),
+                HostState::Out => self.advance_out(key, now, out),
+                HostState::Returning => self.advance_returning(key, now, out),
                 HostState::Free | HostState::Serving => {}
             }
         }
     }
 
-    fn drive_draining(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
+    fn advance_draining(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         let mut held_by = self.holders(host);
         let jobs = self.jobs_on(&host.id);
@@ -145,9 +148,9 @@
             return;
         }
         match self.hosts[key].row.purpose.clone() {
-            Purpose::Maintenance | Purpose::Hold => self.let_out(key, now, out),
-            Purpose::Move(to) => self.rehome(key, Some(&to), now, out),
-            Purpose::Release => self.rehome(key, None, now, out),
+            Purpose::Maintenance | Purpose::Hold => self.mark_out(key, now, out),
+            Purpose::Move(to) => self.move_drained(key, Some(&to), now, out),
+            Purpose::Release => self.move_drained(key, None, now, out),
         }
     }
 
@@ -166,7 +169,7 @@
         out.push(Effect::Log(d));
     }
 
-    fn let_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
+    fn mark_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         let why = "every entry let go, no task is left";
         let mut row = self.next_row(host, now, &format!("out: {why}"));
@@ -178,7 +181,7 @@
         self.commit(vec![], puts, Why::Decision(line), out);
     }
 
-    fn rehome(&mut self, key: HostKey, to: Option<&str>, now: Now, out: &mut Vec<Effect>) {
+    fn move_drained(&mut self, key: HostKey, to: Option<&str>, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         let from = host.row.pool.clone();
         let why = match to {
@@ -195,7 +198,7 @@
         let id = host.id.clone();
         let mut puts = vec![self.put_host(host, &row)];
         for name in from.iter().map(String::as_str).chain(to) {
-            let pool = self.pool_for(name);
+            let pool = self.find_or_add_pool(name);
             if !self.is_unlocked(&pool_key(name)) {
                 return;
             }
@@ -208,7 +211,7 @@
         self.commit(vec![], puts, Why::Decision(line), out);
     }
 
-    fn drive_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
+    fn advance_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let reboot_ms = self.tuning.reboot_ms;
         let host = &mut self.hosts[key];
         if host.row.purpose != Purpose::Maintenance {
@@ -216,7 +219,7 @@
         }
         let boots = host.fact.as_ref().map_or(0, |f| f.boots);
         if boots > host.row.boots && host.is_live() {
-            self.come_back(key, boots, now, out);
+            self.mark_returning(key, boots, now, out);
             return;
         }
         let asked = host.asked_ms.is_some_and(|t| t + reboot_ms > now.ms);
@@ -224,23 +227,28 @@
             return;
         }
         host.asked_ms = Some(now.ms);
-        // The row's version names this maintenance: a second order for it changes nothing.
+        // The row's version identifies this maintenance, so a repeated order has no further effect.
         let token = format!("{}-{}", host.id, host.version);
         let id = host.id.clone();
-        let d = Decision::new(Code::RebootOrdered, Subject::Host, &id, "let go by all")
-            .with("boots", boots);
+        let d = Decision::new(
+            Code::RebootOrdered,
+            Subject::Host,
+            &id,
+            "every entry has released the host",
+        )
+        .with("boots", boots);
         out.push(Effect::Reboot { host: id, token });
         out.push(Effect::Log(d));
     }
 
-    /// An order to reboot that the platform did not take is given again at the next tick.
+    /// Forgets a reboot order that the platform refused, so that the next tick sends it again.
     pub(super) fn forget_reboot_order(&mut self, host: &str) {
         if let Some(key) = self.host_ids.get(host) {
             self.hosts[*key].asked_ms = None;
         }
     }
 
-    fn come_back(&mut self, key: HostKey, boots: u64, now: Now, out: &mut Vec<Effect>) {
+    fn mark_returning(&mut self, key: HostKey, boots: u64, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
         let mut row = self.next_row(host, now, "returning: the host has booted");
         row.state = HostState::Returning;
@@ -256,18 +264,18 @@
         self.commit(vec![], puts, Why::Decision(line), out);
     }
 
-    fn drive_returning(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
+    fn advance_returning(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
         let host = &self.hosts[key];
-        if !host.is_live() || now.ms < host.seen_ms + self.tuning.return_ms {
+        if !host.is_live() || now.ms < host.row_seen_ms + self.tuning.return_ms {
             return;
         }
         let line = Decision::new(
             Code::HostServing,
             Subject::Host,
             &host.id,
-            "back and steady",
+            "the host came back and is live",
         );
-        self.serve_again(
+        self.return_to_service(
             key,
             Why::Decision(line),
             "serving: back and steady",
@@ -276,8 +284,8 @@
         );
     }
 
-    /// Puts a host back to work for its pool, or among the free hosts.
-    pub(super) fn serve_again(
+    /// Returns a host to service in its pool, or to the free hosts if it has none.
+    pub(super) fn return_to_service(
         &mut self,
         key: HostKey,
         purpose: Why,
@@ -295,7 +303,7 @@
         let id = host.id.clone();
         let mut puts = vec![self.put_host(host, &row)];
         if let Some(name) = host.row.pool.clone() {
-            let pool = self.pool_for(&name);
+            let pool = self.find_or_add_pool(&name);
             puts.push(self.put_pool(pool, |p| p.out.retain(|h| *h != id)));
         }
         self.commit(vec![], puts, purpose, out);
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -1,8 +1,9 @@
-//! Jobs: placed under an attempt number, watched by reports, never run twice where that is forbidden.
+//! Jobs: placement under an attempt number, starts and stops, and the handling of task reports. A job that is not
+//! repeatable never runs twice.
 //!
-//! The row with the attempt is committed before the start is asked for. A start that may have been lost
-//! is asked for again under the same attempt, which the platform runs once at most. An attempt counts
-//! as not begun only when the platform promised that it never will.
+//! The row with the attempt is committed before the start is ordered. A start that may have been lost is ordered
+//! again under the same attempt, which the platform runs at most once. An attempt counts as never started only when
+//! the platform has promised that it never will. The entry that owns a job's pool decides for the job.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -14,29 +15,29 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::{OrderAnswer, Put, Reports, TaskRef, TaskStart, TaskState};
 
-/// Pause between two asks for the same start or stop.
-const ASK_MS: Millis = 2_000;
+/// Minimum interval between orders to start or stop the same attempt.
+const ORDER_INTERVAL_MS: Millis = 2_000;
 
-/// Different hosts that a job must fail on to be given up: then it is the job's fault.
+/// Number of failed attempts, which go to different hosts where possible, after which a job is given up as faulty.
 const FAILURES_MAX: usize = 3;
 
-/// Lost attempts after which a repeatable job is given up.
+/// Number of requeues after which a lost attempt ends a repeatable job.
 const LOSSES_MAX: u32 = 20;
 
-/// New placements in one tick for each pool, so that a wave of jobs does not flood the table.
+/// Maximum number of placements per pool and decision, so that many new jobs do not flood the table.
 const PLACEMENTS_MAX: usize = 16;
 
-/// Run times kept for each account and pool.
+/// Maximum number of run times kept per account and pool.
 const LEARNED_MAX: usize = 64;
 
 impl State {
-    /// Takes in task reports; only those on the present attempt of a job are of interest.
-    pub(super) fn take_reports(&mut self, r: Reports, out: &mut Vec<Effect>) {
+    /// Stores task reports, and drops those on ended jobs and earlier attempts.
+    pub(super) fn apply_reports(&mut self, r: Reports, out: &mut Vec<Effect>) {
         self.reports_seq = r.seq;
         self.reports_known = true;
         for report in r.reports {
             if report.state == TaskState::Done {
-                self.learn(&report.job, report.ran_ms);
+                self.record_run_time(&report.job, report.ran_ms);
             }
             self.note_host_outcome(&report, out);
             let task = TaskRef {
@@ -53,23 +54,24 @@
         });
     }
 
-    fn learn(&mut self, job: &str, ran_ms: Millis) {
+    fn record_run_time(&mut self, job: &str, ran_ms: Millis) {
         let Some(j) = self.job_ids.get(job).map(|k| &self.jobs[*k]) else {
             return;
         };
         let key = (j.row.account.clone(), j.row.spec.pool.clone());
-        let times = self.learned.entry(key).or_default();
+        let times = self.run_times.entry(key).or_default();
         times.push_back(ran_ms);
         if times.len() > LEARNED_MAX {
             times.pop_front();
         }
     }
 
-    /// The run time to expect of a job: the longest of the latest ones of its kind, or what is declared.
+    /// Returns the expected run time of a job: the longest of the latest run times of its account in its pool, or the
+    /// declared one if there are none.
     pub fn expected_run_ms(&self, row: &JobRow) -> Millis {
         let key = (row.account.clone(), row.spec.pool.clone());
-        let learned = self.learned.get(&key).and_then(|t| t.iter().max());
-        learned.copied().unwrap_or(row.spec.run_ms)
+        let longest = self.run_times.get(&key).and_then(|t| t.iter().max());
+        longest.copied().unwrap_or(row.spec.run_ms)
     }
 
     fn note_host_outcome(&mut self, report: &crate::port::TaskReport, out: &mut Vec<Effect>) {
@@ -98,7 +100,7 @@
                 host.failed_jobs.push(report.job.clone());
                 if host.failed_jobs.len() >= FAILING_JOBS && host.failing_since_ms.is_none() {
                     host.failing_since_ms = Some(tick_ms);
-                    let why = "different jobs failed here one after the other";
+                    let why = "several different jobs failed on this host in a row";
                     let d = Decision::new(Code::HostFailsJobs, Subject::Host, &host.id, why);
                     out.push(Effect::Log(d.with("jobs", host.failed_jobs.len() as u64)));
                 }
@@ -107,9 +109,14 @@
         }
     }
 
-    /// Takes each job of the owned pools one step further.
-    pub(super) fn drive_jobs(&mut self, owned: &HashSet<PoolKey>, now: Now, out: &mut Vec<Effect>) {
-        let mine: Vec<JobKey> = self
+    /// Advances each job of the owned pools by one step.
+    pub(super) fn advance_jobs(
+        &mut self,
+        owned: &HashSet<PoolKey>,
+        now: Now,
+        out: &mut Vec<Effect>,
+    ) {
+        let owned_jobs: Vec<JobKey> = self
             .jobs
             .iter()
             .filter(|(_, j)| {
@@ -118,14 +125,14 @@
             })
             .map(|(k, _)| k)
             .collect();
-        for key in &mine {
+        for key in &owned_jobs {
             match self.jobs[*key].row.state {
                 JobState::Waiting => {}
-                JobState::Placed => self.drive_placed(*key, now, out),
-                _ => self.forget_old(*key, now, out),
+                JobState::Placed => self.advance_placed(*key, now, out),
+                _ => self.remove_expired(*key, now, out),
             }
         }
-        let waiting = mine.iter().map(|k| &self.jobs[*k].row);
+        let waiting = owned_jobs.iter().map(|k| &self.jobs[*k].row);
         let waiting = waiting.filter(|r| r.state == JobState::Waiting);
         let pools: BTreeSet<PoolKey> = waiting
             .filter_map(|r| self.pool_names.get(&r.spec.pool).copied())
@@ -133,31 +140,31 @@
         for pool in pools {
             self.place_waiting(pool, now, out);
         }
-        self.renew(&mine, now, out);
+        self.renew_leases(&owned_jobs, now, out);
     }
 
     fn place_waiting(&mut self, pool: PoolKey, now: Now, out: &mut Vec<Effect>) {
         let name = self.pools[pool].name.clone();
         let mut placed = 0;
-        let mut held = Vec::new();
-        for key in self.waiting_order(&name, now) {
+        let mut reserved = Vec::new();
+        for key in self.sorted_waiting_jobs(&name, now) {
             if placed == PLACEMENTS_MAX {
                 return;
             }
             if !self.is_unlocked(&job_key(&self.jobs[key].id)) {
                 continue;
             }
-            let Some(host) = self.place_job(key, &held, now) else {
-                held.extend(self.host_to_hold(key, &held, now));
+            let Some(host) = self.choose_host(key, &reserved, now) else {
+                reserved.extend(self.host_to_reserve(key, &reserved, now));
                 continue;
             };
             placed += 1;
             let host = self.hosts[host].id.clone();
-            self.place(key, &host, now, out);
+            self.commit_placement(key, &host, now, out);
         }
     }
 
-    fn place(&mut self, key: JobKey, host: &str, now: Now, out: &mut Vec<Effect>) {
+    fn commit_placement(&mut self, key: JobKey, host: &str, now: Now, out: &mut Vec<Effect>) {
         let attempt = self.jobs[key].row.attempt + 1;
         let what = format!("attempt {attempt} placed on host {host}");
         let mut row = self.next_job(key, &what, now);
@@ -171,7 +178,7 @@
             .with("expected_ms", expected_ms)
             .with("waited_ms", waited_ms);
         let put = self.put_job(key, &row);
-        // Counted at once, so that the next placement sees the room gone.
+        // Counted at once, so that the next placement does not use the same capacity.
         self.placing.insert(key, host.to_string());
         self.commit(vec![], vec![put], Why::Decision(line), out);
     }
@@ -182,17 +189,19 @@
         row
     }
 
-    fn drive_placed(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
+    fn advance_placed(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
         let task = self.jobs[key].task();
         match self.reports.get(&task).map(|r| r.state) {
-            Some(TaskState::Running) => self.jobs[key].confirmed = true,
+            Some(TaskState::Running) => self.jobs[key].start_confirmed = true,
             Some(state) => {
                 self.attempt_ended(key, state, now, out);
                 return;
             }
             None => {}
         }
-        let due = self.jobs[key].asked_ms.is_none_or(|t| t + ASK_MS <= now.ms);
+        let due = self.jobs[key]
+            .asked_ms
+            .is_none_or(|t| t + ORDER_INTERVAL_MS <= now.ms);
         if !due {
             return;
         }
@@ -200,13 +209,13 @@
             self.jobs[key].stopping = true;
             self.jobs[key].asked_ms = Some(now.ms);
             out.push(Effect::StopTask(task));
-        } else if !self.jobs[key].confirmed && self.reports_known {
+        } else if !self.jobs[key].start_confirmed && self.reports_known {
             self.jobs[key].asked_ms = Some(now.ms);
-            out.push(Effect::StartTask(self.start_of(key)));
+            out.push(Effect::StartTask(self.task_start(key)));
         }
     }
 
-    /// A job is stopped on its caller's wish, or moved off a leaving host if it may be run again.
+    /// Whether an attempt must be stopped: the caller cancelled the job, or its host drains and the job is repeatable.
     fn must_stop(&self, key: JobKey) -> bool {
         let row = &self.jobs[key].row;
         let host = row.host.as_ref().and_then(|h| self.host_ids.get(h));
@@ -214,7 +223,7 @@
         row.cancel || (leaving && row.spec.repeatable)
     }
 
-    fn start_of(&self, key: JobKey) -> TaskStart {
+    fn task_start(&self, key: JobKey) -> TaskStart {
         let j = &self.jobs[key];
         TaskStart {
             job: j.id.clone(),
@@ -313,7 +322,7 @@
         self.write_job(key, &row, Code::JobRequeued, why.to_string(), out);
     }
 
-    /// Takes in the answer to a start.
+    /// Handles the platform's answer to a start order.
     pub(super) fn start_answered(
         &mut self,
         task: &TaskRef,
@@ -321,14 +330,14 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) {
-        let Some(key) = self.present(task) else {
+        let Some(key) = self.find_current_attempt(task) else {
             return;
         };
         match answer {
-            Some(OrderAnswer::Accepted) => self.jobs[key].confirmed = true,
+            Some(OrderAnswer::Accepted) => self.jobs[key].start_confirmed = true,
             Some(OrderAnswer::NoHost | OrderAnswer::Fenced) => {
-                // Only a stop makes certain that this attempt never begins. Fenced it may be by a stop
-                // whose answer was lost, or by an entry that died before it could say so.
+                // Only a stop makes sure that this attempt never starts. It may be fenced by a stop whose answer was
+                // lost, or by an entry that crashed before it could record the stop.
                 self.jobs[key].stopping = true;
                 self.jobs[key].asked_ms = Some(now.ms);
                 out.push(Effect::StopTask(task.clone()));
@@ -337,7 +346,7 @@
         }
     }
 
-    /// Takes in the answer to a stop.
+    /// Handles the platform's answer to a stop order.
     pub(super) fn stop_answered(
         &mut self,
         task: &TaskRef,
@@ -345,7 +354,7 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) {
-        let Some(key) = self.present(task) else {
+        let Some(key) = self.find_current_attempt(task) else {
             return;
         };
         let id = self.jobs[key].id.clone();
@@ -359,22 +368,22 @@
         }
     }
 
-    fn present(&self, task: &TaskRef) -> Option<JobKey> {
+    fn find_current_attempt(&self, task: &TaskRef) -> Option<JobKey> {
         let key = *self.job_ids.get(&task.job)?;
         let job = &self.jobs[key];
         let is_present = job.row.attempt == task.attempt && job.row.state == JobState::Placed;
         is_present.then_some(key)
     }
 
-    fn renew(&mut self, mine: &[JobKey], now: Now, out: &mut Vec<Effect>) {
+    fn renew_leases(&mut self, owned_jobs: &[JobKey], now: Now, out: &mut Vec<Effect>) {
         if now.ms < self.renewed_ms + self.tuning.lease_ms / 3 {
             return;
         }
         self.renewed_ms = now.ms;
-        let tasks: Vec<TaskRef> = mine
+        let tasks: Vec<TaskRef> = owned_jobs
             .iter()
             .filter_map(|k| self.jobs.get(*k))
-            .filter(|j| j.row.state == JobState::Placed && j.confirmed)
+            .filter(|j| j.row.state == JobState::Placed && j.start_confirmed)
             .map(|j| j.task())
             .collect();
         if !tasks.is_empty() {
@@ -382,7 +391,7 @@
         }
     }
 
-    fn forget_old(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
+    fn remove_expired(&mut self, key: JobKey, now: Now, out: &mut Vec<Effect>) {
         let row = &self.jobs[key].row;
         let ended_ms = row.history.last().map_or(row.submitted_ms, |s| s.at_ms);
         if now.wall_ms < ended_ms + self.tuning.keep_job_ms {
@@ -398,7 +407,7 @@
             Code::JobEnded,
             Subject::Job,
             &id,
-            "forgotten after its time",
+            "the row is removed, its retention time has passed",
         );
         self.commit(vec![], vec![put], Why::Decision(line), out);
     }
