--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -1,4 +1,5 @@
-//! How the reducer reaches a pool, its books or its duties, with what is needed of the rest of the state.
+//! Accessors of the reducer: lend a pool, its in-memory state or one of its controllers, together with the parts of the
+//! remaining state that the borrower needs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +13,7 @@
 use super::wave::WaveController;
 use crate::clock::Now;
 
-/// Runs `work` on a pool, with what is needed of the rest of the state.
+/// Runs `work` on a pool, with the context and the shared facts.
 pub(super) fn with_pool<T>(
     state: &mut State,
     key: PoolKey,
@@ -37,8 +38,8 @@
     Some(work(pool, &mut ctx, &facts))
 }
 
-/// Runs `work` on the books of a pool, if they are those that are asked for; `work` says whether a worker knows of a later
-/// owner.
+/// Runs `work` on the in-memory state `id` of a pool, if that is still the current one. `work` returns whether a worker
+/// has seen a later owner, in which case the pool is lost.
 pub(super) fn with_pool_state(
     state: &mut State,
     key: PoolKey,
@@ -60,7 +61,7 @@
     });
 }
 
-/// A pool's ownership, if its books are those that are asked for.
+/// Returns a pool's ownership if its in-memory state is still the one with this id.
 pub(super) fn ownership_of(
     ownership: &mut Option<Ownership>,
     id: PoolStateId,
@@ -73,7 +74,7 @@
     is_it.then_some(ownership)
 }
 
-/// Runs `work` on what an owner does for hosts, if its pool carries that; says so.
+/// Runs `work` on the host controller, if this pool is the one that carries it. Returns whether it is.
 pub(super) fn with_host_controller(
     state: &mut State,
     key: PoolKey,
@@ -96,7 +97,8 @@
         return true;
     };
     let epoch = ownership.epoch;
-    // Lent out, so that what all pools offer is looked at where it is: there may be hundreds of hosts.
+    // The controller is taken out while it runs, so that it can read the needs of all pools in place instead of copying
+    // them: there may be hundreds of hosts.
     let mut controller = std::mem::take(&mut ownership.hosts);
     let needs: Vec<PoolNeed<'_>> = state.pools.iter().map(PoolNeed::of).collect();
     let inputs = hosts::Inputs {
@@ -122,8 +124,8 @@
     true
 }
 
-/// Runs `work` on what an owner does for waves; it is given the epoch and the pool's name, too. There are no books while they are
-/// being read: an answer that comes then still settles what was sent before.
+/// Runs `work` on the wave controller, with the epoch and the pool's name. There is no in-memory state while rows are
+/// being read, but an answer that arrives then still settles an earlier request.
 pub(super) fn with_wave_controller(
     state: &mut State,
     key: PoolKey,
@@ -154,7 +156,7 @@
     state.waves = waves;
 }
 
-/// Runs `work` on the quotas of a pool that this entry owns under `epoch`, once its books are read.
+/// Runs `work` on the quota controller of a pool that this entry owns under `epoch`, if the pool's rows have been read.
 pub(super) fn with_quota_controller(
     state: &mut State,
     key: PoolKey,
@@ -177,7 +179,8 @@
     );
 }
 
-/// The same, also while the books are being read: an answer that comes meanwhile settles what was sent before.
+/// Does the same also while the pool's rows are being read: an answer that arrives then still settles an earlier
+/// request.
 pub(super) fn with_grant_controller(
     state: &mut State,
     key: PoolKey,
@@ -204,14 +207,14 @@
             &with,
             ctx,
         );
-        // Others give back what they do not need once they hear of it.
+        // Other owners return unneeded grants once they learn of the shortage.
         if ownership.quota.short != before {
             owner_lease::hasten_heartbeat(pool, ctx);
         }
     });
 }
 
-/// Accounts that are short in other pools, as their owners told of late.
+/// Returns the accounts that are short in other pools, from those pools' recent heartbeats.
 fn short_elsewhere(state: &State, key: PoolKey, now: Now) -> BTreeSet<String> {
     let pools = state.pools.iter().enumerate();
     let others = pools.filter(|(n, _)| *n != usize::from(key.0));
@@ -221,7 +224,7 @@
         .collect()
 }
 
-/// The key of a pool, which is new where it was not heard of before.
+/// Returns the key of a pool, and adds the pool if it is not known yet.
 pub(super) fn pool_key(state: &mut State, name: &str, now: Now) -> PoolKey {
     if let Some(key) = state.pool_keys.get(name) {
         return *key;
@@ -242,7 +245,7 @@
     key
 }
 
-/// Pools that this entry owns.
+/// Returns the pools that this entry owns.
 pub(super) fn owned_pools(state: &State) -> Vec<PoolKey> {
     state
         .pools
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -1,7 +1,9 @@
-//! How an entry becomes a pool's owner: it claims the first shard, which settles who takes the pool, then all others.
+//! Claims of pools: how an entry becomes a pool's owner.
 //!
-//! Claims are staggered, so that seldom two entries try at once and those with processor time to spare come first. See
-//! [`owner_lease`](super::owner_lease) for what a claim may rest on.
+//! An entry claims the first shard, which settles who takes the pool, then all others. Claims are staggered so that two
+//! entries rarely try at once and entries with spare processor time go first. See [`owner_lease`](super::owner_lease)
+//! for the conditions that a claim depends on. The reducer calls this module on timers, answers and changes of the
+//! owner rows.
 
 use super::limits::{
     CLAIM_OWNED_MS, CLAIM_SPREAD_MS, CLAIM_WEAK_MS, CPU_FULL_MILLI, OWNER_LEASE_MS, RENEW_MS,
@@ -15,32 +17,32 @@
 use crate::port::fleet::{Revision, RowTx, TxOutcome};
 use crate::util::fnv1a;
 
-/// A fixed spread of entries over pools.
+/// Returns a fixed delay that spreads entries over pools.
 fn spread_ms(me: &str, pool: &str) -> Millis {
     (fnv1a(me.bytes().chain(pool.bytes())) >> 32) % CLAIM_SPREAD_MS
 }
 
-/// The entry that may claim a pool.
+/// An entry that may claim pools.
 #[derive(Clone, Copy, Debug)]
 pub struct Claimant {
-    /// Pools that it owns.
+    /// Number of pools that it owns.
     pub owned: usize,
-    /// Thousandths of a core that it may use.
+    /// Processor time that it may use, in thousandths of a core.
     pub cpu_milli: u64,
-    /// The same of the strongest owner that was heard; nothing before the first.
+    /// Largest `cpu_milli` in the heartbeats seen; `None` before the first heartbeat.
     pub strongest_milli: Option<u64>,
-    /// Since when the store answers; nothing while it does not.
+    /// Since when the store has been answering; `None` while it does not answer.
     pub store_since_ms: Option<Millis>,
-    /// It knows a configuration.
+    /// Whether it has a configuration.
     pub is_configured: bool,
-    /// It was told to stop.
+    /// Whether it was told to stop.
     pub is_stopping: bool,
-    /// Tells its claims from those of an earlier process.
+    /// Distinguishes its claims from those of an earlier process.
     pub nonce: u64,
 }
 
 impl Claimant {
-    /// How much later it claims than an entry that owns nothing and has processor time enough.
+    /// Returns how much later it claims than an entry that owns nothing and has enough processor time.
     fn handicap_ms(&self) -> Millis {
         let full_milli = self.strongest_milli.unwrap_or(CPU_FULL_MILLI).max(1);
         let lacking = full_milli.saturating_sub(self.cpu_milli);
@@ -48,22 +50,22 @@
         weak_ms + self.owned as Millis * CLAIM_OWNED_MS
     }
 
-    /// How long it waits with a claim on a pool that is free.
+    /// Returns how long it waits before it claims a free pool.
     fn stagger_ms(&self, entry: &str, pool: &str) -> Millis {
         spread_ms(entry, pool) + self.handicap_ms()
     }
 }
 
-/// Claims the pool if it has had no living owner for long enough; else looks again when it may.
+/// Claims the pool if it has been without a live owner for long enough, else schedules the next check.
 pub fn consider(pool: &mut Pool, me: &Claimant, ctx: &mut Ctx<'_>) {
     if pool.ownership.is_some() || me.is_stopping {
         return;
     }
-    // Without a configuration, an owner knows neither quotas nor attempts nor which hosts are off.
+    // Without a configuration, an owner does not know quotas, attempt limits or which hosts are disabled.
     if !me.is_configured {
         return;
     }
-    // Nothing is claimed while the store is away; once it is back, everybody's stagger begins anew.
+    // Nothing is claimed while the store does not answer. Once it answers again, every entry's stagger starts anew.
     let Some(store_since_ms) = me.store_since_ms else {
         return;
     };
@@ -102,8 +104,8 @@
     send_claim(pool, 0, 0, nonce, ctx);
 }
 
-/// Claims the shards that are not won yet, each once its heartbeat is a lease old: the owner before may have renewed
-/// there while the first shard was claimed.
+/// Claims the shards that are not won yet, each once its heartbeat is a whole lease old: the previous owner may have
+/// renewed there while the first shard was claimed.
 fn claim_others(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
     let Some(claim) = pool.lease.claim.clone() else {
         return;
@@ -114,7 +116,8 @@
             continue;
         }
         let is_over = pool.lease.claim_after.is_empty() || pool.lease.claim_after == ctx.me;
-        // One that had won the first shard only is not the owner before: that one may renew and send in the others.
+        // An entry that had won only the first shard is not the previous owner. The owner before it may still renew in
+        // the other shards and send orders.
         let has_left = is_over && lease.heartbeat_entry == pool.lease.claim_after_heartbeat;
         let over_ms = lease.heartbeat_seen_ms + OWNER_LEASE_MS;
         if !has_left && ctx.now.ms < over_ms {
@@ -147,7 +150,7 @@
     ctx.out.push(Effect::Claim(ctx.pool, shard, tx));
 }
 
-/// Settles the claim of a shard.
+/// Handles the answer to a claim of a shard.
 pub fn claimed(
     pool: &mut Pool,
     shard: usize,
@@ -164,17 +167,17 @@
         TxOutcome::Committed(revision) => win_other(&mut pool.lease, shard, revision),
         TxOutcome::Conflict(found) => {
             for (_, row) in &found {
-                // An undecodable row was logged when the feed brought it.
+                // An undecodable row was already logged when the feed brought it.
                 let _ = observe(pool, shard, row, ctx.now.ms);
             }
             begin_if_claimed(pool, nonce, ctx);
             if shard == 0 {
-                // Whatever earlier claim was on its way, its condition holds no more.
+                // Any earlier claim still in flight fails, since its guard no longer holds.
                 pool.lease.claim_open_ms = None;
             }
         }
-        // In an outage the stagger since the pool became free is long over at every entry: the one with the most
-        // room must still be the first when the store is back.
+        // After an outage, the stagger since the pool became free has passed at every entry. The entry with the most
+        // spare capacity must still be first when the store is back.
         TxOutcome::Refused | TxOutcome::Unknown if shard == 0 => {
             pause_ms += me.stagger_ms(ctx.me, &pool.name);
         }
@@ -189,11 +192,11 @@
     }
 }
 
-/// Goes on with a claim of ours that is seen in the store, its answer lost or still on its way.
+/// Continues a claim that the feed shows in the store while its answer is lost or still in flight.
 pub fn begin_if_claimed(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
     let lease = &mut pool.lease;
     let is_ours = lease.is_ours(ctx.me, nonce);
-    // Another entry has claimed the first shard since.
+    // Drops the claim if another entry has claimed the first shard since.
     lease.claim = lease
         .claim
         .take()
@@ -205,14 +208,14 @@
     begin_if_won(pool, ctx);
 }
 
-/// The first shard is won: claims the others.
+/// Records that the first shard is won, and claims the others.
 fn win(pool: &mut Pool, epoch: Revision, sent_ms: Millis, nonce: u64, ctx: &mut Ctx<'_>) {
     let lease = &mut pool.lease;
     lease.claim_open_ms = None;
     let is_ours = lease.is_ours(ctx.me, nonce);
     if lease.epoch > lease.claim_from && !is_ours {
-        // The claim's condition was the row before: whoever is seen behind that has replaced it since, whatever revision
-        // the answer tells.
+        // The claim was conditional on the previous owner row, so an owner seen at a later revision has replaced this
+        // claim, whatever revision the answer names.
         return;
     }
     let is_known = lease
@@ -220,7 +223,7 @@
         .as_ref()
         .is_some_and(|claim| claim.epoch >= epoch);
     if epoch <= lease.held_epoch || epoch < lease.epoch || is_known {
-        // The feed was faster than the answer.
+        // The feed brought the claim's row before the answer arrived.
         return;
     }
     lease.owner = OwnerRow {
@@ -241,7 +244,8 @@
     claim_others(pool, nonce, ctx);
 }
 
-/// Another shard than the first is won, unless a later claim is known: the feed may be faster than an answer.
+/// Records that another shard than the first is won, unless a later claim is known, since the feed may be faster than
+/// an answer.
 fn win_other(lease: &mut OwnerLease, shard: usize, revision: Revision) {
     let won = &mut lease.shards[shard];
     if revision < won.owner_revision {
@@ -281,7 +285,7 @@
     pool.offers.pending = None;
     pool.offers.unsure.clear();
     let silent_ms = sent_ms.saturating_sub(pool.lease.claim_after_ms);
-    let why = format!("before: {:?}", pool.lease.claim_after);
+    let why = format!("previous owner: {:?}", pool.lease.claim_after);
     ctx.log(
         Decision::new(Code::PoolOwned, Subject::Pool, &pool.name, why)
             .with("epoch", epoch)
@@ -317,7 +321,7 @@
     );
 }
 
-/// Gives up a claim that won the first shard, by an entry that is to stop.
+/// Releases a pool of which only the first shard is won, when the entry is stopping.
 fn give_up_claim(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     if let Some(claim) = pool.lease.claim.take() {
         pool.lease.held_epoch = claim.epoch;
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -1,5 +1,8 @@
-//! Recorded before ordered: progress goes to the store in batches, and only then do starts go out and
-//! ends count as seen.
+//! Batches of progress: records job changes in the store before any order depends on them.
+//!
+//! Progress goes to the store in one batch at a time per shard. Starts are sent, and ends are confirmed to workers,
+//! only after the batch with them is committed. The reducer calls [`flush`] after every event and passes the store's
+//! answers to [`recorded`].
 
 use super::conflict::{self, Verdict};
 use super::keys::{JobKey, TaskKey, WorkerKey};
@@ -17,18 +20,18 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{Guard, RowTx, StoredRow, Table, TxOutcome, Write};
 
-/// What became of a batch.
+/// Result of handling the answer to a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settled {
-    /// It is on record, or is sent again.
+    /// The batch is committed, or is sent again.
     Fine,
     /// Another entry owns the pool.
     PoolLost,
-    /// The rows are not what the books say: they must be read again.
+    /// The rows differ from the in-memory state and must be read again.
     Diverged,
 }
 
-/// Sends what was gathered, if it is time, in each shard that has no batch out.
+/// Sends pending changes in each shard without a batch in flight, once they have been gathered long enough.
 pub fn flush(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let Some(ownership) = &mut pool.ownership else {
         return;
@@ -54,8 +57,8 @@
     }
 }
 
-/// The shard that takes jobs of which nothing is on record: the first one, as long as its answers come. Where they do
-/// not, the next one that is free; so a partition that is away holds up those jobs alone that have begun in it.
+/// Returns the shard for jobs without a record: the first one while it answers, else the next free one. An unavailable
+/// partition then delays only the jobs that began in it.
 fn shard_for_new(ownership: &Ownership, lease: &OwnerLease, ctx: &mut Ctx<'_>) -> Option<usize> {
     for (shard, batch) in ownership.batches.iter().enumerate() {
         let Some(batch) = batch else {
@@ -73,7 +76,7 @@
     ownership.batches.iter().position(Option::is_none)
 }
 
-/// Sends what is to be recorded in one shard, unless a batch of it is out.
+/// Sends pending changes of one shard unless a batch of that shard is in flight.
 fn send(pool: &mut Pool, shard: usize, takes_new: bool, ctx: &mut Ctx<'_>) {
     let Some(ownership) = &mut pool.ownership else {
         return;
@@ -97,7 +100,8 @@
     };
     let mut batch = gather(pool_state, jobs, tx, ctx.now.ms);
     batch.is_all = is_all;
-    // One write less where writes of a part go in turn, 300 ms each on the users' slow days.
+    // The heartbeat travels with the batch to save one write: the store takes a partition's writes in turn, 300 ms each
+    // on slow days.
     batch.tx.writes.push(owner_lease::next_heartbeat(pool, ctx));
     pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out
@@ -107,7 +111,7 @@
     }
 }
 
-/// Jobs whose changes go into a shard now; those that are new are put there.
+/// Returns the jobs whose changes go into a shard now, and assigns new jobs to it if it takes them.
 fn to_record(pool_state: &mut PoolState, shard: usize, takes_new: bool) -> Vec<JobKey> {
     let mut jobs = Vec::new();
     for key in &pool_state.dirty {
@@ -162,7 +166,7 @@
     }
 }
 
-/// Workers whose ends are all on record now are held again.
+/// Resumes renewals of workers whose ends are all committed.
 fn release_ends(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     let waiting: Vec<WorkerKey> = pool_state.recording.iter().copied().collect();
     for key in waiting {
@@ -180,7 +184,7 @@
     }
 }
 
-/// Settles the batch of a shard.
+/// Handles the answer to a shard's batch.
 pub fn recorded(
     ownership: &mut Ownership,
     lease: &mut OwnerLease,
@@ -215,7 +219,7 @@
         return Settled::Fine;
     };
     run_log::log_batch(&batch, pool_state, revision, epoch, ctx);
-    // Sent again, it may have taken effect the first time: the lease counts from then.
+    // A batch sent twice may have taken effect the first time, so the lease counts from the first send.
     if batch.has_heartbeat {
         lease.note_renewed(batch.sent_ms, ctx.now.ms);
     }
@@ -232,15 +236,16 @@
     for (task, run) in &batch.starts {
         runs::send_start(pool_state, *task, *run, epoch, ctx);
     }
-    // While more waits than a batch takes, workers are not asked for more ends: each account costs the owner's processor
-    // time, which is short then. Held at once, 95 of 100 tasks of a peak day started within 1,447 ms, so within 961.
+    // While more changes wait than fit into a batch, workers are not asked for more ends, since each report costs
+    // processor time that is short then. Resuming renewals at once delayed task starts at peak: 95 of 100 started
+    // within 1,447 ms instead of 961 ms.
     if batch.is_all {
         release_ends(pool_state, epoch, ctx);
     }
     Settled::Fine
 }
 
-/// What a conflict means for the batch of a shard; told unless it was only our own work.
+/// Decides what a conflict means for a shard's batch. Logs it unless an earlier send of the batch had taken effect.
 fn settle_conflict(
     ownership: &mut Ownership,
     lease: &OwnerLease,
@@ -269,7 +274,7 @@
     verdict
 }
 
-/// Sends the batch of a shard again.
+/// Sends a shard's batch again.
 pub fn resend(ownership: &Ownership, lease: &mut OwnerLease, shard: usize, ctx: &mut Ctx<'_>) {
     let (Some(batch), Some(pool_state)) = (&ownership.batches[shard], &ownership.pool_state) else {
         return;
--- a/src/core/sched/conflict.rs
+++ b/src/core/sched/conflict.rs
@@ -1,9 +1,10 @@
-//! What a conflict means for the transaction that met it.
+//! Interprets a conflict that a batch of progress met in the store.
 //!
-//! Answers of the store name its newest revision, which is a transaction's own only where nothing else was written in
-//! between. So a revision taken from an answer is an upper bound, and the exact one is known from the row alone. Rows that
-//! are as this owner wrote them, at a lower revision than it thought, were touched by nobody: their exact revisions are taken
-//! over, and the transaction goes again.
+//! An answer of the store names the store's newest revision, which equals the transaction's own only if nothing else
+//! was written in between. A revision taken from an answer is therefore an upper bound, and only the row itself has the
+//! exact one. Rows that are as this owner wrote them, at a lower revision than it assumed, were changed by nobody: the
+//! batch takes over their exact revisions and is sent again. [`commit`](super::commit) and
+//! [`owner_lease`](super::owner_lease) call this module.
 
 use super::owner_lease::OwnerLease;
 use super::pool_state::PoolState;
@@ -12,32 +13,32 @@
 use crate::port::fleet::{Guard, Revision, StoredRow, Table};
 use crate::util::fnv1a;
 
-/// What became of a batch that met a conflict.
+/// Outcome of a batch that met a conflict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// An earlier sending of it took effect, at this revision.
+    /// An earlier send of the batch took effect, at this revision.
     Done(Revision),
-    /// Nobody touched its rows: it goes again, on the revisions found.
+    /// Nobody else changed its rows: it is sent again with the revisions found.
     Again,
     /// Another entry owns the pool.
     PoolLost,
-    /// The rows are not what the books say.
+    /// The rows differ from the in-memory state.
     Diverged,
 }
 
-/// Tells a row's bytes from others.
+/// Returns a hash of a row's bytes, used to detect changes by others.
 pub fn digest(value: Option<&[u8]>) -> u64 {
     value.map_or(0, |bytes| fnv1a(bytes.iter().copied()))
 }
 
-/// Whether an owner's row was written by this process, which is also the owner that was seen last.
+/// Returns whether an owner row was written by this process, which is also the owner seen last.
 pub fn is_ours(lease: &OwnerLease, me: &str, row: &StoredRow) -> bool {
     let owner = rows::decode::<OwnerRow>(row.value.as_deref().unwrap_or_default());
-    // A row that can't be read is nobody's.
+    // A row that cannot be decoded belongs to no entry.
     owner.is_ok_and(|o| o.entry == me && lease.owner.entry == me && o.nonce == lease.owner.nonce)
 }
 
-/// Judges a conflict, and corrects the batch where it goes again.
+/// Judges a conflict, and corrects the batch if it is to be sent again.
 pub fn judge(
     batch: &mut Batch,
     pool_state: &mut PoolState,
@@ -64,7 +65,7 @@
     }
 }
 
-/// The key of the first row that is not at the revision that the batch expects; empty where none is.
+/// Returns the key of the first row whose revision is not the one that the batch expects; empty if there is none.
 pub fn unexpected(batch: &Batch, found: &[(Table, StoredRow)]) -> String {
     let is_odd =
         |row: &&StoredRow| guard_of(batch, row).is_some_and(|g| g.revision != row.revision);
@@ -78,7 +79,7 @@
     batch.tx.guards.iter().find(|guard| guard.key == row.key)
 }
 
-/// The revision of the batch, if all rows of progress are as it wrote them.
+/// Returns the revision of the batch if all progress rows found are as the batch wrote them.
 fn done_at(batch: &Batch, progress: &[&StoredRow]) -> Option<Revision> {
     let is_written = |row: &&&StoredRow| {
         let mut writes = batch.tx.writes.iter();
@@ -88,7 +89,7 @@
     (written == progress.len()).then_some(progress.last()?.revision)
 }
 
-/// Whether a row of progress is as this owner last knew it on record.
+/// Returns whether a progress row is as this owner last recorded it.
 fn is_as_recorded(pool_state: &PoolState, row: &StoredRow) -> bool {
     let job = pool_state
         .by_id
@@ -97,7 +98,7 @@
     job.is_some_and(|job| job.recorded_digest == digest(row.value.as_deref()))
 }
 
-/// Takes over the revisions found; says whether one was another than the batch had.
+/// Takes over the revisions found, and returns whether any of them differs from the one that the batch had.
 fn correct(batch: &mut Batch, pool_state: &mut PoolState, found: &[(Table, StoredRow)]) -> bool {
     let mut is_any = false;
     for (table, row) in found {
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -1,4 +1,7 @@
-//! What becomes of pools' offers: changes by their owners, and hosts taken by the entry that orders them.
+//! Exchange of hosts between pools by way of their offers.
+//!
+//! Handles changes of offers by pool owners, and hosts taken by the entry that orders hosts about. The reducer calls it
+//! with rows and answers of the store.
 
 use super::access::{with_host_controller, with_pool};
 use super::hosts;
@@ -10,7 +13,7 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{StoredRow, Table, TxOutcome};
 
-/// Hosts that are on offer, or were taken, get no work from a new owner either.
+/// Marks workers on hosts that are on offer or were taken, so that a new owner places no work there either.
 pub(super) fn close_given(pool_state: &mut PoolState, offers: &Offers) {
     sizing::mark_offered(pool_state, offers);
     for (_, worker) in &mut pool_state.workers {
@@ -18,7 +21,7 @@
     }
 }
 
-/// Takes in rows of offers as read; one that can not be read is logged.
+/// Applies rows of offers as read, and logs those that cannot be decoded.
 pub(super) fn observe_offers<'a>(
     offers: &mut Offers,
     pool: &str,
@@ -32,7 +35,7 @@
     }
 }
 
-/// Settles a change of a pool's offers by its owner.
+/// Handles the answer to a change of a pool's offers by its owner.
 pub(super) fn offers_settled(
     state: &mut State,
     key: PoolKey,
@@ -57,7 +60,7 @@
     });
 }
 
-/// Takes in the row of offers as a conflict found it; one that can not be read is logged.
+/// Applies the row of offers that a conflict returned, and logs it if it cannot be decoded.
 fn observe_found(offers: &mut Offers, pool: &str, found: &[(Table, StoredRow)], ctx: &mut Ctx<'_>) {
     let Some(row) = offers_in(found) else { return };
     if let Err(e) = offers.observe_found(row) {
@@ -65,13 +68,13 @@
     }
 }
 
-/// The row of offers among what a conflict found.
+/// Returns the row of offers among the rows that a conflict returned.
 fn offers_in(found: &[(Table, StoredRow)]) -> Option<&StoredRow> {
     let mut rows = found.iter().map(|(_, row)| row);
     rows.find(|row| row.key == OFFERS_KEY && row.value.is_some())
 }
 
-/// Settles a take of hosts that pool `from` has on offer.
+/// Handles the answer to a transaction that takes hosts on offer by pool `from`.
 pub(super) fn hosts_taken(
     state: &mut State,
     key: PoolKey,
--- a/src/core/sched/fencing_token.rs
+++ b/src/core/sched/fencing_token.rs
@@ -1,23 +1,24 @@
-//! Fences of orders to workers.
+//! Fencing tokens of orders to workers.
 //!
-//! A worker does nothing for a lower fence than the highest that it has seen. The owner's epoch bars what a former owner sent;
-//! the owner's reading of the rows bars what its earlier books sent; the restarts of the worker's id bar what was sent to an
-//! earlier life, which names the later one, too.
+//! A worker refuses an order whose token is lower than the highest that it has seen. The token combines three counters:
+//! the owner's epoch rejects orders of a former owner, the owner's reading of the rows rejects orders from its earlier
+//! in-memory state, and the restarts of the worker's id reject orders meant for an earlier instance, which reveal the
+//! later instance as well.
 
 use super::keys::PoolStateId;
 
-/// Readings of one ownership, and restarts of one id within a reading, that are told apart. Beyond, the last one stands for all
-/// that follow.
+/// Number of readings per ownership, and of restarts per worker id within a reading, that tokens distinguish. Higher
+/// counts share the last value.
 const COUNTED: u64 = 256;
 
-/// The fence of orders to a worker whose id has begun anew that often in these books.
+/// Returns the fencing token of orders to a worker whose id has restarted `restarts` times in this in-memory state.
 pub fn encode(pool_state: PoolStateId, epoch: u64, restarts: u32) -> u64 {
     let reading = u64::from(pool_state.reading).min(COUNTED - 1);
     let restarts = u64::from(restarts).min(COUNTED - 1);
     (epoch * COUNTED + reading) * COUNTED + restarts
 }
 
-/// The owner's epoch that a fence holds.
+/// Returns the owner's epoch that a fencing token contains.
 pub fn epoch_of(fence: u64) -> u64 {
     fence / (COUNTED * COUNTED)
 }
--- a/src/core/sched/handover.rs
+++ b/src/core/sched/handover.rs
@@ -1,4 +1,5 @@
-//! An entry that is told to stop puts on record what it has taken in, then gives its pools up, so that others go on at once.
+//! Handover of pools by an entry that is told to stop: it records the pending changes, then releases its pools so that
+//! other entries take them at once.
 
 use super::access::{owned_pools, with_pool};
 use super::commit;
@@ -7,7 +8,7 @@
 use super::state::{Effect, Ownership, State, Timer};
 use crate::clock::Now;
 
-/// Begins to stop.
+/// Starts the shutdown of the scheduler.
 pub(super) fn begin(state: &mut State, now: Now) {
     state.stopped_ms.get_or_insert(now.ms);
     for key in owned_pools(state) {
@@ -17,7 +18,7 @@
     }
 }
 
-/// Records what is left of each pool, and gives up those that are done or have taken too long.
+/// Records the pending changes of each pool, and releases the pools that are done or have reached the time limit.
 pub(super) fn settle(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let stopped_ms = state.stopped_ms.unwrap_or(now.ms);
     let is_over = now.ms >= stopped_ms + STOP_RECORD_MS;
@@ -35,8 +36,8 @@
     }
 }
 
-/// Whether nothing of the books is left to be recorded. What a worker told and nobody recorded goes with that worker: the
-/// next owner would start a finished task again.
+/// Returns whether all changes are recorded. A worker's report that nobody recorded is lost when the worker goes, and
+/// the next owner would start a finished task again.
 fn has_nothing_left(ownership: &Ownership) -> bool {
     let has_dirty = ownership
         .pool_state
--- a/src/core/sched/keys.rs
+++ b/src/core/sched/keys.rs
@@ -1,37 +1,38 @@
-//! Small keys into an owner's books.
+//! Compact keys of objects in a pool's in-memory state.
 
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// A job in the books.
+    /// Identifies a job in a pool's in-memory state.
     pub struct JobKey;
-    /// A worker's life in the books.
+    /// Identifies a worker instance in a pool's in-memory state.
     pub struct WorkerKey;
 }
 
-/// One reading of a pool's rows. Keys mean something in the books that came of it alone: an answer to what they sent that
-/// reaches other books, taken in there, would speak of another worker or task.
+/// Identifies one reading of a pool's rows. Keys are valid only within the in-memory state built from that reading. The
+/// id keeps an answer to an earlier state's request from being applied to a later state, where its keys would name
+/// another worker or task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PoolStateId {
-    /// Epoch of the owner that read.
+    /// Epoch of the owner that read the rows.
     pub epoch: u64,
-    /// Its readings until then, this one included.
+    /// Number of readings under that epoch, including this one.
     pub reading: u32,
 }
 
-/// A client account, by its place in the books; accounts are never removed from them.
+/// Identifies a client account by its index in the pool's in-memory state; accounts are never removed from there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AccountKey(pub u16);
 
-/// A task in the books.
+/// Identifies a task in a pool's in-memory state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskKey {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobKey,
-    /// The round, by number.
+    /// Number of the round.
     pub round: u32,
-    /// The step.
+    /// Index of the step in the job's specification.
     pub step: u16,
-    /// The task of the step.
+    /// Index of the task within the step.
     pub index: u16,
 }
--- a/src/core/sched/listing.rs
+++ b/src/core/sched/listing.rs
@@ -1,15 +1,15 @@
-//! The platform's list of hosts: when it is read, and each host's record by name.
+//! The platform's list of hosts: schedules its readings and finds each host's record by name.
 
 use std::collections::HashMap;
 
 use crate::clock::Millis;
 use crate::port::fleet::HostRecord;
 
-/// A host's place in [`HostList`], until the list is read anew.
+/// Index of a host in [`HostList`], valid until the next reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct HostKey(usize);
 
-/// The list as it was last read.
+/// The list as last read.
 #[derive(Clone, Debug, Default)]
 pub struct HostList {
     records: Vec<HostRecord>,
@@ -20,7 +20,7 @@
 }
 
 impl HostList {
-    /// Whether the list is to be asked for now; the next reading is due `pause_ms` later.
+    /// Returns whether a reading is due. If so, schedules the next one `pause_ms` later.
     pub fn start_read_if_due(&mut self, now_ms: Millis, pause_ms: Millis) -> bool {
         if now_ms < self.due_ms {
             return false;
@@ -30,12 +30,12 @@
         true
     }
 
-    /// Brings the next reading forward.
+    /// Brings the next reading forward to `due_ms` if it is due later.
     pub fn schedule_read(&mut self, due_ms: Millis) {
         self.due_ms = self.due_ms.min(due_ms);
     }
 
-    /// Takes in the list that was asked for.
+    /// Replaces the records by those of the requested reading.
     pub fn replace(&mut self, records: Vec<HostRecord>) {
         let names = records.iter().enumerate();
         self.by_name = names
@@ -45,23 +45,23 @@
         self.asked_ms = self.asking_ms;
     }
 
-    /// When the list was asked for that is known; 0 before the first.
+    /// Returns when the current records were requested; 0 before the first reading.
     pub fn asked_ms(&self) -> Millis {
         self.asked_ms
     }
 
-    /// Whether it names no host.
+    /// Returns whether the list names no host.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// A host's record.
+    /// Returns the record of a host.
     pub fn get(&self, host: &str) -> Option<&HostRecord> {
         let key = self.by_name.get(host)?;
         self.records.get(key.0)
     }
 
-    /// All records.
+    /// Returns all records.
     pub fn iter(&self) -> impl Iterator<Item = &HostRecord> {
         self.records.iter()
     }
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -1,4 +1,7 @@
-//! A new owner's books: built from rows, and from rows that come later.
+//! Builds the in-memory state of a pool from its rows when a new owner reads them, and applies intake rows that arrive
+//! later.
+//!
+//! The [reducer](super::reduce) calls it; [`pool_state`](super::pool_state) holds the result.
 
 use super::conflict;
 use super::job::{JobSpec, JobState};
@@ -20,11 +23,11 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{FleetConfig, StoredRow, WorkerFact, ABSENT};
 
-/// Longest time that anything a former owner sent can keep runs alive, from the claim on.
+/// Maximum time after a claim during which an order of a former owner can keep runs alive.
 pub const FOREIGN_LEASE_MS: Millis =
     WORKER_LEASE_MS * 100 / (100 - CLOCK_SLOW_PERCENT) + LEASE_SLACK_MS;
 
-/// Builds the books of a pool.
+/// Builds the in-memory state of a pool.
 pub fn build(
     pool: &str,
     id: PoolStateId,
@@ -45,7 +48,8 @@
     }
     let mut cancels = Vec::new();
     let mut intake = loaded.intake;
-    // A job that stands in two parts goes by the row that was there first, as for an owner that followed the feed.
+    // A job with rows in two partitions is taken from the row that was written first, as by an owner that followed the
+    // feed.
     intake.sort_unstable_by_key(|row| row.revision);
     for row in intake {
         if cancelled_job(&row.key).is_some() {
@@ -68,16 +72,16 @@
     pool_state
 }
 
-/// What of the state is needed beside the books.
+/// Parts of the state that are read alongside a pool.
 pub struct Facts<'a> {
-    /// The configuration.
+    /// Configuration that this entry has adopted.
     pub config: &'a FleetConfig,
-    /// The list of workers.
+    /// Workers that the platform lists, by id.
     pub listed: &'a std::collections::BTreeMap<String, WorkerFact>,
 }
 
 impl<'a> Facts<'a> {
-    /// Of this state.
+    /// Returns the facts of a state.
     pub fn new(state: &'a State) -> Self {
         Self {
             config: &state.config,
@@ -86,13 +90,13 @@
     }
 }
 
-/// Adds a worker's life to the books.
+/// Adds a worker instance to the in-memory state.
 pub fn add_worker(pool_state: &mut PoolState, fact: WorkerFact, began_ms: Millis) -> WorkerKey {
     pool_state.add_worker(Worker::new(fact, began_ms + FOREIGN_LEASE_MS))
 }
 
-/// The same for a life that this owner did not see begin. A former owner may have sent it a deadline that was meant for an
-/// earlier life of its id, if it began of late.
+/// Adds a worker instance whose start this owner did not observe. If the instance started recently, a former owner may
+/// have sent it a deadline that was meant for an earlier instance of the same id.
 pub(super) fn add_listed(
     pool_state: &mut PoolState,
     fact: WorkerFact,
@@ -109,7 +113,7 @@
     key
 }
 
-/// Takes in a row of intake: a job, or a cancel.
+/// Applies an intake row: a job or a cancel.
 pub fn apply_intake(
     pool_state: &mut PoolState,
     row: &StoredRow,
@@ -127,7 +131,11 @@
         return;
     }
     if is_stale(pool_state, row, epoch) {
-        ctx.log_job(Code::JobStale, &row.key, "its rows have left the store");
+        ctx.log_job(
+            Code::JobStale,
+            &row.key,
+            "the row arrived after the job was removed from the store",
+        );
         return;
     }
     if let Some(key) = add_job(pool_state, row, config, ctx) {
@@ -136,7 +144,7 @@
         let Some(job) = pool_state.jobs.get(key) else {
             return;
         };
-        // What is beyond its account's weight or quota tells of no need for hosts.
+        // Work beyond its account's weight or quota does not indicate a need for hosts.
         let is_beyond = job
             .account
             .is_some_and(|account| pool_state.is_beyond_quota(account));
@@ -146,8 +154,9 @@
     }
 }
 
-/// Whether a job's row was read before the job was removed, and is told after that: begun anew, all its finished tasks ran
-/// once more. What is older than the claim was there for the reading that followed, unless it had left.
+/// Returns whether a job's row was read before the job was removed but arrived afterwards. Beginning the job anew would
+/// run all its finished tasks again. A row older than the claim was present in the reading that followed the claim,
+/// unless the job had been removed.
 fn is_stale(pool_state: &PoolState, row: &StoredRow, epoch: u64) -> bool {
     let is_known = pool_state.by_id.contains_key(&row.key);
     !is_known && (row.revision < epoch || pool_state.forgotten.contains_key(&row.key))
@@ -169,7 +178,7 @@
     let spec: JobSpec = match rows::decode(row.value.as_deref().unwrap_or_default()) {
         Ok(spec) => spec,
         Err(e) => {
-            let why = format!("intake row: {e}");
+            let why = format!("cannot decode the intake row: {e}");
             ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
             pool_state.unread.insert(row.key.clone());
             return None;
@@ -209,7 +218,7 @@
     Some(key)
 }
 
-/// Begins the rounds of a job that are due and were never begun.
+/// Begins the rounds of a job that are due and have never begun.
 pub fn begin_if_new(pool_state: &mut PoolState, key: JobKey, ctx: &mut Ctx<'_>) {
     loop {
         let Some(job) = pool_state.jobs.get(key) else {
@@ -237,7 +246,7 @@
     ctx: &mut Ctx<'_>,
 ) {
     let Some((_, shard)) = shard_of_part(&row.part) else {
-        let why = "progress in a part that is no shard's";
+        let why = "the progress row is in a partition that belongs to no shard";
         ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
         return;
     };
@@ -250,9 +259,10 @@
     let progress: ProgressRow = match rows::decode(row.value.as_deref().unwrap_or_default()) {
         Ok(progress) => progress,
         Err(e) => {
-            let why = format!("progress row: {e}");
+            let why = format!("cannot decode the progress row: {e}");
             ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
-            // Begun anew, it might run twice, and its record would be refused for ever, with all others of the batch.
+            // If the job began anew, it might run twice, and its record would conflict forever together with the rest
+            // of its batch.
             pool_state.set_state(key, JobState::Running, ctx.now.ms);
             let job = &mut pool_state.jobs[key];
             job.revision = row.revision;
@@ -279,8 +289,8 @@
     }
 }
 
-/// The worker that a row names; one that is not listed may still run what it was told, until a later life
-/// of its host answers or everything told to it has lapsed.
+/// Returns the worker that a progress row names. A worker that is not listed may still run its tasks until a later
+/// instance of its host answers, or until all orders and leases sent to it have expired.
 fn known_or_ghost(
     pool_state: &mut PoolState,
     (id, born_wall_ms): (&str, Option<Millis>),
--- a/src/core/sched/mod.rs
+++ b/src/core/sched/mod.rs
@@ -1,7 +1,7 @@
-//! Scheduling of jobs on pools of workers: one reducer over events, effects as data.
+//! Scheduling of jobs on pools of workers, as a reducer that takes events and returns effects as data.
 //!
-//! Data lies at the bottom ([`job`], [`rows`], [`worker`], [`pool_state`]), each decision is a module over it, and
-//! [`reduce`](reduce::reduce) is on top.
+//! Data types are at the bottom ([`job`], [`rows`], [`worker`], [`pool_state`]). Each decision is a module that works
+//! on them, and [`reduce`](reduce::reduce) connects them all.
 
 mod access;
 pub mod accounts;
--- a/src/core/sched/operation.rs
+++ b/src/core/sched/operation.rs
@@ -1,64 +1,64 @@
-//! What callers ask of jobs, and what they are told.
+//! Requests of callers about jobs, and their outcomes.
 
 use super::job::{JobSpec, JobState};
 use crate::clock::Millis;
 
-/// What is asked.
+/// What a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Take in a job under this id.
+    /// Submit a job under this id.
     Submit(String, Box<JobSpec>),
-    /// How is the job?
+    /// Return the state of the job.
     Read(String),
-    /// End the job.
+    /// Cancel the job.
     Cancel(String),
-    /// How many jobs of the queue have not begun?
+    /// Return the number of jobs of the queue that have not begun.
     CountWaiting,
 }
 
-/// A decoded call.
+/// A decoded request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The queue that it is for.
+    /// Queue that the request concerns.
     pub queue: String,
-    /// The pool that runs the queue now.
+    /// Pool that currently runs the queue.
     pub pool: String,
-    /// The account whose key the call carried; none on a public queue.
+    /// Account whose key the request carried; `None` on a public queue.
     pub account: Option<String>,
-    /// What is asked.
+    /// What the request asks for.
     pub operation: Operation,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub deadline_ms: Millis,
 }
 
-/// What a caller is told.
+/// Outcome of a request, as the caller is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The job is on record.
+    /// The job is recorded.
     Accepted,
-    /// The cancel is on record.
+    /// The cancel is recorded.
     Cancelled,
-    /// How the job is.
+    /// Current state of the job.
     State(JobState),
-    /// How many jobs wait.
+    /// Number of jobs that wait in the queue.
     Waiting(u64),
-    /// No such queue.
+    /// No queue has this name.
     UnknownQueue,
-    /// The queue takes no call without the key of an account, and the call carried none that is known.
+    /// The queue requires the key of an account, and the request carried no known key.
     UnknownKey,
-    /// No such job, by a good read.
+    /// A successful read found no job with this id.
     UnknownJob,
-    /// The id stands for another job.
+    /// The id belongs to another job.
     OtherBody,
-    /// Not a request that we understand.
+    /// The request is malformed, for this reason.
     Malformed(String),
-    /// This entry has no configuration, or can't know whether a newer one is in force.
+    /// This entry has no configuration, or cannot know whether a newer one is in force.
     NotReady,
-    /// Certainly not taken.
+    /// The request certainly had no effect.
     NotTaken {
-        /// When to come back.
+        /// When the caller should retry, in seconds.
         retry_after_s: u32,
     },
-    /// The store's answer was lost.
+    /// The store's answer was lost, so it is unknown whether the request took effect.
     Unsure,
 }
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -1,11 +1,13 @@
-//! Who owns a pool: one entry at a time, by rows of the store and a lease on them.
+//! Ownership of a pool: its rows in the store, the owner's lease, and the heartbeats that renew it.
 //!
-//! A pool has some shards, each in a partition of its own: a row that names the owner and one with its heartbeat. The
-//! owner's row changes only when a pool changes hands; its revision in the first shard is the epoch, which fences all
-//! orders, and in each shard it guards all writes there. A heartbeat in any one shard renews the lease, so that an
-//! owner goes on while a partition is away. A taker claims the first shard, which settles who takes the pool, then all
-//! others, each where the heartbeat has not changed since it saw it, a whole lease ago: an owner that renewed in any
-//! shard meanwhile makes that claim fail.
+//! A pool has [`SHARDS`] shards, each in its own partition of the store. Each shard holds a row that names the owner
+//! and a row with the owner's heartbeat. The owner row changes only when the pool changes hands. Its revision in the
+//! first shard is the epoch, which fences all orders; its revision in each shard guards all writes there. A heartbeat
+//! in any shard renews the lease, so an owner carries on while a partition is unavailable.
+//!
+//! [`claim`](super::claim) decides when an entry takes a pool. It claims the first shard, which settles who takes the
+//! pool, then each of the others on condition that their heartbeat has not changed since this entry saw it a whole
+//! lease ago. An owner that renewed in any shard meanwhile makes that claim fail.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -22,107 +24,107 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{Guard, Revision, RowTx, StoredRow, Table, TxOutcome, Write};
 
-/// Most heartbeats that are kept until the feed shows them: each batch carries one, 50 a second at a peak, and the feed
-/// is read four times a second.
+/// Maximum number of sent heartbeats kept until the feed shows them. Each batch carries one, up to 50 a second at peak,
+/// and the feed is read four times a second.
 const UNSEEN_MAX: usize = 64;
 
-/// When the owner before a claim ordered hosts about, as far as it told.
+/// Orders to hosts by the owner before a claim, as far as its last heartbeat reported them.
 #[derive(Clone, Debug, Default)]
 pub struct FormerOrders {
-    /// Hosts that it named in its last heartbeat, and the latest time of their orders.
+    /// Latest time of an order to each host that the last heartbeat names.
     pub reported_ms: BTreeMap<String, Millis>,
-    /// It sent no order later than that.
+    /// Time after which the former owner sent no order: the end of its lease.
     pub over_ms: Millis,
 }
 
-/// Who owns a pool, as this entry has seen.
+/// The owner of a pool and the state of its lease, as this entry has seen them.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerLease {
-    /// The owner's row in the first shard.
+    /// Owner row in the first shard.
     pub owner: OwnerRow,
-    /// Its revision: the epoch.
+    /// Revision of that owner row, which is the epoch.
     pub epoch: Revision,
-    /// The newest heartbeat.
+    /// Newest heartbeat seen in any shard.
     pub heartbeat: HeartbeatRow,
-    /// Its revision.
+    /// Revision of the newest heartbeat.
     pub heartbeat_revision: Revision,
-    /// When this entry saw the newest heartbeat.
+    /// When this entry saw the newest heartbeat, or the last change of the owner in the first shard.
     pub heartbeat_seen_ms: Millis,
-    /// The shards.
+    /// Lease state by shard.
     pub shards: [ShardLease; SHARDS],
-    /// Our claim that won the first shard, until all others are won.
+    /// This process's claim that won the first shard, until all other shards are won.
     pub claim: Option<Claim>,
-    /// The owner before our claim; empty where it had left.
+    /// The owner before this entry's last claim; empty if that owner had released the pool.
     pub claim_after: String,
-    /// The entry whose heartbeat stood in the first shard before our claim.
+    /// The entry whose heartbeat stood in the first shard before this entry's last claim.
     pub claim_after_heartbeat: String,
-    /// Revision of the owner's row that our claim replaces.
+    /// Revision of the owner row that this entry's last claim replaces.
     pub claim_from: Revision,
-    /// When that owner was last heard.
+    /// When the owner before this entry's last claim was last seen alive.
     pub claim_after_ms: Millis,
-    /// When the first of our claims was sent whose fate is open.
+    /// When the earliest of this process's claims was sent whose outcome is unknown.
     pub claim_open_ms: Option<Millis>,
-    /// Epoch of our last ownership.
+    /// Epoch of this process's last ownership.
     pub held_epoch: Revision,
-    /// Orders to hosts of the owner before our claim.
+    /// Orders to hosts by the owner before this entry's last claim.
     pub former: FormerOrders,
-    /// Start of our last renewal that was acknowledged.
+    /// When the last acknowledged renewal was sent.
     pub renewed_ms: Millis,
-    /// Count of our last heartbeat, and when it was sent.
+    /// Count of the last heartbeat sent, and when it was sent.
     pub sent: (u64, Millis),
-    /// Our heartbeats that the feed has not shown yet: counts, and when they were sent.
+    /// Sent heartbeats that the feed has not shown yet: count and send time.
     pub unseen: VecDeque<(u64, Millis)>,
-    /// When the next one is due; changes of jobs carry heartbeats, too.
+    /// When the next heartbeat is due. Batches of job changes carry heartbeats, too.
     pub heartbeat_due_ms: Millis,
-    /// What the store took for the last one.
+    /// How long the store took to answer the last renewal.
     pub answer_ms: Millis,
 }
 
 /// One shard of a pool, as this entry has seen it.
 #[derive(Clone, Debug, Default)]
 pub struct ShardLease {
-    /// Revision of the owner's row.
+    /// Revision of the owner row.
     pub owner_revision: Revision,
-    /// Revision of the heartbeat.
+    /// Revision of the heartbeat row.
     pub heartbeat_revision: Revision,
-    /// The entry whose heartbeat it is.
+    /// The entry that wrote the heartbeat.
     pub heartbeat_entry: String,
-    /// When this entry saw that heartbeat.
+    /// When this entry saw the heartbeat.
     pub heartbeat_seen_ms: Millis,
-    /// A claim of ours is out.
+    /// Whether a claim of this shard awaits its answer.
     pub is_claiming: bool,
-    /// A renewal of ours is out.
+    /// Whether a renewal in this shard awaits its answer.
     pub is_renewing: bool,
-    /// When the first of our calls was sent that is not answered yet.
+    /// When the earliest unanswered call was sent.
     pub unanswered_ms: Option<Millis>,
-    /// It refused or lost a call: others go first until then.
+    /// The shard refused or lost a call; other shards are preferred until this time.
     pub passed_over_until_ms: Millis,
 }
 
 /// A claim that won the first shard.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// Revision of our row there: the epoch to be.
+    /// Revision of the claim's owner row in the first shard, which becomes the epoch.
     pub epoch: Revision,
-    /// When it was sent.
+    /// When the claim of the first shard was sent.
     pub sent_ms: Millis,
-    /// Revisions of our rows in the shards that are won.
+    /// Revisions of the owner rows in the shards that are won.
     pub owner_revisions: [Option<Revision>; SHARDS],
 }
 
 impl OwnerLease {
-    /// Until when this entry may send orders, if it owns the pool.
+    /// Returns the time until which this entry may send orders if it owns the pool.
     pub fn until_ms(&self) -> Millis {
         self.renewed_ms + OWNER_LEASE_MS - OWNER_MARGIN_MS
     }
 
-    /// The count of the next heartbeat: no number is used twice, also where the feed is behind. An older one that it brings
-    /// under a later one's number would renew the lease from that one's sending.
+    /// Returns the count of the next heartbeat. No count is used twice, even when the feed lags: an older heartbeat
+    /// that the feed brings under a later one's count would renew the lease from the later one's send time.
     fn next_count(&self) -> u64 {
         self.heartbeat.count.max(self.sent.0) + 1
     }
 
-    /// What the owner that was heard last ordered hosts about.
+    /// Returns the orders to hosts that the last heartbeat seen reports.
     pub(super) fn former_orders(&self) -> FormerOrders {
         let heard_ms = self.heartbeat_seen_ms;
         let ordered = self.heartbeat.ordered.iter();
@@ -134,18 +136,18 @@
         }
     }
 
-    /// Takes note of a heartbeat that is in the store, sent at that time.
+    /// Records that the heartbeat sent at `sent_ms` is in the store.
     pub fn note_renewed(&mut self, sent_ms: Millis, now_ms: Millis) {
         self.renewed_ms = self.renewed_ms.max(sent_ms);
         self.answer_ms = now_ms.saturating_sub(sent_ms);
     }
 
-    /// Takes note of a call in a shard.
+    /// Records that a call to a shard was sent.
     pub fn note_sent(&mut self, shard: usize, now_ms: Millis) {
         self.shards[shard].unanswered_ms.get_or_insert(now_ms);
     }
 
-    /// Takes note of what a call in a shard came to.
+    /// Records the outcome of a call to a shard.
     pub fn note_answer(&mut self, shard: usize, outcome: &TxOutcome, now_ms: Millis) {
         let shard = &mut self.shards[shard];
         shard.unanswered_ms = None;
@@ -155,7 +157,7 @@
         };
     }
 
-    /// Whether a shard answers, as far as is known.
+    /// Returns whether a shard answers calls, as far as is known.
     pub fn is_responsive(&self, shard: usize, now_ms: Millis) -> bool {
         let late_ms = SHARD_LATE_MS.max(self.answer_ms * 2);
         let shard = &self.shards[shard];
@@ -165,7 +167,7 @@
         !is_late && now_ms >= shard.passed_over_until_ms
     }
 
-    /// The shard for the next heartbeat: the first that answers, else any that none is on its way in.
+    /// Returns the shard for the next heartbeat: the first responsive one, else any without a renewal in flight.
     fn shard_to_renew(&self, now_ms: Millis) -> Option<usize> {
         let mut free = (0..SHARDS).filter(|shard| !self.shards[*shard].is_renewing);
         let good = free
@@ -174,17 +176,17 @@
         good.or_else(|| free.next())
     }
 
-    /// Whether this process is the owner that was seen last.
+    /// Returns whether this process is the owner that was seen last.
     pub(super) fn is_ours(&self, me: &str, nonce: u64) -> bool {
         self.owner.entry == me && self.owner.nonce == nonce
     }
 
-    /// Whether an earlier process of this entry owned the pool: it has ended, since this one runs.
+    /// Returns whether an earlier process of this entry owned the pool. That process has ended, since this one runs.
     pub(super) fn was_ours(&self, me: &str, nonce: u64) -> bool {
         self.owner.entry == me && self.owner.nonce != nonce
     }
 
-    /// How long the pool has been without a living owner; nothing while it has one.
+    /// Returns since when the pool has been without a live owner, or `None` while it has one.
     pub(super) fn vacant_since_ms(&self, now_ms: Millis) -> Option<Millis> {
         if self.owner.entry.is_empty() {
             return Some(self.heartbeat_seen_ms);
@@ -194,7 +196,7 @@
     }
 }
 
-/// Takes in a change of the owners' table in a shard.
+/// Applies a changed row of the owners table in one shard.
 pub fn observe(
     pool: &mut Pool,
     shard: usize,
@@ -233,7 +235,8 @@
     Ok(())
 }
 
-/// The answer to our renewal may be lost: the feed tells that it was done, and the lease counts from its own sending.
+/// Extends the lease when the feed shows one of this owner's heartbeats, in case the store's answer to it was lost. The
+/// lease counts from the time when that heartbeat was sent.
 fn note_own_heartbeat(pool: &mut Pool) {
     let lease = &mut pool.lease;
     let is_ours = pool.ownership.is_some() && lease.heartbeat.entry == lease.owner.entry;
@@ -251,7 +254,7 @@
     }
 }
 
-/// Takes note of a row of ours in a shard, if it is the claim's that won the first one.
+/// Records an owner row of another shard if it belongs to the claim that won the first shard.
 fn note_won(lease: &mut OwnerLease, shard: usize, owner: &OwnerRow, revision: Revision) {
     if let Some(claim) = lease.claim.as_mut().filter(|c| c.epoch == owner.epoch) {
         claim.owner_revisions[shard] = Some(revision);
@@ -274,8 +277,8 @@
     }
 }
 
-/// The guard that every write of an owner carries: the revision of its row in the shard, which is the epoch in the
-/// first one.
+/// Returns the guard that every write of an owner carries: the revision of its owner row in the shard. In the first
+/// shard that revision is the epoch.
 pub fn epoch_guard(fence: Revision) -> Guard {
     guard(OWNER_KEY, fence)
 }
@@ -302,7 +305,8 @@
     ownership.map(|t| t.quota.short.clone()).unwrap_or_default()
 }
 
-/// Hosts that were ordered about of late, and how long ago: by this owner, or by the one that it claims after.
+/// Returns the hosts that were ordered about recently and how long ago, by this owner or, before a claim is won, by the
+/// owner that it replaces.
 fn ordered(pool: &Pool, now_ms: Millis) -> BTreeMap<String, Millis> {
     let reported_ms = match &pool.ownership {
         Some(ownership) => ownership.hosts.ordered_ms(now_ms),
@@ -314,7 +318,7 @@
         .collect()
 }
 
-/// Renews the lease, if no heartbeat was sent of late.
+/// Renews the lease unless a heartbeat was sent recently.
 pub fn renew(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let due_ms = pool.lease.heartbeat_due_ms;
     if ctx.now.ms < due_ms {
@@ -324,8 +328,8 @@
     send_heartbeat(pool, ctx);
 }
 
-/// Tells soon what changed in the pool's needs, unless the store is slow: then it comes with the next
-/// heartbeat, since each of its own would hold up changes of jobs.
+/// Brings the next heartbeat forward to announce a change in the pool's needs. When the store is slow, the change waits
+/// for the regular heartbeat, since every extra one would delay writes of job changes.
 pub fn hasten_heartbeat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     if pool.lease.answer_ms >= SLOW_ANSWER_MS {
         return;
@@ -352,12 +356,12 @@
     pool.lease.shards[shard].is_renewing = true;
     pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out.push(Effect::Renew(ctx.pool, epoch, shard, tx));
-    // Where no answer comes, the next goes to another shard.
+    // If no answer comes, the next heartbeat goes to another shard.
     let due_ms = pool.lease.heartbeat_due_ms;
     ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
-/// The write of the next heartbeat, which is sent now.
+/// Returns the write of the next heartbeat and records it as sent now.
 pub fn next_heartbeat(pool: &mut Pool, ctx: &Ctx<'_>) -> Write {
     let write = write(HEARTBEAT_KEY, rows::encode(&heartbeat(pool, ctx)));
     pool.lease.sent = (pool.lease.next_count(), ctx.now.ms);
@@ -365,13 +369,13 @@
     if pool.lease.unseen.len() > UNSEEN_MAX {
         pool.lease.unseen.pop_front();
     }
-    // Behind one that a slow store has not answered yet, the next would only wait.
+    // While a slow store has not answered one heartbeat, the next would only queue behind it.
     let pause_ms = (pool.lease.answer_ms * 3 / 2).clamp(RENEW_MS, RENEW_SLOW_MS);
     pool.lease.heartbeat_due_ms = ctx.now.ms + pause_ms;
     write
 }
 
-/// Settles a renewal.
+/// Handles the answer to a renewal.
 pub fn renewed(
     pool: &mut Pool,
     epoch: u64,
@@ -392,13 +396,13 @@
             ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
         }
         TxOutcome::Conflict(found) => match ours_at(pool, shard, found, ctx) {
-            // An answer told a newer revision than the row's.
+            // An earlier answer named a newer revision than the owner row has.
             Some(revision) => {
                 set_owner_revision(pool, shard, revision);
                 pool.lease.heartbeat_due_ms = ctx.now.ms;
                 ctx.after(0, Timer::Renew);
             }
-            None => lose(pool, "its row changed", ctx),
+            None => lose(pool, "a renewal found that the owner row had changed", ctx),
         },
         TxOutcome::Refused | TxOutcome::Unknown => {
             pool.lease.heartbeat_due_ms = ctx.now.ms;
@@ -407,7 +411,7 @@
     }
 }
 
-/// The revision of this owner's row in a shard, where a conflict found it at another one than was thought.
+/// Returns the revision of this owner's row in a shard if a conflict found it at another revision than expected.
 fn ours_at(
     pool: &Pool,
     shard: usize,
@@ -421,8 +425,8 @@
     is_ours.then_some(row.revision)
 }
 
-/// Takes the epoch from the owner's row as read: the answer to the claim may have told a newer revision than the row's, which
-/// no condition on it would meet. Says whether the row is this owner's.
+/// Takes the epoch from the owner row as read, and returns whether the row is this owner's. The answer to the claim may
+/// have named a newer revision than the row has, and no guard on that revision would ever hold.
 pub fn settle_epoch(
     ownership: &mut Ownership,
     lease: &mut OwnerLease,
@@ -436,7 +440,7 @@
         return false;
     }
     if ownership.epoch != row.revision {
-        // Answers to renewals that are out name the epoch of before, and are passed over.
+        // Answers to renewals in flight name the previous epoch and are ignored.
         let shards = lease.shards.iter_mut();
         shards.for_each(|shard| shard.is_renewing = false);
     }
@@ -451,7 +455,7 @@
     }
 }
 
-/// Gives the pool up in the store, so that another may take it at once.
+/// Releases the pool in the store so that another entry can take it at once.
 pub fn release(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     if let Some(mut ownership) = pool.ownership.take() {
         run_log::log_last_start_answers(&mut ownership, ctx);
@@ -470,7 +474,7 @@
     ctx.log(decision.with("epoch", epoch));
 }
 
-/// Drops the books of a pool that another entry owns now.
+/// Drops the in-memory state of a pool that another entry owns now.
 pub fn lose(pool: &mut Pool, why: &str, ctx: &mut Ctx<'_>) {
     let Some(mut ownership) = pool.ownership.take() else {
         return;
@@ -480,7 +484,8 @@
         Decision::new(Code::PoolLost, Subject::Pool, &pool.name, why)
             .with("epoch", ownership.epoch),
     );
-    // Those of the books would act on others with the same keys, should the pool come back.
+    // Timers that carry keys of the dropped state would act on other objects with the same keys if this entry regained
+    // the pool.
     ctx.drop_timers(|timer| timer != Timer::Claim);
     ctx.after(OWNER_LEASE_MS, Timer::Claim);
 }
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -1,4 +1,7 @@
-//! An owner's books on its pool: jobs, tasks, workers, and what each worker carries.
+//! In-memory state of an owned pool: its jobs, tasks and workers, and what each worker carries.
+//!
+//! An owner builds it from the pool's rows (see [`load`](super::load)). The scheduler's modules change it, and
+//! [`commit`](super::commit) records the changed jobs in the store.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -18,125 +21,127 @@
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, TaskName};
 
-/// A run that is at work, or may yet start, although an earlier run of its task is done.
+/// A run that is running, or may still start, although an earlier run of its task has ended the task.
 #[derive(Clone, Debug)]
 pub struct LeftoverRun {
-    /// The task's name; its job may be forgotten first.
+    /// Name of the task. Its job may be dropped before this run ends.
     pub name: TaskName,
-    /// The account that it counts for, and what.
+    /// Account that the run is charged to, and the charge.
     pub charge: Option<(AccountKey, Capacity)>,
-    /// Where it may run.
+    /// Worker on which the run may be.
     pub worker: WorkerKey,
-    /// The room that it takes there.
+    /// Capacity that the run takes there.
     pub demand: Capacity,
-    /// The worker that listed the end, and its number: it counts as seen only once this run is over.
+    /// Worker that reported the end, and the end's number. The end is confirmed to the worker only after this run is
+    /// over.
     pub noticed: (WorkerKey, u64),
-    /// When its stop was answered; an account asked for later must not show it.
+    /// When the stop of the run was answered. A report requested later must not list the run.
     pub settled_ms: Option<Millis>,
 }
 
-/// Hosts that a pool lacks and is expected to get.
+/// Capacity that the pool will have once the hosts that it lacks have arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Coming {
-    /// Processors of the pool once they are there, in thousandths of a core.
+    /// Processors of the pool by then, in thousandths of a core.
     pub cpu_milli: u64,
-    /// When that is.
+    /// When the hosts are expected.
     pub at_ms: Millis,
 }
 
-/// The books of one pool.
+/// In-memory state of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct PoolState {
-    /// The reading that they came of.
+    /// Reading of the rows that this state was built from.
     pub id: PoolStateId,
-    /// The pool.
+    /// Name of the pool.
     pub name: String,
-    /// The jobs.
+    /// Jobs of the pool.
     pub jobs: SlotMap<JobKey, Job>,
-    /// Jobs by id.
+    /// Keys of jobs by id.
     pub by_id: HashMap<String, JobKey>,
-    /// The workers.
+    /// Worker instances of the pool, including some that are no longer listed.
     pub workers: SlotMap<WorkerKey, Worker>,
-    /// Workers' lives by id; an id may come again.
+    /// Worker instances by id; an id may come up again.
     pub workers_by_id: HashMap<String, Vec<WorkerKey>>,
-    /// Restarts of ids whose workers were dropped, and when that was: orders to these may still be on their way.
+    /// Restarts of ids whose workers were dropped, and when they were dropped. Orders to these workers may still be in
+    /// flight.
     pub dropped: HashMap<String, (u32, Millis)>,
-    /// Workers' lives by host.
+    /// Worker instances by host.
     pub by_host: HashMap<String, Vec<WorkerKey>>,
-    /// Hosts that are to leave for upkeep, until they were ordered out: what comes there gets nothing.
+    /// Hosts that are to leave for maintenance, until they were ordered out. No work is placed there.
     pub closing: BTreeSet<String>,
-    /// Those of them whose slot was asked for: from then on they may be ordered out.
+    /// Closing hosts whose slot was requested; they may be ordered out from then on.
     pub going: BTreeSet<String>,
-    /// Workers by what they have free.
+    /// Workers by free capacity.
     pub free_index: FreeIndex,
-    /// Workers that are reserved for tasks which need most of one.
+    /// Workers that are reserved for tasks that need most of one.
     pub reserved: Reservations,
-    /// Workers whose ends are being recorded.
+    /// Workers with ends that are being recorded.
     pub recording: BTreeSet<WorkerKey>,
-    /// Tasks that wait for a place.
+    /// Tasks that wait for placement, in order.
     pub ready: BTreeSet<Rank>,
-    /// Where looks at tasks far back in that order have come to.
+    /// Position of the scan of tasks far back in that order.
     pub scan_cursor: ScanCursor,
-    /// Jobs whose progress is to be recorded.
+    /// Jobs with progress to be recorded.
     pub dirty: BTreeSet<JobKey>,
-    /// When the first of them became so.
+    /// When the first of the dirty jobs became dirty.
     pub dirty_since_ms: Millis,
-    /// Runs that are started once their record is there.
+    /// Runs that are started once their record is committed.
     pub unsent: Vec<(TaskKey, u32)>,
-    /// Runs left behind by tasks that are done, by task and run.
+    /// Leftover runs of tasks that are done, by task and run.
     pub leftover_runs: BTreeMap<(TaskKey, u32), LeftoverRun>,
-    /// Jobs that have not begun, by queue.
+    /// Number of jobs that have not begun, by queue.
     pub waiting: BTreeMap<String, u64>,
-    /// A member of each gang that lost one: the others are to be stopped.
+    /// One member of each gang that lost a member: the other members are to be stopped.
     pub broken_gangs: Vec<TaskKey>,
-    /// Suspects of crashes whose run may yet bring its worker down, and that worker.
+    /// Tasks suspected of crashing workers whose run may still crash its worker, and that worker.
     pub watched: BTreeMap<TaskKey, WorkerKey>,
-    /// When a worker last crashed, as far as that is known.
+    /// When a worker last crashed, as far as is known.
     pub crashed_ms: Millis,
-    /// Jobs of tasks that brought too many workers down: they are to be ended.
+    /// Jobs with tasks that crashed too many workers: they are to be ended.
     pub given_up: Vec<JobKey>,
-    /// Jobs that left of late, and when: a row of theirs may still come.
+    /// Jobs that were dropped recently, and when. The feed may still bring rows of these jobs.
     pub forgotten: BTreeMap<String, Millis>,
-    /// Jobs whose rows as submitted can't be read: their progress is kept.
+    /// Jobs whose intake rows cannot be decoded: their progress is kept.
     pub unread: BTreeSet<String>,
-    /// Progress on record whose job is gone: shard and id.
+    /// Progress rows without a job: shard and id.
     pub orphans: Vec<(usize, String)>,
-    /// What steps took of late.
+    /// Recent running times of steps.
     pub times: Times,
-    /// Jobs that came of late: when, and their work in core-milliseconds.
+    /// Recently arrived jobs: arrival time, and work in core-milliseconds.
     pub arrivals: VecDeque<(Millis, u64)>,
-    /// When the pool's load was last told.
+    /// When the pool's load was last logged.
     pub load_logged_ms: Millis,
-    /// Hosts on their way, if some are.
+    /// Hosts that are expected to arrive, if any.
     pub coming: Option<Coming>,
     /// Client accounts that have or had jobs here.
     pub accounts: Vec<AccountUse>,
-    /// Keys of those by name.
+    /// Keys of these accounts by name.
     pub account_keys: HashMap<String, AccountKey>,
-    /// More of an account waits than its limit allows, or a grant changed.
+    /// Whether more work of an account waits than its limit allows, or a grant changed.
     pub wants_quota: bool,
-    /// Room or work came since tasks were last placed.
+    /// Whether capacity or work was added since tasks were last placed.
     pub wants_placing: bool,
-    /// Answers to starts that are not told yet.
+    /// Answers to starts that are not logged yet.
     pub answers: StartAnswers,
 }
 
 impl PoolState {
-    /// A task.
+    /// Returns a task.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         let round = self.jobs.get(key.job)?.rounds.get(&key.round)?;
         let step = round.steps.get(usize::from(key.step))?;
         step.tasks.get(usize::from(key.index))
     }
 
-    /// A task, to be changed.
+    /// Returns a task for modification.
     pub fn task_mut(&mut self, key: TaskKey) -> Option<&mut Task> {
         let round = self.jobs.get_mut(key.job)?.rounds.get_mut(&key.round)?;
         let step = round.steps.get_mut(usize::from(key.step))?;
         step.tasks.get_mut(usize::from(key.index))
     }
 
-    /// What the task's step asks for.
+    /// Returns the specification of the task's step.
     pub fn step_spec(&self, key: TaskKey) -> Option<&StepSpec> {
         self.jobs
             .get(key.job)?
@@ -145,7 +150,7 @@
             .get(usize::from(key.step))
     }
 
-    /// The task that a name stands for.
+    /// Returns the key of the task with this name.
     pub fn find(&self, name: &TaskName) -> Option<TaskKey> {
         let key = TaskKey {
             job: *self.by_id.get(&name.job)?,
@@ -156,13 +161,14 @@
         self.task(key).map(|_| key)
     }
 
-    /// Whether nothing is known of what runs of a job, so that it is left alone.
+    /// Returns whether a job's progress cannot be decoded. It is unknown what runs of the job, so its runs are left
+    /// alone.
     pub fn is_left_alone(&self, id: &str) -> bool {
         let job = self.by_id.get(id).and_then(|key| self.jobs.get(*key));
         job.is_some_and(|job| job.is_unreadable && !job.state.is_final())
     }
 
-    /// The name that a task goes by.
+    /// Returns the name of a task.
     pub fn name(&self, key: TaskKey) -> Option<TaskName> {
         Some(TaskName {
             job: self.jobs.get(key.job)?.id.clone(),
@@ -172,7 +178,7 @@
         })
     }
 
-    /// Brings a task into a phase, with the capacity and the queue that go with it.
+    /// Moves a task to a phase, and updates the capacity in use and the queue accordingly.
     pub fn set_phase(&mut self, key: TaskKey, phase: Phase, now_ms: Millis) {
         let Some(demand) = self.step_spec(key).map(StepSpec::demand) else {
             return;
@@ -207,7 +213,7 @@
             _ => None,
         };
         let is_suspect = task.is_suspect();
-        // What a new owner could not tell otherwise, should the worker be gone by then.
+        // Without this record, a new owner could not learn of the run's start if the worker is gone by then.
         let is_news = task.begun_ms == Some(now_ms) && task.ended.is_noted();
         if is_news {
             self.mark(key.job, now_ms);
@@ -239,7 +245,7 @@
         self.queue(key, (phase == Phase::Ready).then_some(rank));
     }
 
-    /// Notes which worker a suspect is watched on, or that it is on none.
+    /// Records the worker on which a suspect is watched, or that there is none.
     fn watch(&mut self, key: TaskKey, worker: Option<WorkerKey>) {
         let before = match worker {
             Some(worker) => self.watched.insert(key, worker),
@@ -248,9 +254,9 @@
         self.wants_placing |= before.is_some();
     }
 
-    /// Whether a task that lasts is to wait before its next start. The last times it is tried while no other worker
-    /// crashes, so that its own end tells: else 195 of 240 such tasks were left alone for good, in 36 s in which a third of
-    /// the workers crashed every 0.6 s.
+    /// Returns whether a long-running task must wait before its next start. Its last attempts are made while no other
+    /// worker crashes, so that a crash can be attributed to the task. Without this, 195 of 240 such tasks were given up
+    /// when a third of the workers crashed every 0.6 s for 36 s.
     pub fn is_held(&self, key: TaskKey, now_ms: Millis) -> bool {
         let Some(task) = self.task(key) else {
             return false;
@@ -260,12 +266,12 @@
         waits_for_calm || now_ms < task.held_until_ms
     }
 
-    /// Whether a suspect of crashes is watched on a worker.
+    /// Returns whether a suspect of crashes is watched on a worker.
     pub fn is_watched(&self, worker: WorkerKey) -> bool {
         self.watched.values().any(|on| *on == worker)
     }
 
-    /// Puts a task among those that wait, or takes it out.
+    /// Adds a task to the waiting tasks at `rank`, or removes it from them.
     pub(super) fn queue(&mut self, key: TaskKey, rank: Option<Rank>) {
         let Some(task) = self.task_mut(key) else {
             return;
@@ -283,7 +289,7 @@
         }
     }
 
-    /// Notes that a job's progress must be recorded.
+    /// Marks a job's progress to be recorded.
     pub fn mark(&mut self, job: JobKey, now_ms: Millis) {
         if self.dirty.is_empty() {
             self.dirty_since_ms = now_ms;
@@ -294,7 +300,7 @@
         }
     }
 
-    /// Notes that a worker's end was taken into the books; it counts as recorded with what changed by it.
+    /// Records that a worker's end was applied. The end counts as recorded once the change that it caused is recorded.
     pub fn note_taken(&mut self, worker: WorkerKey, number: u64, job: Option<JobKey>) {
         let change = job.and_then(|key| Some((key, self.jobs.get(key)?.changes)));
         let Some(w) = self.workers.get_mut(worker) else {
@@ -304,7 +310,7 @@
         w.unrecorded.push_back(TakenEnd { number, change });
     }
 
-    /// Counts a worker's ends as recorded as far as they are; says whether all of them are.
+    /// Advances a worker's recorded ends as far as their changes are recorded, and returns whether all are.
     pub fn settle_ends(&mut self, worker: WorkerKey) -> bool {
         let Some(w) = self.workers.get_mut(worker) else {
             return true;
@@ -319,20 +325,20 @@
         true
     }
 
-    /// Whether a worker carries nothing, and nothing that it told would be lost with it.
+    /// Returns whether a worker carries nothing, and all ends that it reported are recorded.
     pub fn is_clear(&self, worker: WorkerKey) -> bool {
         self.workers.get(worker).is_none_or(|w| w.tasks.is_empty()) && self.has_recorded(worker)
     }
 
-    /// Whether all ends that a worker told are on record. A host that left before took them with it: an owner that was
-    /// replaced then left six finished tasks of six to be started again.
+    /// Returns whether all ends that a worker reported are recorded. Unrecorded ends are lost when a host leaves: when
+    /// the owner was replaced in such a case, all of six finished tasks were started again.
     pub fn has_recorded(&self, worker: WorkerKey) -> bool {
         let ends = self.workers.get(worker).map(|w| &w.unrecorded);
         let mut ends = ends.into_iter().flatten();
         ends.all(|end| is_recorded(&self.jobs, end))
     }
 
-    /// Brings a job into a state and keeps the count of those that wait.
+    /// Sets the state of a job, and updates the number of waiting jobs.
     pub fn set_state(&mut self, key: JobKey, state: JobState, now_ms: Millis) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -349,7 +355,7 @@
         }
     }
 
-    /// Begins a round: its first steps are open, the others blocked.
+    /// Begins a round: steps without predecessors are opened, all others stay blocked.
     pub fn begin_round(&mut self, key: JobKey, number: u32, now_ms: Millis) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -368,7 +374,7 @@
         self.open_steps(key, number, now_ms);
     }
 
-    /// Opens the steps of a round whose earlier steps are done.
+    /// Opens the steps of a round whose predecessors are done.
     pub fn open_steps(&mut self, key: JobKey, number: u32, now_ms: Millis) {
         let mut opened = Vec::new();
         let Some(job) = self.jobs.get_mut(key) else {
@@ -412,7 +418,7 @@
         }
     }
 
-    /// Notes the work of a job that came now.
+    /// Records the work of a job that arrived now.
     pub fn note_arrival(&mut self, key: JobKey, now_ms: Millis) {
         let Some(job) = self.jobs.get(key) else {
             return;
@@ -428,19 +434,21 @@
         }
     }
 
-    /// Processors that jobs keep busy in the long run if they go on coming as they did of late.
+    /// Returns the processor capacity that jobs keep busy on average if they continue to arrive at the recent rate, in
+    /// thousandths of a core.
     pub fn arriving_cpu_milli(&self, now_ms: Millis) -> u64 {
         self.recent(now_ms).sum::<u64>() * 1_000 / ARRIVALS_MS
     }
 
-    /// The same less what is chance: the spread of a sum of so many jobs. One large job alone tells of no rate.
+    /// Returns the same less the standard deviation of the sum of the jobs' work, which may be due to chance. A single
+    /// large job does not indicate a rate.
     pub fn surely_arriving_cpu_milli(&self, now_ms: Millis) -> u64 {
         let sum: u64 = self.recent(now_ms).sum();
         let squares: u64 = self.recent(now_ms).map(|work| work * work).sum();
         sum.saturating_sub(squares.isqrt()) * 1_000 / ARRIVALS_MS
     }
 
-    /// The work of each job that came of late.
+    /// Returns the work of each job that arrived recently.
     fn recent(&self, now_ms: Millis) -> impl Iterator<Item = u64> + '_ {
         let recent = self.arrivals.iter();
         let recent = recent.filter(move |(at, _)| now_ms <= at + ARRIVALS_MS);
@@ -458,7 +466,7 @@
         }
     }
 
-    /// Keeps a run of a done task, with its room, until it is certainly over.
+    /// Keeps a leftover run of a done task, with its capacity, until it is certainly over.
     pub fn keep_leftover_run(&mut self, key: TaskKey, run: u32, left: LeftoverRun) {
         if let Some(w) = self.workers.get_mut(left.worker) {
             w.used.add(left.demand);
@@ -470,7 +478,7 @@
         self.leftover_runs.insert((key, run), left);
     }
 
-    /// Moves a run left behind, with its room, to the worker that turned out to have it.
+    /// Moves a leftover run and its capacity to the worker that turned out to have it.
     pub fn move_leftover_run(&mut self, run: (TaskKey, u32), to: WorkerKey) {
         let Some(left) = self.leftover_runs.get_mut(&run) else {
             return;
@@ -488,7 +496,7 @@
         self.update_free_index(to);
     }
 
-    /// Drops the runs left behind that `is_over` names, with their room.
+    /// Drops the leftover runs that `is_over` selects, and frees their capacity.
     pub fn drop_leftover_runs(&mut self, is_over: impl Fn(&LeftoverRun) -> bool) {
         let over = self.leftover_runs.iter().filter(|(_, left)| is_over(left));
         let over: Vec<(TaskKey, u32)> = over.map(|(key, _)| *key).collect();
@@ -507,8 +515,8 @@
         }
     }
 
-    /// Up to which end a worker may be told that its ends were seen: those on record, but for ends of tasks
-    /// that left another run behind.
+    /// Returns the number of the last end that may be confirmed to a worker: ends are confirmed in order once recorded,
+    /// up to the first whose task left another run behind.
     pub fn seen_up_to(&self, worker: WorkerKey) -> u64 {
         let recorded = self.workers.get(worker).map_or(0, |w| w.recorded);
         let blocked = self.leftover_runs.values().map(|left| left.noticed);
@@ -516,7 +524,7 @@
         blocked.fold(recorded, |seen, (_, end)| seen.min(end.saturating_sub(1)))
     }
 
-    /// All tasks of a job.
+    /// Returns all tasks of a job.
     pub fn tasks_of(&self, key: JobKey) -> Vec<TaskKey> {
         let Some(job) = self.jobs.get(key) else {
             return Vec::new();
@@ -535,8 +543,9 @@
         keys
     }
 
-    /// Closes a host that is to leave for upkeep, or opens it again. A life that comes there after a crash is closed, too:
-    /// the upkeep is still to come, and ended what was placed there 50 ms before.
+    /// Closes a host that is to leave for maintenance, or opens it again. A worker instance that appears there after a
+    /// crash is closed, too: the maintenance is still to come, and in one case ended work that had been placed 50 ms
+    /// earlier.
     pub fn set_closing(&mut self, host: &str, is_closing: bool) {
         match is_closing {
             true => self.closing.insert(host.to_string()),
@@ -545,43 +554,44 @@
         if !is_closing {
             self.going.remove(host);
         }
-        // Which life of a host is alive, its list does not tell.
+        // The list of a host's instances does not tell which of them is alive.
         for key in self.by_host.get(host).into_iter().flatten() {
             if let Some(worker) = self.workers.get_mut(*key) {
                 worker.is_closing = is_closing;
-                // One that was ordered out and is not heard has gone as planned, known by the list of hosts before its next
-                // life is listed.
+                // A worker that was ordered out and does not answer has left as planned. The list of hosts shows this
+                // before the host's next instance is listed.
                 worker.is_going &= is_closing || !worker.answers;
             }
         }
         self.wants_placing |= !is_closing;
     }
 
-    /// Takes in that a closed host may be ordered out from now on. Until then an end there is nobody's plan.
+    /// Records that a closed host may be ordered out from now on. An end on that host before this point was not
+    /// planned.
     pub fn set_going(&mut self, host: &str) {
         self.going.insert(host.to_string());
         for key in self.by_host.get(host).into_iter().flatten() {
             if let Some(worker) = self.workers.get_mut(*key) {
-                // One that went with its connections before was not ordered out.
+                // A worker whose connections broke earlier was not ordered out.
                 worker.is_going |= worker.broke_ms.is_none();
             }
         }
     }
 
-    /// Whether a worker carries a task that lasts.
+    /// Returns whether a worker carries a long-running task.
     pub fn carries_lasting(&self, worker: &Worker) -> bool {
         let mut tasks = worker.tasks.iter();
         tasks.any(|key| self.step_spec(*key).is_some_and(|s| s.lasting))
     }
 
-    /// How many tasks of the same step (and round) a worker carries.
+    /// Returns how many tasks of the same step and round a worker carries.
     pub fn siblings_on(&self, key: TaskKey, worker: &Worker) -> usize {
         let same = |t: &&TaskKey| t.job == key.job && t.round == key.round && t.step == key.step;
         worker.tasks.iter().filter(same).count()
     }
 }
 
-/// Whether what an end changed is on record.
+/// Returns whether the change that an end caused is recorded.
 fn is_recorded(jobs: &SlotMap<JobKey, Job>, end: &TakenEnd) -> bool {
     let Some((job, change)) = end.change else {
         return true;
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -1,4 +1,4 @@
-//! A job's progress as its row holds it.
+//! Converts a job's in-memory progress to its row in the store; the row's format is in [`rows`](super::rows).
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use super::tasks::{Phase, Seen, Task, WorkerLosses};
 
 impl PoolState {
-    /// A job's progress as its row holds it.
+    /// Returns the progress row of a job.
     pub fn progress(&self, key: JobKey) -> Option<ProgressRow> {
         let job = self.jobs.get(key)?;
         let mut row = ProgressRow {
@@ -41,7 +41,8 @@
                 steps,
             });
         }
-        // A later round may end first: not told apart from one that never began, the next owner would begin it again.
+        // A later round may end first. If the row did not distinguish it from a round that never began, the next owner
+        // would begin it again.
         if row.begun() < job.rounds_begun {
             row.rounds_begun = job.rounds_begun;
         }
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -1,4 +1,7 @@
-//! The reducer: one event in, effects out.
+//! The reducer of the scheduler: takes one event, updates the state and returns the effects to carry out.
+//!
+//! It owns no rules of its own. It routes events and due timers to the modules that decide, and after each event
+//! settles what follows from it in every owned pool.
 
 use std::sync::Arc;
 
@@ -36,10 +39,10 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{FleetConfig, OperatorEvent, StoredRow, TxOutcome};
 
-/// Pause before a pool's rows are read again after that failed.
+/// Pause before a pool's rows are read again after a failed read.
 const LOAD_RETRY_MS: Millis = 100;
 
-/// Takes in one event.
+/// Applies one event, fires due timers and returns the resulting effects.
 pub fn reduce(state: &mut State, event: Event, now: Now) -> Vec<Effect> {
     let mut out = Vec::new();
     match event {
@@ -74,7 +77,7 @@
                 runs::stopped(pool_state, task, run, reply, ctx)
             });
         }
-        // The worker tells it to the next owner; taken in here it would put the handover off.
+        // The worker reports the same to the next owner. Taking the report in here would delay the handover.
         Event::WorkerRenewed(..) if state.is_stopping() => {}
         Event::WorkerRenewed(pool, id, worker, sent_ms, result) => {
             with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
@@ -232,7 +235,7 @@
     if state.config.version == 0 {
         consider_all(state, now);
     }
-    // Only pools that queues are sent to need an owner; parked ones are needed for their hosts.
+    // Pools that receive queues need an owner for their jobs. Parked pools need one for their hosts.
     let names: Vec<String> = config.pools.keys().cloned().collect();
     state.config = config;
     for name in names {
@@ -275,7 +278,7 @@
             .as_ref()
             .is_some_and(|t| t.epoch < pool.lease.epoch);
         if is_newer && !is_ours {
-            owner_lease::lose(pool, "another entry owns it", ctx);
+            owner_lease::lose(pool, "another entry owns the pool", ctx);
         }
         claim::begin_if_claimed(pool, nonce, ctx);
         let is_free = pool.lease.owner.entry.is_empty() || pool.lease.owner.entry == me;
@@ -312,7 +315,11 @@
             return;
         };
         if !owner_lease::settle_epoch(ownership, &mut pool.lease, &rows.owner, ctx.me) {
-            owner_lease::lose(pool, "its row changed", ctx);
+            owner_lease::lose(
+                pool,
+                "the owner row read from the store belongs to another process",
+                ctx,
+            );
             return;
         }
         let epoch = ownership.epoch;
@@ -326,7 +333,8 @@
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
         let times = pool.lease.heartbeat.times.clone();
         let id = ownership.begin_reading(ctx);
-        // Counted from the claim, leases that this owner gave since would be over at once, and all that runs be requeued.
+        // Counted from the claim, leases that this owner has granted since would seem expired at once, and all running
+        // tasks would be requeued.
         let earlier_ms = ownership.earlier_until_ms(ctx.now.ms);
         let mut pool_state = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
         ownership.keep_shards(&mut pool_state);
@@ -373,7 +381,7 @@
     });
 }
 
-/// A new job, and what its order among others will rest on.
+/// Logs a new job with the figures that decide its place in the queue.
 fn tell_taken(pool_state: &PoolState, id: &str, config_version: u64, ctx: &mut Ctx<'_>) {
     let Some(job) = pool_state
         .by_id
@@ -393,7 +401,7 @@
     );
 }
 
-/// The queue that a job came by, and the account that it belongs to.
+/// Returns the queue that a job came through, and the account that it belongs to.
 fn taken_for(spec: &JobSpec) -> String {
     match &spec.account {
         Some(account) => format!("{} for {account}", spec.queue),
@@ -416,7 +424,9 @@
         };
         match commit::recorded(ownership, &mut pool.lease, shard, outcome, ctx) {
             Settled::Fine => {}
-            Settled::PoolLost => owner_lease::lose(pool, "its row changed", ctx),
+            Settled::PoolLost => {
+                owner_lease::lose(pool, "a batch met an owner row of another process", ctx)
+            }
             Settled::Diverged => {
                 run_log::log_last_start_answers(ownership, ctx);
                 ownership.drop_pool_state(ctx);
@@ -437,7 +447,7 @@
     }
 }
 
-/// Takes note of whether the store answers; once it does again, pools without an owner are looked at.
+/// Records whether the store answers. Once it answers again, all pools are checked for a claim.
 fn store_changed(state: &mut State, answers: bool, now: Now) {
     state.store_since_ms = answers.then_some(now.ms);
     if answers {
@@ -445,7 +455,7 @@
     }
 }
 
-/// Has this entry look at all pools that it may claim.
+/// Schedules a claim check of every pool.
 fn consider_all(state: &mut State, now: Now) {
     for n in 0..state.pools.len() {
         let key = PoolKey(n as u16);
@@ -453,7 +463,7 @@
     }
 }
 
-/// This entry as one that may claim pools.
+/// Describes this entry as a claimant of pools.
 fn claimant(state: &State) -> claim::Claimant {
     let heard = state
         .pools
@@ -553,7 +563,8 @@
             runs::end_exhausted(pool_state, epoch, ctx);
             renewal::renew_stuck(pool_state, epoch, ctx);
             pool_state.wants_placing = true;
-            // Timers at the same moment are one: this one alone keeps the round going.
+            // Equal timers at the same moment are one entry. Setting this timer only if none is pending keeps a single
+            // cycle going.
             let is_set =
                 |(_, p, t): &(Millis, PoolKey, Timer)| *p == ctx.pool && *t == Timer::Upkeep;
             if !ctx.timers.iter().any(is_set) {
@@ -564,7 +575,7 @@
     }
 }
 
-/// Whether another pool lacks hosts for the work that it has.
+/// Returns whether another pool lacks hosts for its work.
 fn is_pressed(state: &State, key: PoolKey, now_ms: Millis) -> bool {
     let others = state
         .pools
@@ -578,7 +589,7 @@
     })
 }
 
-/// Looks at the size of a pool, and tells its owner's mind at once where it changed.
+/// Reconciles the size of a pool, and brings the next heartbeat forward if its owner's needs changed.
 fn size(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
     let pressed = is_pressed(state, key, now.ms);
     with_pool(state, key, now, out, |pool, ctx, facts| {
@@ -613,7 +624,7 @@
     });
 }
 
-/// Asks for grants as soon as work waits for them.
+/// Requests grants as soon as work waits for them.
 fn adjust_quota(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
     let ownership = state.pools[usize::from(key.0)].ownership.as_ref();
     let Some((epoch, pool_state)) = ownership.and_then(|t| Some((t.epoch, t.pool_state.as_ref()?)))
@@ -625,7 +636,7 @@
     }
 }
 
-/// What follows from any event: places for what waits, the next batch, a pool that is given up.
+/// Settles what may follow from any event: placement of waiting tasks, the next batch, release of pools when stopping.
 fn settle_pools(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     if state.is_stopping() {
         handover::settle(state, now, out);
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -1,7 +1,7 @@
-//! Jobs that finished long ago leave the store: first what was submitted, then their progress.
+//! Removes jobs that finished long ago from the store: first their intake rows, then their progress.
 //!
-//! In this order a job of which only a part is gone is never taken for a new one. Progress without a job, left by
-//! an owner that ended in between, goes, too.
+//! In this order, a job that is only partly removed is never taken for a new one. Progress rows without a job, left by
+//! an owner that ended between the two steps, are removed as well.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 use super::state::{Batch, Ctx, Effect, Ownership, Pool, Timer};
 use crate::port::fleet::{RowTx, Table, TxOutcome, Write};
 
-/// Removes what was submitted, of the part with the most jobs that are old.
+/// Removes intake rows of old jobs from the partition that holds the most of them.
 pub(super) fn remove_finished_jobs(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
     ctx.after(REMOVE_MS, Timer::Remove);
     let Some(pool_state) = &ownership.pool_state else {
@@ -25,7 +25,7 @@
     let mut old: BTreeMap<&String, Vec<JobKey>> = BTreeMap::new();
     for (key, job) in &pool_state.jobs {
         let is_old = |at| ctx.now.ms > at + FINISHED_KEPT_MS;
-        // An end that is not on record yet is not known to the next owner.
+        // The next owner does not know of an end that is not recorded yet.
         let is_recorded = job.recorded_changes >= job.changes;
         if is_recorded && job.finished_ms.is_some_and(is_old) {
             for part in &job.intake {
@@ -41,7 +41,7 @@
     let writes = ids.flat_map(|id| [id.clone(), cancel_key(id)]);
     let tx = RowTx {
         part: part.clone(),
-        // Rows of a final job are nobody's any more: no guard is needed.
+        // No guard is needed, since nobody changes the rows of a job in a final state.
         guards: Vec::new(),
         writes: writes.map(|key| gone(Table::Intake, key)).collect(),
     };
@@ -58,7 +58,7 @@
     }
 }
 
-/// What was submitted is gone, or not: then the next look tries again.
+/// Handles the answer to a removal of intake rows. After a failure, the next timer tries again.
 pub(super) fn intake_removed(ownership: &mut Ownership, outcome: &TxOutcome) {
     let (Some((part, keys)), Some(pool_state)) =
         (ownership.removing.take(), &mut ownership.pool_state)
@@ -73,14 +73,14 @@
             continue;
         };
         job.intake.retain(|other| *other != part);
-        // Progress stays until no part can bring the job back.
+        // Progress is kept until no partition can bring the job back.
         if job.intake.is_empty() {
             ownership.removable.push(key);
         }
     }
 }
 
-/// Removes progress whose job is gone, in each shard that has no batch out.
+/// Removes progress rows without a job, in each shard without a batch in flight.
 pub(super) fn flush(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let Some(ownership) = &mut pool.ownership else {
         return;
@@ -134,7 +134,7 @@
     }
 }
 
-/// Progress without a job in a shard, as much as one transaction may remove.
+/// Takes the orphaned progress rows of a shard, as many as one transaction may remove.
 fn orphans_of(pool_state: &mut PoolState, shard: usize) -> Vec<String> {
     let mut ids = Vec::new();
     pool_state.orphans.retain(|(of, id)| {
--- a/src/core/sched/rows.rs
+++ b/src/core/sched/rows.rs
@@ -1,4 +1,7 @@
-//! What the product's rows hold, and their keys.
+//! Formats, keys and partitions of the rows that the scheduler keeps in the store.
+//!
+//! The scheduler's modules read and write these rows; names and formats are shared by all entries and must stay
+//! compatible.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,88 +15,89 @@
 use crate::port::fleet::Revision;
 use crate::util::fnv1a;
 
-/// Key of the row that names a pool's owner; its revision is the owner's epoch.
+/// Key of the row that names a pool's owner; its revision in the first shard is the owner's epoch.
 pub const OWNER_KEY: &str = "owner";
 
-/// Key of the owner's heartbeat.
+/// Key of the owner's heartbeat row.
 pub const HEARTBEAT_KEY: &str = "beat";
 
-/// Behind a job's id in the key of its cancel.
+/// Suffix that forms the key of a cancel from the job's id.
 const CANCEL_SUFFIX: &str = "/cancel";
 
-/// Who owns a pool.
+/// Names the owner of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRow {
-    /// The entry; empty where an owner left.
+    /// Name of the entry; empty after an owner released the pool.
     pub entry: String,
-    /// Tells two claims of one entry apart.
+    /// Distinguishes the claims of successive processes of one entry.
     pub nonce: u64,
-    /// The epoch that the claim won; 0 in the first shard, where the row's own revision is the epoch.
+    /// Epoch that the claim won; 0 in the first shard, where the row's own revision is the epoch.
     #[serde(default, skip_serializing_if = "is_default")]
     pub epoch: Revision,
 }
 
-/// The owner is alive, and what others may know of its pool.
+/// Heartbeat of an owner, with what other entries may know of its pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatRow {
-    /// The entry.
+    /// Name of the entry.
     pub entry: String,
-    /// Rises with each heartbeat.
+    /// Increases with each heartbeat.
     pub count: u64,
-    /// Thousandths of a core that the entry may use.
+    /// Processor time that the entry may use, in thousandths of a core.
     #[serde(default)]
     pub cpu_milli: u64,
-    /// Jobs that have not begun, by queue; nothing from an owner that has not read its rows yet.
+    /// Number of jobs that have not begun, by queue; `None` from an owner that has not read the pool's rows yet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waiting: Option<BTreeMap<String, u64>>,
-    /// Hosts that the pool wants; 0 where its owner does not know yet.
+    /// Number of hosts that the pool wants; 0 if its owner does not know yet.
     #[serde(default)]
     pub wanted: u64,
-    /// Hosts that its work needs now.
+    /// Number of hosts that the pool's work needs now.
     #[serde(default)]
     pub needed: u64,
-    /// Hosts that take its work now.
+    /// Number of hosts that take the pool's work now.
     #[serde(default)]
     pub serving: u64,
-    /// Accounts of which more waits here than is granted.
+    /// Accounts with more work waiting here than is granted.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub short_accounts: BTreeSet<String>,
-    /// What steps took of late, for the next owner.
+    /// Recent running times of steps, for the next owner.
     #[serde(default)]
     pub times: Times,
-    /// Hosts that were ordered about of late, and how long ago in milliseconds.
+    /// Hosts that were ordered about recently, and the age of the order in milliseconds.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub ordered: BTreeMap<String, Millis>,
 }
 
-/// Key of the row of hosts that were ordered about.
+/// Key of the row that lists hosts that were ordered about.
 pub const HOST_ORDERS_KEY: &str = "hosts";
 
-/// Hosts that were ordered about of late, or are about to be: nobody else gives them orders soon after.
+/// Hosts that were ordered about recently or are about to be. No other owner orders them soon afterwards.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostOrdersRow {
-    /// Their names.
+    /// Names of the hosts.
     pub hosts: BTreeSet<String>,
 }
 
-/// How far a job is.
+/// Progress of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressRow {
-    /// What callers are told.
+    /// State that callers are shown.
     pub state: JobState,
-    /// Rounds below this one are done.
+    /// Rounds below this number are done.
     #[serde(default, skip_serializing_if = "is_default")]
     pub rounds_done: u32,
-    /// Rounds below this one have begun, also where they are over and the last one listed is below; 0 where the others tell.
+    /// Rounds below this number have begun, even if they are over and no listed round reaches it; 0 if the other fields
+    /// imply it.
     #[serde(default, skip_serializing_if = "is_default")]
     pub rounds_begun: u32,
-    /// The policy that the job goes by, where that changed since it was accepted.
+    /// Policy that applies to the job, if it changed since the job was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub policy: Option<QueuePolicy>,
-    /// Workers that tasks name by their place here: id of the life, and host.
+    /// Workers that tasks refer to by index: id of the instance, and host.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub workers: Vec<(String, String)>,
-    /// When these lives began, in the same order; 0 where that is not known.
+    /// Wall-clock start times of these instances, in the same order; 0 if unknown.
     #[serde(default, skip_serializing_if = "are_unknown")]
     pub born_wall_ms: Vec<Millis>,
     /// Rounds that have begun and are not done.
@@ -102,14 +106,14 @@
 }
 
 impl ProgressRow {
-    /// Names a life; gives its place.
+    /// Adds an instance and returns its index.
     pub fn add_instance(&mut self, id: &str, host: &str, born_wall_ms: Option<Millis>) -> u16 {
         self.workers.push((id.to_string(), host.to_string()));
         self.born_wall_ms.push(born_wall_ms.unwrap_or(0));
         (self.workers.len() - 1) as u16
     }
 
-    /// The lives that tasks name: id, host, and when each began, where that is known.
+    /// Returns the instances that tasks refer to: id, host, and start time if known.
     pub fn instances(&self) -> impl Iterator<Item = (&str, &str, Option<Millis>)> {
         let born = self.born_wall_ms.iter().copied().map(Some);
         let born = born.chain(std::iter::repeat(None));
@@ -117,7 +121,7 @@
         lives.map(|((id, host), born)| (&**id, &**host, born.filter(|ms| *ms > 0)))
     }
 
-    /// Rounds below this one have begun; those of them that are not listed are done.
+    /// Returns the number below which all rounds have begun; those that are not listed are done.
     pub fn begun(&self) -> u32 {
         let last = self.rounds.last().map_or(0, |round| round.round + 1);
         self.rounds_begun.max(self.rounds_done).max(last)
@@ -135,13 +139,13 @@
 /// One round of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoundRow {
-    /// Its number.
+    /// Number of the round.
     pub round: u32,
     /// Tasks by step.
     pub steps: Vec<Vec<TaskRow>>,
 }
 
-/// One task: run number, failed runs as bits, where it stands, and the lives of workers that ended under it.
+/// One task: run number, failed runs as bits, progress, and the worker instances that ended under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRow(
     pub u32,
@@ -150,28 +154,28 @@
     #[serde(default, skip_serializing_if = "is_default")] pub WorkerLosses,
 );
 
-/// Where a task stands on record.
+/// Recorded progress of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskProgress {
     /// Not started, or the last run is certainly over.
     #[serde(rename = "i")]
     Idle,
-    /// May run on the worker at this place of [`ProgressRow::workers`].
+    /// May be running on the worker at this index of [`ProgressRow::workers`].
     #[serde(rename = "r")]
     Started(u16),
-    /// Done.
+    /// Completed.
     #[serde(rename = "d")]
     Done,
 }
 
-/// A wave's hosts that have been ordered out, by host.
+/// Hosts of a wave that hold a slot or are back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveRow {
-    /// Hosts that hold a slot: out, or about to be.
+    /// Hosts that hold a slot: ordered out, or about to be.
     pub out: BTreeMap<String, SlotRow>,
     /// Hosts that are back.
     pub back: Vec<String>,
-    /// Wall clock when the first slot was taken.
+    /// Wall-clock time at which the first slot was taken.
     #[serde(default)]
     pub began_wall_ms: Millis,
 }
@@ -179,31 +183,32 @@
 /// A slot of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRow {
-    /// The pool whose owner took the slot.
+    /// Pool whose owner took the slot.
     pub pool: String,
-    /// Wall clock at that moment.
+    /// Wall-clock time at which the slot was taken.
     pub taken_wall_ms: Millis,
-    /// The order was accepted.
+    /// Whether the order to the host was accepted.
     #[serde(default)]
     pub is_ordered: bool,
 }
 
-/// Parts that a pool's intake is spread over. The store takes a part's writes in turn, 5 ms each and 57 times
-/// as long on the users' slow days: 100 jobs a second then wait for 29 parts.
+/// Number of partitions that a pool's intake is spread over. The store takes a partition's writes in turn, at 5 ms each
+/// and 57 times as long on slow days, when 100 jobs a second keep 29 partitions busy.
 const INTAKE_PARTS: u64 = 64;
 
-/// Between a pool's name and what tells its parts apart.
+/// Separates a pool's name from the suffix of a partition.
 const PART_SIGN: char = '/';
 
-/// Before the number of a shard in the name of its part.
+/// Precedes the number of a shard in a partition's name.
 const SHARD_SIGN: char = 's';
 
-/// Shards of a pool's owner, each a partition with a row of the owner, a heartbeat and progress of jobs. An owner keeps
-/// its lease while one of them answers, and records new jobs where one does: with a quarter of the partitions away, all
-/// four are in one case of 256. With writes that a store takes in turn, 300 ms each, four go at a time.
+/// Number of shards of a pool, each a partition with an owner row, a heartbeat and progress of jobs. An owner keeps its
+/// lease and records new jobs while at least one shard answers: with a quarter of the partitions unavailable, all four
+/// are unavailable in one case of 256. When the store takes a partition's writes in turn at 300 ms each, four writes
+/// proceed at a time.
 pub const SHARDS: usize = 4;
 
-/// The partition of a shard; the first is the pool's own.
+/// Returns the partition of a shard; that of the first shard is named like the pool.
 pub fn shard_part(pool: &str, shard: usize) -> String {
     match shard {
         0 => pool.to_string(),
@@ -211,12 +216,12 @@
     }
 }
 
-/// All partitions of a pool's shards.
+/// Returns the partitions of all shards of a pool.
 pub fn shard_parts(pool: &str) -> Vec<String> {
     (0..SHARDS).map(|shard| shard_part(pool, shard)).collect()
 }
 
-/// The pool and the shard that a partition stands for; nothing for one that is no shard's.
+/// Returns the pool and the shard that a partition belongs to; `None` if it is not a shard's.
 pub fn shard_of_part(part: &str) -> Option<(&str, usize)> {
     let Some((pool, shard)) = part.rsplit_once(PART_SIGN) else {
         return Some((part, 0));
@@ -225,44 +230,44 @@
     (1..SHARDS).contains(&number).then_some((pool, number))
 }
 
-/// The two parts of a pool's intake that may hold a job and its cancel: the second one is for when the first does not
-/// answer. With a quarter of the partitions away, one job in sixteen can't be taken in place of one in four. A job that
-/// stands in both is one job: its owner goes by the id.
+/// Returns the two intake partitions that may hold a job and its cancel. The second one is used when the first does not
+/// answer: with a quarter of the partitions unavailable, one job in sixteen cannot be accepted instead of one in four.
+/// Rows in both partitions are one job, since the owner identifies jobs by id.
 pub fn intake_parts_of(pool: &str, job: &str) -> [String; 2] {
     let number = fnv1a(job.bytes()) % INTAKE_PARTS;
     let second = (number + INTAKE_PARTS / 2) % INTAKE_PARTS;
     [number, second].map(|number| format!("{pool}{PART_SIGN}{number}"))
 }
 
-/// All parts of a pool's intake.
+/// Returns all intake partitions of a pool.
 pub fn intake_parts(pool: &str) -> Vec<String> {
     (0..INTAKE_PARTS)
         .map(|number| format!("{pool}{PART_SIGN}{number}"))
         .collect()
 }
 
-/// The pool that a part of intake belongs to.
+/// Returns the pool that an intake partition belongs to.
 pub fn pool_of_part(part: &str) -> &str {
     part.rsplit_once(PART_SIGN).map_or(part, |(pool, _)| pool)
 }
 
-/// Key of a job's cancel.
+/// Returns the key of a job's cancel.
 pub fn cancel_key(job: &str) -> String {
     format!("{job}{CANCEL_SUFFIX}")
 }
 
-/// The job that a cancel's key names.
+/// Returns the id of the job that the key of a cancel names.
 pub fn cancelled_job(key: &str) -> Option<&str> {
     key.strip_suffix(CANCEL_SUFFIX)
 }
 
-/// A row's bytes.
+/// Returns the serialized form of a row.
 pub fn encode<T: Serialize>(row: &T) -> Vec<u8> {
-    // Plain structures of ours: serialization has no way to fail.
+    // Rows are plain structures, whose serialization cannot fail.
     serde_json::to_vec(row).unwrap_or_default()
 }
 
-/// A row from its bytes, or why it can't be read.
+/// Decodes a row, or returns why it cannot be decoded.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
     serde_json::from_slice(bytes).map_err(|e| e.to_string())
 }
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -1,4 +1,7 @@
-//! All that an entry's scheduler knows, what happens to it, and what it wants done.
+//! Data types of the scheduler: the state of an entry, the events that it takes in and the effects that it requests.
+//!
+//! The [reducer](super::reduce) owns and changes the state. The shell around it feeds in events and carries out
+//! effects.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,47 +25,47 @@
     WaveState, WorkerEvent, WorkerFact, ABSENT,
 };
 
-/// A pool, by its place in [`State::pools`]; pools are never removed.
+/// Index of a pool in [`State::pools`]; pools are never removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PoolKey(pub u16);
 
-/// What an owner holds of its pool.
+/// What an owner keeps about its pool.
 #[derive(Clone, Debug)]
 pub struct Ownership {
-    /// Its epoch: the fence of all its orders.
+    /// Epoch of the ownership, which fences all its orders.
     pub epoch: u64,
-    /// The books, once they are read.
+    /// In-memory state of the pool; `None` until its rows are read.
     pub pool_state: Option<PoolState>,
-    /// How often they were.
+    /// Number of times that the rows were read.
     pub readings: u32,
-    /// Revisions of the owner's rows, by shard: each write carries its shard's as a condition.
+    /// Revisions of the owner rows by shard. Each write to a shard is conditional on that shard's revision.
     pub owner_revisions: [Revision; SHARDS],
-    /// The transactions that are out, by shard.
+    /// Transactions in flight, by shard.
     pub batches: [Option<Batch>; SHARDS],
-    /// Jobs whose first record was out as the books were dropped, and its shard: it may take effect yet, and only there does
-    /// another record of the job meet it.
+    /// Shards of jobs whose first record was in flight when the in-memory state was dropped. That record may still take
+    /// effect, and a later record of the job can only meet it in the same shard.
     pub first_shards: BTreeMap<String, usize>,
-    /// Old jobs whose rows of intake are being removed, and the part that they are removed from.
+    /// Old jobs whose intake rows are being removed, and the partition that they are removed from.
     pub removing: Option<(String, Vec<JobKey>)>,
-    /// Old jobs whose rows of intake are gone: their progress goes next.
+    /// Old jobs whose intake rows are gone; their progress is removed next.
     pub removable: Vec<JobKey>,
-    /// Changes of jobs that came while the books were being read.
+    /// Intake rows that arrived while the pool's rows were being read.
     pub early: Vec<StoredRow>,
-    /// When the pool was claimed; everything a former owner sent came before.
+    /// When the pool was claimed; everything that a former owner sent was sent before.
     pub began_ms: Millis,
-    /// What it does for waves.
+    /// Controller of the pool's part in waves.
     pub waves: WaveController,
-    /// What client accounts may have running in the pool.
+    /// Controller of the client accounts' quotas in the pool.
     pub quota: QuotaController,
-    /// What it thinks of the pool's size.
+    /// Controller of the pool's size.
     pub sizing: Sizing,
-    /// What it knows as the entry that orders hosts.
+    /// Controller of orders to hosts, if this pool is the one that carries it.
     pub hosts: HostController,
 }
 
 impl Ownership {
-    /// Drops what is left of an earlier reading, and gives the id of the books to be built; what looks at them now and then
-    /// is set anew.
+    /// Drops the state of an earlier reading with its timers, and returns the id of the state to be built. The caller
+    /// sets the periodic timers again.
     pub(super) fn begin_reading(&mut self, ctx: &mut Ctx<'_>) -> PoolStateId {
         self.drop_pool_state(ctx);
         ctx.drop_timers(|timer| !matches!(timer, Timer::Claim | Timer::Renew));
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Puts jobs of books that were just read, and that are not on record, into the shards of their first records.
+    /// Assigns unrecorded jobs of a newly built state to the shards of their first records.
     pub(super) fn keep_shards(&mut self, pool_state: &mut PoolState) {
         for (id, shard) in std::mem::take(&mut self.first_shards) {
             let job = pool_state
@@ -86,7 +89,8 @@
         }
     }
 
-    /// Until when earlier books may have sent orders: those of a former owner till the claim, our own till now.
+    /// Returns the time until which earlier states of the pool may have sent orders: the claim for those of a former
+    /// owner, now for this owner's own.
     pub(super) fn earlier_until_ms(&self, now_ms: Millis) -> Millis {
         match self.readings {
             0 | 1 => self.began_ms,
@@ -94,7 +98,7 @@
         }
     }
 
-    /// Drops the books, and all that holds keys of them.
+    /// Drops the pool's in-memory state and everything that holds its keys.
     pub(super) fn drop_pool_state(&mut self, ctx: &mut Ctx<'_>) {
         if let Some(pool_state) = self.pool_state.take() {
             let open = pool_state
@@ -114,22 +118,22 @@
 /// A wave as this entry knows it.
 #[derive(Clone, Debug, Default)]
 pub struct WaveKnown {
-    /// As the operator asked for it.
+    /// The wave as the operator ordered it.
     pub order: WaveOrder,
-    /// When this entry saw it first.
+    /// When this entry first saw the wave.
     pub seen_ms: Millis,
-    /// Its row.
+    /// Newest known row of the wave.
     pub row: WaveRow,
-    /// The row's revision, or a newer one that an answer named.
+    /// Revision of the row, or a newer one that an answer named.
     pub revision: Revision,
-    /// The newest revision at which the row is known to have been: as it was read, or as a write of ours met it.
+    /// Newest revision at which the row is known to have existed: as read, or as the guard of a successful write.
     pub seen: Revision,
-    /// Every host has been through.
+    /// Whether every host has been through the wave.
     pub is_done: bool,
 }
 
 impl WaveKnown {
-    /// Takes in a row as read. Answers travel on different connections: what is older than the row that is known is left out.
+    /// Applies a row as read. Answers travel on different connections, so a row older than the known one is ignored.
     pub fn read(&mut self, row: WaveRow, revision: Revision) {
         if revision > self.seen {
             self.row = row;
@@ -138,8 +142,9 @@
         }
     }
 
-    /// Takes in a write of ours that took effect where the row was at `after`. The store's answer names its newest revision,
-    /// which may lie behind the next write of another; whatever was read behind `after` is ours or newer.
+    /// Applies a successful write by this entry, which replaced the row of revision `after`. The store's answer names
+    /// its newest revision, which may be later than the next write by another entry. Any row read at a revision later
+    /// than `after` is this write or a newer one.
     pub fn wrote(&mut self, row: WaveRow, after: Revision, newest: Revision) {
         if self.seen <= after {
             self.row = row;
@@ -149,75 +154,75 @@
     }
 }
 
-/// A transaction of progress.
+/// A transaction that records progress of jobs.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// As sent, and sent again until it is settled.
+    /// The transaction as sent, repeated until it is settled.
     pub tx: RowTx,
-    /// The jobs in it, in the order of its writes, and which change of each it records.
+    /// The recorded jobs in the order of the writes, and the number of the change that each write records.
     pub jobs: Vec<(JobKey, u64)>,
-    /// Runs that start once it is settled.
+    /// Runs that are started once the batch is settled.
     pub starts: Vec<(TaskKey, u32)>,
-    /// Finished jobs whose rows it removes.
+    /// Finished jobs whose progress rows the batch removes.
     pub removed: Vec<JobKey>,
-    /// When it was sent first.
+    /// When the batch was first sent.
     pub sent_ms: Millis,
-    /// It carries a heartbeat.
+    /// Whether the batch carries a heartbeat.
     pub has_heartbeat: bool,
-    /// Nothing more of its shard waited to be recorded.
+    /// Whether no further change of the shard waited to be recorded.
     pub is_all: bool,
 }
 
 /// A pool as this entry sees it.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Its name, which is also the partition of its rows.
+    /// Name of the pool, which is also the partition of its first shard.
     pub name: String,
-    /// Who owns it.
+    /// Owner of the pool and the state of its lease.
     pub lease: OwnerLease,
-    /// Its hosts that are to leave it.
+    /// Hosts that the pool offers to others.
     pub offers: Offers,
-    /// Set while this entry does.
+    /// What this entry keeps as the owner; `None` while it does not own the pool.
     pub ownership: Option<Ownership>,
 }
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Look whether the pool wants an owner.
+    /// Check whether the pool can be claimed.
     Claim,
     /// Renew the owner's lease.
     Renew,
     /// Read the pool's rows again.
     Load,
-    /// Record what was gathered.
+    /// Record pending changes.
     Flush,
-    /// Send the batch of a shard again.
+    /// Send a shard's batch again.
     Resend(usize),
     /// Remove jobs that finished long ago.
     Remove,
-    /// Ask a worker for its account.
+    /// Renew a worker's lease and ask for its report.
     RenewWorker(WorkerKey),
-    /// A worker's lease may be over.
+    /// Check whether a worker's lease has expired.
     LeaseOver(WorkerKey),
     /// Send a start again.
     Restart(TaskKey, u32),
     /// Send a stop again.
     Restop(TaskKey, u32),
-    /// Sort waiting tasks anew, begin rounds that are due, remove old jobs.
+    /// Reorder waiting tasks, begin rounds that are due, end exhausted jobs and log the pool's load.
     Upkeep,
-    /// Look at waves.
+    /// Reconcile waves.
     Wave,
-    /// Look at the pool's size.
+    /// Reconcile the pool's size.
     Size,
-    /// Look at orders to hosts.
+    /// Reconcile orders to hosts.
     Hosts,
-    /// Look at what accounts may have running.
+    /// Reconcile quotas of client accounts.
     Quota,
 }
 
 impl Timer {
-    /// Whether it names a worker or a task by its key, or a batch with such keys.
+    /// Returns whether the timer carries keys of a pool's in-memory state, or refers to a batch with them.
     fn is_of_pool_state(self) -> bool {
         matches!(
             self,
@@ -230,29 +235,29 @@
     }
 }
 
-/// Timers of all pools.
+/// Timers of all pools by due time.
 pub type Timers = BTreeSet<(Millis, PoolKey, Timer)>;
 
-/// Something happened.
+/// Input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; timers that are due fire.
+    /// Time has passed; due timers fire.
     Tick,
-    /// The operator said something.
+    /// The operator changed the configuration, a wave or another order.
     Operator(OperatorEvent),
     /// The list of workers changed.
     Worker(WorkerEvent),
-    /// All workers, read anew.
+    /// The whole list of workers was read.
     WorkersRead(Vec<WorkerFact>),
-    /// A row of owners changed.
+    /// A row of the owners table changed.
     Owner(StoredRow),
-    /// A claim of a shard was answered; it was sent at that time.
+    /// A claim of a shard was answered: pool, shard, send time, outcome.
     Claimed(PoolKey, usize, Millis, TxOutcome),
-    /// A renewal in a shard was answered: epoch, shard, when it was sent.
+    /// A renewal in a shard was answered: pool, epoch, shard, send time, outcome.
     Renewed(PoolKey, u64, usize, Millis, TxOutcome),
-    /// The pool's rows were read, or could not be.
+    /// The pool's rows were read; `None` if that failed.
     Loaded(PoolKey, u64, Option<LoadedRows>),
-    /// A row of intake changed.
+    /// An intake row changed.
     Intake(StoredRow),
     /// The batch of a shard was answered.
     Recorded(PoolKey, PoolStateId, usize, TxOutcome),
@@ -260,7 +265,7 @@
     Started(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
     /// A stop was answered.
     Stopped(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
-    /// A hold was answered; it was sent at that time.
+    /// A renewal of a worker's lease was answered: pool, state id, worker, send time, result.
     WorkerRenewed(
         PoolKey,
         PoolStateId,
@@ -270,148 +275,148 @@
     ),
     /// A wave's row changed or was read.
     WaveRow(StoredRow),
-    /// A slot of a wave was taken or given back, or not: epoch.
+    /// A change of a wave's slots was answered: pool, epoch, outcome.
     WaveSettled(PoolKey, u64, TxOutcome),
-    /// The record of hosts that are out was changed, or not: epoch.
+    /// A change of the record of hosts that are out was answered: pool, epoch, outcome.
     OrderedSettled(PoolKey, u64, TxOutcome),
-    /// Rows of intake were removed, or not.
+    /// A removal of intake rows was answered.
     IntakeRemoved(PoolKey, PoolStateId, TxOutcome),
-    /// A change of the pool's offers was answered: epoch.
+    /// A change of the pool's offers was answered: pool, epoch, outcome.
     OffersSettled(PoolKey, u64, TxOutcome),
-    /// Hosts on offer were taken, or not: epoch, the pool that offered them.
+    /// A transaction that takes hosts on offer was answered: pool, epoch, offering pool, outcome.
     HostsTaken(PoolKey, u64, String, TxOutcome),
-    /// A change of an account's grant was answered: epoch, account.
+    /// A change of an account's grant was answered: pool, epoch, account, outcome.
     QuotaSettled(PoolKey, u64, String, TxOutcome),
-    /// An account's row was read: epoch, account, row.
+    /// An account's row was read: pool, epoch, account, row.
     QuotaRead(PoolKey, u64, String, Option<StoredRow>),
-    /// Orders to hosts were put on record, or not: epoch.
+    /// The record of imminent orders to hosts was answered: pool, epoch, outcome.
     HostOrdersRecorded(PoolKey, u64, TxOutcome),
-    /// An order to a host was answered: epoch, host.
+    /// An order to a host was answered: pool, epoch, host, reply.
     HostOrdered(PoolKey, u64, String, HostReply),
-    /// The list of hosts was read.
+    /// The list of hosts was read: pool, epoch, records.
     HostsRead(PoolKey, u64, Vec<HostRecord>),
-    /// The store answers again, or does not any more.
+    /// The store answers again (`true`) or has stopped answering (`false`).
     Store(bool),
     /// The process was told to stop.
     Stop,
 }
 
-/// The rows of a pool.
+/// Rows of a pool as read by a new owner.
 #[derive(Clone, Debug, Default)]
 pub struct LoadedRows {
     /// Jobs as submitted, and cancels.
     pub intake: Vec<StoredRow>,
-    /// Progress.
+    /// Progress rows of jobs.
     pub progress: Vec<StoredRow>,
-    /// The owner's row, its heartbeat and its offers.
+    /// Owner row, heartbeat and offers of the pool.
     pub owner: Vec<StoredRow>,
     /// The list of workers.
     pub workers: Vec<WorkerFact>,
-    /// When that was asked for.
+    /// When the list of workers was requested.
     pub workers_asked_ms: Millis,
     /// Rows of waves.
     pub waves: Vec<StoredRow>,
-    /// Hosts that the former owner ordered about, if this is the pool that carries such orders.
+    /// Hosts that the former owner ordered about, if this is the pool that carries orders to hosts.
     pub host_orders: Vec<StoredRow>,
 }
 
-/// An order to a worker, sent only before `until_ms`.
+/// Addressing of an order to a worker, which is sent only before `until_ms`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The pool.
+    /// Pool that the order concerns.
     pub pool: PoolKey,
-    /// The books that it is of.
+    /// In-memory state that the order came from.
     pub pool_state: PoolStateId,
-    /// To whom, with which fence.
+    /// Worker that the order goes to, and its fencing token.
     pub to: Addressee,
-    /// The owner's lease ends then; later it must not be sent.
+    /// End of the owner's lease; the order must not be sent later.
     pub until_ms: Millis,
 }
 
-/// What is to be done.
+/// Action that the reducer requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Try to become a pool's owner: one of its shards.
+    /// Claim one shard of a pool.
     Claim(PoolKey, usize, RowTx),
-    /// Renew an owner's lease, in this shard.
+    /// Renew an owner's lease in one shard: pool, epoch, shard, transaction.
     Renew(PoolKey, u64, usize, RowTx),
-    /// Give a pool up; nobody waits for the answer.
+    /// Release a pool; nothing waits for the answer.
     Release(RowTx),
-    /// Read a pool's rows.
+    /// Read a pool's rows: pool, epoch, name.
     Load(PoolKey, u64, String),
-    /// Change what an account may have running: epoch, account.
+    /// Change an account's grant: pool, epoch, account, transaction.
     SettleQuota(PoolKey, u64, String, RowTx),
-    /// Read an account's row: epoch, account.
+    /// Read an account's row: pool, epoch, account.
     ReadQuota(PoolKey, u64, String),
     /// Record progress in a shard.
     Record(PoolKey, PoolStateId, usize, RowTx),
     /// Start a run.
     Start(Order, TaskKey, RunStart),
-    /// Stop a run that the books know.
+    /// Stop a run of a known task.
     Stop(Order, TaskKey, TaskName, u32),
-    /// Stop a run that the books do not know; nobody waits for the answer.
+    /// Stop a run that the in-memory state does not contain; nothing waits for the answer.
     StopStray(Order, TaskName, u32),
-    /// Let a run work at a share of full speed.
+    /// Set the pace of a run as a share of full speed: order, task, run, share.
     Pace(Order, TaskName, u32, u32),
     /// Renew a worker's lease.
     RenewWorker(Order, WorkerKey, RenewalRequest),
-    /// Change a wave's row: epoch.
+    /// Change a wave's row: pool, epoch, transaction.
     SettleWave(PoolKey, u64, RowTx),
-    /// Tell the operator how a wave is.
+    /// Report the state of a wave to the operator.
     TellWave(u64, WaveState),
     /// Read the list of hosts.
     ReadHosts(PoolKey, u64),
-    /// Change the record of hosts that are out: epoch.
+    /// Change the record of hosts that are out: pool, epoch, transaction.
     SettleOrdered(PoolKey, u64, RowTx),
-    /// Remove rows of intake.
+    /// Remove intake rows.
     RemoveIntake(PoolKey, PoolStateId, RowTx),
     /// Change the pool's offers.
     SettleOffers(PoolKey, u64, RowTx),
-    /// Take hosts that a pool offers, by its name.
+    /// Take hosts that a pool offers: pool, epoch, name of the offering pool, transaction.
     TakeHosts(PoolKey, u64, String, RowTx),
-    /// Put on record which hosts are about to be ordered about.
+    /// Record the hosts that are about to receive orders.
     RecordHostOrders(PoolKey, u64, RowTx),
-    /// Order a host: epoch, host, what, until when it may be sent.
+    /// Order a host: pool, epoch, host, task, time until which the order may be sent.
     OrderHost(PoolKey, u64, String, HostTask, Millis),
     /// Log a decision.
     Log(Decision),
-    /// All pools are given up.
+    /// All pools are released.
     Left,
 }
 
-/// Everything.
+/// The whole state of an entry's scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    /// This entry.
+    /// Name of this entry.
     pub me: String,
-    /// Tells this process's claims from an earlier one's.
+    /// Distinguishes this process's claims from those of an earlier process of the entry.
     pub nonce: u64,
-    /// Thousandths of a core that this entry may use.
+    /// Processor time that this entry may use, in thousandths of a core.
     pub cpu_milli: u64,
-    /// The configuration in force here.
+    /// Configuration that this entry has adopted.
     pub config: Arc<FleetConfig>,
     /// Pools by key.
     pub pools: Vec<Pool>,
     /// Keys of pools by name.
     pub pool_keys: BTreeMap<String, PoolKey>,
-    /// The list of workers.
+    /// Workers that the platform lists, by id.
     pub listed: BTreeMap<String, WorkerFact>,
-    /// When the feed of that list last told of each worker, and of all at once.
+    /// When the feed of the list last reported each worker, and the whole list.
     pub list_news: ListNews,
-    /// Entries of that list that can't be read, and why; as many as are told.
+    /// Undecodable entries of the list by worker id, with the reason; limited to those that were logged.
     pub unreadable: BTreeMap<String, String>,
-    /// Waves that the operator asked for.
+    /// Waves that the operator ordered, by number.
     pub waves: BTreeMap<u64, WaveKnown>,
     /// Timers of all pools.
     pub timers: Timers,
-    /// Since when the store answers; nothing while it does not.
+    /// Since when the store has been answering; `None` while it does not answer.
     pub store_since_ms: Option<Millis>,
     /// When the process was told to stop.
     pub stopped_ms: Option<Millis>,
 }
 
 impl State {
-    /// Nothing known yet.
+    /// Returns the state of a scheduler that knows nothing yet.
     pub fn new(me: impl Into<String>, nonce: u64) -> Self {
         Self {
             me: me.into(),
@@ -422,58 +427,58 @@
         }
     }
 
-    /// With so many thousandths of a core.
+    /// Sets the processor time that the entry may use, in thousandths of a core.
     pub fn with_cpu_milli(self, cpu_milli: u64) -> Self {
         Self { cpu_milli, ..self }
     }
 
-    /// When the reducer wants to be called next.
+    /// Returns when the reducer must be called next.
     pub fn wake_ms(&self) -> Option<Millis> {
         self.timers.first().map(|(at_ms, _, _)| *at_ms)
     }
 
-    /// Whether the process was told to stop.
+    /// Returns whether the process was told to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopped_ms.is_some()
     }
 
-    /// Number of pools that this entry owns.
+    /// Returns the number of pools that this entry owns.
     pub fn owned(&self) -> usize {
         self.pools.iter().filter(|p| p.ownership.is_some()).count()
     }
 
-    /// A pool by name.
+    /// Returns a pool by name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         let key = self.pool_keys.get(name)?;
         self.pools.get(usize::from(key.0))
     }
 }
 
-/// What a decision is made with.
+/// Context of a decision on one pool.
 pub struct Ctx<'a> {
-    /// The time.
+    /// Current time.
     pub now: Now,
-    /// The pool at hand.
+    /// Pool that the decision concerns.
     pub pool: PoolKey,
-    /// This entry.
+    /// Name of this entry.
     pub me: &'a str,
-    /// Thousandths of a core that it may use.
+    /// Processor time that this entry may use, in thousandths of a core.
     pub cpu_milli: u64,
-    /// Until when orders may be sent.
+    /// End of the owner's lease: orders may be sent until then.
     pub until_ms: Millis,
     /// Timers of all pools.
     pub timers: &'a mut Timers,
-    /// What is to be done.
+    /// Effects requested so far.
     pub out: &'a mut Vec<Effect>,
 }
 
 impl Ctx<'_> {
-    /// Sets a timer of this pool.
+    /// Sets a timer of this pool that fires in `ms` milliseconds.
     pub fn after(&mut self, ms: Millis, timer: Timer) {
         self.timers.insert((self.now.ms + ms, self.pool, timer));
     }
 
-    /// Drops timers of this pool.
+    /// Drops the timers of this pool that `is_over` selects.
     pub fn drop_timers(&mut self, is_over: impl Fn(Timer) -> bool) {
         let pool = self.pool;
         self.timers
@@ -490,7 +495,7 @@
         self.log(Decision::new(code, Subject::Job, id, why));
     }
 
-    /// Whether orders may be sent now.
+    /// Returns whether orders may be sent now.
     pub fn may_send(&self) -> bool {
         self.now.ms < self.until_ms
     }
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -1,7 +1,7 @@
-//! The list of workers: lives that appear, and that the platform took from its list.
+//! Changes of the list of workers: instances that appear, and instances that the platform removed from its list.
 //!
-//! The list tells nothing of which life of a host is alive: entries of lives that are over stay for some
-//! heartbeats, and a write that was held up may bring one back.
+//! The list does not tell which instance of a host is alive. Entries of instances that are over remain for some
+//! heartbeats, and a delayed write may restore one.
 
 use std::collections::BTreeMap;
 
@@ -18,14 +18,14 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{WorkerEvent, WorkerFact};
 
-/// What the feed of the list told is compared with readings that were asked for up to so long ago.
+/// Time for which changes reported by the feed are kept for comparison with readings requested earlier.
 const NEWS_KEPT_MS: Millis = 60_000;
 
-/// From so many noted workers on, old ones are dropped with each further one.
+/// Number of noted workers from which on old ones are dropped with each addition.
 const NEWS_MAX: usize = 4_096;
 
-/// When the feed of the list of workers told of each of them. It tells each change once, in order: a reading beside it that was
-/// asked for before is no newer, and must not undo what it told.
+/// Records when the feed of the list last reported each worker. The feed reports each change once, in order. A separate
+/// reading that was requested before a change may be older than the change and must not undo it.
 #[derive(Clone, Debug, Default)]
 pub struct ListNews {
     by_id: BTreeMap<String, Millis>,
@@ -40,13 +40,13 @@
         self.by_id.insert(id.to_string(), now_ms);
     }
 
-    /// All of the list was told.
+    /// Records that the feed reported the whole list.
     fn note_all(&mut self, now_ms: Millis) {
         self.by_id.clear();
         self.all_ms = now_ms;
     }
 
-    /// Whether the feed told of a worker since a reading was asked for.
+    /// Returns whether the feed reported a worker since a reading was requested.
     fn is_since(&self, id: &str, asked_ms: Millis) -> bool {
         let told_ms = self.by_id.get(id).copied().unwrap_or(0);
         told_ms.max(self.all_ms) >= asked_ms
@@ -57,7 +57,7 @@
     }
 }
 
-/// Entries that can't be read are told up to this number, until they are gone or good again.
+/// Maximum number of undecodable entries that are logged, until they are removed or become valid.
 const UNREADABLE_TOLD: usize = 256;
 
 pub(super) fn worker_event(state: &mut State, word: WorkerEvent, now: Now, out: &mut Vec<Effect>) {
@@ -76,7 +76,8 @@
     }
 }
 
-/// An entry that can't be read names no worker to use, whatever the one before it said; what runs there goes on.
+/// Handles an undecodable entry. It names no worker to use, whatever the entry before it named, but runs on that worker
+/// continue.
 fn unreadable(state: &mut State, id: String, why: String, now: Now, out: &mut Vec<Effect>) {
     gone(state, &id, now, out);
     let is_known = state.unreadable.get(&id) == Some(&why);
@@ -92,7 +93,7 @@
     state.unreadable.insert(id, why);
 }
 
-/// Takes in the whole list as the feed begins with it.
+/// Applies the whole list, with which the feed begins.
 pub(super) fn workers_read(
     state: &mut State,
     all: Vec<WorkerFact>,
@@ -103,7 +104,7 @@
     state.list_news.note_all(now.ms);
 }
 
-/// Takes in a list that was read beside the feed, and asked for then.
+/// Applies a list that was read separately from the feed and requested at `asked_ms`.
 pub(super) fn workers_loaded(
     state: &mut State,
     mut all: Vec<WorkerFact>,
@@ -150,14 +151,14 @@
             };
             match is_its_pool {
                 true => note_present(pool_state, &fact, offers, epoch, ctx),
-                // A life of the same id came up in another pool.
+                // An instance of the same id has appeared in another pool.
                 false => note_gone(pool_state, &fact.id, ctx),
             }
         });
     }
 }
 
-/// Takes in a worker's entry in the list.
+/// Applies a worker's entry in the list.
 pub fn note_present(
     pool_state: &mut PoolState,
     fact: &WorkerFact,
@@ -189,7 +190,7 @@
         ctx.log(run_log::worker_restarted(
             earlier,
             fact.born_wall_ms,
-            "its entry",
+            "a new instance of its id was listed",
         ));
     }
     let key = load::add_listed(pool_state, fact.clone(), ctx.now.ms, ctx.now);
@@ -201,8 +202,8 @@
     start_renewing(pool_state, key, epoch, ctx);
 }
 
-/// Tells that a worker's room is another one. What runs there and does not fit any more is left till it ends: nothing new
-/// is started beside it.
+/// Logs a change of a worker's capacity. Runs that no longer fit continue until they end, and nothing new is started
+/// beside them.
 fn log_resized(worker: &Worker, fact: &WorkerFact, ctx: &mut Ctx<'_>) {
     let (before, room) = (worker.fact.capacity, fact.capacity);
     if before == room {
@@ -241,7 +242,8 @@
     }
 }
 
-/// First hold to a worker, and a look at the end of what others may have ordered there.
+/// Requests the first renewal of a worker's lease, and sets a timer for the end of leases that other owners may have
+/// granted there.
 pub(super) fn start_renewing(
     pool_state: &mut PoolState,
     worker: WorkerKey,
