--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -56,7 +56,7 @@
             return;
         };
         if work(pool_state, ctx) {
-            owner_lease::lose(pool, "a worker has seen a later epoch", ctx);
+            owner_lease::lose_ownership(pool, "a worker has seen a later epoch", ctx);
         }
     });
 }
@@ -67,11 +67,11 @@
     id: PoolStateId,
 ) -> Option<&mut Ownership> {
     let ownership = ownership.as_mut()?;
-    let is_it = ownership
+    let is_current = ownership
         .pool_state
         .as_ref()
         .is_some_and(|pool_state| pool_state.id == id);
-    is_it.then_some(ownership)
+    is_current.then_some(ownership)
 }
 
 /// Runs `work` on the host controller, if this pool is the one that carries it. Returns whether it is.
@@ -218,8 +218,9 @@
 fn short_elsewhere(state: &State, key: PoolKey, now: Now) -> BTreeSet<String> {
     let pools = state.pools.iter().enumerate();
     let others = pools.filter(|(n, _)| *n != usize::from(key.0));
-    let heard = others.filter(|(_, p)| now.ms < p.lease.heartbeat_seen_ms + hosts::NEED_KEPT_MS);
-    heard
+    let recently_seen =
+        others.filter(|(_, p)| now.ms < p.lease.heartbeat_seen_ms + hosts::NEED_KEPT_MS);
+    recently_seen
         .flat_map(|(_, p)| p.lease.heartbeat.short_accounts.iter().cloned())
         .collect()
 }
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -57,7 +57,7 @@
 }
 
 /// Claims the pool if it has been without a live owner for long enough, else schedules the next check.
-pub fn consider(pool: &mut Pool, me: &Claimant, ctx: &mut Ctx<'_>) {
+pub fn claim_if_vacant(pool: &mut Pool, me: &Claimant, ctx: &mut Ctx<'_>) {
     if pool.ownership.is_some() || me.is_stopping {
         return;
     }
@@ -70,7 +70,7 @@
         return;
     };
     if pool.lease.claim.is_some() {
-        claim_others(pool, me.nonce, ctx);
+        claim_other_shards(pool, me.nonce, ctx);
         return;
     }
     if pool.lease.shards[0].is_claiming {
@@ -78,13 +78,13 @@
     }
     let now_ms = ctx.now.ms;
     if pool.lease.was_ours(ctx.me, me.nonce) {
-        claim(pool, ctx, me.nonce);
+        claim_first_shard(pool, ctx, me.nonce);
         return;
     }
     let stagger_ms = me.stagger_ms(ctx.me, &pool.name);
     let vacant_since_ms = pool.lease.vacant_since_ms(now_ms);
     match vacant_since_ms.map(|since_ms| since_ms.max(store_since_ms)) {
-        Some(since_ms) if now_ms >= since_ms + stagger_ms => claim(pool, ctx, me.nonce),
+        Some(since_ms) if now_ms >= since_ms + stagger_ms => claim_first_shard(pool, ctx, me.nonce),
         Some(since_ms) => ctx.after(since_ms + stagger_ms - now_ms, Timer::Claim),
         None => {
             let over_ms = pool.lease.heartbeat_seen_ms + OWNER_LEASE_MS;
@@ -94,19 +94,19 @@
 }
 
 /// Claims the first shard, which settles who takes the pool.
-fn claim(pool: &mut Pool, ctx: &mut Ctx<'_>, nonce: u64) {
-    pool.lease.claim_open_ms.get_or_insert(ctx.now.ms);
-    pool.lease.claim_after = pool.lease.owner.entry.clone();
-    pool.lease.claim_after_heartbeat = pool.lease.shards[0].heartbeat_entry.clone();
-    pool.lease.claim_from = pool.lease.shards[0].owner_revision;
-    pool.lease.claim_after_ms = pool.lease.heartbeat_seen_ms;
-    pool.lease.former = pool.lease.former_orders();
+fn claim_first_shard(pool: &mut Pool, ctx: &mut Ctx<'_>, nonce: u64) {
+    pool.lease.unsettled_claim_ms.get_or_insert(ctx.now.ms);
+    pool.lease.former_owner = pool.lease.owner.entry.clone();
+    pool.lease.former_heartbeat_entry = pool.lease.shards[0].heartbeat_entry.clone();
+    pool.lease.former_owner_revision = pool.lease.shards[0].owner_revision;
+    pool.lease.former_seen_ms = pool.lease.heartbeat_seen_ms;
+    pool.lease.former_host_orders = pool.lease.former_orders();
     send_claim(pool, 0, 0, nonce, ctx);
 }
 
 /// Claims the shards that are not won yet, each once its heartbeat is a whole lease old: the previous owner may have
 /// renewed there while the first shard was claimed.
-fn claim_others(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
+fn claim_other_shards(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
     let Some(claim) = pool.lease.claim.clone() else {
         return;
     };
@@ -115,10 +115,10 @@
         if claim.owner_revisions[shard].is_some() || lease.is_claiming {
             continue;
         }
-        let is_over = pool.lease.claim_after.is_empty() || pool.lease.claim_after == ctx.me;
+        let is_over = pool.lease.former_owner.is_empty() || pool.lease.former_owner == ctx.me;
         // An entry that had won only the first shard is not the previous owner. The owner before it may still renew in
         // the other shards and send orders.
-        let has_left = is_over && lease.heartbeat_entry == pool.lease.claim_after_heartbeat;
+        let has_left = is_over && lease.heartbeat_entry == pool.lease.former_heartbeat_entry;
         let over_ms = lease.heartbeat_seen_ms + OWNER_LEASE_MS;
         if !has_left && ctx.now.ms < over_ms {
             ctx.after(over_ms - ctx.now.ms, Timer::Claim);
@@ -151,7 +151,7 @@
 }
 
 /// Handles the answer to a claim of a shard.
-pub fn claimed(
+pub fn settle_claim(
     pool: &mut Pool,
     shard: usize,
     sent_ms: Millis,
@@ -163,8 +163,10 @@
     let nonce = me.nonce;
     let mut pause_ms = TX_RETRY_MS;
     match outcome {
-        TxOutcome::Committed(revision) if shard == 0 => win(pool, revision, sent_ms, nonce, ctx),
-        TxOutcome::Committed(revision) => win_other(&mut pool.lease, shard, revision),
+        TxOutcome::Committed(revision) if shard == 0 => {
+            win_first_shard(pool, revision, sent_ms, nonce, ctx)
+        }
+        TxOutcome::Committed(revision) => win_other_shard(&mut pool.lease, shard, revision),
         TxOutcome::Conflict(found) => {
             for (_, row) in &found {
                 // An undecodable row was already logged when the feed brought it.
@@ -173,7 +175,7 @@
             begin_if_claimed(pool, nonce, ctx);
             if shard == 0 {
                 // Any earlier claim still in flight fails, since its guard no longer holds.
-                pool.lease.claim_open_ms = None;
+                pool.lease.unsettled_claim_ms = None;
             }
         }
         // After an outage, the stagger since the pool became free has passed at every entry. The entry with the most
@@ -202,18 +204,24 @@
         .take()
         .filter(|claim| is_ours && claim.epoch == lease.epoch);
     let is_begun = pool.ownership.is_some() || lease.epoch <= lease.held_epoch;
-    if let Some(sent_ms) = lease.claim_open_ms.filter(|_| is_ours && !is_begun) {
-        win(pool, pool.lease.epoch, sent_ms, nonce, ctx);
+    if let Some(sent_ms) = lease.unsettled_claim_ms.filter(|_| is_ours && !is_begun) {
+        win_first_shard(pool, pool.lease.epoch, sent_ms, nonce, ctx);
     }
     begin_if_won(pool, ctx);
 }
 
 /// Records that the first shard is won, and claims the others.
-fn win(pool: &mut Pool, epoch: Revision, sent_ms: Millis, nonce: u64, ctx: &mut Ctx<'_>) {
+fn win_first_shard(
+    pool: &mut Pool,
+    epoch: Revision,
+    sent_ms: Millis,
+    nonce: u64,
+    ctx: &mut Ctx<'_>,
+) {
     let lease = &mut pool.lease;
-    lease.claim_open_ms = None;
+    lease.unsettled_claim_ms = None;
     let is_ours = lease.is_ours(ctx.me, nonce);
-    if lease.epoch > lease.claim_from && !is_ours {
+    if lease.epoch > lease.former_owner_revision && !is_ours {
         // The claim was conditional on the previous owner row, so an owner seen at a later revision has replaced this
         // claim, whatever revision the answer names.
         return;
@@ -241,12 +249,12 @@
         sent_ms,
         owner_revisions,
     });
-    claim_others(pool, nonce, ctx);
+    claim_other_shards(pool, nonce, ctx);
 }
 
 /// Records that another shard than the first is won, unless a later claim is known, since the feed may be faster than
 /// an answer.
-fn win_other(lease: &mut OwnerLease, shard: usize, revision: Revision) {
+fn win_other_shard(lease: &mut OwnerLease, shard: usize, revision: Revision) {
     let won = &mut lease.shards[shard];
     if revision < won.owner_revision {
         return;
@@ -270,11 +278,11 @@
     let (epoch, sent_ms) = (claim.epoch, claim.sent_ms);
     pool.lease.claim = None;
     if pool.ownership.is_none() {
-        begin(pool, epoch, owner_revisions, sent_ms, ctx);
+        begin_ownership(pool, epoch, owner_revisions, sent_ms, ctx);
     }
 }
 
-fn begin(
+fn begin_ownership(
     pool: &mut Pool,
     epoch: u64,
     owner_revisions: [Revision; SHARDS],
@@ -284,8 +292,8 @@
     pool.lease.held_epoch = epoch;
     pool.offers.pending = None;
     pool.offers.unsure.clear();
-    let silent_ms = sent_ms.saturating_sub(pool.lease.claim_after_ms);
-    let why = format!("previous owner: {:?}", pool.lease.claim_after);
+    let silent_ms = sent_ms.saturating_sub(pool.lease.former_seen_ms);
+    let why = format!("previous owner: {:?}", pool.lease.former_owner);
     ctx.log(
         Decision::new(Code::PoolOwned, Subject::Pool, &pool.name, why)
             .with("epoch", epoch)
@@ -305,7 +313,7 @@
         first_shards: Default::default(),
         removing: None,
         removable: Vec::new(),
-        early: Vec::new(),
+        early_intake: Vec::new(),
         began_ms: ctx.now.ms,
         waves: Default::default(),
         quota: Default::default(),
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -2,7 +2,7 @@
 //!
 //! Progress goes to the store in one batch at a time per shard. Starts are sent, and ends are confirmed to workers,
 //! only after the batch with them is committed. The reducer calls [`flush`] after every event and passes the store's
-//! answers to [`recorded`].
+//! answers to [`settle_batch`].
 
 use super::conflict::{self, Verdict};
 use super::keys::{JobKey, TaskKey, WorkerKey};
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settled {
     /// The batch is committed, or is sent again.
-    Fine,
+    Handled,
     /// Another entry owns the pool.
     PoolLost,
     /// The rows differ from the in-memory state and must be read again.
@@ -53,7 +53,7 @@
     }
     let for_new = shard_for_new(ownership, &pool.lease, ctx);
     for shard in 0..SHARDS {
-        send(pool, shard, for_new == Some(shard), ctx);
+        send_batch(pool, shard, for_new == Some(shard), ctx);
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 /// Sends pending changes of one shard unless a batch of that shard is in flight.
-fn send(pool: &mut Pool, shard: usize, takes_new: bool, ctx: &mut Ctx<'_>) {
+fn send_batch(pool: &mut Pool, shard: usize, takes_new: bool, ctx: &mut Ctx<'_>) {
     let Some(ownership) = &mut pool.ownership else {
         return;
     };
@@ -88,18 +88,18 @@
     if ownership.batches[shard].is_some() {
         return;
     }
-    let jobs = to_record(pool_state, shard, takes_new);
+    let jobs = pick_jobs(pool_state, shard, takes_new);
     if jobs.is_empty() {
         return;
     }
-    let is_all = jobs.len() < BATCH_JOBS;
+    let is_complete = jobs.len() < BATCH_JOBS;
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
         guards: vec![epoch_guard(ownership.owner_revisions[shard])],
         writes: Vec::new(),
     };
-    let mut batch = gather(pool_state, jobs, tx, ctx.now.ms);
-    batch.is_all = is_all;
+    let mut batch = build_batch(pool_state, jobs, tx, ctx.now.ms);
+    batch.is_complete = is_complete;
     // The heartbeat travels with the batch to save one write: the store takes a partition's writes in turn, 300 ms each
     // on slow days.
     batch.tx.writes.push(owner_lease::next_heartbeat(pool, ctx));
@@ -112,7 +112,7 @@
 }
 
 /// Returns the jobs whose changes go into a shard now, and assigns new jobs to it if it takes them.
-fn to_record(pool_state: &mut PoolState, shard: usize, takes_new: bool) -> Vec<JobKey> {
+fn pick_jobs(pool_state: &mut PoolState, shard: usize, takes_new: bool) -> Vec<JobKey> {
     let mut jobs = Vec::new();
     for key in &pool_state.dirty {
         let Some(job) = pool_state.jobs.get_mut(*key) else {
@@ -131,7 +131,12 @@
     jobs
 }
 
-fn gather(pool_state: &mut PoolState, jobs: Vec<JobKey>, mut tx: RowTx, now_ms: Millis) -> Batch {
+fn build_batch(
+    pool_state: &mut PoolState,
+    jobs: Vec<JobKey>,
+    mut tx: RowTx,
+    now_ms: Millis,
+) -> Batch {
     let mut kept = Vec::with_capacity(jobs.len());
     for key in jobs {
         pool_state.dirty.remove(&key);
@@ -162,12 +167,12 @@
         removed: Vec::new(),
         sent_ms: now_ms,
         has_heartbeat: true,
-        is_all: false,
+        is_complete: false,
     }
 }
 
 /// Resumes renewals of workers whose ends are all committed.
-fn release_ends(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+fn resume_renewals(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     let waiting: Vec<WorkerKey> = pool_state.recording.iter().copied().collect();
     for key in waiting {
         if !pool_state.settle_ends(key) {
@@ -185,7 +190,7 @@
 }
 
 /// Handles the answer to a shard's batch.
-pub fn recorded(
+pub fn settle_batch(
     ownership: &mut Ownership,
     lease: &mut OwnerLease,
     shard: usize,
@@ -195,7 +200,7 @@
     let epoch = ownership.epoch;
     lease.note_answer(shard, &outcome, ctx.now.ms);
     if ownership.batches[shard].is_none() {
-        return Settled::Fine;
+        return Settled::Handled;
     }
     let revision = match outcome {
         TxOutcome::Committed(revision) => revision,
@@ -203,20 +208,20 @@
             Verdict::Done(revision) => revision,
             Verdict::Again => {
                 resend(ownership, lease, shard, ctx);
-                return Settled::Fine;
+                return Settled::Handled;
             }
             Verdict::PoolLost => return Settled::PoolLost,
             Verdict::Diverged => return Settled::Diverged,
         },
         TxOutcome::Refused | TxOutcome::Unknown => {
             ctx.after(TX_RETRY_MS, Timer::Resend(shard));
-            return Settled::Fine;
+            return Settled::Handled;
         }
     };
     let (Some(batch), Some(pool_state)) =
         (ownership.batches[shard].take(), &mut ownership.pool_state)
     else {
-        return Settled::Fine;
+        return Settled::Handled;
     };
     run_log::log_batch(&batch, pool_state, revision, epoch, ctx);
     // A batch sent twice may have taken effect the first time, so the lease counts from the first send.
@@ -239,10 +244,10 @@
     // While more changes wait than fit into a batch, workers are not asked for more ends, since each report costs
     // processor time that is short then. Resuming renewals at once delayed task starts at peak: 95 of 100 started
     // within 1,447 ms instead of 961 ms.
-    if batch.is_all {
-        release_ends(pool_state, epoch, ctx);
+    if batch.is_complete {
+        resume_renewals(pool_state, epoch, ctx);
     }
-    Settled::Fine
+    Settled::Handled
 }
 
 /// Decides what a conflict means for a shard's batch. Logs it unless an earlier send of the batch had taken effect.
@@ -259,7 +264,7 @@
         return Verdict::Diverged;
     };
     let is_ours = |row: &StoredRow| conflict::is_ours(lease, ctx.me, row);
-    let odd = conflict::unexpected(batch, found);
+    let unexpected_key = conflict::unexpected(batch, found);
     let verdict = conflict::judge(batch, pool_state, found, is_ours);
     let part = batch.tx.part.clone();
     let own = found.iter().find(|(table, _)| *table == Table::Owners);
@@ -269,7 +274,11 @@
     if !matches!(verdict, Verdict::Done(_)) {
         let why = format!("{verdict:?}");
         let decision = Decision::new(Code::LostRace, Subject::Pool, &part, why);
-        ctx.log(decision.naming("row", odd).with("epoch", ownership.epoch));
+        ctx.log(
+            decision
+                .naming("row", unexpected_key)
+                .with("epoch", ownership.epoch),
+        );
     }
     verdict
 }
--- a/src/core/sched/conflict.rs
+++ b/src/core/sched/conflict.rs
@@ -53,13 +53,13 @@
     }
     let progress = found.iter().filter(|(table, _)| *table == Table::Progress);
     let progress: Vec<&StoredRow> = progress.map(|(_, row)| row).collect();
-    if let Some(revision) = done_at(batch, &progress) {
+    if let Some(revision) = committed_revision(batch, &progress) {
         return Verdict::Done(revision);
     }
     if !progress.iter().all(|row| is_as_recorded(pool_state, row)) {
         return Verdict::Diverged;
     }
-    match correct(batch, pool_state, found) {
+    match correct_revisions(batch, pool_state, found) {
         true => Verdict::Again,
         false => Verdict::Diverged,
     }
@@ -67,10 +67,10 @@
 
 /// Returns the key of the first row whose revision is not the one that the batch expects; empty if there is none.
 pub fn unexpected(batch: &Batch, found: &[(Table, StoredRow)]) -> String {
-    let is_odd =
+    let is_unexpected =
         |row: &&StoredRow| guard_of(batch, row).is_some_and(|g| g.revision != row.revision);
     let mut rows = found.iter().map(|(_, row)| row);
-    rows.find(is_odd)
+    rows.find(is_unexpected)
         .map(|row| row.key.clone())
         .unwrap_or_default()
 }
@@ -80,7 +80,7 @@
 }
 
 /// Returns the revision of the batch if all progress rows found are as the batch wrote them.
-fn done_at(batch: &Batch, progress: &[&StoredRow]) -> Option<Revision> {
+fn committed_revision(batch: &Batch, progress: &[&StoredRow]) -> Option<Revision> {
     let is_written = |row: &&&StoredRow| {
         let mut writes = batch.tx.writes.iter();
         writes.any(|w| w.key == row.key && w.value == row.value)
@@ -99,14 +99,18 @@
 }
 
 /// Takes over the revisions found, and returns whether any of them differs from the one that the batch had.
-fn correct(batch: &mut Batch, pool_state: &mut PoolState, found: &[(Table, StoredRow)]) -> bool {
-    let mut is_any = false;
+fn correct_revisions(
+    batch: &mut Batch,
+    pool_state: &mut PoolState,
+    found: &[(Table, StoredRow)],
+) -> bool {
+    let mut has_changed = false;
     for (table, row) in found {
         let mut guards = batch.tx.guards.iter_mut();
         let Some(guard) = guards.find(|g| g.table == *table && g.key == row.key) else {
             continue;
         };
-        is_any |= guard.revision != row.revision;
+        has_changed |= guard.revision != row.revision;
         guard.revision = row.revision;
         let job = pool_state
             .by_id
@@ -116,5 +120,5 @@
             job.revision = row.revision;
         }
     }
-    is_any
+    has_changed
 }
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -14,7 +14,7 @@
 use crate::port::fleet::{StoredRow, Table, TxOutcome};
 
 /// Marks workers on hosts that are on offer or were taken, so that a new owner places no work there either.
-pub(super) fn close_given(pool_state: &mut PoolState, offers: &Offers) {
+pub(super) fn close_offered_hosts(pool_state: &mut PoolState, offers: &Offers) {
     sizing::mark_offered(pool_state, offers);
     for (_, worker) in &mut pool_state.workers {
         worker.is_spare = worker.is_offered;
@@ -36,7 +36,7 @@
 }
 
 /// Handles the answer to a change of a pool's offers by its owner.
-pub(super) fn offers_settled(
+pub(super) fn settle_offers(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
@@ -75,7 +75,7 @@
 }
 
 /// Handles the answer to a transaction that takes hosts on offer by pool `from`.
-pub(super) fn hosts_taken(
+pub(super) fn settle_taken_hosts(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
--- a/src/core/sched/fencing_token.rs
+++ b/src/core/sched/fencing_token.rs
@@ -9,16 +9,16 @@
 
 /// Number of readings per ownership, and of restarts per worker id within a reading, that tokens distinguish. Higher
 /// counts share the last value.
-const COUNTED: u64 = 256;
+const COUNTER_RANGE: u64 = 256;
 
 /// Returns the fencing token of orders to a worker whose id has restarted `restarts` times in this in-memory state.
 pub fn encode(pool_state: PoolStateId, epoch: u64, restarts: u32) -> u64 {
-    let reading = u64::from(pool_state.reading).min(COUNTED - 1);
-    let restarts = u64::from(restarts).min(COUNTED - 1);
-    (epoch * COUNTED + reading) * COUNTED + restarts
+    let reading = u64::from(pool_state.reading).min(COUNTER_RANGE - 1);
+    let restarts = u64::from(restarts).min(COUNTER_RANGE - 1);
+    (epoch * COUNTER_RANGE + reading) * COUNTER_RANGE + restarts
 }
 
 /// Returns the owner's epoch that a fencing token contains.
-pub fn epoch_of(fence: u64) -> u64 {
-    fence / (COUNTED * COUNTED)
+pub fn epoch_of(token: u64) -> u64 {
+    token / (COUNTER_RANGE * COUNTER_RANGE)
 }
--- a/src/core/sched/listing.rs
+++ b/src/core/sched/listing.rs
@@ -14,7 +14,7 @@
 pub struct HostList {
     records: Vec<HostRecord>,
     by_name: HashMap<String, HostKey>,
-    asking_ms: Millis,
+    pending_asked_ms: Millis,
     asked_ms: Millis,
     due_ms: Millis,
 }
@@ -26,7 +26,7 @@
             return false;
         }
         self.due_ms = now_ms + pause_ms;
-        self.asking_ms = now_ms;
+        self.pending_asked_ms = now_ms;
         true
     }
 
@@ -42,7 +42,7 @@
             .map(|(n, record)| (record.host.clone(), HostKey(n)))
             .collect();
         self.records = records;
-        self.asked_ms = self.asking_ms;
+        self.asked_ms = self.pending_asked_ms;
     }
 
     /// Returns when the current records were requested; 0 before the first reading.
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -159,7 +159,7 @@
 /// unless the job had been removed.
 fn is_stale(pool_state: &PoolState, row: &StoredRow, epoch: u64) -> bool {
     let is_known = pool_state.by_id.contains_key(&row.key);
-    !is_known && (row.revision < epoch || pool_state.forgotten.contains_key(&row.key))
+    !is_known && (row.revision < epoch || pool_state.recently_dropped.contains_key(&row.key))
 }
 
 fn add_job(
@@ -180,7 +180,7 @@
         Err(e) => {
             let why = format!("cannot decode the intake row: {e}");
             ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
-            pool_state.unread.insert(row.key.clone());
+            pool_state.undecodable.insert(row.key.clone());
             return None;
         }
     };
@@ -251,7 +251,7 @@
         return;
     };
     let Some(key) = pool_state.by_id.get(&row.key).copied() else {
-        if !pool_state.unread.contains(&row.key) {
+        if !pool_state.undecodable.contains(&row.key) {
             pool_state.orphans.push((shard, row.key.clone()));
         }
         return;
@@ -280,18 +280,20 @@
         return;
     }
     pool_state.jobs[key].renew_policy(progress.policy, ctx.now);
-    let lives: Vec<WorkerKey> = progress
+    let named_workers: Vec<WorkerKey> = progress
         .instances()
-        .map(|(id, host, born)| known_or_ghost(pool_state, (id, born), host, began_ms, ctx.now))
+        .map(|(id, host, born)| {
+            find_or_add_unlisted(pool_state, (id, born), host, began_ms, ctx.now)
+        })
         .collect();
     for round in &progress.rounds {
-        apply_round(pool_state, key, round, &lives, ctx.now.ms);
+        apply_round(pool_state, key, round, &named_workers, ctx.now.ms);
     }
 }
 
 /// Returns the worker that a progress row names. A worker that is not listed may still run its tasks until a later
 /// instance of its host answers, or until all orders and leases sent to it have expired.
-fn known_or_ghost(
+fn find_or_add_unlisted(
     pool_state: &mut PoolState,
     (id, born_wall_ms): (&str, Option<Millis>),
     host: &str,
@@ -321,7 +323,7 @@
     pool_state: &mut PoolState,
     job: JobKey,
     row: &RoundRow,
-    lives: &[WorkerKey],
+    named_workers: &[WorkerKey],
     now_ms: Millis,
 ) {
     let spec = pool_state.jobs[job].spec.clone();
@@ -332,7 +334,7 @@
             .map(|i| {
                 recorded
                     .and_then(|s| s.get(i))
-                    .map_or_else(Task::default, task)
+                    .map_or_else(Task::default, task_from_row)
             })
             .collect();
         let left = tasks.iter().filter(|t| t.phase != Phase::Done).count();
@@ -349,7 +351,7 @@
             let TaskProgress::Started(place) = task.2 else {
                 continue;
             };
-            let Some(worker) = lives.get(usize::from(place)) else {
+            let Some(worker) = named_workers.get(usize::from(place)) else {
                 continue;
             };
             let key = TaskKey {
@@ -364,7 +366,7 @@
     pool_state.open_steps(job, row.round, now_ms);
 }
 
-fn task(row: &TaskRow) -> Task {
+fn task_from_row(row: &TaskRow) -> Task {
     Task {
         phase: if row.2 == TaskProgress::Done {
             Phase::Done
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -55,19 +55,19 @@
     /// This process's claim that won the first shard, until all other shards are won.
     pub claim: Option<Claim>,
     /// The owner before this entry's last claim; empty if that owner had released the pool.
-    pub claim_after: String,
+    pub former_owner: String,
     /// The entry whose heartbeat stood in the first shard before this entry's last claim.
-    pub claim_after_heartbeat: String,
+    pub former_heartbeat_entry: String,
     /// Revision of the owner row that this entry's last claim replaces.
-    pub claim_from: Revision,
+    pub former_owner_revision: Revision,
     /// When the owner before this entry's last claim was last seen alive.
-    pub claim_after_ms: Millis,
+    pub former_seen_ms: Millis,
     /// When the earliest of this process's claims was sent whose outcome is unknown.
-    pub claim_open_ms: Option<Millis>,
+    pub unsettled_claim_ms: Option<Millis>,
     /// Epoch of this process's last ownership.
     pub held_epoch: Revision,
     /// Orders to hosts by the owner before this entry's last claim.
-    pub former: FormerOrders,
+    pub former_host_orders: FormerOrders,
     /// When the last acknowledged renewal was sent.
     pub renewed_ms: Millis,
     /// Count of the last heartbeat sent, and when it was sent.
@@ -126,13 +126,13 @@
 
     /// Returns the orders to hosts that the last heartbeat seen reports.
     pub(super) fn former_orders(&self) -> FormerOrders {
-        let heard_ms = self.heartbeat_seen_ms;
+        let seen_ms = self.heartbeat_seen_ms;
         let ordered = self.heartbeat.ordered.iter();
         FormerOrders {
             reported_ms: ordered
-                .map(|(host, age_ms)| (host.clone(), heard_ms.saturating_sub(*age_ms)))
+                .map(|(host, age_ms)| (host.clone(), seen_ms.saturating_sub(*age_ms)))
                 .collect(),
-            over_ms: heard_ms + OWNER_LEASE_MS - OWNER_MARGIN_MS,
+            over_ms: seen_ms + OWNER_LEASE_MS - OWNER_MARGIN_MS,
         }
     }
 
@@ -170,10 +170,10 @@
     /// Returns the shard for the next heartbeat: the first responsive one, else any without a renewal in flight.
     fn shard_to_renew(&self, now_ms: Millis) -> Option<usize> {
         let mut free = (0..SHARDS).filter(|shard| !self.shards[*shard].is_renewing);
-        let good = free
+        let responsive = free
             .clone()
             .find(|shard| self.is_responsive(*shard, now_ms));
-        good.or_else(|| free.next())
+        responsive.or_else(|| free.next())
     }
 
     /// Returns whether this process is the owner that was seen last.
@@ -279,8 +279,8 @@
 
 /// Returns the guard that every write of an owner carries: the revision of its owner row in the shard. In the first
 /// shard that revision is the epoch.
-pub fn epoch_guard(fence: Revision) -> Guard {
-    guard(OWNER_KEY, fence)
+pub fn epoch_guard(owner_revision: Revision) -> Guard {
+    guard(OWNER_KEY, owner_revision)
 }
 
 pub(super) fn heartbeat(pool: &Pool, ctx: &Ctx<'_>) -> HeartbeatRow {
@@ -376,7 +376,7 @@
 }
 
 /// Handles the answer to a renewal.
-pub fn renewed(
+pub fn settle_renewal(
     pool: &mut Pool,
     epoch: u64,
     shard: usize,
@@ -395,14 +395,14 @@
             let due_ms = pool.lease.heartbeat_due_ms;
             ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
         }
-        TxOutcome::Conflict(found) => match ours_at(pool, shard, found, ctx) {
+        TxOutcome::Conflict(found) => match found_owner_revision(pool, shard, found, ctx) {
             // An earlier answer named a newer revision than the owner row has.
             Some(revision) => {
                 set_owner_revision(pool, shard, revision);
                 pool.lease.heartbeat_due_ms = ctx.now.ms;
                 ctx.after(0, Timer::Renew);
             }
-            None => lose(pool, "a renewal found that the owner row had changed", ctx),
+            None => lose_ownership(pool, "a renewal found that the owner row had changed", ctx),
         },
         TxOutcome::Refused | TxOutcome::Unknown => {
             pool.lease.heartbeat_due_ms = ctx.now.ms;
@@ -412,16 +412,16 @@
 }
 
 /// Returns the revision of this owner's row in a shard if a conflict found it at another revision than expected.
-fn ours_at(
+fn found_owner_revision(
     pool: &Pool,
     shard: usize,
     found: &[(Table, StoredRow)],
     ctx: &Ctx<'_>,
 ) -> Option<Revision> {
-    let fence = pool.ownership.as_ref()?.owner_revisions[shard];
+    let expected = pool.ownership.as_ref()?.owner_revisions[shard];
     let mut rows = found.iter().map(|(_, row)| row);
     let row = rows.find(|row| row.key == OWNER_KEY)?;
-    let is_ours = row.revision != fence && conflict::is_ours(&pool.lease, ctx.me, row);
+    let is_ours = row.revision != expected && conflict::is_ours(&pool.lease, ctx.me, row);
     is_ours.then_some(row.revision)
 }
 
@@ -475,7 +475,7 @@
 }
 
 /// Drops the in-memory state of a pool that another entry owns now.
-pub fn lose(pool: &mut Pool, why: &str, ctx: &mut Ctx<'_>) {
+pub fn lose_ownership(pool: &mut Pool, why: &str, ctx: &mut Ctx<'_>) {
     let Some(mut ownership) = pool.ownership.take() else {
         return;
     };
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -101,9 +101,9 @@
     /// Jobs with tasks that crashed too many workers: they are to be ended.
     pub given_up: Vec<JobKey>,
     /// Jobs that were dropped recently, and when. The feed may still bring rows of these jobs.
-    pub forgotten: BTreeMap<String, Millis>,
+    pub recently_dropped: BTreeMap<String, Millis>,
     /// Jobs whose intake rows cannot be decoded: their progress is kept.
-    pub unread: BTreeSet<String>,
+    pub undecodable: BTreeSet<String>,
     /// Progress rows without a job: shard and id.
     pub orphans: Vec<(usize, String)>,
     /// Recent running times of steps.
@@ -219,7 +219,7 @@
             self.mark(key.job, now_ms);
         }
         if before.worker() != phase.worker() {
-            self.watch(key, phase.worker().filter(|_| is_suspect));
+            self.set_watched(key, phase.worker().filter(|_| is_suspect));
             let left = before.worker();
             if let Some(w) = left.and_then(|w| self.workers.get_mut(w)) {
                 w.release(key, demand);
@@ -246,7 +246,7 @@
     }
 
     /// Records the worker on which a suspect is watched, or that there is none.
-    fn watch(&mut self, key: TaskKey, worker: Option<WorkerKey>) {
+    fn set_watched(&mut self, key: TaskKey, worker: Option<WorkerKey>) {
         let before = match worker {
             Some(worker) => self.watched.insert(key, worker),
             None => self.watched.remove(&key),
@@ -255,8 +255,8 @@
     }
 
     /// Returns whether a long-running task must wait before its next start. Its last attempts are made while no other
-    /// worker crashes, so that a crash can be attributed to the task. Without this, 195 of 240 such tasks were given up
-    /// when a third of the workers crashed every 0.6 s for 36 s.
+    /// worker crashes, so that a crash can be attributed to the task. Without this, 195 of 240 such tasks were never
+    /// started again when a third of the workers crashed every 0.6 s for 36 s.
     pub fn is_held(&self, key: TaskKey, now_ms: Millis) -> bool {
         let Some(task) = self.task(key) else {
             return false;
@@ -327,12 +327,13 @@
 
     /// Returns whether a worker carries nothing, and all ends that it reported are recorded.
     pub fn is_clear(&self, worker: WorkerKey) -> bool {
-        self.workers.get(worker).is_none_or(|w| w.tasks.is_empty()) && self.has_recorded(worker)
+        self.workers.get(worker).is_none_or(|w| w.tasks.is_empty())
+            && self.has_recorded_all_ends(worker)
     }
 
     /// Returns whether all ends that a worker reported are recorded. Unrecorded ends are lost when a host leaves: when
     /// the owner was replaced in such a case, all of six finished tasks were started again.
-    pub fn has_recorded(&self, worker: WorkerKey) -> bool {
+    pub fn has_recorded_all_ends(&self, worker: WorkerKey) -> bool {
         let ends = self.workers.get(worker).map(|w| &w.unrecorded);
         let mut ends = ends.into_iter().flatten();
         ends.all(|end| is_recorded(&self.jobs, end))
@@ -437,32 +438,32 @@
     /// Returns the processor capacity that jobs keep busy on average if they continue to arrive at the recent rate, in
     /// thousandths of a core.
     pub fn arriving_cpu_milli(&self, now_ms: Millis) -> u64 {
-        self.recent(now_ms).sum::<u64>() * 1_000 / ARRIVALS_MS
+        self.recent_work(now_ms).sum::<u64>() * 1_000 / ARRIVALS_MS
     }
 
     /// Returns the same less the standard deviation of the sum of the jobs' work, which may be due to chance. A single
     /// large job does not indicate a rate.
     pub fn surely_arriving_cpu_milli(&self, now_ms: Millis) -> u64 {
-        let sum: u64 = self.recent(now_ms).sum();
-        let squares: u64 = self.recent(now_ms).map(|work| work * work).sum();
+        let sum: u64 = self.recent_work(now_ms).sum();
+        let squares: u64 = self.recent_work(now_ms).map(|work| work * work).sum();
         sum.saturating_sub(squares.isqrt()) * 1_000 / ARRIVALS_MS
     }
 
     /// Returns the work of each job that arrived recently.
-    fn recent(&self, now_ms: Millis) -> impl Iterator<Item = u64> + '_ {
-        let recent = self.arrivals.iter();
-        let recent = recent.filter(move |(at, _)| now_ms <= at + ARRIVALS_MS);
-        recent.map(|(_, work)| *work)
+    fn recent_work(&self, now_ms: Millis) -> impl Iterator<Item = u64> + '_ {
+        let recent_work = self.arrivals.iter();
+        let recent_work = recent_work.filter(move |(at, _)| now_ms <= at + ARRIVALS_MS);
+        recent_work.map(|(_, work)| *work)
     }
 
     /// Drops a finished job whose rows are removed.
     pub fn forget(&mut self, key: JobKey, now_ms: Millis) {
-        self.forgotten
+        self.recently_dropped
             .retain(|_, at_ms| now_ms < *at_ms + FORGOTTEN_KEPT_MS);
         if let Some(job) = self.jobs.remove(key) {
             self.by_id.remove(&job.id);
             self.watched.retain(|task, _| task.job != key);
-            self.forgotten.insert(job.id, now_ms);
+            self.recently_dropped.insert(job.id, now_ms);
         }
     }
 
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -25,14 +25,14 @@
             return Some(row);
         }
         row.policy = job.changed_policy();
-        let mut places: HashMap<WorkerKey, u16> = HashMap::new();
+        let mut worker_indices: HashMap<WorkerKey, u16> = HashMap::new();
         for (number, round) in &job.rounds {
             let mut steps = Vec::with_capacity(round.steps.len());
             for step in &round.steps {
                 let tasks = step.tasks.iter();
                 steps.push(
                     tasks
-                        .map(|t| self.task_row(t, &mut row, &mut places))
+                        .map(|t| self.task_row(t, &mut row, &mut worker_indices))
                         .collect(),
                 );
             }
@@ -53,23 +53,29 @@
         &self,
         task: &Task,
         row: &mut ProgressRow,
-        places: &mut HashMap<WorkerKey, u16>,
+        worker_indices: &mut HashMap<WorkerKey, u16>,
     ) -> TaskRow {
-        let standing = match (task.phase, task.phase.worker()) {
+        let task_progress = match (task.phase, task.phase.worker()) {
             (Phase::Done, _) => TaskProgress::Done,
             (_, Some(worker)) => match self.workers.get(worker) {
-                Some(w) => TaskProgress::Started(*places.entry(worker).or_insert_with(|| {
-                    row.add_instance(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
-                })),
+                Some(w) => {
+                    TaskProgress::Started(*worker_indices.entry(worker).or_insert_with(|| {
+                        row.add_instance(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
+                    }))
+                }
                 None => TaskProgress::Idle,
             },
             _ => TaskProgress::Idle,
         };
-        let is_told = task.ended.is_noted() || task.seen >= Seen::Gone;
+        let is_reported = task.ended.is_noted() || task.seen >= Seen::Gone;
         let ended = WorkerLosses {
-            seen: if is_told { task.seen } else { Seen::Nothing },
+            seen: if is_reported {
+                task.seen
+            } else {
+                Seen::Nothing
+            },
             ..task.ended
         };
-        TaskRow(task.run, task.failed_runs, standing, ended)
+        TaskRow(task.run, task.failed_runs, task_progress, ended)
     }
 }
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -12,7 +12,7 @@
 use super::claim;
 use super::commit::{self, Settled};
 use super::crashes;
-use super::exchange::{close_given, hosts_taken, observe_offers, offers_settled};
+use super::exchange::{close_offered_hosts, observe_offers, settle_offers, settle_taken_hosts};
 use super::gang;
 use super::handover;
 use super::hosts;
@@ -34,7 +34,7 @@
 use super::sizing;
 use super::state::{Ctx, Effect, Event, LoadedRows, PoolKey, State, Timer, WaveKnown};
 use super::wave;
-use super::worker_list::{start_renewing, worker_event, workers_loaded, workers_read};
+use super::worker_list::{apply_feed_list, apply_separate_list, start_renewing, worker_event};
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{FleetConfig, OperatorEvent, StoredRow, TxOutcome};
@@ -47,25 +47,27 @@
     let mut out = Vec::new();
     match event {
         Event::Tick => {}
-        Event::Operator(word) => operator(state, word, now, &mut out),
-        Event::Worker(word) => worker_event(state, word, now, &mut out),
-        Event::WorkersRead(all) => workers_read(state, all, now, &mut out),
-        Event::Owner(row) => owner_row(state, &row, now, &mut out),
+        Event::Operator(change) => apply_operator_event(state, change, now, &mut out),
+        Event::Worker(change) => worker_event(state, change, now, &mut out),
+        Event::WorkersRead(all) => apply_feed_list(state, all, now, &mut out),
+        Event::Owner(row) => apply_owner_row(state, &row, now, &mut out),
         Event::Claimed(pool, shard, sent_ms, outcome) => {
             let me = claimant(state);
             with_pool(state, pool, now, &mut out, |pool, ctx, _| {
-                claim::claimed(pool, shard, sent_ms, outcome, &me, ctx);
+                claim::settle_claim(pool, shard, sent_ms, outcome, &me, ctx);
             });
         }
         Event::Renewed(pool, epoch, shard, sent_ms, outcome) => {
             with_pool(state, pool, now, &mut out, |pool, ctx, _| {
-                owner_lease::renewed(pool, epoch, shard, sent_ms, &outcome, ctx);
+                owner_lease::settle_renewal(pool, epoch, shard, sent_ms, &outcome, ctx);
             });
         }
-        Event::Loaded(pool, epoch, rows) => loaded(state, pool, epoch, rows, now, &mut out),
-        Event::Intake(row) => intake(state, &row, now, &mut out),
+        Event::Loaded(pool, epoch, rows) => {
+            apply_loaded_rows(state, pool, epoch, rows, now, &mut out)
+        }
+        Event::Intake(row) => apply_intake_row(state, &row, now, &mut out),
         Event::Recorded(pool, pool_state, shard, outcome) => {
-            recorded(state, pool, pool_state, shard, outcome, now, &mut out);
+            settle_batch(state, pool, pool_state, shard, outcome, now, &mut out);
         }
         Event::Started(pool, id, task, run, reply) => {
             with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
@@ -84,7 +86,7 @@
                 renewal::settle(pool_state, worker, sent_ms, result, id.epoch, ctx)
             });
         }
-        Event::WaveRow(row) => wave_row(state, &row, now, &mut out),
+        Event::WaveRow(row) => apply_wave_row(state, &row, now, &mut out),
         Event::WaveSettled(pool, epoch, outcome) => {
             with_wave_controller(
                 state,
@@ -119,10 +121,10 @@
             });
         }
         Event::OffersSettled(pool, epoch, outcome) => {
-            offers_settled(state, pool, epoch, outcome, now, &mut out);
+            settle_offers(state, pool, epoch, outcome, now, &mut out);
         }
         Event::HostsTaken(pool, epoch, from, outcome) => {
-            hosts_taken(state, pool, epoch, &from, outcome, now, &mut out);
+            settle_taken_hosts(state, pool, epoch, &from, outcome, now, &mut out);
         }
         Event::QuotaSettled(pool, epoch, account, outcome) => {
             with_grant_controller(
@@ -182,7 +184,7 @@
     out
 }
 
-fn wave_row(state: &mut State, row: &StoredRow, now: Now, out: &mut Vec<Effect>) {
+fn apply_wave_row(state: &mut State, row: &StoredRow, now: Now, out: &mut Vec<Effect>) {
     let number = row.key.parse::<u64>().ok();
     let Some(wave) = number.and_then(|n| state.waves.get_mut(&n)) else {
         return;
@@ -199,9 +201,9 @@
     wave::observe(wave, row, &mut ctx);
 }
 
-fn operator(state: &mut State, word: OperatorEvent, now: Now, out: &mut Vec<Effect>) {
-    match word {
-        OperatorEvent::Config(config) => adopt(state, config, now, out),
+fn apply_operator_event(state: &mut State, change: OperatorEvent, now: Now, out: &mut Vec<Effect>) {
+    match change {
+        OperatorEvent::Config(config) => adopt_config(state, config, now, out),
         OperatorEvent::Wave(order) => {
             let known = WaveKnown {
                 order,
@@ -221,7 +223,7 @@
     }
 }
 
-fn adopt(state: &mut State, config: Arc<FleetConfig>, now: Now, out: &mut Vec<Effect>) {
+fn adopt_config(state: &mut State, config: Arc<FleetConfig>, now: Now, out: &mut Vec<Effect>) {
     if config.version <= state.config.version {
         return;
     }
@@ -233,7 +235,7 @@
         .with("accounts", config.accounts.len() as u64);
     out.push(Effect::Log(decision));
     if state.config.version == 0 {
-        consider_all(state, now);
+        schedule_claims(state, now);
     }
     // Pools that receive queues need an owner for their jobs. Parked pools need one for their hosts.
     let names: Vec<String> = config.pools.keys().cloned().collect();
@@ -252,7 +254,7 @@
     }
 }
 
-fn owner_row(state: &mut State, row: &StoredRow, now: Now, out: &mut Vec<Effect>) {
+fn apply_owner_row(state: &mut State, row: &StoredRow, now: Now, out: &mut Vec<Effect>) {
     let Some((name, shard)) = shard_of_part(&row.part) else {
         return;
     };
@@ -278,7 +280,7 @@
             .as_ref()
             .is_some_and(|t| t.epoch < pool.lease.epoch);
         if is_newer && !is_ours {
-            owner_lease::lose(pool, "another entry owns the pool", ctx);
+            owner_lease::lose_ownership(pool, "another entry owns the pool", ctx);
         }
         claim::begin_if_claimed(pool, nonce, ctx);
         let is_free = pool.lease.owner.entry.is_empty() || pool.lease.owner.entry == me;
@@ -288,7 +290,7 @@
     });
 }
 
-fn loaded(
+fn apply_loaded_rows(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
@@ -299,10 +301,10 @@
     if let Some(rows) = &rows {
         if state.owned() <= 1 {
             let (workers, asked_ms) = (rows.workers.clone(), rows.workers_asked_ms);
-            workers_loaded(state, workers, asked_ms, now, out);
+            apply_separate_list(state, workers, asked_ms, now, out);
         }
         for row in &rows.waves {
-            wave_row(state, row, now, out);
+            apply_wave_row(state, row, now, out);
         }
     }
     with_pool(state, key, now, out, |pool, ctx, facts| {
@@ -315,7 +317,7 @@
             return;
         };
         if !owner_lease::settle_epoch(ownership, &mut pool.lease, &rows.owner, ctx.me) {
-            owner_lease::lose(
+            owner_lease::lose_ownership(
                 pool,
                 "the owner row read from the store belongs to another process",
                 ctx,
@@ -323,11 +325,15 @@
             return;
         }
         let epoch = ownership.epoch;
-        let is_same_holder = pool.lease.claim_after == ctx.me;
+        let is_same_holder = pool.lease.former_owner == ctx.me;
         if !ownership.hosts.is_ready() {
-            let former = &pool.lease.former;
-            ownership.hosts =
-                hosts::HostController::new(&rows.host_orders, former, is_same_holder, ctx);
+            let former_host_orders = &pool.lease.former_host_orders;
+            ownership.hosts = hosts::HostController::new(
+                &rows.host_orders,
+                former_host_orders,
+                is_same_holder,
+                ctx,
+            );
         }
         let offers = rows.owner.iter().find(|row| row.key == OFFERS_KEY);
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
@@ -335,12 +341,12 @@
         let id = ownership.begin_reading(ctx);
         // Counted from the claim, leases that this owner has granted since would seem expired at once, and all running
         // tasks would be requeued.
-        let earlier_ms = ownership.earlier_until_ms(ctx.now.ms);
+        let earlier_ms = ownership.earlier_orders_until_ms(ctx.now.ms);
         let mut pool_state = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
-        ownership.keep_shards(&mut pool_state);
-        close_given(&mut pool_state, &pool.offers);
+        ownership.restore_first_shards(&mut pool_state);
+        close_offered_hosts(&mut pool_state, &pool.offers);
         wave::close_leaving(&mut pool_state, &ownership.waves);
-        for row in std::mem::take(&mut ownership.early) {
+        for row in std::mem::take(&mut ownership.early_intake) {
             load::apply_intake(&mut pool_state, &row, facts.config, epoch, ctx);
         }
         run_log::log_loaded_pool(&name, &pool_state, ownership, facts.config.version, ctx);
@@ -358,7 +364,7 @@
     });
 }
 
-fn intake(state: &mut State, row: &StoredRow, now: Now, out: &mut Vec<Effect>) {
+fn apply_intake_row(state: &mut State, row: &StoredRow, now: Now, out: &mut Vec<Effect>) {
     let Some(key) = state.pool_keys.get(pool_of_part(&row.part)).copied() else {
         return;
     };
@@ -368,13 +374,13 @@
         };
         let epoch = ownership.epoch;
         match &mut ownership.pool_state {
-            None => ownership.early.push(row.clone()),
+            None => ownership.early_intake.push(row.clone()),
             Some(pool_state) => {
                 let is_new =
                     cancelled_job(&row.key).is_none() && !pool_state.by_id.contains_key(&row.key);
                 load::apply_intake(pool_state, row, facts.config, epoch, ctx);
                 if is_new {
-                    tell_taken(pool_state, &row.key, facts.config.version, ctx);
+                    log_taken_job(pool_state, &row.key, facts.config.version, ctx);
                 }
             }
         }
@@ -382,7 +388,7 @@
 }
 
 /// Logs a new job with the figures that decide its place in the queue.
-fn tell_taken(pool_state: &PoolState, id: &str, config_version: u64, ctx: &mut Ctx<'_>) {
+fn log_taken_job(pool_state: &PoolState, id: &str, config_version: u64, ctx: &mut Ctx<'_>) {
     let Some(job) = pool_state
         .by_id
         .get(id)
@@ -391,25 +397,30 @@
         return;
     };
     ctx.log(
-        Decision::new(Code::JobTaken, Subject::Job, id, taken_for(&job.spec))
-            .with("work_core_ms", job.spec.work(&job.step_ms))
-            .with("chain_ms", job.spec.longest_ms(&job.step_ms, |_| true))
-            .with("due_in_ms", job.due_ms.saturating_sub(ctx.now.ms))
-            .with("excess", u64::from(job.is_excess))
-            .with("attempts_max", u64::from(job.policy.attempts_max))
-            .with("config", config_version),
+        Decision::new(
+            Code::JobTaken,
+            Subject::Job,
+            id,
+            queue_and_account(&job.spec),
+        )
+        .with("work_core_ms", job.spec.work(&job.step_ms))
+        .with("chain_ms", job.spec.longest_ms(&job.step_ms, |_| true))
+        .with("due_in_ms", job.due_ms.saturating_sub(ctx.now.ms))
+        .with("excess", u64::from(job.is_excess))
+        .with("attempts_max", u64::from(job.policy.attempts_max))
+        .with("config", config_version),
     );
 }
 
 /// Returns the queue that a job came through, and the account that it belongs to.
-fn taken_for(spec: &JobSpec) -> String {
+fn queue_and_account(spec: &JobSpec) -> String {
     match &spec.account {
         Some(account) => format!("{} for {account}", spec.queue),
         None => spec.queue.clone(),
     }
 }
 
-fn recorded(
+fn settle_batch(
     state: &mut State,
     key: PoolKey,
     id: PoolStateId,
@@ -422,11 +433,13 @@
         let Some(ownership) = ownership_of(&mut pool.ownership, id) else {
             return;
         };
-        match commit::recorded(ownership, &mut pool.lease, shard, outcome, ctx) {
-            Settled::Fine => {}
-            Settled::PoolLost => {
-                owner_lease::lose(pool, "a batch met an owner row of another process", ctx)
-            }
+        match commit::settle_batch(ownership, &mut pool.lease, shard, outcome, ctx) {
+            Settled::Handled => {}
+            Settled::PoolLost => owner_lease::lose_ownership(
+                pool,
+                "a batch met an owner row of another process",
+                ctx,
+            ),
             Settled::Diverged => {
                 run_log::log_last_start_answers(ownership, ctx);
                 ownership.drop_pool_state(ctx);
@@ -443,7 +456,7 @@
             return;
         }
         state.timers.pop_first();
-        fire(state, key, timer, now, out);
+        fire_timer(state, key, timer, now, out);
     }
 }
 
@@ -451,12 +464,12 @@
 fn store_changed(state: &mut State, answers: bool, now: Now) {
     state.store_since_ms = answers.then_some(now.ms);
     if answers {
-        consider_all(state, now);
+        schedule_claims(state, now);
     }
 }
 
 /// Schedules a claim check of every pool.
-fn consider_all(state: &mut State, now: Now) {
+fn schedule_claims(state: &mut State, now: Now) {
     for n in 0..state.pools.len() {
         let key = PoolKey(n as u16);
         state.timers.insert((now.ms, key, Timer::Claim));
@@ -465,14 +478,14 @@
 
 /// Describes this entry as a claimant of pools.
 fn claimant(state: &State) -> claim::Claimant {
-    let heard = state
+    let heartbeat_cpus = state
         .pools
         .iter()
         .map(|pool| pool.lease.heartbeat.cpu_milli);
     claim::Claimant {
         owned: state.owned(),
         cpu_milli: state.cpu_milli,
-        strongest_milli: heard.max().filter(|milli| *milli > 0),
+        strongest_milli: heartbeat_cpus.max().filter(|milli| *milli > 0),
         store_since_ms: state.store_since_ms,
         is_configured: state.config.version > 0,
         is_stopping: state.is_stopping(),
@@ -480,16 +493,16 @@
     }
 }
 
-fn fire(state: &mut State, key: PoolKey, timer: Timer, now: Now, out: &mut Vec<Effect>) {
+fn fire_timer(state: &mut State, key: PoolKey, timer: Timer, now: Now, out: &mut Vec<Effect>) {
     if timer == Timer::Claim {
         let me = claimant(state);
         with_pool(state, key, now, out, |pool, ctx, _| {
-            claim::consider(pool, &me, ctx);
+            claim::claim_if_vacant(pool, &me, ctx);
         });
         return;
     }
     if timer == Timer::Size {
-        size(state, key, now, out);
+        reconcile_size(state, key, now, out);
         return;
     }
     if timer == Timer::Quota {
@@ -543,14 +556,14 @@
             Timer::Remove => remove::remove_finished_jobs(ownership, ctx),
             _ => {
                 if let Some(pool_state) = &mut ownership.pool_state {
-                    fire_in_pool_state(pool_state, timer, epoch, ctx);
+                    fire_pool_state_timer(pool_state, timer, epoch, ctx);
                 }
             }
         }
     });
 }
 
-fn fire_in_pool_state(pool_state: &mut PoolState, timer: Timer, epoch: u64, ctx: &mut Ctx<'_>) {
+fn fire_pool_state_timer(pool_state: &mut PoolState, timer: Timer, epoch: u64, ctx: &mut Ctx<'_>) {
     match timer {
         Timer::RenewWorker(worker) => renewal::send_next(pool_state, worker, epoch, ctx),
         Timer::LeaseOver(worker) => renewal::expire_lease(pool_state, worker, ctx),
@@ -576,7 +589,7 @@
 }
 
 /// Returns whether another pool lacks hosts for its work.
-fn is_pressed(state: &State, key: PoolKey, now_ms: Millis) -> bool {
+fn another_pool_lacks_hosts(state: &State, key: PoolKey, now_ms: Millis) -> bool {
     let others = state
         .pools
         .iter()
@@ -584,14 +597,14 @@
         .filter(|(n, _)| *n != usize::from(key.0));
     let mut leases = others.map(|(_, pool)| &pool.lease);
     leases.any(|lease| {
-        let is_heard = now_ms < lease.heartbeat_seen_ms + hosts::NEED_KEPT_MS;
-        is_heard && lease.heartbeat.needed > lease.heartbeat.serving
+        let is_recent = now_ms < lease.heartbeat_seen_ms + hosts::NEED_KEPT_MS;
+        is_recent && lease.heartbeat.needed > lease.heartbeat.serving
     })
 }
 
 /// Reconciles the size of a pool, and brings the next heartbeat forward if its owner's needs changed.
-fn size(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
-    let pressed = is_pressed(state, key, now.ms);
+fn reconcile_size(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
+    let pressed = another_pool_lacks_hosts(state, key, now.ms);
     with_pool(state, key, now, out, |pool, ctx, facts| {
         let is_parked = |name: &str| facts.config.pools.get(name).is_some_and(|p| p.is_parked);
         let can_park = facts.config.pools.values().any(|p| p.is_parked);
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -129,7 +129,7 @@
             removed,
             sent_ms: ctx.now.ms,
             has_heartbeat: false,
-            is_all: true,
+            is_complete: true,
         });
     }
 }
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -16,7 +16,7 @@
 use super::rows::{WaveRow, SHARDS};
 use super::sizing::Sizing;
 use super::wave::WaveController;
-use super::worker_list::ListNews;
+use super::worker_list::ListChanges;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
@@ -50,7 +50,7 @@
     /// Old jobs whose intake rows are gone; their progress is removed next.
     pub removable: Vec<JobKey>,
     /// Intake rows that arrived while the pool's rows were being read.
-    pub early: Vec<StoredRow>,
+    pub early_intake: Vec<StoredRow>,
     /// When the pool was claimed; everything that a former owner sent was sent before.
     pub began_ms: Millis,
     /// Controller of the pool's part in waves.
@@ -77,7 +77,7 @@
     }
 
     /// Assigns unrecorded jobs of a newly built state to the shards of their first records.
-    pub(super) fn keep_shards(&mut self, pool_state: &mut PoolState) {
+    pub(super) fn restore_first_shards(&mut self, pool_state: &mut PoolState) {
         for (id, shard) in std::mem::take(&mut self.first_shards) {
             let job = pool_state
                 .by_id
@@ -91,7 +91,7 @@
 
     /// Returns the time until which earlier states of the pool may have sent orders: the claim for those of a former
     /// owner, now for this owner's own.
-    pub(super) fn earlier_until_ms(&self, now_ms: Millis) -> Millis {
+    pub(super) fn earlier_orders_until_ms(&self, now_ms: Millis) -> Millis {
         match self.readings {
             0 | 1 => self.began_ms,
             _ => now_ms,
@@ -170,7 +170,7 @@
     /// Whether the batch carries a heartbeat.
     pub has_heartbeat: bool,
     /// Whether no further change of the shard waited to be recorded.
-    pub is_all: bool,
+    pub is_complete: bool,
 }
 
 /// A pool as this entry sees it.
@@ -402,7 +402,7 @@
     /// Workers that the platform lists, by id.
     pub listed: BTreeMap<String, WorkerFact>,
     /// When the feed of the list last reported each worker, and the whole list.
-    pub list_news: ListNews,
+    pub list_changes: ListChanges,
     /// Undecodable entries of the list by worker id, with the reason; limited to those that were logged.
     pub unreadable: BTreeMap<String, String>,
     /// Waves that the operator ordered, by number.
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -19,22 +19,22 @@
 use crate::port::fleet::{WorkerEvent, WorkerFact};
 
 /// Time for which changes reported by the feed are kept for comparison with readings requested earlier.
-const NEWS_KEPT_MS: Millis = 60_000;
+const CHANGES_KEPT_MS: Millis = 60_000;
 
 /// Number of noted workers from which on old ones are dropped with each addition.
-const NEWS_MAX: usize = 4_096;
+const CHANGES_MAX: usize = 4_096;
 
 /// Records when the feed of the list last reported each worker. The feed reports each change once, in order. A separate
 /// reading that was requested before a change may be older than the change and must not undo it.
 #[derive(Clone, Debug, Default)]
-pub struct ListNews {
+pub struct ListChanges {
     by_id: BTreeMap<String, Millis>,
     all_ms: Millis,
 }
 
-impl ListNews {
-    fn note(&mut self, id: &str, now_ms: Millis) {
-        if self.by_id.len() >= NEWS_MAX {
+impl ListChanges {
+    fn note_worker(&mut self, id: &str, now_ms: Millis) {
+        if self.by_id.len() >= CHANGES_MAX {
             self.drop_old(now_ms);
         }
         self.by_id.insert(id.to_string(), now_ms);
@@ -47,26 +47,32 @@
     }
 
     /// Returns whether the feed reported a worker since a reading was requested.
-    fn is_since(&self, id: &str, asked_ms: Millis) -> bool {
-        let told_ms = self.by_id.get(id).copied().unwrap_or(0);
-        told_ms.max(self.all_ms) >= asked_ms
+    fn is_reported_since(&self, id: &str, asked_ms: Millis) -> bool {
+        let reported_ms = self.by_id.get(id).copied().unwrap_or(0);
+        reported_ms.max(self.all_ms) >= asked_ms
     }
 
     fn drop_old(&mut self, now_ms: Millis) {
-        self.by_id.retain(|_, at_ms| now_ms < *at_ms + NEWS_KEPT_MS);
+        self.by_id
+            .retain(|_, at_ms| now_ms < *at_ms + CHANGES_KEPT_MS);
     }
 }
 
 /// Maximum number of undecodable entries that are logged, until they are removed or become valid.
-const UNREADABLE_TOLD: usize = 256;
+const UNREADABLE_LOGGED_MAX: usize = 256;
 
-pub(super) fn worker_event(state: &mut State, word: WorkerEvent, now: Now, out: &mut Vec<Effect>) {
-    let id = match &word {
+pub(super) fn worker_event(
+    state: &mut State,
+    change: WorkerEvent,
+    now: Now,
+    out: &mut Vec<Effect>,
+) {
+    let id = match &change {
         WorkerEvent::Present(fact) => &fact.id,
         WorkerEvent::Gone(id) | WorkerEvent::Unreadable(id, _) => id,
     };
-    state.list_news.note(id, now.ms);
-    match word {
+    state.list_changes.note_worker(id, now.ms);
+    match change {
         WorkerEvent::Present(fact) => present(state, fact, now, out),
         WorkerEvent::Gone(id) => {
             state.unreadable.remove(&id);
@@ -81,7 +87,7 @@
 fn unreadable(state: &mut State, id: String, why: String, now: Now, out: &mut Vec<Effect>) {
     gone(state, &id, now, out);
     let is_known = state.unreadable.get(&id) == Some(&why);
-    if is_known || state.unreadable.len() >= UNREADABLE_TOLD {
+    if is_known || state.unreadable.len() >= UNREADABLE_LOGGED_MAX {
         return;
     }
     out.push(Effect::Log(Decision::new(
@@ -94,33 +100,33 @@
 }
 
 /// Applies the whole list, with which the feed begins.
-pub(super) fn workers_read(
+pub(super) fn apply_feed_list(
     state: &mut State,
     all: Vec<WorkerFact>,
     now: Now,
     out: &mut Vec<Effect>,
 ) {
-    list_read(state, all, now, out);
-    state.list_news.note_all(now.ms);
+    apply_list(state, all, now, out);
+    state.list_changes.note_all(now.ms);
 }
 
 /// Applies a list that was read separately from the feed and requested at `asked_ms`.
-pub(super) fn workers_loaded(
+pub(super) fn apply_separate_list(
     state: &mut State,
     mut all: Vec<WorkerFact>,
     asked_ms: Millis,
     now: Now,
     out: &mut Vec<Effect>,
 ) {
-    state.list_news.drop_old(now.ms);
-    let is_news = |id: &str| state.list_news.is_since(id, asked_ms);
-    all.retain(|fact| !is_news(&fact.id));
-    let kept = state.listed.values().filter(|fact| is_news(&fact.id));
+    state.list_changes.drop_old(now.ms);
+    let is_reported = |id: &str| state.list_changes.is_reported_since(id, asked_ms);
+    all.retain(|fact| !is_reported(&fact.id));
+    let kept = state.listed.values().filter(|fact| is_reported(&fact.id));
     all.extend(kept.cloned());
-    list_read(state, all, now, out);
+    apply_list(state, all, now, out);
 }
 
-fn list_read(state: &mut State, all: Vec<WorkerFact>, now: Now, out: &mut Vec<Effect>) {
+fn apply_list(state: &mut State, all: Vec<WorkerFact>, now: Now, out: &mut Vec<Effect>) {
     let missing: Vec<String> = state
         .listed
         .keys()
@@ -205,15 +211,15 @@
 /// Logs a change of a worker's capacity. Runs that no longer fit continue until they end, and nothing new is started
 /// beside them.
 fn log_resized(worker: &Worker, fact: &WorkerFact, ctx: &mut Ctx<'_>) {
-    let (before, room) = (worker.fact.capacity, fact.capacity);
-    if before == room {
+    let (before, current) = (worker.fact.capacity, fact.capacity);
+    if before == current {
         return;
     }
     ctx.log(
         Decision::new(Code::WorkerResized, Subject::Host, &fact.id, &*fact.host)
-            .with("cpu_milli", room.cpu_milli)
+            .with("cpu_milli", current.cpu_milli)
             .with("before_cpu_milli", before.cpu_milli)
-            .with("mem_mb", room.mem_mb)
+            .with("mem_mb", current.mem_mb)
             .with("before_mem_mb", before.mem_mb)
             .with("used_cpu_milli", worker.used.cpu_milli),
     );
@@ -233,8 +239,8 @@
 }
 
 fn note_gone(pool_state: &mut PoolState, id: &str, ctx: &Ctx<'_>) {
-    let lives: Vec<WorkerKey> = pool_state.instances_of(id).map(|(key, _)| key).collect();
-    for key in lives {
+    let instances: Vec<WorkerKey> = pool_state.instances_of(id).map(|(key, _)| key).collect();
+    for key in instances {
         let w = &mut pool_state.workers[key];
         w.is_listed = false;
         w.is_withdrawn = w.answers;
