--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -265,7 +265,7 @@
     };
     let is_ours = |row: &StoredRow| conflict::is_ours(lease, ctx.me, row);
     let unexpected_key = conflict::unexpected(batch, found);
-    let verdict = conflict::judge(batch, pool_state, found, is_ours);
+    let verdict = conflict::judge_conflict(batch, pool_state, found, is_ours);
     let part = batch.tx.part.clone();
     let own = found.iter().find(|(table, _)| *table == Table::Owners);
     if let Some((_, row)) = own.filter(|_| verdict == Verdict::Again) {
--- a/src/core/sched/conflict.rs
+++ b/src/core/sched/conflict.rs
@@ -39,7 +39,7 @@
 }
 
 /// Judges a conflict, and corrects the batch if it is to be sent again.
-pub fn judge(
+pub fn judge_conflict(
     batch: &mut Batch,
     pool_state: &mut PoolState,
     found: &[(Table, StoredRow)],
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -34,7 +34,9 @@
 use super::sizing;
 use super::state::{Ctx, Effect, Event, LoadedRows, PoolKey, State, Timer, WaveKnown};
 use super::wave;
-use super::worker_list::{apply_feed_list, apply_separate_list, start_renewing, worker_event};
+use super::worker_list::{
+    apply_feed_list, apply_separate_list, apply_worker_event, start_renewing,
+};
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{FleetConfig, OperatorEvent, StoredRow, TxOutcome};
@@ -48,7 +50,7 @@
     match event {
         Event::Tick => {}
         Event::Operator(change) => apply_operator_event(state, change, now, &mut out),
-        Event::Worker(change) => worker_event(state, change, now, &mut out),
+        Event::Worker(change) => apply_worker_event(state, change, now, &mut out),
         Event::WorkersRead(all) => apply_feed_list(state, all, now, &mut out),
         Event::Owner(row) => apply_owner_row(state, &row, now, &mut out),
         Event::Claimed(pool, shard, sent_ms, outcome) => {
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -43,14 +43,14 @@
         part: part.clone(),
         // No guard is needed, since nobody changes the rows of a job in a final state.
         guards: Vec::new(),
-        writes: writes.map(|key| gone(Table::Intake, key)).collect(),
+        writes: writes.map(|key| removal_of(Table::Intake, key)).collect(),
     };
     ownership.removing = Some((part.clone(), keys));
     ctx.out
         .push(Effect::RemoveIntake(ctx.pool, pool_state.id, tx));
 }
 
-fn gone(table: Table, key: String) -> Write {
+fn removal_of(table: Table, key: String) -> Write {
     Write {
         table,
         key,
@@ -116,7 +116,7 @@
             guards: vec![epoch_guard(ownership.owner_revisions[shard])],
             writes: ids
                 .into_iter()
-                .map(|id| gone(Table::Progress, id))
+                .map(|id| removal_of(Table::Progress, id))
                 .collect(),
         };
         pool.lease.note_sent(shard, ctx.now.ms);
--- a/src/core/sched/rows.rs
+++ b/src/core/sched/rows.rs
@@ -117,8 +117,8 @@
     pub fn instances(&self) -> impl Iterator<Item = (&str, &str, Option<Millis>)> {
         let born = self.born_wall_ms.iter().copied().map(Some);
         let born = born.chain(std::iter::repeat(None));
-        let lives = self.workers.iter().zip(born);
-        lives.map(|((id, host), born)| (&**id, &**host, born.filter(|ms| *ms > 0)))
+        let dated_workers = self.workers.iter().zip(born);
+        dated_workers.map(|((id, host), born)| (&**id, &**host, born.filter(|ms| *ms > 0)))
     }
 
     /// Returns the number below which all rounds have begun; those that are not listed are done.
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -61,7 +61,7 @@
 /// Maximum number of undecodable entries that are logged, until they are removed or become valid.
 const UNREADABLE_LOGGED_MAX: usize = 256;
 
-pub(super) fn worker_event(
+pub(super) fn apply_worker_event(
     state: &mut State,
     change: WorkerEvent,
     now: Now,
@@ -73,19 +73,25 @@
     };
     state.list_changes.note_worker(id, now.ms);
     match change {
-        WorkerEvent::Present(fact) => present(state, fact, now, out),
+        WorkerEvent::Present(fact) => apply_listed_worker(state, fact, now, out),
         WorkerEvent::Gone(id) => {
             state.unreadable.remove(&id);
-            gone(state, &id, now, out);
+            apply_unlisted_worker(state, &id, now, out);
         }
-        WorkerEvent::Unreadable(id, why) => unreadable(state, id, why, now, out),
+        WorkerEvent::Unreadable(id, why) => apply_unreadable_entry(state, id, why, now, out),
     }
 }
 
 /// Handles an undecodable entry. It names no worker to use, whatever the entry before it named, but runs on that worker
 /// continue.
-fn unreadable(state: &mut State, id: String, why: String, now: Now, out: &mut Vec<Effect>) {
-    gone(state, &id, now, out);
+fn apply_unreadable_entry(
+    state: &mut State,
+    id: String,
+    why: String,
+    now: Now,
+    out: &mut Vec<Effect>,
+) {
+    apply_unlisted_worker(state, &id, now, out);
     let is_known = state.unreadable.get(&id) == Some(&why);
     if is_known || state.unreadable.len() >= UNREADABLE_LOGGED_MAX {
         return;
@@ -134,14 +140,19 @@
         .cloned()
         .collect();
     for id in missing {
-        gone(state, &id, now, out);
+        apply_unlisted_worker(state, &id, now, out);
     }
     for fact in all {
-        present(state, fact, now, out);
+        apply_listed_worker(state, fact, now, out);
     }
 }
 
-pub(super) fn present(state: &mut State, fact: WorkerFact, now: Now, out: &mut Vec<Effect>) {
+pub(super) fn apply_listed_worker(
+    state: &mut State,
+    fact: WorkerFact,
+    now: Now,
+    out: &mut Vec<Effect>,
+) {
     state.unreadable.remove(&fact.id);
     state.listed.insert(fact.id.clone(), fact.clone());
     for key in owned_pools(state) {
@@ -225,7 +236,7 @@
     );
 }
 
-pub(super) fn gone(state: &mut State, id: &str, now: Now, out: &mut Vec<Effect>) {
+pub(super) fn apply_unlisted_worker(state: &mut State, id: &str, now: Now, out: &mut Vec<Effect>) {
     state.listed.remove(id);
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, _| {
