--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -662,7 +662,7 @@
         return;
     };
     match outcome {
-        TxOutcome::Committed(revision) => known.wrote(change.row, change.after, revision),
+        TxOutcome::Committed(revision) => known.apply_write(change.row, change.after, revision),
         TxOutcome::Conflict(found) => {
             for (_, row) in found {
                 wave::observe(known, &row, ctx);
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -145,7 +145,7 @@
     /// Applies a successful write by this entry, which replaced the row of revision `after`. The store's answer names
     /// its newest revision, which may be later than the next write by another entry. Any row read at a revision later
     /// than `after` is this write or a newer one.
-    pub fn wrote(&mut self, row: WaveRow, after: Revision, newest: Revision) {
+    pub fn apply_write(&mut self, row: WaveRow, after: Revision, newest: Revision) {
         if self.seen <= after {
             self.row = row;
             self.revision = newest;
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -502,7 +502,7 @@
     };
     let is_done = match outcome {
         TxOutcome::Committed(revision) => {
-            wave.wrote(pending.row.clone(), pending.after, revision);
+            wave.apply_write(pending.row.clone(), pending.after, revision);
             true
         }
         TxOutcome::Conflict(found) => {
