--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -134,7 +134,7 @@
 
 impl WaveKnown {
     /// Applies a row as read. Answers travel on different connections, so a row older than the known one is ignored.
-    pub fn read(&mut self, row: WaveRow, revision: Revision) {
+    pub fn apply_read(&mut self, row: WaveRow, revision: Revision) {
         if revision > self.seen {
             self.row = row;
             self.revision = revision;
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -545,7 +545,7 @@
 pub fn observe(wave: &mut WaveKnown, row: &StoredRow, ctx: &mut Ctx<'_>) {
     let Some(value) = &row.value else { return };
     match rows::decode(value) {
-        Ok(decoded) => wave.read(decoded, row.revision),
+        Ok(decoded) => wave.apply_read(decoded, row.revision),
         Err(e) => ctx.log(Decision::new(Code::BadRow, Subject::Wave, &row.key, e)),
     }
 }
