--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -85,10 +85,10 @@
     let vacant_since_ms = pool.lease.vacant_since_ms(now_ms);
     match vacant_since_ms.map(|since_ms| since_ms.max(store_since_ms)) {
         Some(since_ms) if now_ms >= since_ms + stagger_ms => claim_first_shard(pool, ctx, me.nonce),
-        Some(since_ms) => ctx.after(since_ms + stagger_ms - now_ms, Timer::Claim),
+        Some(since_ms) => ctx.set_timer(since_ms + stagger_ms - now_ms, Timer::Claim),
         None => {
             let over_ms = pool.lease.heartbeat_seen_ms + OWNER_LEASE_MS;
-            ctx.after(over_ms - now_ms + stagger_ms, Timer::Claim);
+            ctx.set_timer(over_ms - now_ms + stagger_ms, Timer::Claim);
         }
     }
 }
@@ -121,7 +121,7 @@
         let has_left = is_over && lease.heartbeat_entry == pool.lease.former_heartbeat_entry;
         let over_ms = lease.heartbeat_seen_ms + OWNER_LEASE_MS;
         if !has_left && ctx.now.ms < over_ms {
-            ctx.after(over_ms - ctx.now.ms, Timer::Claim);
+            ctx.set_timer(over_ms - ctx.now.ms, Timer::Claim);
             continue;
         }
         send_claim(pool, shard, claim.epoch, nonce, ctx);
@@ -190,7 +190,7 @@
     }
     begin_if_won(pool, ctx);
     if pool.ownership.is_none() {
-        ctx.after(pause_ms, Timer::Claim);
+        ctx.set_timer(pause_ms, Timer::Claim);
     }
 }
 
@@ -323,7 +323,7 @@
     ctx.out
         .push(Effect::Load(ctx.pool, epoch, pool.name.clone()));
     pool.lease.heartbeat_due_ms = sent_ms + RENEW_MS;
-    ctx.after(
+    ctx.set_timer(
         pool.lease.heartbeat_due_ms.saturating_sub(ctx.now.ms),
         Timer::Renew,
     );
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -48,7 +48,7 @@
     }
     let due_ms = pool_state.dirty_since_ms + GATHER_MS;
     if ctx.now.ms < due_ms {
-        ctx.after(due_ms - ctx.now.ms, Timer::Flush);
+        ctx.set_timer(due_ms - ctx.now.ms, Timer::Flush);
         return;
     }
     let for_new = shard_for_new(ownership, &pool.lease, ctx);
@@ -69,7 +69,7 @@
         };
         let busy_ms = batch.sent_ms + SHARD_BUSY_MS;
         if ctx.now.ms < busy_ms && lease.is_responsive(shard, ctx.now.ms) {
-            ctx.after(busy_ms - ctx.now.ms, Timer::Flush);
+            ctx.set_timer(busy_ms - ctx.now.ms, Timer::Flush);
             return None;
         }
     }
@@ -214,7 +214,7 @@
             Verdict::Diverged => return Settled::Diverged,
         },
         TxOutcome::Refused | TxOutcome::Unknown => {
-            ctx.after(TX_RETRY_MS, Timer::Resend(shard));
+            ctx.set_timer(TX_RETRY_MS, Timer::Resend(shard));
             return Settled::Handled;
         }
     };
@@ -289,7 +289,7 @@
         return;
     };
     if !ctx.may_send() {
-        ctx.after(TX_RETRY_MS, Timer::Resend(shard));
+        ctx.set_timer(TX_RETRY_MS, Timer::Resend(shard));
         return;
     }
     lease.note_sent(shard, ctx.now.ms);
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -286,7 +286,7 @@
     inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) {
-    ctx.after(RECONCILE_MS, Timer::Hosts);
+    ctx.set_timer(RECONCILE_MS, Timer::Hosts);
     if controller.list.start_read_if_due(ctx.now.ms, LIST_MS) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, inputs.epoch));
     }
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -322,7 +322,7 @@
 pub fn renew(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let due_ms = pool.lease.heartbeat_due_ms;
     if ctx.now.ms < due_ms {
-        ctx.after(due_ms - ctx.now.ms, Timer::Renew);
+        ctx.set_timer(due_ms - ctx.now.ms, Timer::Renew);
         return;
     }
     send_heartbeat(pool, ctx);
@@ -336,7 +336,7 @@
     }
     let due_ms = pool.lease.sent.1 + HEARTBEAT_MIN_GAP_MS;
     pool.lease.heartbeat_due_ms = pool.lease.heartbeat_due_ms.min(due_ms);
-    ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
+    ctx.set_timer(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
 fn send_heartbeat(pool: &mut Pool, ctx: &mut Ctx<'_>) {
@@ -344,7 +344,7 @@
         return;
     };
     let Some(shard) = pool.lease.shard_to_renew(ctx.now.ms) else {
-        ctx.after(TX_RETRY_MS, Timer::Renew);
+        ctx.set_timer(TX_RETRY_MS, Timer::Renew);
         return;
     };
     let epoch = ownership.epoch;
@@ -358,7 +358,7 @@
     ctx.out.push(Effect::Renew(ctx.pool, epoch, shard, tx));
     // If no answer comes, the next heartbeat goes to another shard.
     let due_ms = pool.lease.heartbeat_due_ms;
-    ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
+    ctx.set_timer(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
 
 /// Returns the write of the next heartbeat and records it as sent now.
@@ -393,20 +393,20 @@
         TxOutcome::Committed(_) => {
             pool.lease.note_renewed(sent_ms, ctx.now.ms);
             let due_ms = pool.lease.heartbeat_due_ms;
-            ctx.after(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
+            ctx.set_timer(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
         }
         TxOutcome::Conflict(found) => match found_owner_revision(pool, shard, found, ctx) {
             // An earlier answer named a newer revision than the owner row has.
             Some(revision) => {
                 set_owner_revision(pool, shard, revision);
                 pool.lease.heartbeat_due_ms = ctx.now.ms;
-                ctx.after(0, Timer::Renew);
+                ctx.set_timer(0, Timer::Renew);
             }
             None => lose_ownership(pool, "a renewal found that the owner row had changed", ctx),
         },
         TxOutcome::Refused | TxOutcome::Unknown => {
             pool.lease.heartbeat_due_ms = ctx.now.ms;
-            ctx.after(TX_RETRY_MS, Timer::Renew);
+            ctx.set_timer(TX_RETRY_MS, Timer::Renew);
         }
     }
 }
@@ -487,5 +487,5 @@
     // Timers that carry keys of the dropped state would act on other objects with the same keys if this entry regained
     // the pool.
     ctx.drop_timers(|timer| timer != Timer::Claim);
-    ctx.after(OWNER_LEASE_MS, Timer::Claim);
+    ctx.set_timer(OWNER_LEASE_MS, Timer::Claim);
 }
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -170,7 +170,7 @@
         true => IDLE_RECONCILE_MS,
         false => RECONCILE_MS,
     };
-    ctx.after(pause_ms, Timer::Quota);
+    ctx.set_timer(pause_ms, Timer::Quota);
     adjust(pool_state, controller, inputs, ctx);
 }
 
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -287,7 +287,7 @@
         claim::begin_if_claimed(pool, nonce, ctx);
         let is_free = pool.lease.owner.entry.is_empty() || pool.lease.owner.entry == me;
         if pool.ownership.is_none() && is_free {
-            ctx.after(0, Timer::Claim);
+            ctx.set_timer(0, Timer::Claim);
         }
     });
 }
@@ -315,7 +315,7 @@
             return;
         };
         let Some(rows) = rows else {
-            ctx.after(LOAD_RETRY_MS, Timer::Load);
+            ctx.set_timer(LOAD_RETRY_MS, Timer::Load);
             return;
         };
         if !owner_lease::settle_epoch(ownership, &mut pool.lease, &rows.owner, ctx.me) {
@@ -357,12 +357,12 @@
             start_renewing(&mut pool_state, worker, epoch, ctx);
         }
         ownership.pool_state = Some(pool_state);
-        ctx.after(RESORT_MS, Timer::Upkeep);
-        ctx.after(0, Timer::Remove);
-        ctx.after(0, Timer::Wave);
-        ctx.after(0, Timer::Size);
-        ctx.after(0, Timer::Hosts);
-        ctx.after(0, Timer::Quota);
+        ctx.set_timer(RESORT_MS, Timer::Upkeep);
+        ctx.set_timer(0, Timer::Remove);
+        ctx.set_timer(0, Timer::Wave);
+        ctx.set_timer(0, Timer::Size);
+        ctx.set_timer(0, Timer::Hosts);
+        ctx.set_timer(0, Timer::Quota);
     });
 }
 
@@ -583,7 +583,7 @@
             let is_set =
                 |(_, p, t): &(Millis, PoolKey, Timer)| *p == ctx.pool && *t == Timer::Upkeep;
             if !ctx.timers.iter().any(is_set) {
-                ctx.after(RESORT_MS, Timer::Upkeep);
+                ctx.set_timer(RESORT_MS, Timer::Upkeep);
             }
         }
         _ => {}
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -15,7 +15,7 @@
 
 /// Removes intake rows of old jobs from the partition that holds the most of them.
 pub(super) fn remove_finished_jobs(ownership: &mut Ownership, ctx: &mut Ctx<'_>) {
-    ctx.after(REMOVE_MS, Timer::Remove);
+    ctx.set_timer(REMOVE_MS, Timer::Remove);
     let Some(pool_state) = &ownership.pool_state else {
         return;
     };
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -46,7 +46,7 @@
         return;
     }
     if !ctx.may_send() {
-        ctx.after(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
+        ctx.set_timer(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
         return;
     }
     // A worker that did not answer is only asked for a report: a renewal would postpone the end of its lease.
@@ -156,8 +156,8 @@
             crashes::record_connection_loss(pool_state, key, ctx.now.ms);
         }
     }
-    ctx.after(left_ms, Timer::LeaseOver(key));
-    ctx.after(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
+    ctx.set_timer(left_ms, Timer::LeaseOver(key));
+    ctx.set_timer(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
     end_if_succeeded(pool_state, key, ctx);
 }
 
@@ -243,7 +243,7 @@
         pool_state.recording.insert(key);
     } else if is_blocked {
         // The worker would answer at once with the ends that may not be acknowledged yet.
-        ctx.after(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
+        ctx.set_timer(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
     } else {
         send_next(pool_state, key, epoch, ctx);
     }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -80,7 +80,7 @@
         return;
     };
     let Some(clock) = w.clock.filter(|_| ctx.may_send() && w.answers) else {
-        ctx.after(ORDER_RETRY_MS, Timer::Restart(key, run));
+        ctx.set_timer(ORDER_RETRY_MS, Timer::Restart(key, run));
         return;
     };
     let lease_until_ms = clock.at(ctx.now.ms) + WORKER_LEASE_MS;
@@ -149,9 +149,9 @@
                 task.is_start_open = true;
                 task.is_start_broken |= reply == OrderReply::Broken;
             }
-            ctx.after(ORDER_RETRY_MS, Timer::Restart(key, run));
+            ctx.set_timer(ORDER_RETRY_MS, Timer::Restart(key, run));
         }
-        OrderReply::TooLate => ctx.after(ORDER_RETRY_MS, Timer::Restart(key, run)),
+        OrderReply::TooLate => ctx.set_timer(ORDER_RETRY_MS, Timer::Restart(key, run)),
         OrderReply::NoRoom => {
             pause(pool_state, worker, FULL_PAUSE_MS, ctx);
             handle_refusal(
@@ -227,7 +227,7 @@
 fn pause(pool_state: &mut PoolState, worker: WorkerKey, ms: u64, ctx: &mut Ctx<'_>) {
     if let Some(w) = pool_state.workers.get_mut(worker) {
         w.suspended_until_ms = w.suspended_until_ms.max(ctx.now.ms + ms);
-        ctx.after(ms, Timer::Upkeep);
+        ctx.set_timer(ms, Timer::Upkeep);
     }
 }
 
@@ -269,7 +269,7 @@
         return;
     };
     if !ctx.may_send() || order.to.address.port() == 0 {
-        ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run));
+        ctx.set_timer(ORDER_RETRY_MS, Timer::Restop(key, run));
         return;
     }
     ctx.out.push(Effect::Stop(order, key, name, run));
@@ -317,7 +317,7 @@
             end_worker(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
         OrderReply::Fenced if is_fenced_out(pool_state, worker) => return true,
-        _ => ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run)),
+        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::Restop(key, run)),
     }
     false
 }
@@ -546,7 +546,7 @@
             ctx.out
                 .push(Effect::Stop(order, key, leftover.name.clone(), run));
         }
-        _ => ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run)),
+        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::Restop(key, run)),
     }
 }
 
@@ -572,7 +572,7 @@
             end_worker(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
         OrderReply::Fenced if is_fenced_out => return true,
-        _ => ctx.after(ORDER_RETRY_MS, Timer::Restop(key, run)),
+        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::Restop(key, run)),
     }
     false
 }
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -102,7 +102,7 @@
     inputs: &Inputs<'_>,
     ctx: &mut Ctx<'_>,
 ) -> bool {
-    ctx.after(RECONCILE_MS, Timer::Size);
+    ctx.set_timer(RECONCILE_MS, Timer::Size);
     let now_ms = ctx.now.ms;
     let has_offers = !offers.row.offered.is_empty();
     sizing
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -474,7 +474,7 @@
 
 impl Ctx<'_> {
     /// Sets a timer of this pool that fires in `ms` milliseconds.
-    pub fn after(&mut self, ms: Millis, timer: Timer) {
+    pub fn set_timer(&mut self, ms: Millis, timer: Timer) {
         self.timers.insert((self.now.ms + ms, self.pool, timer));
     }
 
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -137,7 +137,7 @@
     if controller.hosts.start_read_if_due(ctx.now.ms, pause_ms) {
         ctx.out.push(Effect::ReadHosts(ctx.pool, epoch));
     }
-    ctx.after(RECONCILE_MS, Timer::Wave);
+    ctx.set_timer(RECONCILE_MS, Timer::Wave);
 }
 
 /// Opens the hosts that still have a turn in a wave that is done: they left the fleet during their turn, and may
@@ -521,7 +521,7 @@
         controller
             .turns
             .insert(pending.host, (pending.wave, Turn::Holding));
-        ctx.after(0, Timer::Wave);
+        ctx.set_timer(0, Timer::Wave);
     } else {
         let id = pending.wave.to_string();
         let left = wave.order.hosts.len().saturating_sub(wave.row.back.len());
