--- a/src/core/sched/handover.rs
+++ b/src/core/sched/handover.rs
@@ -31,7 +31,7 @@
             }
         });
     }
-    if state.owned() == 0 {
+    if state.owned_count() == 0 {
         out.push(Effect::Left);
     }
 }
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -301,7 +301,7 @@
     out: &mut Vec<Effect>,
 ) {
     if let Some(rows) = &rows {
-        if state.owned() <= 1 {
+        if state.owned_count() <= 1 {
             let (workers, asked_ms) = (rows.workers.clone(), rows.workers_asked_ms);
             apply_separate_list(state, workers, asked_ms, now, out);
         }
@@ -485,7 +485,7 @@
         .iter()
         .map(|pool| pool.lease.heartbeat.cpu_milli);
     claim::Claimant {
-        owned: state.owned(),
+        owned: state.owned_count(),
         cpu_milli: state.cpu_milli,
         strongest_milli: heartbeat_cpus.max().filter(|milli| *milli > 0),
         store_since_ms: state.store_since_ms,
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -443,7 +443,7 @@
     }
 
     /// Returns the number of pools that this entry owns.
-    pub fn owned(&self) -> usize {
+    pub fn owned_count(&self) -> usize {
         self.pools.iter().filter(|p| p.ownership.is_some()).count()
     }
 
--- a/tests/test_leases.rs
+++ b/tests/test_leases.rs
@@ -70,7 +70,7 @@
         let event = Event::Claimed(KEY, shard, 3_000, done);
         reduce(&mut state, event, now(3_010));
     }
-    assert_eq!(state.owned(), 1);
+    assert_eq!(state.owned_count(), 1);
     let mut now_ms = 3_010;
     let first = renewal(&mut state, &mut now_ms);
     let second = renewal(&mut state, &mut now_ms);
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -42,7 +42,7 @@
     let mut world = World::new(3, 5, 2);
     world.run(SETTLE_MS);
     let owners = world.entries.iter().filter_map(|e| e.state.as_ref());
-    assert_eq!(owners.map(|s| s.owned()).sum::<usize>(), 1);
+    assert_eq!(owners.map(|s| s.owned_count()).sum::<usize>(), 1);
 }
 
 #[test]
@@ -54,7 +54,7 @@
         }
         world.run(SETTLE_MS);
         let strong = world.entries[2].state.as_ref();
-        assert_eq!(strong.map(|s| s.owned()), Some(1), "seed {seed}");
+        assert_eq!(strong.map(|s| s.owned_count()), Some(1), "seed {seed}");
     }
 }
 
@@ -250,7 +250,7 @@
     let owner = world
         .entries
         .iter()
-        .position(|e| e.state.as_ref().is_some_and(|s| s.owned() > 0));
+        .position(|e| e.state.as_ref().is_some_and(|s| s.owned_count() > 0));
     world.kill(owner.expect("somebody owns the pool"));
     world.run(SETTLE_MS);
     assert!(world.owner().is_some(), "another entry took over");
@@ -324,7 +324,7 @@
     let owner = world
         .entries
         .iter()
-        .position(|e| e.state.as_ref().is_some_and(|s| s.owned() > 0));
+        .position(|e| e.state.as_ref().is_some_and(|s| s.owned_count() > 0));
     let owner = owner.expect("somebody owns the pool");
     world.stop(owner);
     world.run(900);
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -62,7 +62,7 @@
     /// The owner's state.
     pub(crate) fn owner(&self) -> Option<&State> {
         let states = self.entries.iter().filter_map(|e| e.state.as_ref());
-        states.into_iter().find(|s| s.owned() > 0)
+        states.into_iter().find(|s| s.owned_count() > 0)
     }
 
     /// The owner's books on the pool, once it has read them.
@@ -83,7 +83,7 @@
 
     /// The entry that owns the pool.
     pub(crate) fn owner_entry(&self) -> Option<usize> {
-        let owns = |e: &Entry| e.state.as_ref().is_some_and(|s| s.owned() > 0);
+        let owns = |e: &Entry| e.state.as_ref().is_some_and(|s| s.owned_count() > 0);
         self.entries.iter().position(owns)
     }
 
