--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -156,7 +156,7 @@
             crashes::record_connection_loss(pool_state, key, ctx.now.ms);
         }
     }
-    ctx.set_timer(left_ms, Timer::LeaseOver(key));
+    ctx.set_timer(left_ms, Timer::ExpireLease(key));
     ctx.set_timer(RENEWAL_RETRY_MS, Timer::RenewWorker(key));
     end_if_succeeded(pool_state, key, ctx);
 }
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -59,7 +59,7 @@
     let is_empty = w.tasks.is_empty() && !has_leftover_runs;
     let left_ms = if is_empty { 0 } else { STRAY_LEASE_MS };
     w.lease_end_ms = ctx.now.ms + left_ms;
-    ctx.set_timer(left_ms, Timer::LeaseOver(key));
+    ctx.set_timer(left_ms, Timer::ExpireLease(key));
     renewal::forget_if_over(pool_state, key, ctx);
 }
 
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -204,7 +204,7 @@
     /// Renew a worker's lease and ask for its report.
     RenewWorker(WorkerKey),
     /// Check whether a worker's lease has expired.
-    LeaseOver(WorkerKey),
+    ExpireLease(WorkerKey),
     /// Send a start again.
     Restart(TaskKey, u32),
     /// Send a stop again.
@@ -228,7 +228,7 @@
             self,
             Timer::Resend(_)
                 | Timer::RenewWorker(_)
-                | Timer::LeaseOver(_)
+                | Timer::ExpireLease(_)
                 | Timer::Restart(..)
                 | Timer::Restop(..)
         )
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -270,6 +270,6 @@
     let left_ms = pool_state.workers[worker]
         .lease_end_ms
         .saturating_sub(ctx.now.ms);
-    ctx.set_timer(left_ms, Timer::LeaseOver(worker));
+    ctx.set_timer(left_ms, Timer::ExpireLease(worker));
     renewal::send_next(pool_state, worker, epoch, ctx);
 }
