--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -80,7 +80,7 @@
         return;
     };
     let Some(clock) = w.clock.filter(|_| ctx.may_send() && w.answers) else {
-        ctx.set_timer(ORDER_RETRY_MS, Timer::Restart(key, run));
+        ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStart(key, run));
         return;
     };
     let lease_until_ms = clock.at(ctx.now.ms) + WORKER_LEASE_MS;
@@ -149,9 +149,9 @@
                 task.is_start_open = true;
                 task.is_start_broken |= reply == OrderReply::Broken;
             }
-            ctx.set_timer(ORDER_RETRY_MS, Timer::Restart(key, run));
+            ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStart(key, run));
         }
-        OrderReply::TooLate => ctx.set_timer(ORDER_RETRY_MS, Timer::Restart(key, run)),
+        OrderReply::TooLate => ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStart(key, run)),
         OrderReply::NoRoom => {
             pause(pool_state, worker, FULL_PAUSE_MS, ctx);
             handle_refusal(
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -206,7 +206,7 @@
     /// Check whether a worker's lease has expired.
     ExpireLease(WorkerKey),
     /// Send a start again.
-    Restart(TaskKey, u32),
+    ResendStart(TaskKey, u32),
     /// Send a stop again.
     Restop(TaskKey, u32),
     /// Reorder waiting tasks, begin rounds that are due, end exhausted jobs and log the pool's load.
@@ -229,7 +229,7 @@
             Timer::Resend(_)
                 | Timer::RenewWorker(_)
                 | Timer::ExpireLease(_)
-                | Timer::Restart(..)
+                | Timer::ResendStart(..)
                 | Timer::Restop(..)
         )
     }
