--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -269,7 +269,7 @@
         return;
     };
     if !ctx.may_send() || order.to.address.port() == 0 {
-        ctx.set_timer(ORDER_RETRY_MS, Timer::Restop(key, run));
+        ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStop(key, run));
         return;
     }
     ctx.out.push(Effect::Stop(order, key, name, run));
@@ -317,7 +317,7 @@
             end_worker(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
         OrderReply::Fenced if is_fenced_out(pool_state, worker) => return true,
-        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::Restop(key, run)),
+        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStop(key, run)),
     }
     false
 }
@@ -546,7 +546,7 @@
             ctx.out
                 .push(Effect::Stop(order, key, leftover.name.clone(), run));
         }
-        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::Restop(key, run)),
+        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStop(key, run)),
     }
 }
 
@@ -572,7 +572,7 @@
             end_worker(pool_state, worker, &Evidence::Answer("stop"), ctx);
         }
         OrderReply::Fenced if is_fenced_out => return true,
-        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::Restop(key, run)),
+        _ => ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStop(key, run)),
     }
     false
 }
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -208,7 +208,7 @@
     /// Send a start again.
     ResendStart(TaskKey, u32),
     /// Send a stop again.
-    Restop(TaskKey, u32),
+    ResendStop(TaskKey, u32),
     /// Reorder waiting tasks, begin rounds that are due, end exhausted jobs and log the pool's load.
     Upkeep,
     /// Reconcile waves.
@@ -230,7 +230,7 @@
                 | Timer::RenewWorker(_)
                 | Timer::ExpireLease(_)
                 | Timer::ResendStart(..)
-                | Timer::Restop(..)
+                | Timer::ResendStop(..)
         )
     }
 }
