--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -363,7 +363,7 @@
     /// Change a wave's row: pool, epoch, transaction.
     SettleWave(PoolKey, u64, RowTx),
     /// Report the state of a wave to the operator.
-    TellWave(u64, WaveState),
+    ReportWave(u64, WaveState),
     /// Read the list of hosts.
     ReadHosts(PoolKey, u64),
     /// Change the record of hosts that are out: pool, epoch, transaction.
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -109,7 +109,7 @@
             wave.is_done = true;
             let number = wave.order.wave;
             end_turns(pool_state, controller, number);
-            ctx.out.push(Effect::TellWave(number, WaveState::Completed));
+            ctx.out.push(Effect::ReportWave(number, WaveState::Completed));
             let id = number.to_string();
             ctx.log(Decision::new(
                 Code::WaveDone,
@@ -419,7 +419,7 @@
     if row.began_wall_ms == 0 {
         row.began_wall_ms = ctx.now.wall_ms;
         ctx.out
-            .push(Effect::TellWave(wave.order.wave, WaveState::Running));
+            .push(Effect::ReportWave(wave.order.wave, WaveState::Running));
     }
     let slot = SlotRow {
         pool: pool.to_string(),
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -205,7 +205,7 @@
                 retry_until_known(|| shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS)).await;
                 None
             }),
-            Effect::TellWave(wave, status) => self.spawn(async move {
+            Effect::ReportWave(wave, status) => self.spawn(async move {
                 retry_until_known(|| platform.tell_wave(wave, status)).await;
                 None
             }),
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -234,7 +234,7 @@
     let effects = decide(10_000, |ctx| {
         wave::reconcile(&mut pool_state, &mut controller, &mut waves, POOL, 7, ctx);
     });
-    let is_told = |e: &Effect| matches!(e, Effect::TellWave(1, WaveState::Completed));
+    let is_told = |e: &Effect| matches!(e, Effect::ReportWave(1, WaveState::Completed));
     assert!(!effects.iter().any(is_told));
 }
 
--- a/tests/world/carry.rs
+++ b/tests/world/carry.rs
@@ -44,7 +44,7 @@
                 let (after_ms, outcome) = self.store_call(n, &tx);
                 self.reply(n, after_ms, Event::WaveSettled(pool, epoch, outcome));
             }
-            Effect::TellWave(wave, state) => self.wave_told(wave, state),
+            Effect::ReportWave(wave, state) => self.wave_told(wave, state),
             Effect::Load(pool, epoch, _) => {
                 // A part that is away can't be read either.
                 let is_cut = self.entries[n].cut_until_ms > self.now_ms;
