--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -645,7 +645,7 @@
         row,
         after: wave.revision,
     });
-    ctx.out.push(Effect::SettleOrdered(ctx.pool, epoch, tx));
+    ctx.out.push(Effect::RecordHostsOut(ctx.pool, epoch, tx));
 }
 
 /// Applies the outcome of a change of a wave's row.
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -367,7 +367,7 @@
     /// Read the list of hosts.
     ReadHosts(PoolKey, u64),
     /// Change the record of hosts that are out: pool, epoch, transaction.
-    SettleOrdered(PoolKey, u64, RowTx),
+    RecordHostsOut(PoolKey, u64, RowTx),
     /// Remove intake rows.
     RemoveIntake(PoolKey, PoolStateId, RowTx),
     /// Change the pool's offers.
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -293,7 +293,7 @@
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
                 Some(Event::WaveSettled(pool, epoch, outcome))
             }),
-            Effect::SettleOrdered(pool, epoch, tx) => self.spawn(async move {
+            Effect::RecordHostsOut(pool, epoch, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
                 Some(Event::OrderedSettled(pool, epoch, outcome))
             }),
--- a/tests/world/carry.rs
+++ b/tests/world/carry.rs
@@ -116,7 +116,7 @@
                 let event = Event::WorkerRenewed(order.pool, pool_state, worker, sent_ms, result);
                 self.reply(n, after_ms, event);
             }
-            Effect::SettleOrdered(pool, epoch, tx) => {
+            Effect::RecordHostsOut(pool, epoch, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
                 self.reply(n, after_ms, Event::OrderedSettled(pool, epoch, outcome));
             }
