--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -102,7 +102,7 @@
                 },
             );
         }
-        Event::OrderedSettled(pool, epoch, outcome) => {
+        Event::HostsOutRecorded(pool, epoch, outcome) => {
             with_host_controller(
                 state,
                 pool,
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -278,7 +278,7 @@
     /// A change of a wave's slots was answered: pool, epoch, outcome.
     WaveSettled(PoolKey, u64, TxOutcome),
     /// A change of the record of hosts that are out was answered: pool, epoch, outcome.
-    OrderedSettled(PoolKey, u64, TxOutcome),
+    HostsOutRecorded(PoolKey, u64, TxOutcome),
     /// A removal of intake rows was answered.
     IntakeRemoved(PoolKey, PoolStateId, TxOutcome),
     /// A change of the pool's offers was answered: pool, epoch, outcome.
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -295,7 +295,7 @@
             }),
             Effect::RecordHostsOut(pool, epoch, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
-                Some(Event::OrderedSettled(pool, epoch, outcome))
+                Some(Event::HostsOutRecorded(pool, epoch, outcome))
             }),
             Effect::RemoveIntake(pool, pool_state, tx) => self.spawn(async move {
                 let outcome = shared.transact(&platform, &tx, TX_TIMEOUT_MAX_MS).await;
--- a/tests/world/carry.rs
+++ b/tests/world/carry.rs
@@ -118,7 +118,7 @@
             }
             Effect::RecordHostsOut(pool, epoch, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::OrderedSettled(pool, epoch, outcome));
+                self.reply(n, after_ms, Event::HostsOutRecorded(pool, epoch, outcome));
             }
             Effect::RemoveIntake(pool, pool_state, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
