--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -163,7 +163,7 @@
 
     /// Returns whether a job's progress cannot be decoded. It is unknown what runs of the job, so its runs are left
     /// alone.
-    pub fn is_left_alone(&self, id: &str) -> bool {
+    pub fn has_unreadable_progress(&self, id: &str) -> bool {
         let job = self.by_id.get(id).and_then(|key| self.jobs.get(*key));
         job.is_some_and(|job| job.is_unreadable && !job.state.is_final())
     }
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -415,7 +415,7 @@
     let key = pool_state.find(&run.task);
     let task = key.and_then(|k| pool_state.task(k));
     let (Some(key), Some(task)) = (key, task) else {
-        if pool_state.is_left_alone(&run.task.job) {
+        if pool_state.has_unreadable_progress(&run.task.job) {
             return;
         }
         runs::stop_stray(pool_state, worker, &run.task, run.run, epoch, ctx);
