--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -443,7 +443,7 @@
 
     /// Returns the same less the standard deviation of the sum of the jobs' work, which may be due to chance. A single
     /// large job does not indicate a rate.
-    pub fn surely_arriving_cpu_milli(&self, now_ms: Millis) -> u64 {
+    pub fn min_arriving_cpu_milli(&self, now_ms: Millis) -> u64 {
         let sum: u64 = self.recent_work(now_ms).sum();
         let squares: u64 = self.recent_work(now_ms).map(|work| work * work).sum();
         sum.saturating_sub(squares.isqrt()) * 1_000 / ARRIVALS_MS
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -214,7 +214,7 @@
         sum.add(within_quota(pool_state, job, &mut counted));
     }
     let arriving_cpu_milli = match has_offers {
-        true => pool_state.surely_arriving_cpu_milli(now_ms),
+        true => pool_state.min_arriving_cpu_milli(now_ms),
         false => pool_state.arriving_cpu_milli(now_ms),
     };
     in_time.cpu_milli = in_time.cpu_milli.max(arriving_cpu_milli);
