--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -326,7 +326,7 @@
     }
 
     /// Returns whether a worker carries nothing, and all ends that it reported are recorded.
-    pub fn is_clear(&self, worker: WorkerKey) -> bool {
+    pub fn is_drained(&self, worker: WorkerKey) -> bool {
         self.workers.get(worker).is_none_or(|w| w.tasks.is_empty())
             && self.has_recorded_all_ends(worker)
     }
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -282,7 +282,7 @@
         // A worker instance that left the list may run on for seconds, and its tasks would end with the host.
         return pool_state
             .instances_on(host)
-            .all(|(instance, _)| pool_state.is_clear(instance));
+            .all(|(instance, _)| pool_state.is_drained(instance));
     };
     let tasks: Vec<TaskKey> = pool_state.workers[worker].tasks.iter().copied().collect();
     let may_wait = ctx.now.ms < since_ms + SHORT_TASK_WAIT_MS;
@@ -302,7 +302,7 @@
             runs::stop(pool_state, *key, epoch, ctx);
         }
     }
-    lasting_left == 0 && pool_state.is_clear(worker)
+    lasting_left == 0 && pool_state.is_drained(worker)
 }
 
 /// Stops a short task that does not end in time. If it were left at work while its host goes down, it could finish
