--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -244,7 +244,7 @@
             0 => Seen::Gone,
             _ => Seen::GoneFresh,
         };
-        pool_state.mark(key.job, now_ms);
+        pool_state.mark_dirty(key.job, now_ms);
     }
 }
 
@@ -314,7 +314,7 @@
     let (ended, run) = (task.ended, task.run);
     let pause_ms = if spec.lasting { ended.pause_ms() } else { 0 };
     task.held_until_ms = ctx.now.ms + pause_ms;
-    pool_state.mark(key.job, ctx.now.ms);
+    pool_state.mark_dirty(key.job, ctx.now.ms);
     let is_given_up = is_given_up(pool_state, key);
     queue_if_given_up(pool_state, key);
     if one.blamed > 0 || ended.all >= LOSSES_LOGGED_FROM || is_given_up {
@@ -395,7 +395,7 @@
     let has_outlived_start = lasts && (ran_ms >= START_DONE_MS || task.is_at_work);
     if has_outlived_start && task.ended != WorkerLosses::NONE {
         task.ended = WorkerLosses::NONE;
-        pool_state.mark(key.job, now_ms);
+        pool_state.mark_dirty(key.job, now_ms);
     }
     if ran_ms >= BLAME_WINDOW_MS && pool_state.watched.remove(&key).is_some() {
         pool_state.wants_placing = true;
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -303,7 +303,7 @@
     if pool_state.jobs[key.job].state == JobState::Queued {
         pool_state.set_state(key.job, JobState::Running, ctx.now.ms);
     }
-    pool_state.mark(key.job, ctx.now.ms);
+    pool_state.mark_dirty(key.job, ctx.now.ms);
     let w = &pool_state.workers[worker];
     ctx.log(
         Decision::new(
--- a/src/core/sched/policy.rs
+++ b/src/core/sched/policy.rs
@@ -89,6 +89,6 @@
     });
     let renewed: Vec<JobKey> = renewed.collect();
     for key in renewed {
-        pool_state.mark(key, ctx.now.ms);
+        pool_state.mark_dirty(key, ctx.now.ms);
     }
 }
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -216,7 +216,7 @@
         // Without this record, a new owner could not learn of the run's start if the worker is gone by then.
         let is_news = task.begun_ms == Some(now_ms) && task.ended.is_noted();
         if is_news {
-            self.mark(key.job, now_ms);
+            self.mark_dirty(key.job, now_ms);
         }
         if before.worker() != phase.worker() {
             self.set_watched(key, phase.worker().filter(|_| is_suspect));
@@ -290,7 +290,7 @@
     }
 
     /// Marks a job's progress to be recorded.
-    pub fn mark(&mut self, job: JobKey, now_ms: Millis) {
+    pub fn mark_dirty(&mut self, job: JobKey, now_ms: Millis) {
         if self.dirty.is_empty() {
             self.dirty_since_ms = now_ms;
         }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -360,7 +360,7 @@
     pool_state.set_phase(key, Phase::Ready, ctx.now.ms);
     if is_noted {
         // The stored progress still shows the run, and the next owner would count its worker's end a second time.
-        pool_state.mark(key.job, ctx.now.ms);
+        pool_state.mark_dirty(key.job, ctx.now.ms);
     }
     if gang::is_member(pool_state, key) {
         pool_state.broken_gangs.push(key);
@@ -466,7 +466,7 @@
     for task in &completed {
         pool_state.set_phase(*task, Phase::Done, ctx.now.ms);
     }
-    pool_state.mark(key.job, ctx.now.ms);
+    pool_state.mark_dirty(key.job, ctx.now.ms);
     let job = &mut pool_state.jobs[key.job];
     let Some(round) = job.rounds.get_mut(&key.round) else {
         return;
@@ -609,7 +609,7 @@
             }
         }
     }
-    pool_state.mark(key.job, ctx.now.ms);
+    pool_state.mark_dirty(key.job, ctx.now.ms);
     count_failure(pool_state, worker, ctx);
     if is_current {
         requeue(pool_state, key, "run failed", ctx);
@@ -704,7 +704,7 @@
         return false;
     }
     pool_state.set_state(key, state, ctx.now.ms);
-    pool_state.mark(key, ctx.now.ms);
+    pool_state.mark_dirty(key, ctx.now.ms);
     for task in pool_state.tasks_of(key) {
         match pool_state.task(task).map(|t| t.phase) {
             Some(Phase::Ready | Phase::Recording(_)) => {
