--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -48,7 +48,7 @@
         let first = after.map_or(Bound::Unbounded, Bound::Excluded);
         let waiting = self.ready.range((first, Bound::Unbounded));
         waiting
-            .filter(|r| r.class > Class::Lasting || !self.is_held(r.task, now_ms))
+            .filter(|r| r.class > Class::Lasting || !self.must_delay_start(r.task, now_ms))
             .filter(|r| !runs::is_exhausted(self, r.task))
             .filter(|r| self.is_within_quota(r.task, 1))
             .take(PLACE_SCAN_MAX)
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -257,7 +257,7 @@
     /// Returns whether a long-running task must wait before its next start. Its last attempts are made while no other
     /// worker crashes, so that a crash can be attributed to the task. Without this, 195 of 240 such tasks were never
     /// started again when a third of the workers crashed every 0.6 s for 36 s.
-    pub fn is_held(&self, key: TaskKey, now_ms: Millis) -> bool {
+    pub fn must_delay_start(&self, key: TaskKey, now_ms: Millis) -> bool {
         let Some(task) = self.task(key) else {
             return false;
         };
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -317,7 +317,7 @@
 /// Whether a lasting task has to wait before its next start.
 fn is_held(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
     let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
-    lasts && pool_state.is_held(key, now_ms)
+    lasts && pool_state.must_delay_start(key, now_ms)
 }
 
 /// Returns when `demand` is expected to fit on a worker that gets no new task, or `None` if lasting tasks take too
