--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -116,7 +116,7 @@
                 .entry(rank.task.job)
                 .or_insert_with(|| job.class(now_ms));
             if class != rank.class {
-                self.queue(rank.task, Some(Rank { class, ..rank }));
+                self.set_queued(rank.task, Some(Rank { class, ..rank }));
             }
         }
     }
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -242,7 +242,7 @@
                 }
             }
         }
-        self.queue(key, (phase == Phase::Ready).then_some(rank));
+        self.set_queued(key, (phase == Phase::Ready).then_some(rank));
     }
 
     /// Records the worker on which a suspect is watched, or that there is none.
@@ -272,7 +272,7 @@
     }
 
     /// Adds a task to the waiting tasks at `rank`, or removes it from them.
-    pub(super) fn queue(&mut self, key: TaskKey, rank: Option<Rank>) {
+    pub(super) fn set_queued(&mut self, key: TaskKey, rank: Option<Rank>) {
         let Some(task) = self.task_mut(key) else {
             return;
         };
