--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -151,7 +151,7 @@
     }
 
     /// Returns the key of the task with this name.
-    pub fn find(&self, name: &TaskName) -> Option<TaskKey> {
+    pub fn find_task(&self, name: &TaskName) -> Option<TaskKey> {
         let key = TaskKey {
             job: *self.by_id.get(&name.job)?,
             round: name.round,
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -412,7 +412,7 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let key = pool_state.find(&run.task);
+    let key = pool_state.find_task(&run.task);
     let task = key.and_then(|k| pool_state.task(k));
     let (Some(key), Some(task)) = (key, task) else {
         if pool_state.has_unreadable_progress(&run.task.job) {
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -85,7 +85,7 @@
     let ended = report.ended.iter().map(|e| (&e.task, e.run));
     let reported: HashSet<(&TaskName, u32)> = running.chain(ended).collect();
     for (name, run) in &reported {
-        if let Some(task) = pool_state.find(name) {
+        if let Some(task) = pool_state.find_task(name) {
             adopt_task(pool_state, task, *run, &earlier, key, epoch, ctx);
         }
     }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -405,7 +405,7 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(key) = pool_state.find(&end.task) else {
+    let Some(key) = pool_state.find_task(&end.task) else {
         return;
     };
     let Some(task) = pool_state.task(key) else {
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -149,7 +149,7 @@
 
     fn task(&self, index: u16) -> TaskKey {
         self.pool_state
-            .find(&name(index))
+            .find_task(&name(index))
             .expect("the task is there")
     }
 
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -67,7 +67,7 @@
 
 fn key(pool_state: &PoolState, index: u16) -> TaskKey {
     pool_state
-        .find(&name("a", index))
+        .find_task(&name("a", index))
         .expect("the task is there")
 }
 
