--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -169,7 +169,7 @@
     }
 
     /// Returns the name of a task.
-    pub fn name(&self, key: TaskKey) -> Option<TaskName> {
+    pub fn task_name(&self, key: TaskKey) -> Option<TaskName> {
         Some(TaskName {
             job: self.jobs.get(key.job)?.id.clone(),
             round: key.round,
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -380,7 +380,7 @@
     let expected: Vec<TaskKey> = pool_state.workers[key].tasks.iter().copied().collect();
     for task in expected {
         let is_there = pool_state
-            .name(task)
+            .task_name(task)
             .is_some_and(|name| listed.contains_key(&name));
         if !is_there && must_be_listed(pool_state, task, sent_ms) {
             let why = "not among what the worker runs";
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -206,7 +206,7 @@
     reply: OrderReply,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(name) = pool_state.name(key) else {
+    let Some(name) = pool_state.task_name(key) else {
         return;
     };
     let Some(task) = pool_state.task(key) else {
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -70,7 +70,7 @@
         pool_state.set_phase(key, Phase::Starting(worker), ctx.now.ms);
     }
     let (Some(name), Some(order)) = (
-        pool_state.name(key),
+        pool_state.task_name(key),
         order_to(pool_state, worker, epoch, ctx),
     ) else {
         return;
@@ -263,7 +263,7 @@
     ctx: &mut Ctx<'_>,
 ) {
     let (Some(name), Some(order)) = (
-        pool_state.name(key),
+        pool_state.task_name(key),
         order_to(pool_state, worker, epoch, ctx),
     ) else {
         return;
@@ -513,7 +513,7 @@
         _ => return,
     };
     let run = task.run;
-    let (Some(name), Some(spec)) = (pool_state.name(key), pool_state.step_spec(key)) else {
+    let (Some(name), Some(spec)) = (pool_state.task_name(key), pool_state.step_spec(key)) else {
         return;
     };
     let leftover = LeftoverRun {
--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -82,7 +82,7 @@
     let run = pool_state.task(task).map_or(0, |t| t.run);
     let end = RunEnd {
         number: 1,
-        task: pool_state.name(task).expect("its job is there"),
+        task: pool_state.task_name(task).expect("its job is there"),
         run,
         kind: EndKind::Failed,
         checkpoint: String::new(),
