--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -236,7 +236,7 @@
         }
     }
     for key in &batch.removed {
-        pool_state.forget(*key, ctx.now.ms);
+        pool_state.drop_job(*key, ctx.now.ms);
     }
     for (task, run) in &batch.starts {
         runs::send_start(pool_state, *task, *run, epoch, ctx);
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -457,7 +457,7 @@
     }
 
     /// Drops a finished job whose rows are removed.
-    pub fn forget(&mut self, key: JobKey, now_ms: Millis) {
+    pub fn drop_job(&mut self, key: JobKey, now_ms: Millis) {
         self.recently_dropped
             .retain(|_, at_ms| now_ms < *at_ms + FORGOTTEN_KEPT_MS);
         if let Some(job) = self.jobs.remove(key) {
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -227,7 +227,7 @@
         let keys: Vec<_> = self.pool_state.jobs.keys().collect();
         if keys.len() > 2 || self.rng.bool() {
             for key in keys.into_iter().skip(1) {
-                self.pool_state.forget(key, self.now_ms);
+                self.pool_state.drop_job(key, self.now_ms);
             }
             return;
         }
