--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -34,7 +34,7 @@
     pub demand: Capacity,
     /// Worker that reported the end, and the end's number. The end is confirmed to the worker only after this run is
     /// over.
-    pub noticed: (WorkerKey, u64),
+    pub reported_end: (WorkerKey, u64),
     /// When the stop of the run was answered. A report requested later must not list the run.
     pub settled_ms: Option<Millis>,
 }
@@ -520,7 +520,7 @@
     /// up to the first whose task left another run behind.
     pub fn seen_up_to(&self, worker: WorkerKey) -> u64 {
         let recorded = self.workers.get(worker).map_or(0, |w| w.recorded);
-        let blocked = self.leftover_runs.values().map(|left| left.noticed);
+        let blocked = self.leftover_runs.values().map(|left| left.reported_end);
         let blocked = blocked.filter(|(by, _)| *by == worker);
         blocked.fold(recorded, |seen, (_, end)| seen.min(end.saturating_sub(1)))
     }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -521,7 +521,7 @@
         charge: pool_state.charge(key),
         worker,
         demand: spec.demand(),
-        noticed,
+        reported_end: noticed,
         settled_ms: None,
     };
     pool_state.keep_leftover_run(key, run, leftover);
