--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -518,7 +518,7 @@
 
     /// Returns the number of the last end that may be confirmed to a worker: ends are confirmed in order once recorded,
     /// up to the first whose task left another run behind.
-    pub fn seen_up_to(&self, worker: WorkerKey) -> u64 {
+    pub fn last_confirmable_end(&self, worker: WorkerKey) -> u64 {
         let recorded = self.workers.get(worker).map_or(0, |w| w.recorded);
         let blocked = self.leftover_runs.values().map(|left| left.reported_end);
         let blocked = blocked.filter(|(by, _)| *by == worker);
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -29,7 +29,7 @@
 
 /// Sends the next renewal to a worker unless one is out.
 pub fn send_next(pool_state: &mut PoolState, key: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    let seen = pool_state.seen_up_to(key);
+    let seen = pool_state.last_confirmable_end(key);
     let Some(w) = pool_state.workers.get_mut(key) else {
         return;
     };
@@ -237,7 +237,7 @@
     );
     drop_leftover_runs(pool_state, key, sent_ms, &report.running);
     let is_recorded = pool_state.settle_ends(key);
-    let is_blocked = pool_state.seen_up_to(key) < pool_state.workers[key].recorded;
+    let is_blocked = pool_state.last_confirmable_end(key) < pool_state.workers[key].recorded;
     if !is_recorded {
         pool_state.workers[key].renewal = RenewalPhase::Recording(ctx.now.ms);
         pool_state.recording.insert(key);
