--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -301,7 +301,7 @@
     }
 
     /// Records that a worker's end was applied. The end counts as recorded once the change that it caused is recorded.
-    pub fn note_taken(&mut self, worker: WorkerKey, number: u64, job: Option<JobKey>) {
+    pub fn note_applied_end(&mut self, worker: WorkerKey, number: u64, job: Option<JobKey>) {
         let change = job.and_then(|key| Some((key, self.jobs.get(key)?.changes)));
         let Some(w) = self.workers.get_mut(worker) else {
             return;
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -89,7 +89,7 @@
     let key = pool_state.by_id["job"];
     for worker in &workers {
         pool_state.mark_dirty(key, 100_000);
-        pool_state.note_taken(*worker, 1, Some(key));
+        pool_state.note_applied_end(*worker, 1, Some(key));
     }
     assert!(!offers(&mut pool_state), "no host's ends are on record");
     pool_state.jobs[key].recorded_changes = pool_state.jobs[key].changes;
