--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -157,9 +157,9 @@
         kept.push((key, job.changes));
     }
     let is_in = |task: &TaskKey| kept.iter().any(|(job, _)| *job == task.job);
-    let unsent = std::mem::take(&mut pool_state.unsent);
+    let unsent = std::mem::take(&mut pool_state.unsent_starts);
     let (starts, later) = unsent.into_iter().partition(|(task, _)| is_in(task));
-    pool_state.unsent = later;
+    pool_state.unsent_starts = later;
     Batch {
         tx,
         jobs: kept,
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -299,7 +299,7 @@
     task.run += 1;
     task.lost_ms = None;
     let run = task.run;
-    pool_state.unsent.push((key, run));
+    pool_state.unsent_starts.push((key, run));
     if pool_state.jobs[key.job].state == JobState::Queued {
         pool_state.set_state(key.job, JobState::Running, ctx.now.ms);
     }
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -87,7 +87,7 @@
     /// When the first of the dirty jobs became dirty.
     pub dirty_since_ms: Millis,
     /// Runs that are started once their record is committed.
-    pub unsent: Vec<(TaskKey, u32)>,
+    pub unsent_starts: Vec<(TaskKey, u32)>,
     /// Leftover runs of tasks that are done, by task and run.
     pub leftover_runs: BTreeMap<(TaskKey, u32), LeftoverRun>,
     /// Number of jobs that have not begun, by queue.
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -135,7 +135,7 @@
         decide(HEARD_MS, |ctx| {
             load::apply_intake(&mut pool_state, &row, &config(1), EPOCH, ctx);
             place::place(&mut pool_state, ctx);
-            for (task, run) in std::mem::take(&mut pool_state.unsent) {
+            for (task, run) in std::mem::take(&mut pool_state.unsent_starts) {
                 runs::send_start(&mut pool_state, task, run, EPOCH, ctx);
             }
         });
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -73,7 +73,7 @@
             place::place(&mut pool_state, ctx);
         });
         let task = pool_state.ready.first().map(|rank| rank.task);
-        let chosen = pool_state.unsent.first().and_then(|(task, _)| {
+        let chosen = pool_state.unsent_starts.first().and_then(|(task, _)| {
             let Phase::Recording(worker) = pool_state.task(*task)?.phase else {
                 return None;
             };
--- a/tests/test_starts.rs
+++ b/tests/test_starts.rs
@@ -31,10 +31,10 @@
     decide(1_000, |ctx| {
         load::apply_intake(&mut pool_state, &row, &config(1), EPOCH, ctx);
         place::place(&mut pool_state, ctx);
-        let (task, run) = pool_state.unsent[0];
+        let (task, run) = pool_state.unsent_starts[0];
         runs::send_start(&mut pool_state, task, run, EPOCH, ctx);
     });
-    let (task, _) = pool_state.unsent[0];
+    let (task, _) = pool_state.unsent_starts[0];
     (pool_state, task, worker)
 }
 
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -51,7 +51,7 @@
 /// Places what waits, and sends its starts as if that were on record.
 fn send_placed(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     place::place(pool_state, ctx);
-    for (task, run) in std::mem::take(&mut pool_state.unsent) {
+    for (task, run) in std::mem::take(&mut pool_state.unsent_starts) {
         runs::send_start(pool_state, task, run, EPOCH, ctx);
     }
 }
