--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -15,7 +15,7 @@
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
-use rockwick::core::sched::owner_lease::FormerOrders;
+use rockwick::core::sched::owner_lease::FormerHostOrders;
 use rockwick::core::sched::place;
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::routing::Routing;
@@ -237,7 +237,7 @@
     };
     let controller = || {
         let new = |ctx: &mut Ctx<'_>| {
-            let mut controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+            let mut controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
             hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
             hosts::list_read(&mut controller, list.clone());
             controller
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -9,7 +9,7 @@
 use super::listing::HostList;
 use super::moves;
 use super::offers::{Offers, OffersRow, Taken};
-use super::owner_lease::{epoch_guard, FormerOrders};
+use super::owner_lease::{epoch_guard, FormerHostOrders};
 use super::rows::{self, HostOrdersRow, WaveRow, HOST_ORDERS_KEY};
 use super::state::{Ctx, Effect, Pool, Timer, WaveKnown};
 use super::wave;
@@ -152,7 +152,7 @@
     /// host.
     pub fn new(
         rows: &[StoredRow],
-        former: &FormerOrders,
+        former: &FormerHostOrders,
         is_same_owner: bool,
         ctx: &mut Ctx<'_>,
     ) -> Self {
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -30,7 +30,7 @@
 
 /// Orders to hosts by the owner before a claim, as far as its last heartbeat reported them.
 #[derive(Clone, Debug, Default)]
-pub struct FormerOrders {
+pub struct FormerHostOrders {
     /// Latest time of an order to each host that the last heartbeat names.
     pub reported_ms: BTreeMap<String, Millis>,
     /// Time after which the former owner sent no order: the end of its lease.
@@ -67,7 +67,7 @@
     /// Epoch of this process's last ownership.
     pub held_epoch: Revision,
     /// Orders to hosts by the owner before this entry's last claim.
-    pub former_host_orders: FormerOrders,
+    pub former_host_orders: FormerHostOrders,
     /// When the last acknowledged renewal was sent.
     pub renewed_ms: Millis,
     /// Count of the last heartbeat sent, and when it was sent.
@@ -125,10 +125,10 @@
     }
 
     /// Returns the orders to hosts that the last heartbeat seen reports.
-    pub(super) fn former_orders(&self) -> FormerOrders {
+    pub(super) fn former_orders(&self) -> FormerHostOrders {
         let seen_ms = self.heartbeat_seen_ms;
         let ordered = self.heartbeat.ordered.iter();
-        FormerOrders {
+        FormerHostOrders {
             reported_ms: ordered
                 .map(|(host, age_ms)| (host.clone(), seen_ms.saturating_sub(*age_ms)))
                 .collect(),
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -4,7 +4,7 @@
 
 use rockwick::core::sched::hosts::{self, HostController, HostTask, Inputs};
 use rockwick::core::sched::offers::{Offers, OffersRow, Taken};
-use rockwick::core::sched::owner_lease::FormerOrders;
+use rockwick::core::sched::owner_lease::FormerHostOrders;
 use rockwick::core::sched::rows::{encode, HostOrdersRow};
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::port::fleet::{FleetConfig, HostRecord, HostReply, HostState, StoredRow, TxOutcome};
@@ -36,7 +36,7 @@
             revision: 1,
         };
         let told = reported_ms.iter().map(|(host, at)| (host.to_string(), *at));
-        let former = FormerOrders {
+        let former = FormerHostOrders {
             reported_ms: told.collect(),
             over_ms: 49_500,
         };
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -8,7 +8,7 @@
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::{Offers, OffersRow, OFFERS_KEY};
-use rockwick::core::sched::owner_lease::FormerOrders;
+use rockwick::core::sched::owner_lease::FormerHostOrders;
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::sizing::{self, Sizing};
@@ -76,7 +76,7 @@
         }
         let mut controller = HostController::default();
         decide(0, |ctx| {
-            controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+            controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
         });
         let sizing = Sizing::default();
         Self {
@@ -416,7 +416,7 @@
     };
     let mut controller = HostController::default();
     let effects = decide(100_000, |ctx| {
-        controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+        controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
         hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
         hosts::list_read(&mut controller, Pair::new(1).list());
         hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
@@ -446,7 +446,7 @@
     let mut offers = Offers::default();
     let mut took = 0;
     decide(100_000, |ctx| {
-        controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+        controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
     });
     for look_n in 0..10 {
         let now_ms = 100_000 + look_n * 100;
