--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -167,7 +167,7 @@
                 return;
             };
             match is_its_pool {
-                true => note_present(pool_state, &fact, offers, epoch, ctx),
+                true => apply_worker_entry(pool_state, &fact, offers, epoch, ctx),
                 // An instance of the same id has appeared in another pool.
                 false => note_gone(pool_state, &fact.id, ctx),
             }
@@ -176,7 +176,7 @@
 }
 
 /// Applies a worker's entry in the list.
-pub fn note_present(
+pub fn apply_worker_entry(
     pool_state: &mut PoolState,
     fact: &WorkerFact,
     offers: &Offers,
