--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -73,7 +73,7 @@
         }
         Event::Started(pool, id, task, run, reply) => {
             with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
-                runs::started(pool_state, task, run, reply, id.epoch, ctx)
+                runs::settle_start(pool_state, task, run, reply, id.epoch, ctx)
             });
         }
         Event::Stopped(pool, id, task, run, reply) => {
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -113,7 +113,7 @@
 }
 
 /// Applies the reply to a start and returns whether the pool is lost.
-pub fn started(
+pub fn settle_start(
     pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -162,7 +162,7 @@
         let task = self.task(index);
         let mut is_lost = false;
         decide(now_ms, |ctx| {
-            is_lost = runs::started(&mut self.pool_state, task, 1, reply, EPOCH, ctx);
+            is_lost = runs::settle_start(&mut self.pool_state, task, 1, reply, EPOCH, ctx);
         });
         is_lost
     }
--- a/tests/test_starts.rs
+++ b/tests/test_starts.rs
@@ -41,7 +41,7 @@
 fn answered(pool_state: &mut PoolState, task: TaskKey, replies: &[OrderReply]) -> Vec<Effect> {
     decide(2_000, |ctx| {
         for reply in replies {
-            runs::started(pool_state, task, 1, *reply, EPOCH, ctx);
+            runs::settle_start(pool_state, task, 1, *reply, EPOCH, ctx);
         }
     })
 }
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -74,7 +74,7 @@
 fn answer(pool_state: &mut PoolState, now_ms: u64, reply: OrderReply) -> Vec<Effect> {
     let task = key(pool_state, 0);
     decide(now_ms, |ctx| {
-        runs::started(pool_state, task, 1, reply, EPOCH, ctx);
+        runs::settle_start(pool_state, task, 1, reply, EPOCH, ctx);
     })
 }
 
