--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -78,7 +78,7 @@
         }
         Event::Stopped(pool, id, task, run, reply) => {
             with_pool_state(state, pool, id, now, &mut out, |pool_state, ctx| {
-                runs::stopped(pool_state, task, run, reply, ctx)
+                runs::settle_stop(pool_state, task, run, reply, ctx)
             });
         }
         // The worker reports the same to the next owner. Taking the report in here would delay the handover.
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -292,7 +292,7 @@
 }
 
 /// Applies the reply to a stop and returns whether the pool is lost.
-pub fn stopped(
+pub fn settle_stop(
     pool_state: &mut PoolState,
     key: TaskKey,
     run: u32,
