--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -570,7 +570,7 @@
         Timer::RenewWorker(worker) => renewal::send_next(pool_state, worker, epoch, ctx),
         Timer::ExpireLease(worker) => renewal::expire_lease(pool_state, worker, ctx),
         Timer::ResendStart(task, run) => runs::send_start(pool_state, task, run, epoch, ctx),
-        Timer::ResendStop(task, run) => runs::restop(pool_state, task, run, epoch, ctx),
+        Timer::ResendStop(task, run) => runs::resend_stop(pool_state, task, run, epoch, ctx),
         Timer::Upkeep => {
             pool_state.resort(ctx.now.ms);
             sizing::log_load(pool_state, ctx);
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -98,7 +98,7 @@
     let leftover: Vec<(TaskKey, u32)> = leftover.map(|(run, _)| *run).collect();
     for (task, run) in leftover {
         pool_state.move_leftover_run((task, run), key);
-        runs::restop(pool_state, task, run, epoch, ctx);
+        runs::resend_stop(pool_state, task, run, epoch, ctx);
     }
 }
 
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -276,7 +276,7 @@
 }
 
 /// Sends a stop again after it got no reply.
-pub fn restop(pool_state: &mut PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
+pub fn resend_stop(pool_state: &mut PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
     if pool_state.leftover_runs.contains_key(&(key, run)) {
         stop_leftover_run(pool_state, key, run, epoch, ctx);
         return;
