--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -264,7 +264,7 @@
             ends_log.add_again(end);
         } else {
             ends_log.add(pool_state, end, ctx);
-            runs::take_end(pool_state, key, end, epoch, ctx);
+            runs::apply_end(pool_state, key, end, epoch, ctx);
             let job = pool_state.by_id.get(&end.task.job).copied();
             pool_state.note_applied_end(key, end.number, job);
         }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -398,7 +398,7 @@
 }
 
 /// Applies a reported run end to its task and job.
-pub fn take_end(
+pub fn apply_end(
     pool_state: &mut PoolState,
     worker: WorkerKey,
     end: &RunEnd,
--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -90,7 +90,7 @@
     decide(NOW_MS, |ctx| {
         runs::send_start(pool_state, task, run, EPOCH, ctx);
         runs::settle_start(pool_state, task, run, OrderReply::Accepted, EPOCH, ctx);
-        runs::take_end(pool_state, worker, &end, EPOCH, ctx);
+        runs::apply_end(pool_state, worker, &end, EPOCH, ctx);
     });
     assert_eq!(pool_state.task(task).map(|t| t.phase), Some(Phase::Ready));
     worker
