--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -126,7 +126,7 @@
     }
     if let Some(id) = cancelled_job(&row.key) {
         if let Some(key) = pool_state.by_id.get(id).copied() {
-            runs::cancel(pool_state, key, epoch, ctx);
+            runs::cancel_job(pool_state, key, epoch, ctx);
         }
         return;
     }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -727,7 +727,7 @@
 }
 
 /// Ends a job that a caller cancelled.
-pub fn cancel(pool_state: &mut PoolState, key: JobKey, epoch: u64, ctx: &mut Ctx<'_>) {
+pub fn cancel_job(pool_state: &mut PoolState, key: JobKey, epoch: u64, ctx: &mut Ctx<'_>) {
     if end_job(pool_state, key, JobState::Cancelled, epoch, ctx) {
         ctx.log_job(
             Code::JobCancelled,
