--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -575,7 +575,7 @@
             pool_state.resort(ctx.now.ms);
             sizing::log_load(pool_state, ctx);
             runs::begin_due_rounds(pool_state, ctx);
-            runs::end_exhausted(pool_state, epoch, ctx);
+            runs::end_exhausted_jobs(pool_state, epoch, ctx);
             renewal::renew_stuck(pool_state, epoch, ctx);
             pool_state.wants_placing = true;
             // Equal timers at the same moment are one entry. Setting this timer only if none is pending keeps a single
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -631,7 +631,7 @@
 
 /// Ends the jobs of waiting tasks that have no attempt left. This doesn't happen as a configuration changes, because
 /// the configuration after it, which may allow more attempts, may already be there.
-pub(super) fn end_exhausted(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+pub(super) fn end_exhausted_jobs(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     let waiting = pool_state.ready.iter().map(|rank| rank.task);
     let exhausted: Vec<TaskKey> = waiting
         .filter(|task| is_exhausted(pool_state, *task))
