--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -403,7 +403,7 @@
 }
 
 /// Ends the jobs of tasks that crashed too many workers.
-pub(super) fn give_up(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
+pub(super) fn end_given_up_jobs(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     for job in std::mem::take(&mut pool_state.given_up) {
         runs::fail_job(
             pool_state,
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -665,7 +665,7 @@
             };
             let epoch = ownership.epoch;
             if let Some(pool_state) = ownership.pool_state.as_mut() {
-                crashes::give_up(pool_state, epoch, ctx);
+                crashes::end_given_up_jobs(pool_state, epoch, ctx);
                 gang::stop_broken(pool_state, epoch, ctx);
                 if pool_state.wants_placing && ctx.may_send() {
                     place::place(pool_state, ctx);
