--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -117,7 +117,7 @@
             w.is_listed = false;
             runs::end_worker(pool_state, key, &Evidence::Answer("hold"), ctx);
             clear_lease(pool_state, key);
-            forget_if_over(pool_state, key, ctx);
+            remove_if_over(pool_state, key, ctx);
         }
         Err(reply) => handle_no_answer(pool_state, key, sent_ms, reply, ctx),
     }
@@ -176,11 +176,11 @@
     if !w.tasks.is_empty() || has_leftover_runs {
         runs::end_worker(pool_state, key, &Evidence::Lapse, ctx);
     }
-    forget_if_over(pool_state, key, ctx);
+    remove_if_over(pool_state, key, ctx);
 }
 
 /// Removes a worker that is neither listed nor answering and has nothing left running.
-pub fn forget_if_over(pool_state: &mut PoolState, key: WorkerKey, ctx: &Ctx<'_>) {
+pub fn remove_if_over(pool_state: &mut PoolState, key: WorkerKey, ctx: &Ctx<'_>) {
     let Some(w) = pool_state.workers.get(key) else {
         return;
     };
@@ -350,7 +350,7 @@
     let evidence = Evidence::Report { instance, asked_ms };
     runs::end_worker(pool_state, key, &evidence, ctx);
     clear_lease(pool_state, key);
-    forget_if_over(pool_state, key, ctx);
+    remove_if_over(pool_state, key, ctx);
 }
 
 /// Clears the lease of a worker whose runs ended before it expired.
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -60,7 +60,7 @@
     let left_ms = if is_empty { 0 } else { STRAY_LEASE_MS };
     w.lease_end_ms = ctx.now.ms + left_ms;
     ctx.set_timer(left_ms, Timer::ExpireLease(key));
-    renewal::forget_if_over(pool_state, key, ctx);
+    renewal::remove_if_over(pool_state, key, ctx);
 }
 
 /// Moves runs that an instance reports to it from earlier instances of its id, because their starts reached this one.
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -255,7 +255,7 @@
         let w = &mut pool_state.workers[key];
         w.is_listed = false;
         w.is_withdrawn = w.answers;
-        renewal::forget_if_over(pool_state, key, ctx);
+        renewal::remove_if_over(pool_state, key, ctx);
     }
 }
 
