--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -105,7 +105,7 @@
             is_crash: cause != EndCause::Lease && !worker.is_leaving(),
             broke_ms: worker.broke_ms,
             is_gapless: worker.is_gapless,
-            heard_ms: worker.heard_ms,
+            heard_ms: worker.answered_ms,
         }
     }
 
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -57,7 +57,7 @@
     }
     // Ends are acknowledged only to the instance that reported them. A later instance would discard its own ends with
     // the same numbers before it had reported them.
-    let is_same_instance = w.answers && ctx.now.ms < w.heard_ms + SAME_INSTANCE_MS;
+    let is_same_instance = w.answers && ctx.now.ms < w.answered_ms + SAME_INSTANCE_MS;
     let seen = if is_same_instance { seen } else { 0 };
     let wait_ms = match (lease_until_ms, w.tasks.is_empty()) {
         (None, _) => 0,
@@ -141,7 +141,7 @@
     if w.answers {
         w.answers = false;
         w.broke_ms = is_broken.then_some(ctx.now.ms);
-        w.is_gapless = is_broken && sent_ms <= w.heard_ms + REPORT_GAP_MAX_MS;
+        w.is_gapless = is_broken && sent_ms <= w.answered_ms + REPORT_GAP_MAX_MS;
         ctx.log(
             Decision::new(
                 Code::WorkerSilent,
@@ -207,7 +207,7 @@
         w.is_going &= w.is_closing;
         pool_state.wants_placing = true;
     }
-    w.heard_ms = ctx.now.ms;
+    w.answered_ms = ctx.now.ms;
     w.first_asked_ms.get_or_insert(sent_ms);
     w.is_refusing = false;
     if w.broke_ms.take().is_some() {
@@ -314,7 +314,7 @@
     earlier.retain(|other| {
         let w = &pool_state.workers[*other];
         match w.fact.id == later.fact.id {
-            true => w.has_been_seen() && w.heard_ms < sent_ms,
+            true => w.has_been_seen() && w.answered_ms < sent_ms,
             false => w.is_succeeded_by(later),
         }
     });
@@ -331,7 +331,7 @@
     let found = pool_state
         .instances_on(&w.fact.host)
         .find(|(_, other)| w.is_succeeded_by(other))
-        .map(|(other, instance)| (other, instance.first_asked_ms.unwrap_or(instance.heard_ms)));
+        .map(|(other, instance)| (other, instance.first_asked_ms.unwrap_or(instance.answered_ms)));
     if let Some((other, asked_ms)) = found {
         end_succeeded(pool_state, key, other, asked_ms, ctx);
     }
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -358,7 +358,7 @@
         .naming("on", &*w.fact.host)
         .with("born_wall_ms", born_or_zero(w.fact.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
-        .with("unheard_ms", now_ms.saturating_sub(w.heard_ms))
+        .with("unheard_ms", now_ms.saturating_sub(w.answered_ms))
         .with("lease_left_ms", w.lease_end_ms.saturating_sub(now_ms))
         .with("taken", w.taken)
         .with("recorded", w.recorded)
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -362,7 +362,7 @@
         return false;
     };
     let worker = task.phase.worker().and_then(|w| pool_state.workers.get(w));
-    worker.is_some_and(|w| w.answers && now_ms < w.heard_ms + REPORT_MAX_AGE_MS)
+    worker.is_some_and(|w| w.answers && now_ms < w.answered_ms + REPORT_MAX_AGE_MS)
 }
 
 /// Returns the transaction that changes a wave's row, on condition that nobody else has changed it.
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -64,7 +64,7 @@
     /// Whether it answered the last renewal.
     pub answers: bool,
     /// When it last answered a renewal; 0 if never.
-    pub heard_ms: Millis,
+    pub answered_ms: Millis,
     /// When the first renewal that it answered was sent.
     pub first_asked_ms: Option<Millis>,
     /// When its list entry last changed to another address.
@@ -124,7 +124,7 @@
             lease_end_ms,
             renewal: RenewalPhase::Idle,
             answers: false,
-            heard_ms: 0,
+            answered_ms: 0,
             first_asked_ms: None,
             moved_ms: None,
             is_refusing: false,
@@ -176,13 +176,13 @@
     /// Returns whether it has answered, or was given work by this owner or a former one. Any other instance may be
     /// newer than all that this owner knows.
     pub fn has_been_seen(&self) -> bool {
-        self.heard_ms > 0 || !self.tasks.is_empty() || self.is_superseded
+        self.answered_ms > 0 || !self.tasks.is_empty() || self.is_superseded
     }
 
     /// Returns whether it has itself answered at the address in its list entry. Another instance that answers there has
     /// then taken its place.
     pub fn has_answered_at_address(&self) -> bool {
-        let is_settled = |moved_ms| self.heard_ms >= moved_ms + ADDRESS_SETTLED_MS;
+        let is_settled = |moved_ms| self.answered_ms >= moved_ms + ADDRESS_SETTLED_MS;
         self.clock.is_some() && self.moved_ms.is_none_or(is_settled)
     }
 
@@ -192,7 +192,7 @@
     pub fn is_succeeded_by(&self, later: &Worker) -> bool {
         let may_still_serve = self.fact.draining || self.is_withdrawn;
         let is_gone = self.is_refusing && !may_still_serve;
-        let answered_later = later.first_asked_ms.is_some_and(|at| self.heard_ms < at);
+        let answered_later = later.first_asked_ms.is_some_and(|at| self.answered_ms < at);
         is_gone && self.has_been_seen() && later.answers && !later.fact.draining && answered_later
     }
 
--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -16,7 +16,7 @@
     let mut pool_state = PoolState::default();
     let one = answering(&mut pool_state, worker_fact("one", ""));
     let other = answering(&mut pool_state, worker_fact("other", ""));
-    pool_state.workers[one].heard_ms = 1_000;
+    pool_state.workers[one].answered_ms = 1_000;
     let report = RenewalReport {
         born_wall_ms: None,
         clock_ms: 2_000,
@@ -105,7 +105,7 @@
     let mut pool_state = PoolState::default();
     let one = answering(&mut pool_state, worker_fact("one", "host"));
     let other = answering(&mut pool_state, worker_fact("other", "host"));
-    pool_state.workers[one].heard_ms = 1_000;
+    pool_state.workers[one].answered_ms = 1_000;
     pool_state.workers[one].is_withdrawn = true;
     pool_state.workers[one].lease_end_ms = 9_000;
     decide(1_400, |ctx| {
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -119,7 +119,7 @@
         let earlier = load::add_worker(&mut pool_state, fact(BORN_MS[0]), 0);
         let w = &mut pool_state.workers[earlier];
         w.answers = true;
-        w.heard_ms = HEARD_MS;
+        w.answered_ms = HEARD_MS;
         w.taken = 9;
         w.recorded = 9;
         w.clock = Some(ClockSample {
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -310,7 +310,7 @@
 fn told_lease_over() {
     let (mut pool_state, worker) = starting(1);
     pool_state.workers[worker].answers = false;
-    pool_state.workers[worker].heard_ms = 900;
+    pool_state.workers[worker].answered_ms = 900;
     let over_ms = pool_state.workers[worker].lease_end_ms;
     let effects = decide(over_ms, |ctx| {
         renewal::expire_lease(&mut pool_state, worker, ctx)
@@ -330,7 +330,7 @@
 #[test]
 fn told_later_life() {
     let (mut pool_state, worker) = starting(1);
-    pool_state.workers[worker].heard_ms = 900;
+    pool_state.workers[worker].answered_ms = 900;
     let left_ms = pool_state.workers[worker].lease_end_ms - 1_500;
     let later = load::add_worker(&mut pool_state, worker_fact("life-2", "host"), 0);
     let effects = decide(1_400, |ctx| {
