--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -128,7 +128,7 @@
         };
         let key = load::add_worker(&mut pool_state, fact, 0);
         let worker = &mut pool_state.workers[key];
-        worker.answers = true;
+        worker.is_answering = true;
         worker.clock = Some(ClockSample {
             local_ms: 0,
             worker_ms: 0,
--- a/src/core/sched/instances.rs
+++ b/src/core/sched/instances.rs
@@ -76,7 +76,7 @@
         let same = |w: &Worker| w.fact.born_wall_ms == born_wall_ms;
         let instances = || self.instances_of(id);
         let exact = instances().find(|(_, w)| same(w));
-        let answering = instances().find(|(_, w)| w.answers && w.has_start_time(born_wall_ms));
+        let answering = instances().find(|(_, w)| w.is_answering && w.has_start_time(born_wall_ms));
         let found = exact.or(answering);
         let found = found.or_else(|| instances().find(|(_, w)| w.has_start_time(born_wall_ms)));
         found.map(|(key, _)| key)
@@ -105,7 +105,7 @@
     /// Returns the worker on a host: the listed instance that answers, else any listed one.
     pub fn worker_on(&self, host: &str) -> Option<WorkerKey> {
         let on_host = || self.instances_on(host).filter(|(_, w)| w.is_listed);
-        let answering = on_host().find(|(_, w)| w.answers);
+        let answering = on_host().find(|(_, w)| w.is_answering);
         answering.or_else(|| on_host().next()).map(|(key, _)| key)
     }
 }
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -561,7 +561,7 @@
                 worker.is_closing = is_closing;
                 // A worker that was ordered out and does not answer has left as planned. The list of hosts shows this
                 // before the host's next instance is listed.
-                worker.is_going &= is_closing || !worker.answers;
+                worker.is_going &= is_closing || !worker.is_answering;
             }
         }
         self.wants_placing |= !is_closing;
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -50,14 +50,14 @@
         return;
     }
     // A worker that did not answer is only asked for a report: a renewal would postpone the end of its lease.
-    let clock = w.clock.filter(|_| w.answers);
+    let clock = w.clock.filter(|_| w.is_answering);
     let lease_until_ms = clock.map(|c| c.at(ctx.now.ms) + WORKER_LEASE_MS);
     if let Some(until_ms) = lease_until_ms {
         w.note_lease(until_ms);
     }
     // Ends are acknowledged only to the instance that reported them. A later instance would discard its own ends with
     // the same numbers before it had reported them.
-    let is_same_instance = w.answers && ctx.now.ms < w.answered_ms + SAME_INSTANCE_MS;
+    let is_same_instance = w.is_answering && ctx.now.ms < w.answered_ms + SAME_INSTANCE_MS;
     let seen = if is_same_instance { seen } else { 0 };
     let wait_ms = match (lease_until_ms, w.tasks.is_empty()) {
         (None, _) => 0,
@@ -138,8 +138,8 @@
     let left_ms = w.lease_end_ms.saturating_sub(ctx.now.ms);
     let is_broken = matches!(reply, OrderReply::Broken | OrderReply::Refused);
     w.is_refusing = is_broken;
-    if w.answers {
-        w.answers = false;
+    if w.is_answering {
+        w.is_answering = false;
         w.broke_ms = is_broken.then_some(ctx.now.ms);
         w.is_gapless = is_broken && sent_ms <= w.answered_ms + REPORT_GAP_MAX_MS;
         ctx.log(
@@ -166,7 +166,7 @@
     let Some(w) = pool_state.workers.get(key) else {
         return;
     };
-    if w.answers || ctx.now.ms < w.lease_end_ms {
+    if w.is_answering || ctx.now.ms < w.lease_end_ms {
         return;
     }
     let has_leftover_runs = pool_state
@@ -184,7 +184,7 @@
     let Some(w) = pool_state.workers.get(key) else {
         return;
     };
-    if w.is_listed || w.answers || ctx.now.ms < w.lease_end_ms || !w.tasks.is_empty() {
+    if w.is_listed || w.is_answering || ctx.now.ms < w.lease_end_ms || !w.tasks.is_empty() {
         return;
     }
     pool_state.remove_worker(key, ctx.now.ms);
@@ -201,8 +201,8 @@
 ) {
     let w = &mut pool_state.workers[key];
     w.fact.born_wall_ms = w.fact.born_wall_ms.or(report.born_wall_ms);
-    if !w.answers {
-        w.answers = true;
+    if !w.is_answering {
+        w.is_answering = true;
         // If the host has been reopened, the worker was only cut off and did not leave.
         w.is_going &= w.is_closing;
         pool_state.wants_placing = true;
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -55,7 +55,7 @@
     ctx.log(run_log::worker_restarted(w, born_wall_ms, "its report"));
     w.is_superseded = true;
     w.is_listed = false;
-    w.answers = false;
+    w.is_answering = false;
     let is_empty = w.tasks.is_empty() && !has_leftover_runs;
     let left_ms = if is_empty { 0 } else { STRAY_LEASE_MS };
     w.lease_end_ms = ctx.now.ms + left_ms;
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -79,7 +79,7 @@
     let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
     };
-    let Some(clock) = w.clock.filter(|_| ctx.may_send() && w.answers) else {
+    let Some(clock) = w.clock.filter(|_| ctx.may_send() && w.is_answering) else {
         ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStart(key, run));
         return;
     };
@@ -383,7 +383,7 @@
     let Some(w) = pool_state.workers.get_mut(worker) else {
         return;
     };
-    w.answers = false;
+    w.is_answering = false;
     let tasks: Vec<TaskKey> = w.tasks.iter().copied().collect();
     ctx.log(run_log::worker_over(w, evidence, ctx.now.ms));
     crashes::count_worker_end(pool_state, worker, cause, ctx);
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -389,7 +389,7 @@
     let mut offered = BTreeMap::new();
     for (key, worker) in pool_state.workers.iter().filter(|(_, w)| w.is_spare) {
         let (host, worker_id) = (&worker.fact.host, &worker.fact.id);
-        let is_idle = worker.is_listed && worker.answers && pool_state.is_drained(key);
+        let is_idle = worker.is_listed && worker.is_answering && pool_state.is_drained(key);
         let is_idle = is_idle && !worker.is_closing;
         let has_left = pool_state
             .leftover_runs
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -362,7 +362,7 @@
         return false;
     };
     let worker = task.phase.worker().and_then(|w| pool_state.workers.get(w));
-    worker.is_some_and(|w| w.answers && now_ms < w.answered_ms + REPORT_MAX_AGE_MS)
+    worker.is_some_and(|w| w.is_answering && now_ms < w.answered_ms + REPORT_MAX_AGE_MS)
 }
 
 /// Returns the transaction that changes a wave's row, on condition that nobody else has changed it.
@@ -617,7 +617,7 @@
     for host in due.iter().copied().filter(|h| may_begin(h)) {
         if let Some(key) = pool_state.worker_on(host) {
             let w = &pool_state.workers[key];
-            if w.answers && !w.fact.draining && !w.is_offered && can_clear(pool_state, key, now_ms)
+            if w.is_answering && !w.fact.draining && !w.is_offered && can_clear(pool_state, key, now_ms)
             {
                 found.push((host.to_string(), w.used.cpu_milli + w.tasks.len() as u64));
             }
--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -154,7 +154,7 @@
         });
     };
     let worker = &pool_state.workers[key];
-    Some(if !worker.answers {
+    Some(if !worker.is_answering {
         "the host's worker does not answer"
     } else if worker.fact.draining {
         "the host's worker is draining"
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -62,7 +62,7 @@
     /// State of its lease renewal.
     pub renewal: RenewalPhase,
     /// Whether it answered the last renewal.
-    pub answers: bool,
+    pub is_answering: bool,
     /// When it last answered a renewal; 0 if never.
     pub answered_ms: Millis,
     /// When the first renewal that it answered was sent.
@@ -123,7 +123,7 @@
             clock: None,
             lease_end_ms,
             renewal: RenewalPhase::Idle,
-            answers: false,
+            is_answering: false,
             answered_ms: 0,
             first_asked_ms: None,
             moved_ms: None,
@@ -153,7 +153,7 @@
     /// Returns whether it may get new tasks.
     pub fn is_open(&self, now_ms: Millis) -> bool {
         self.is_listed
-            && self.answers
+            && self.is_answering
             && self.clock.is_some()
             && !self.fact.draining
             && !self.is_closing
@@ -193,7 +193,7 @@
         let may_still_serve = self.fact.draining || self.is_withdrawn;
         let is_gone = self.is_refusing && !may_still_serve;
         let answered_later = later.first_asked_ms.is_some_and(|at| self.answered_ms < at);
-        is_gone && self.has_been_seen() && later.answers && !later.fact.draining && answered_later
+        is_gone && self.has_been_seen() && later.is_answering && !later.fact.draining && answered_later
     }
 
     /// Returns whether it was ever in the platform's list. Other workers are known only from what a former owner
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -254,7 +254,7 @@
     for key in instances {
         let w = &mut pool_state.workers[key];
         w.is_listed = false;
-        w.is_withdrawn = w.answers;
+        w.is_withdrawn = w.is_answering;
         renewal::remove_if_over(pool_state, key, ctx);
     }
 }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -34,7 +34,7 @@
 pub(crate) fn answering(pool_state: &mut PoolState, fact: WorkerFact) -> WorkerKey {
     let key = load::add_worker(pool_state, fact, 0);
     let worker = &mut pool_state.workers[key];
-    worker.answers = true;
+    worker.is_answering = true;
     worker.clock = Some(ClockSample {
         local_ms: 0,
         worker_ms: 0,
--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -27,7 +27,7 @@
     decide(2_000, |ctx| {
         renewal::settle(&mut pool_state, other, 1_500, Ok(report), EPOCH, ctx);
     });
-    let answers = pool_state.workers.get(one).map(|w| w.answers);
+    let answers = pool_state.workers.get(one).map(|w| w.is_answering);
     assert_eq!(
         answers,
         Some(true),
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -118,7 +118,7 @@
         let mut pool_state = PoolState::default();
         let earlier = load::add_worker(&mut pool_state, fact(BORN_MS[0]), 0);
         let w = &mut pool_state.workers[earlier];
-        w.answers = true;
+        w.is_answering = true;
         w.answered_ms = HEARD_MS;
         w.taken = 9;
         w.recorded = 9;
@@ -361,7 +361,7 @@
     let earlier = scene.earlier;
     let effects = scene.held(earlier, 3_030, account);
     assert_eq!(scene.phase(0), Phase::Done);
-    assert!(!scene.pool_state.workers[earlier].answers);
+    assert!(!scene.pool_state.workers[earlier].is_answering);
     assert!(!effects.iter().any(|e| matches!(e, Effect::RenewWorker(..))));
 }
 
@@ -391,7 +391,7 @@
         scene.pool_state.workers.get(stale).is_none(),
         "it is not there"
     );
-    assert!(scene.pool_state.workers[later].answers);
+    assert!(scene.pool_state.workers[later].is_answering);
     assert!(!scene.pool_state.workers[later].is_superseded);
 }
 
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -19,7 +19,7 @@
     fact.capacity.cpu_milli = rng.u64(1..5) * 4_000;
     let key = answering(pool_state, fact);
     let worker = &mut pool_state.workers[key];
-    worker.answers = rng.u32(0..5) > 0;
+    worker.is_answering = rng.u32(0..5) > 0;
     worker.fails_in_row = rng.u32(0..3);
     let taken = Capacity {
         cpu_milli: rng.u64(0..=worker.fact.capacity.cpu_milli),
@@ -95,7 +95,7 @@
         .find_instance("life-0", None)
         .expect("it was added");
     let worker = &mut pool_state.workers[key];
-    worker.answers = true;
+    worker.is_answering = true;
     let taken = worker.used;
     worker.release(TaskKey::default(), taken);
     pool_state.update_free_index(key);
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -225,7 +225,7 @@
 fn sizing_waiting_shape() {
     let mut bench = Bench::new(4);
     for worker in bench.pool_state.workers.values_mut() {
-        worker.answers = true;
+        worker.is_answering = true;
         worker.clock = Some(ClockSample {
             local_ms: 0,
             worker_ms: 0,
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -309,7 +309,7 @@
 #[test]
 fn told_lease_over() {
     let (mut pool_state, worker) = starting(1);
-    pool_state.workers[worker].answers = false;
+    pool_state.workers[worker].is_answering = false;
     pool_state.workers[worker].answered_ms = 900;
     let over_ms = pool_state.workers[worker].lease_end_ms;
     let effects = decide(over_ms, |ctx| {
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -260,7 +260,7 @@
 fn wide_host_closed() {
     let told = given_up_after(|worker| worker.is_closing = true);
     assert_eq!(told, ("its host takes no work".to_string(), true));
-    let told = given_up_after(|worker| worker.answers = false);
+    let told = given_up_after(|worker| worker.is_answering = false);
     assert_eq!(told, ("its host takes no work".to_string(), true));
 }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -490,7 +490,7 @@
         let lives = pool_state
             .workers
             .values()
-            .map(|w| (&w.fact.id, w.is_listed, w.answers, w.used));
+            .map(|w| (&w.fact.id, w.is_listed, w.is_answering, w.used));
         format!(
             "{job:?}\n{:?}\n{:?}",
             lives.collect::<Vec<_>>(),
