--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -103,7 +103,7 @@
     fn new(worker: &Worker, cause: EndCause) -> Self {
         Self {
             is_crash: cause != EndCause::Lease && !worker.is_leaving(),
-            broke_ms: worker.broke_ms,
+            broke_ms: worker.disconnected_ms,
             is_gapless: worker.is_gapless,
             heard_ms: worker.answered_ms,
         }
@@ -280,7 +280,7 @@
     }
     let lost_ms = |task: &Task| {
         let worker = task.phase.worker().and_then(|w| pool_state.workers.get(w));
-        task.lost_ms.or(worker.and_then(|w| w.broke_ms))
+        task.lost_ms.or(worker.and_then(|w| w.disconnected_ms))
     };
     let ours_ms = end.lost_ms();
     let members = gang::members(pool_state, key).into_iter();
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -574,7 +574,7 @@
         for key in self.by_host.get(host).into_iter().flatten() {
             if let Some(worker) = self.workers.get_mut(*key) {
                 // A worker whose connections broke earlier was not ordered out.
-                worker.is_going |= worker.broke_ms.is_none();
+                worker.is_going |= worker.disconnected_ms.is_none();
             }
         }
     }
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -140,7 +140,7 @@
     w.is_refusing = is_broken;
     if w.is_answering {
         w.is_answering = false;
-        w.broke_ms = is_broken.then_some(ctx.now.ms);
+        w.disconnected_ms = is_broken.then_some(ctx.now.ms);
         w.is_gapless = is_broken && sent_ms <= w.answered_ms + REPORT_GAP_MAX_MS;
         ctx.log(
             Decision::new(
@@ -210,7 +210,7 @@
     w.answered_ms = ctx.now.ms;
     w.first_asked_ms.get_or_insert(sent_ms);
     w.is_refusing = false;
-    if w.broke_ms.take().is_some() {
+    if w.disconnected_ms.take().is_some() {
         crashes::clear_connection_loss(pool_state, key);
     }
     restarts::adopt_runs(pool_state, key, &report, epoch, ctx);
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -73,7 +73,7 @@
     pub is_refusing: bool,
     /// When its connections closed: it closed one or refused one right after it had answered. It stays `None` for a
     /// worker that first falls silent, which may have been cut off, so that its runs may have ended before it crashed.
-    pub broke_ms: Option<Millis>,
+    pub disconnected_ms: Option<Millis>,
     /// Whether its last renewal followed the report before without a gap, so that no end can have gone unreported.
     pub is_gapless: bool,
     /// Number of the last end that was applied to the pool's state.
@@ -128,7 +128,7 @@
             first_asked_ms: None,
             moved_ms: None,
             is_refusing: false,
-            broke_ms: None,
+            disconnected_ms: None,
             is_gapless: false,
             taken: 0,
             recorded: 0,
