--- a/src/core/sched/instances.rs
+++ b/src/core/sched/instances.rs
@@ -15,7 +15,7 @@
     /// Adds a worker instance.
     pub fn add_worker(&mut self, mut worker: Worker) -> WorkerKey {
         worker.is_closing |= self.closing.contains(&worker.fact.host);
-        worker.is_going |= self.going.contains(&worker.fact.host);
+        worker.may_leave |= self.going.contains(&worker.fact.host);
         let (id, host) = (worker.fact.id.clone(), worker.fact.host.clone());
         if let Some(restarts) = self.restarts(&id) {
             worker.restarts = restarts;
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -561,7 +561,7 @@
                 worker.is_closing = is_closing;
                 // A worker that was ordered out and does not answer has left as planned. The list of hosts shows this
                 // before the host's next instance is listed.
-                worker.is_going &= is_closing || !worker.is_answering;
+                worker.may_leave &= is_closing || !worker.is_answering;
             }
         }
         self.wants_placing |= !is_closing;
@@ -574,7 +574,7 @@
         for key in self.by_host.get(host).into_iter().flatten() {
             if let Some(worker) = self.workers.get_mut(*key) {
                 // A worker whose connections broke earlier was not ordered out.
-                worker.is_going |= worker.disconnected_ms.is_none();
+                worker.may_leave |= worker.disconnected_ms.is_none();
             }
         }
     }
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -204,7 +204,7 @@
     if !w.is_answering {
         w.is_answering = true;
         // If the host has been reopened, the worker was only cut off and did not leave.
-        w.is_going &= w.is_closing;
+        w.may_leave &= w.is_closing;
         pool_state.wants_placing = true;
     }
     w.answered_ms = ctx.now.ms;
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -95,7 +95,7 @@
     /// Whether its host is about to leave for maintenance.
     pub is_closing: bool,
     /// Whether a maintenance slot was requested for its host, so that an order to leave may follow at any time.
-    pub is_going: bool,
+    pub may_leave: bool,
     /// Whether its host's turn in a maintenance wave is still to come.
     pub is_due: bool,
     /// Whether its host is surplus to the pool.
@@ -139,7 +139,7 @@
             suspensions: 0,
             suspended_until_ms: 0,
             is_closing: false,
-            is_going: false,
+            may_leave: false,
             is_due: false,
             is_spare: false,
             is_offered: false,
@@ -205,7 +205,7 @@
     /// Returns whether it may be about to end by a plan that it did not announce: its own, or a move or maintenance of
     /// its host.
     pub fn is_leaving(&self) -> bool {
-        self.is_offered || self.is_withdrawn || self.is_going
+        self.is_offered || self.is_withdrawn || self.may_leave
     }
 
     /// Returns its free capacity; zero for what it is overcommitted in.
