--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -280,7 +280,7 @@
     {
         cost += REMOTE_DATA_COST_MILLI;
     }
-    if spec.lasting && w.is_due {
+    if spec.lasting && w.awaits_wave {
         cost += DUE_HOST_COST_MILLI;
     }
     cost + u64::from(w.fails_in_row) * FAILURE_COST_MILLI
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -396,7 +396,7 @@
             .values()
             .any(|left| left.worker == key);
         // An empty host is kept so that its maintenance comes first.
-        let is_kept = worker.is_due && !inputs.pressed;
+        let is_kept = worker.awaits_wave && !inputs.pressed;
         let is_wanted = is_kept || sizing.withdrawn.contains(host);
         if is_idle && !has_left && !is_wanted && !offers.is_taken(host, worker_id) {
             offered.insert(host.clone(), worker_id.clone());
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -215,7 +215,7 @@
 
 fn mark_due(pool_state: &mut PoolState, due: &BTreeSet<&str>) {
     for (_, worker) in &mut pool_state.workers {
-        worker.is_due = due.contains(worker.fact.host.as_str());
+        worker.awaits_wave = due.contains(worker.fact.host.as_str());
     }
 }
 
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -97,7 +97,7 @@
     /// Whether a maintenance slot was requested for its host, so that an order to leave may follow at any time.
     pub may_leave: bool,
     /// Whether its host's turn in a maintenance wave is still to come.
-    pub is_due: bool,
+    pub awaits_wave: bool,
     /// Whether its host is surplus to the pool.
     pub is_spare: bool,
     /// Whether its host is offered to other pools or was taken by one.
@@ -140,7 +140,7 @@
             suspended_until_ms: 0,
             is_closing: false,
             may_leave: false,
-            is_due: false,
+            awaits_wave: false,
             is_spare: false,
             is_offered: false,
             is_withdrawn: false,
