--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -306,7 +306,7 @@
         let Some(w) = self.workers.get_mut(worker) else {
             return;
         };
-        w.taken = number;
+        w.taken_through = number;
         w.unrecorded.push_back(TakenEnd { number, change });
     }
 
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -77,7 +77,7 @@
     /// Whether its last renewal followed the report before without a gap, so that no end can have gone unreported.
     pub is_gapless: bool,
     /// Number of the last end that was applied to the pool's state.
-    pub taken: u64,
+    pub taken_through: u64,
     /// Number of the last end that is recorded.
     pub recorded: u64,
     /// Number of the last end that was acknowledged to the worker. Used for the log only.
@@ -130,7 +130,7 @@
             is_refusing: false,
             disconnected_ms: None,
             is_gapless: false,
-            taken: 0,
+            taken_through: 0,
             recorded: 0,
             acked_through: 0,
             unrecorded: VecDeque::new(),
