--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -319,7 +319,7 @@
             if !is_recorded(&self.jobs, end) {
                 return false;
             }
-            w.recorded = end.number;
+            w.recorded_through = end.number;
             w.unrecorded.pop_front();
         }
         true
@@ -519,7 +519,7 @@
     /// Returns the number of the last end that may be confirmed to a worker: ends are confirmed in order once recorded,
     /// up to the first whose task left another run behind.
     pub fn last_confirmable_end(&self, worker: WorkerKey) -> u64 {
-        let recorded = self.workers.get(worker).map_or(0, |w| w.recorded);
+        let recorded = self.workers.get(worker).map_or(0, |w| w.recorded_through);
         let blocked = self.leftover_runs.values().map(|left| left.reported_end);
         let blocked = blocked.filter(|(by, _)| *by == worker);
         blocked.fold(recorded, |seen, (_, end)| seen.min(end.saturating_sub(1)))
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -237,7 +237,7 @@
     );
     drop_leftover_runs(pool_state, key, sent_ms, &report.running);
     let is_recorded = pool_state.settle_ends(key);
-    let is_blocked = pool_state.last_confirmable_end(key) < pool_state.workers[key].recorded;
+    let is_blocked = pool_state.last_confirmable_end(key) < pool_state.workers[key].recorded_through;
     if !is_recorded {
         pool_state.workers[key].renewal = RenewalPhase::Recording(ctx.now.ms);
         pool_state.recording.insert(key);
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -183,7 +183,7 @@
                 .with("asked_ago_ms", ctx.now.ms.saturating_sub(self.asked_ms))
                 .with("taken_before", self.taken)
                 .with("again", self.again)
-                .with("recorded", w.recorded)
+                .with("recorded", w.recorded_through)
                 .with("told_seen", w.acked_through),
         );
         self.again = 0;
@@ -361,7 +361,7 @@
         .with("unheard_ms", now_ms.saturating_sub(w.answered_ms))
         .with("lease_left_ms", w.lease_end_ms.saturating_sub(now_ms))
         .with("taken", w.taken_through)
-        .with("recorded", w.recorded)
+        .with("recorded", w.recorded_through)
         .with("told_seen", w.acked_through)
 }
 
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -79,7 +79,7 @@
     /// Number of the last end that was applied to the pool's state.
     pub taken_through: u64,
     /// Number of the last end that is recorded.
-    pub recorded: u64,
+    pub recorded_through: u64,
     /// Number of the last end that was acknowledged to the worker. Used for the log only.
     pub acked_through: u64,
     /// Ends after `recorded`, in order.
@@ -131,7 +131,7 @@
             disconnected_ms: None,
             is_gapless: false,
             taken_through: 0,
-            recorded: 0,
+            recorded_through: 0,
             acked_through: 0,
             unrecorded: VecDeque::new(),
             unreadable: 0,
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -121,7 +121,7 @@
         w.is_answering = true;
         w.answered_ms = HEARD_MS;
         w.taken_through = 9;
-        w.recorded = 9;
+        w.recorded_through = 9;
         w.clock = Some(ClockSample {
             local_ms: HEARD_MS,
             worker_ms: EARLIER_CLOCK_MS,
