--- a/src/core/sched/instances.rs
+++ b/src/core/sched/instances.rs
@@ -34,7 +34,7 @@
 
     /// Returns how often an id has restarted, or `None` if this owner has not met the id.
     pub fn restarts(&self, id: &str) -> Option<u32> {
-        let met = self.instances_of(id).filter(|(_, w)| w.is_known());
+        let met = self.instances_of(id).filter(|(_, w)| w.has_been_listed());
         let dropped = self.dropped.get(id).map(|(restarts, _)| *restarts);
         met.map(|(_, w)| w.restarts).chain(dropped).max()
     }
@@ -46,7 +46,7 @@
         };
         self.dropped
             .retain(|_, (restarts, at_ms)| *restarts > 0 || now_ms < *at_ms + DROPPED_KEPT_MS);
-        if worker.is_known() {
+        if worker.has_been_listed() {
             let id = worker.fact.id.clone();
             let dropped = self.dropped.entry(id).or_default();
             *dropped = (dropped.0.max(worker.restarts), now_ms);
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -198,7 +198,7 @@
 
     /// Returns whether it was ever in the platform's list. Other workers are known only from what a former owner
     /// recorded.
-    pub fn is_known(&self) -> bool {
+    pub fn has_been_listed(&self) -> bool {
         self.fact.address.port() != 0
     }
 
