--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -137,7 +137,7 @@
             cpu_milli: 8_000 + 100 * (n as u64 % 70),
             ..Capacity::default()
         };
-        worker.take(TaskKey::default(), taken);
+        worker.add_task(TaskKey::default(), taken);
         pool_state.update_free_index(key);
     }
     decide(|ctx| load::apply_intake(&mut pool_state, &job("a"), &config(), 1, ctx));
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -227,7 +227,7 @@
             }
             let taken = phase.worker();
             if let Some(w) = taken.and_then(|w| self.workers.get_mut(w)) {
-                w.take(key, demand);
+                w.add_task(key, demand);
             }
             left.into_iter()
                 .chain(taken)
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -246,7 +246,7 @@
     }
 
     /// Adds a task and the capacity that it takes.
-    pub fn take(&mut self, key: TaskKey, demand: Capacity) {
+    pub fn add_task(&mut self, key: TaskKey, demand: Capacity) {
         if self.tasks.insert(key) {
             self.used.add(demand);
         }
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -259,7 +259,7 @@
         let is_open = self.pool_state.workers[key].is_open(self.now_ms);
         let worker = &mut self.pool_state.workers[key];
         if is_open && self.rng.bool() {
-            worker.take(task, demand);
+            worker.add_task(task, demand);
         } else {
             worker.release(task, demand);
         }
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -25,7 +25,7 @@
         cpu_milli: rng.u64(0..=worker.fact.capacity.cpu_milli),
         ..Capacity::default()
     };
-    worker.take(TaskKey::default(), taken);
+    worker.add_task(TaskKey::default(), taken);
     pool_state.update_free_index(key);
 }
 
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -172,7 +172,7 @@
     // All carry something; one host more is empty at each look.
     let task = TaskKey::default();
     for key in &keys {
-        pool_state.workers[*key].take(task, Capacity::default());
+        pool_state.workers[*key].add_task(task, Capacity::default());
     }
     for (n, key) in keys.iter().enumerate() {
         pool_state.workers[*key].release(task, Capacity::default());
