--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -222,7 +222,7 @@
             self.set_watched(key, phase.worker().filter(|_| is_suspect));
             let left = before.worker();
             if let Some(w) = left.and_then(|w| self.workers.get_mut(w)) {
-                w.release(key, demand);
+                w.remove_task(key, demand);
                 self.wants_placing = true;
             }
             let taken = phase.worker();
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -253,7 +253,7 @@
     }
 
     /// Removes a task and releases its capacity.
-    pub fn release(&mut self, key: TaskKey, demand: Capacity) {
+    pub fn remove_task(&mut self, key: TaskKey, demand: Capacity) {
         if self.tasks.remove(&key) {
             self.used.sub(demand);
         }
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -261,7 +261,7 @@
         if is_open && self.rng.bool() {
             worker.add_task(task, demand);
         } else {
-            worker.release(task, demand);
+            worker.remove_task(task, demand);
         }
     }
 
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -97,7 +97,7 @@
     let worker = &mut pool_state.workers[key];
     worker.is_answering = true;
     let taken = worker.used;
-    worker.release(TaskKey::default(), taken);
+    worker.remove_task(TaskKey::default(), taken);
     pool_state.update_free_index(key);
     let whole = pool_state.workers[key].fact.capacity.cpu_milli;
     assert_eq!(pool_state.free_index.workers_with_free(whole).count(), 1);
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -175,7 +175,7 @@
         pool_state.workers[*key].add_task(task, Capacity::default());
     }
     for (n, key) in keys.iter().enumerate() {
-        pool_state.workers[*key].release(task, Capacity::default());
+        pool_state.workers[*key].remove_task(task, Capacity::default());
         let now_ms = 100_000 + n as u64 * 100;
         let effects = decide(now_ms, |ctx| {
             sizing::reconcile(&mut pool_state, &mut sizing, &mut offers, &with, ctx);
