--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -214,7 +214,7 @@
         };
         let is_suspect = task.is_suspect();
         // Without this record, a new owner could not learn of the run's start if the worker is gone by then.
-        let is_news = task.begun_ms == Some(now_ms) && task.ended.is_noted();
+        let is_news = task.begun_ms == Some(now_ms) && task.ended.has_losses();
         if is_news {
             self.mark_dirty(key.job, now_ms);
         }
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -67,7 +67,7 @@
             },
             _ => TaskProgress::Idle,
         };
-        let is_reported = task.ended.is_noted() || task.seen >= Seen::Gone;
+        let is_reported = task.ended.has_losses() || task.seen >= Seen::Gone;
         let ended = WorkerLosses {
             seen: if is_reported {
                 task.seen
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -355,7 +355,7 @@
         crashes::queue_if_given_up(pool_state, key);
         return;
     }
-    let is_noted = task.ended.is_noted();
+    let is_noted = task.ended.has_losses();
     let decision = run_log::task_requeued(pool_state, key, why, asked_ms, ctx.now.ms);
     pool_state.set_phase(key, Phase::Ready, ctx.now.ms);
     if is_noted {
--- a/src/core/sched/worker_losses.rs
+++ b/src/core/sched/worker_losses.rs
@@ -76,7 +76,7 @@
     };
 
     /// Returns whether an instance has ended under the task, so that more of its runs is recorded.
-    pub fn is_noted(self) -> bool {
+    pub fn has_losses(self) -> bool {
         self.all > 0
     }
 
