--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -262,7 +262,7 @@
             return false;
         };
         let is_calm = now_ms >= self.crashed_ms + CALM_MS || now_ms >= task.since_ms + HELD_MAX_MS;
-        let waits_for_calm = task.ended.is_near_bound() && !is_calm;
+        let waits_for_calm = task.ended.is_start_limited() && !is_calm;
         waits_for_calm || now_ms < task.held_until_ms
     }
 
--- a/src/core/sched/worker_losses.rs
+++ b/src/core/sched/worker_losses.rs
@@ -82,7 +82,7 @@
 
     /// Returns whether the platform's limit on starts applies, which allows two more. The next start must then show
     /// whether the task is the cause.
-    pub fn is_near_bound(self) -> bool {
+    pub fn is_start_limited(self) -> bool {
         self.all >= STARTS_LIMITED_FROM
     }
 
