--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -345,7 +345,7 @@
     let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
     pool_state
         .task(key)
-        .is_some_and(|t| t.ended.is_too_many(lasts, t.run))
+        .is_some_and(|t| t.ended.is_over_limit(lasts, t.run))
 }
 
 /// Queues the job of a given-up task to be ended. If the step limits how many of its tasks may be away, the job
--- a/src/core/sched/worker_losses.rs
+++ b/src/core/sched/worker_losses.rs
@@ -88,7 +88,7 @@
 
     /// Returns whether the task is given up after the run `run`. A lasting task meets many ends that it didn't cause,
     /// and no other task does its work, so it is retried with a growing pause and given up only after certain crashes.
-    pub fn is_too_many(self, lasts: bool, run: u32) -> bool {
+    pub fn is_over_limit(self, lasts: bool, run: u32) -> bool {
         let is_past_third = self.third_run > 0 && run >= self.third_run + PAST_THIRD_MAX;
         if lasts {
             let is_near_bound = self.crashed >= BLAMED_MAX && is_past_third;
