--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -310,8 +310,8 @@
     if one == WorkerLosses::NONE {
         return;
     }
-    task.ended.add(one, task.run);
-    let (ended, run) = (task.ended, task.run);
+    task.losses.add(one, task.run);
+    let (ended, run) = (task.losses, task.run);
     let pause_ms = if spec.lasting { ended.pause_ms() } else { 0 };
     task.held_until_ms = ctx.now.ms + pause_ms;
     pool_state.mark_dirty(key.job, ctx.now.ms);
@@ -345,7 +345,7 @@
     let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
     pool_state
         .task(key)
-        .is_some_and(|t| t.ended.is_over_limit(lasts, t.run))
+        .is_some_and(|t| t.losses.is_over_limit(lasts, t.run))
 }
 
 /// Queues the job of a given-up task to be ended. If the step limits how many of its tasks may be away, the job
@@ -393,8 +393,8 @@
     // A lasting task meets many ends that it didn't cause, so its losses are cleared once it has outlived its start.
     // Other tasks end before that matters.
     let has_outlived_start = lasts && (ran_ms >= START_DONE_MS || task.is_at_work);
-    if has_outlived_start && task.ended != WorkerLosses::NONE {
-        task.ended = WorkerLosses::NONE;
+    if has_outlived_start && task.losses != WorkerLosses::NONE {
+        task.losses = WorkerLosses::NONE;
         pool_state.mark_dirty(key.job, now_ms);
     }
     if ran_ms >= BLAME_WINDOW_MS && pool_state.watched.remove(&key).is_some() {
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -375,7 +375,7 @@
         },
         run: row.0,
         failed_runs: row.1,
-        ended: WorkerLosses {
+        losses: WorkerLosses {
             seen: Seen::Nothing,
             ..row.3
         },
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -214,7 +214,7 @@
         };
         let is_suspect = task.is_suspect();
         // Without this record, a new owner could not learn of the run's start if the worker is gone by then.
-        let is_news = task.begun_ms == Some(now_ms) && task.ended.has_losses();
+        let is_news = task.begun_ms == Some(now_ms) && task.losses.has_losses();
         if is_news {
             self.mark_dirty(key.job, now_ms);
         }
@@ -262,7 +262,7 @@
             return false;
         };
         let is_calm = now_ms >= self.crashed_ms + CALM_MS || now_ms >= task.since_ms + HELD_MAX_MS;
-        let waits_for_calm = task.ended.is_start_limited() && !is_calm;
+        let waits_for_calm = task.losses.is_start_limited() && !is_calm;
         waits_for_calm || now_ms < task.held_until_ms
     }
 
@@ -412,7 +412,7 @@
                 step,
                 index,
             };
-            let waits = |t: &Task| t.phase == Phase::Blocked && !t.ended.is_over_limit(lasts, t.run);
+            let waits = |t: &Task| t.phase == Phase::Blocked && !t.losses.is_over_limit(lasts, t.run);
             if self.task(key).is_some_and(waits) {
                 self.set_phase(key, Phase::Ready, now_ms);
             }
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -67,14 +67,14 @@
             },
             _ => TaskProgress::Idle,
         };
-        let is_reported = task.ended.has_losses() || task.seen >= Seen::Gone;
+        let is_reported = task.losses.has_losses() || task.seen >= Seen::Gone;
         let ended = WorkerLosses {
             seen: if is_reported {
                 task.seen
             } else {
                 Seen::Nothing
             },
-            ..task.ended
+            ..task.losses
         };
         TaskRow(task.run, task.failed_runs, task_progress, ended)
     }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -326,7 +326,7 @@
 /// not use up a start of a task that crashed nothing.
 fn note_never_started(pool_state: &mut PoolState, key: TaskKey) {
     if let Some(task) = pool_state.task_mut(key) {
-        task.ended.note_never_started();
+        task.losses.note_never_started();
     }
 }
 
@@ -355,7 +355,7 @@
         crashes::queue_if_given_up(pool_state, key);
         return;
     }
-    let is_noted = task.ended.has_losses();
+    let is_noted = task.losses.has_losses();
     let decision = run_log::task_requeued(pool_state, key, why, asked_ms, ctx.now.ms);
     pool_state.set_phase(key, Phase::Ready, ctx.now.ms);
     if is_noted {
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -81,7 +81,7 @@
     /// Whether the worker reported that the task is past its start-up.
     pub is_at_work: bool,
     /// Worker instances that ended under it.
-    pub ended: WorkerLosses,
+    pub losses: WorkerLosses,
     /// When the worker of its last run ended, if it did.
     pub lost_ms: Option<Millis>,
     /// Time before which it is not placed again, because its workers crashed as they started it.
@@ -98,7 +98,7 @@
 
     /// Returns whether it may have crashed a worker.
     pub fn is_suspect(&self) -> bool {
-        self.ended.blamed > 0
+        self.losses.blamed > 0
     }
 
     /// Returns whether it is still to be placed apart from other suspects.
--- a/tests/world/crash.rs
+++ b/tests/world/crash.rs
@@ -52,7 +52,7 @@
     pub(crate) fn counted(&self) -> u32 {
         let jobs = self.owner_book().expect("an owner has books").jobs.values();
         let steps = jobs.flat_map(|j| j.rounds.values()).flat_map(|r| &r.steps);
-        let ended = steps.flat_map(|s| &s.tasks).map(|t| t.ended);
+        let ended = steps.flat_map(|s| &s.tasks).map(|t| t.losses);
         ended.map(|e| u32::from(e.crashed + e.likely)).sum()
     }
 
