--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -184,7 +184,7 @@
             return None;
         }
     };
-    let policy = policy::of(&spec, config);
+    let policy = policy::initial_policy(&spec, config);
     let step_ms = pool_state.times.expect(&spec);
     let deadlines = Deadlines::new(&spec, &step_ms, policy, ctx.now);
     *pool_state.waiting.entry(spec.queue.clone()).or_default() += 1;
--- a/src/core/sched/policy.rs
+++ b/src/core/sched/policy.rs
@@ -22,7 +22,7 @@
 };
 
 /// Returns the policy of a job that is being loaded.
-pub(super) fn of(spec: &JobSpec, config: &FleetConfig) -> QueuePolicy {
+pub(super) fn initial_policy(spec: &JobSpec, config: &FleetConfig) -> QueuePolicy {
     let accepted = spec.policy.unwrap_or(FALLBACK);
     newer(accepted, QueuePolicy::of(&spec.queue, config))
 }
