--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -279,7 +279,7 @@
     if progress.state.is_final() {
         return;
     }
-    pool_state.jobs[key].renew_policy(progress.policy, ctx.now);
+    pool_state.jobs[key].update_policy(progress.policy, ctx.now);
     let named_workers: Vec<WorkerKey> = progress
         .instances()
         .map(|(id, host, born)| {
--- a/src/core/sched/policy.rs
+++ b/src/core/sched/policy.rs
@@ -59,7 +59,7 @@
 
 impl Job {
     /// Applies a policy to the job if it is newer than the current one, and returns whether it was.
-    pub(super) fn renew_policy(&mut self, policy: Option<QueuePolicy>, now: Now) -> bool {
+    pub(super) fn update_policy(&mut self, policy: Option<QueuePolicy>, now: Now) -> bool {
         let newest = newer(self.policy, policy);
         if newest == self.policy {
             return false;
@@ -85,7 +85,7 @@
         .filter(|(_, job)| !job.state.is_final());
     let renewed = open.filter_map(|(key, job)| {
         let policy = QueuePolicy::of(&job.spec.queue, config);
-        job.renew_policy(policy, ctx.now).then_some(key)
+        job.update_policy(policy, ctx.now).then_some(key)
     });
     let renewed: Vec<JobKey> = renewed.collect();
     for key in renewed {
