--- a/src/core/sched/limits.rs
+++ b/src/core/sched/limits.rs
@@ -100,7 +100,7 @@
 
 /// An instance that started this long ago can't be reached by orders that were meant for an earlier one: twice
 /// [`WORKER_LEASE_MAX_MS`], since wall clocks differ by seconds.
-pub const YOUNG_LIFE_MS: Millis = 2 * WORKER_LEASE_MAX_MS;
+pub const YOUNG_INSTANCE_MS: Millis = 2 * WORKER_LEASE_MAX_MS;
 
 /// How long a worker with tasks may keep a renewal open while it waits for an end.
 pub const RENEWAL_WAIT_MS: Millis = 1_000;
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -7,7 +7,7 @@
 use super::job::{JobSpec, JobState};
 use super::keys::{JobKey, PoolStateId, TaskKey, WorkerKey};
 use super::limits::{
-    CLOCK_SLOW_PERCENT, LEASE_SLACK_MS, STRAY_LEASE_MS, WORKER_LEASE_MS, YOUNG_LIFE_MS,
+    CLOCK_SLOW_PERCENT, LEASE_SLACK_MS, STRAY_LEASE_MS, WORKER_LEASE_MS, YOUNG_INSTANCE_MS,
 };
 use super::policy::{self, Deadlines};
 use super::pool_state::PoolState;
@@ -105,7 +105,7 @@
 ) -> WorkerKey {
     let born_wall_ms = fact.born_wall_ms;
     let key = add_worker(pool_state, fact, began_ms);
-    let is_young = born_wall_ms.is_some_and(|ms| now.wall_ms.abs_diff(ms) < YOUNG_LIFE_MS);
+    let is_young = born_wall_ms.is_some_and(|ms| now.wall_ms.abs_diff(ms) < YOUNG_INSTANCE_MS);
     if is_young {
         let w = &mut pool_state.workers[key];
         w.lease_end_ms = w.lease_end_ms.max(now.ms + STRAY_LEASE_MS);
