--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -162,7 +162,7 @@
         Event::HostOrdered(pool, epoch, host, reply) => {
             with_host_controller(state, pool, now, &mut out, |controller, _, inputs, ctx| {
                 if inputs.epoch == epoch {
-                    hosts::ordered(controller, &host, reply, ctx);
+                    hosts::apply_reply(controller, &host, reply, ctx);
                 }
             });
         }
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -323,7 +323,7 @@
                 hosts::recorded(controller, &TxOutcome::Committed(1), EPOCH, ctx);
             }),
             Arrival::Ordered(host, reply) => self.holder(|controller, _, ctx| {
-                hosts::ordered(controller, &host, reply, ctx);
+                hosts::apply_reply(controller, &host, reply, ctx);
             }),
             Arrival::ToOwner(row) => observe(&mut self.offers, &row),
             Arrival::ToHolder(row) => observe(&mut self.seen, &row),
