--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -649,7 +649,7 @@
 }
 
 /// Applies the outcome of a change of a wave's row.
-pub fn settled(
+pub fn apply_settled(
     controller: &mut HostController,
     waves: &mut BTreeMap<u64, WaveKnown>,
     outcome: TxOutcome,
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -357,7 +357,7 @@
 
 /// Applies the outcome of a change of a grant. A pool state that is still being read looks at its grants once it is
 /// complete.
-pub fn settled(
+pub fn apply_settled(
     pool_state: Option<&mut PoolState>,
     controller: &mut QuotaController,
     pool: &str,
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -97,7 +97,7 @@
                 &mut out,
                 |pool_state, controller, waves, with, ctx| {
                     if with.0 == epoch {
-                        wave::settled(pool_state, controller, waves, outcome, ctx);
+                        wave::apply_settled(pool_state, controller, waves, outcome, ctx);
                     }
                 },
             );
@@ -110,7 +110,7 @@
                 &mut out,
                 |controller, waves, inputs, ctx| {
                     if inputs.epoch == epoch {
-                        hosts::settled(controller, waves, outcome, ctx);
+                        hosts::apply_settled(controller, waves, outcome, ctx);
                     }
                 },
             );
@@ -136,7 +136,7 @@
                 now,
                 &mut out,
                 |pool_state, controller, with, ctx| {
-                    quota::settled(pool_state, controller, with.pool, &account, outcome, ctx);
+                    quota::apply_settled(pool_state, controller, with.pool, &account, outcome, ctx);
                 },
             );
         }
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -487,7 +487,7 @@
 
 /// Applies the outcome of a change of a wave's row. A pool state that is still being read closes and opens hosts by
 /// the row later.
-pub fn settled(
+pub fn apply_settled(
     pool_state: Option<&mut PoolState>,
     controller: &mut WaveController,
     known: &mut BTreeMap<u64, WaveKnown>,
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -146,7 +146,7 @@
         let (pool_state, controller, waves) =
             (&mut self.pool_state, &mut self.controller, &mut self.waves);
         decide(2_000, |ctx| {
-            wave::settled(Some(pool_state), controller, waves, outcome, ctx);
+            wave::apply_settled(Some(pool_state), controller, waves, outcome, ctx);
         });
     }
 }
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -226,7 +226,7 @@
                 now_ms,
                 &BTreeSet::new(),
                 |pool_state, controller, with, ctx| match answer.what {
-                    Some(outcome) => quota::settled(
+                    Some(outcome) => quota::apply_settled(
                         Some(pool_state),
                         controller,
                         with.pool,
