--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -239,7 +239,7 @@
         let new = |ctx: &mut Ctx<'_>| {
             let mut controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
             hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
-            hosts::list_read(&mut controller, list.clone());
+            hosts::apply_list(&mut controller, list.clone());
             controller
         };
         decide(new).0
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -515,7 +515,7 @@
 }
 
 /// Applies the list of hosts as it was read.
-pub fn list_read(controller: &mut HostController, list: Vec<HostRecord>) {
+pub fn apply_list(controller: &mut HostController, list: Vec<HostRecord>) {
     controller.list.replace(list);
 }
 
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -174,7 +174,7 @@
             });
             with_host_controller(state, pool, now, &mut out, |controller, _, inputs, _| {
                 if inputs.epoch == epoch {
-                    hosts::list_read(controller, list);
+                    hosts::apply_list(controller, list);
                 }
             });
         }
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -60,7 +60,7 @@
         });
         // The first look asks for the list.
         holder.look();
-        hosts::list_read(&mut holder.controller, list.to_vec());
+        hosts::apply_list(&mut holder.controller, list.to_vec());
         holder
     }
 
@@ -243,7 +243,7 @@
         state: HostState::Up,
         life: String::new(),
     });
-    hosts::list_read(&mut holder.controller, list.collect());
+    hosts::apply_list(&mut holder.controller, list.collect());
     holder.look();
     holder.recorded();
     holder.taken(true);
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -363,7 +363,7 @@
             self.owner_looks();
             let list = self.list();
             self.holder(|controller, look, ctx| {
-                hosts::list_read(controller, list);
+                hosts::apply_list(controller, list);
                 hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
             });
         }
@@ -418,7 +418,7 @@
     let effects = decide(100_000, |ctx| {
         controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
         hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
-        hosts::list_read(&mut controller, Pair::new(1).list());
+        hosts::apply_list(&mut controller, Pair::new(1).list());
         hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
     });
     let is_take = |e: &Effect| matches!(e, Effect::TakeHosts(..));
@@ -457,7 +457,7 @@
             now_ms,
             |controller, look, ctx| {
                 hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
-                hosts::list_read(controller, Pair::new(1).list());
+                hosts::apply_list(controller, Pair::new(1).list());
             },
             &mut controller,
         );
