--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -105,7 +105,7 @@
     });
     if is_conflict {
         with_host_controller(state, key, now, out, |controller, waves, inputs, ctx| {
-            hosts::retake(controller, waves, inputs, ctx);
+            hosts::retry_take(controller, waves, inputs, ctx);
         });
     }
 }
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -302,7 +302,7 @@
 }
 
 /// Looks for hosts to move again at once after a take failed, since the pool's newest offers are known now.
-pub fn retake(
+pub fn retry_take(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
     inputs: &Inputs<'_>,
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -483,7 +483,7 @@
                 |controller, look, ctx| {
                     hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
                     if !is_newest {
-                        hosts::retake(controller, &BTreeMap::new(), look, ctx);
+                        hosts::retry_take(controller, &BTreeMap::new(), look, ctx);
                     }
                 },
                 &mut controller,
