--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -169,7 +169,7 @@
         Event::HostsRead(pool, epoch, list) => {
             with_wave_controller(state, pool, now, &mut out, |_, controller, _, with, _| {
                 if with.0 == epoch {
-                    wave::hosts_read(controller, list.clone());
+                    wave::apply_list(controller, list.clone());
                 }
             });
             with_host_controller(state, pool, now, &mut out, |controller, _, inputs, _| {
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -551,7 +551,7 @@
 }
 
 /// Applies the list of hosts as it was read.
-pub fn hosts_read(controller: &mut WaveController, hosts: Vec<HostRecord>) {
+pub fn apply_list(controller: &mut WaveController, hosts: Vec<HostRecord>) {
     controller.hosts.replace(hosts);
 }
 
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -118,9 +118,9 @@
             state: HostState::Up,
             life: "life".to_string(),
         });
-        wave::hosts_read(&mut turn.controller, hosts.to_vec());
+        wave::apply_list(&mut turn.controller, hosts.to_vec());
         assert!(!turn.look(1_500), "the list is read anew");
-        wave::hosts_read(&mut turn.controller, hosts.to_vec());
+        wave::apply_list(&mut turn.controller, hosts.to_vec());
         assert!(turn.look(2_000), "the host is given back");
         turn
     }
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -218,7 +218,7 @@
         state: HostState::Up,
         life: "life-1".to_string(),
     };
-    wave::hosts_read(&mut controller, vec![old]);
+    wave::apply_list(&mut controller, vec![old]);
     let order = WaveOrder {
         wave: 1,
         hosts: vec!["new".to_string()],
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -96,7 +96,7 @@
             state,
             life: "life-2".to_string(),
         };
-        wave::hosts_read(&mut self.controller, vec![record]);
+        wave::apply_list(&mut self.controller, vec![record]);
     }
 }
 
