--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -29,7 +29,7 @@
     ctx: &mut Ctx<'_>,
 ) {
     for row in rows {
-        if let Err(e) = offers.observe(row) {
+        if let Err(e) = offers.apply_row(row) {
             ctx.log(Decision::new(Code::BadRow, Subject::Pool, pool, e));
         }
     }
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -665,7 +665,7 @@
         TxOutcome::Committed(revision) => known.apply_write(change.row, change.after, revision),
         TxOutcome::Conflict(found) => {
             for (_, row) in found {
-                wave::observe(known, &row, ctx);
+                wave::apply_row(known, &row, ctx);
             }
         }
         TxOutcome::Refused | TxOutcome::Unknown => {}
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -48,7 +48,7 @@
 
 impl Offers {
     /// Applies the row as it was read, unless it is older than the known one.
-    pub fn observe(&mut self, row: &StoredRow) -> Result<(), String> {
+    pub fn apply_row(&mut self, row: &StoredRow) -> Result<(), String> {
         if row.revision <= self.revision {
             return Ok(());
         }
@@ -66,7 +66,7 @@
         if found == self.row {
             self.revision = row.revision;
         }
-        self.observe(row)
+        self.apply_row(row)
     }
 
     /// Whether the host is on offer, or may be, by any worker instance: whoever takes it may not know of a later
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -200,7 +200,7 @@
         timers: &mut state.timers,
         out,
     };
-    wave::observe(wave, row, &mut ctx);
+    wave::apply_row(wave, row, &mut ctx);
 }
 
 fn apply_operator_event(state: &mut State, change: OperatorEvent, now: Now, out: &mut Vec<Effect>) {
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -507,7 +507,7 @@
         }
         TxOutcome::Conflict(found) => {
             for (_, row) in found {
-                observe(wave, &row, ctx);
+                apply_row(wave, &row, ctx);
             }
             // An earlier attempt of ours may have taken effect.
             wave.row == pending.row
@@ -542,7 +542,7 @@
 }
 
 /// Applies a wave's row that was read or that a conflict returned.
-pub fn observe(wave: &mut WaveKnown, row: &StoredRow, ctx: &mut Ctx<'_>) {
+pub fn apply_row(wave: &mut WaveKnown, row: &StoredRow, ctx: &mut Ctx<'_>) {
     let Some(value) = &row.value else { return };
     match rows::decode(value) {
         Ok(decoded) => wave.apply_read(decoded, row.revision),
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -372,7 +372,7 @@
 
 fn observe(offers: &mut Offers, row: &StoredRow) {
     if row.revision > 0 {
-        offers.observe(row).expect("the row decodes");
+        offers.apply_row(row).expect("the row decodes");
     }
 }
 
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -34,7 +34,7 @@
     };
     let mut offers = Offers::default();
     let fed = stored(OFFERS_KEY, rows::encode(&new), 11);
-    offers.observe(&fed).expect("it can be read");
+    offers.apply_row(&fed).expect("it can be read");
     let found = stored(OFFERS_KEY, rows::encode(&OffersRow::default()), 10);
     offers.observe_found(&found).expect("it can be read");
     assert!(offers.is_offered(HOST), "the feed told it at revision 11");
@@ -54,8 +54,8 @@
     let fed = stored("1", rows::encode(&new), 11);
     let found = stored("1", rows::encode(&WaveRow::default()), 10);
     decide(1_000, |ctx| {
-        wave::observe(&mut known, &fed, ctx);
-        wave::observe(&mut known, &found, ctx);
+        wave::apply_row(&mut known, &fed, ctx);
+        wave::apply_row(&mut known, &found, ctx);
     });
     assert!(
         known.row.out.contains_key(HOST),
@@ -139,7 +139,7 @@
     fn row(&mut self, row: &WaveRow, revision: u64) {
         let known = self.waves.get_mut(&1).expect("it is there");
         let row = stored("1", rows::encode(row), revision);
-        decide(2_000, |ctx| wave::observe(known, &row, ctx));
+        decide(2_000, |ctx| wave::apply_row(known, &row, ctx));
     }
 
     fn answer(&mut self, outcome: TxOutcome) {
