--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -49,7 +49,7 @@
             return;
         }
         match outcome {
-            TxOutcome::Committed(revision) => pool.offers.changed(revision),
+            TxOutcome::Committed(revision) => pool.offers.apply_change(revision),
             TxOutcome::Conflict(found) => {
                 pool.offers.pending = None;
                 observe_found(&mut pool.offers, &pool.name, &found, ctx);
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -110,7 +110,7 @@
     }
 
     /// Applies the owner's change, which was written.
-    pub fn changed(&mut self, revision: Revision) {
+    pub fn apply_change(&mut self, revision: Revision) {
         let Some(row) = self.pending.take() else {
             return;
         };
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -300,7 +300,7 @@
     fn arrive(&mut self, what: Arrival) {
         match what {
             Arrival::Settled(outcome) => match outcome {
-                TxOutcome::Committed(revision) => self.offers.changed(revision),
+                TxOutcome::Committed(revision) => self.offers.apply_change(revision),
                 TxOutcome::Conflict(found) => {
                     self.offers.pending = None;
                     observe(&mut self.offers, &found[0].1);
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -185,7 +185,7 @@
             .any(|e| matches!(e, Effect::SettleOffers(..)))
         {
             changes.push(now_ms);
-            offers.changed(n as u64 + 1);
+            offers.apply_change(n as u64 + 1);
         }
     }
     assert!(changes.len() >= 2, "{changes:?}");
