--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -96,7 +96,7 @@
     let is_conflict = matches!(outcome, TxOutcome::Conflict(_));
     with_pool(state, donor, now, out, |pool, ctx, _| {
         match (outcome, written) {
-            (TxOutcome::Committed(revision), Some(row)) => pool.offers.took(row, revision),
+            (TxOutcome::Committed(revision), Some(row)) => pool.offers.replace_row(row, revision),
             (TxOutcome::Conflict(found), _) => {
                 observe_found(&mut pool.offers, &pool.name, &found, ctx);
             }
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -114,11 +114,11 @@
         let Some(row) = self.pending.take() else {
             return;
         };
-        self.took(row, revision);
+        self.replace_row(row, revision);
     }
 
     /// Applies a row that was written in place of the known one.
-    pub fn took(&mut self, row: OffersRow, revision: Revision) {
+    pub fn replace_row(&mut self, row: OffersRow, revision: Revision) {
         if revision > self.revision {
             self.row = row;
             self.revision = revision;
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -104,7 +104,7 @@
         let effects = self.with_ctx(|controller, _, ctx| {
             row = hosts::taken(controller, "idle", &outcome, EPOCH, ctx);
         });
-        self.offers.took(row.unwrap_or_default(), 10);
+        self.offers.replace_row(row.unwrap_or_default(), 10);
         effects
     }
 }
@@ -158,7 +158,7 @@
     holder.look();
     holder.recorded();
     assert_eq!(moves(&holder.taken(false)), []);
-    holder.offers.took(OffersRow::default(), 11);
+    holder.offers.replace_row(OffersRow::default(), 11);
     holder.now_ms += 2_000;
     let effects = holder.look();
     assert_eq!((moves(&effects), takes(&effects)), (vec![], 0));
@@ -174,7 +174,7 @@
     holder.now_ms += 500;
     assert_eq!(moves(&holder.look()), to_busy(), "it is taken: sent again");
     holder.with_ctx(|controller, _, ctx| hosts::apply_reply(controller, "h1", HostReply::Silent, ctx));
-    holder.offers.took(OffersRow::default(), 12);
+    holder.offers.replace_row(OffersRow::default(), 12);
     holder.now_ms += 500;
     assert_eq!(moves(&holder.look()), [], "it is not taken any more");
 }
