--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -55,7 +55,7 @@
                 observe_found(&mut pool.offers, &pool.name, &found, ctx);
             }
             TxOutcome::Refused => pool.offers.pending = None,
-            TxOutcome::Unknown => pool.offers.left_open(),
+            TxOutcome::Unknown => pool.offers.keep_unsure(),
         }
     });
 }
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -127,7 +127,7 @@
     }
 
     /// Keeps the offers of the owner's change, which got no answer, as unsure.
-    pub fn left_open(&mut self) {
+    pub fn keep_unsure(&mut self) {
         let Some(row) = self.pending.take() else {
             return;
         };
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -306,7 +306,7 @@
                     observe(&mut self.offers, &found[0].1);
                 }
                 TxOutcome::Refused => self.offers.pending = None,
-                TxOutcome::Unknown => self.offers.left_open(),
+                TxOutcome::Unknown => self.offers.keep_unsure(),
             },
             Arrival::Taken(outcome) => {
                 let mut row = None;
