--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -90,7 +90,7 @@
 
     /// Returns the owner's change to the offers, if one is needed and none is being written. `is_known` says
     /// whether the pool state has a worker instance: a taken host whose instance is gone needs no mark any more.
-    pub fn change(
+    pub fn prepare_change(
         &mut self,
         part: &str,
         epoch: Revision,
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -409,7 +409,7 @@
         mark_offered(pool_state, offers);
         return;
     }
-    if let Some(tx) = offers.change(inputs.pool, inputs.epoch, offered, is_known) {
+    if let Some(tx) = offers.prepare_change(inputs.pool, inputs.epoch, offered, is_known) {
         sizing.offered_ms = ctx.now.ms;
         ctx.out
             .push(Effect::SettleOffers(ctx.pool, inputs.epoch, tx));
