--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -337,7 +337,7 @@
         let Some(row) = with_taken(controller, need, inputs.epoch, ctx.now.ms) else {
             continue;
         };
-        let tx = need.offers.write(need.pool, &row);
+        let tx = need.offers.row_tx(need.pool, &row);
         controller.taking.insert(need.pool.to_string(), row);
         let pool = need.pool.to_string();
         ctx.out
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -103,7 +103,7 @@
         let mut row = self.row.clone();
         row.offered = offered;
         row.taken.retain(|_, taken| is_known(&taken.life));
-        let mut tx = self.write(part, &row);
+        let mut tx = self.row_tx(part, &row);
         tx.guards.push(epoch_guard(epoch));
         self.pending = Some(row);
         Some(tx)
@@ -138,7 +138,7 @@
     }
 
     /// Returns the transaction that replaces the known row by `row`.
-    pub fn write(&self, part: &str, row: &OffersRow) -> RowTx {
+    pub fn row_tx(&self, part: &str, row: &OffersRow) -> RowTx {
         RowTx {
             part: part.to_string(),
             guards: vec![Guard {
