--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -63,7 +63,7 @@
 /// Applies the row of offers that a conflict returned, and logs it if it cannot be decoded.
 fn observe_found(offers: &mut Offers, pool: &str, found: &[(Table, StoredRow)], ctx: &mut Ctx<'_>) {
     let Some(row) = offers_in(found) else { return };
-    if let Err(e) = offers.observe_found(row) {
+    if let Err(e) = offers.apply_conflict_row(row) {
         ctx.log(Decision::new(Code::BadRow, Subject::Pool, pool, e));
     }
 }
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -61,7 +61,7 @@
     /// Applies the row that a conflict returned. If it equals the known row at a lower revision, an answer had
     /// named a newer revision than the row's, and a condition on that revision would never be met. A late conflict
     /// may return an older row, which differs from the known one.
-    pub fn observe_found(&mut self, row: &StoredRow) -> Result<(), String> {
+    pub fn apply_conflict_row(&mut self, row: &StoredRow) -> Result<(), String> {
         let found: OffersRow = rows::decode(row.value.as_deref().unwrap_or_default())?;
         if found == self.row {
             self.revision = row.revision;
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -36,7 +36,7 @@
     let fed = stored(OFFERS_KEY, rows::encode(&new), 11);
     offers.apply_row(&fed).expect("it can be read");
     let found = stored(OFFERS_KEY, rows::encode(&OffersRow::default()), 10);
-    offers.observe_found(&found).expect("it can be read");
+    offers.apply_conflict_row(&found).expect("it can be read");
     assert!(offers.is_offered(HOST), "the feed told it at revision 11");
 }
 
