--- a/src/core/sched/accounts.rs
+++ b/src/core/sched/accounts.rs
@@ -86,7 +86,7 @@
             return;
         };
         let account = self.account_mut(account);
-        let is_within = account.weight == 0 || account.meter.takes(account.weight, now_ms);
+        let is_within = account.weight == 0 || account.meter.try_take(account.weight, now_ms);
         self.jobs[key].is_excess = !is_within;
     }
 
--- a/src/core/sched/fairness.rs
+++ b/src/core/sched/fairness.rs
@@ -32,7 +32,7 @@
 impl Meter {
     /// Takes a token for a job that arrives now, from a bucket that refills with `weight` jobs per second. Returns
     /// false without taking one if the bucket is empty.
-    pub fn takes(&mut self, weight: u64, now_ms: Millis) -> bool {
+    pub fn try_take(&mut self, weight: u64, now_ms: Millis) -> bool {
         let size_milli = (weight * BURST_MS).max(BURST_JOBS_MIN * JOB_MILLI);
         let regained_milli = weight * now_ms.saturating_sub(self.at_ms);
         self.spent_milli = self.spent_milli.saturating_sub(regained_milli);
--- a/tests/test_fairness.rs
+++ b/tests/test_fairness.rs
@@ -19,18 +19,18 @@
 #[test]
 fn fairness_meter() {
     let mut meter = Meter::default();
-    let within = (0..20).filter(|n| meter.takes(10, 5_000 + n)).count();
+    let within = (0..20).filter(|n| meter.try_take(10, 5_000 + n)).count();
     assert_eq!(within, 10, "a second's worth at once");
-    assert!(!meter.takes(10, 5_050));
-    assert!(meter.takes(10, 5_150), "and one each 100 ms");
-    assert!(!meter.takes(10, 5_160));
+    assert!(!meter.try_take(10, 5_050));
+    assert!(meter.try_take(10, 5_150), "and one each 100 ms");
+    assert!(!meter.try_take(10, 5_160));
     let mut small = Meter::default();
     assert!(
-        small.takes(1, 9_000) && small.takes(1, 9_000),
+        small.try_take(1, 9_000) && small.try_take(1, 9_000),
         "two at a time at the least"
     );
-    assert!(!small.takes(1, 9_000));
-    assert!(small.takes(1, 10_100));
+    assert!(!small.try_take(1, 9_000));
+    assert!(small.try_take(1, 10_100));
 }
 
 /// One account floods a pool with three times what it holds, five others send what they were promised: jobs of theirs
