--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -480,7 +480,7 @@
     if step.longest_ms > 0 {
         let estimate_ms = job.spec.steps[usize::from(key.step)].estimate_ms;
         let took_ms = step.longest_ms;
-        pool_state.times.note(&job.spec.queue, estimate_ms, took_ms);
+        pool_state.times.record(&job.spec.queue, estimate_ms, took_ms);
     }
     if round.steps.iter().any(|s| s.tasks_left > 0) {
         pool_state.open_steps(key.job, key.round, ctx.now.ms);
--- a/src/core/sched/times.rs
+++ b/src/core/sched/times.rs
@@ -65,7 +65,7 @@
 
 impl Times {
     /// Records that a step with this estimate took `took_ms`, which is the time of its longest task.
-    pub fn note(&mut self, queue: &str, estimate_ms: Millis, took_ms: Millis) {
+    pub fn record(&mut self, queue: &str, estimate_ms: Millis, took_ms: Millis) {
         let times = match self.by_queue.get_mut(queue) {
             Some(times) => times,
             None => self.by_queue.entry(queue.to_string()).or_default(),
--- a/tests/test_times.rs
+++ b/tests/test_times.rs
@@ -19,7 +19,7 @@
     let mut times = Times::default();
     for n in 0..40 {
         let estimate_ms = if n % 2 == 0 { 200 } else { 5_000 };
-        times.note(QUEUE, estimate_ms, 900 + n * 5);
+        times.record(QUEUE, estimate_ms, 900 + n * 5);
     }
     let low_ms = expected_ms(&times, 200);
     assert!((700..1_100).contains(&low_ms), "{low_ms}");
@@ -33,7 +33,7 @@
     for n in 0..40 {
         // Always half of what it takes, whatever that is.
         let took_ms = 400 + 400 * (n % 10);
-        times.note(QUEUE, took_ms / 2, took_ms);
+        times.record(QUEUE, took_ms / 2, took_ms);
     }
     let expected_ms = expected_ms(&times, 1_500);
     assert!((2_500..3_300).contains(&expected_ms), "{expected_ms}");
@@ -43,7 +43,7 @@
 fn times_survive_takeover() {
     let mut times = Times::default();
     for n in 0..40 {
-        times.note(QUEUE, 100 + n, 1_000);
+        times.record(QUEUE, 100 + n, 1_000);
     }
     let text = serde_json::to_string(&times).expect("plain numbers");
     let read: Times = serde_json::from_str(&text).expect("as written");
