--- a/src/core/sched/accounts.rs
+++ b/src/core/sched/accounts.rs
@@ -81,7 +81,7 @@
     }
 
     /// Counts a newly arrived job against its account's weight.
-    pub fn meter(&mut self, key: JobKey, now_ms: Millis) {
+    pub fn meter_job(&mut self, key: JobKey, now_ms: Millis) {
         let Some(account) = self.jobs.get(key).and_then(|job| job.account) else {
             return;
         };
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -139,7 +139,7 @@
         return;
     }
     if let Some(key) = add_job(pool_state, row, config, ctx) {
-        pool_state.meter(key, ctx.now.ms);
+        pool_state.meter_job(key, ctx.now.ms);
         begin_if_new(pool_state, key, ctx);
         let Some(job) = pool_state.jobs.get(key) else {
             return;
