--- a/src/core/sched/overload.rs
+++ b/src/core/sched/overload.rs
@@ -41,7 +41,7 @@
 impl Supply {
     /// Returns the core-milliseconds of work, in tasks of `task_ms`, that can be started within `ms`. Free
     /// processors take tasks at once, and busy ones as their tasks end.
-    pub fn startable(&self, ms: Millis, task_ms: Millis) -> u64 {
+    pub fn startable_core_ms(&self, ms: Millis, task_ms: Millis) -> u64 {
         let more_milli = self.coming_cpu_milli.saturating_sub(self.now_cpu_milli);
         let more_ms = match ms.checked_sub(self.coming_in_ms) {
             Some(left_ms) => left_ms + task_ms,
@@ -74,7 +74,7 @@
     for job in jobs {
         kept.push((job.work, job.job));
         sum += job.work;
-        let startable_work = supply.startable(job.start_by_ms.saturating_sub(now_ms), job.task_ms);
+        let startable_work = supply.startable_core_ms(job.start_by_ms.saturating_sub(now_ms), job.task_ms);
         while sum > startable_work {
             let Some((work, largest)) = kept.pop() else {
                 break;
--- a/tests/test_overload.rs
+++ b/tests/test_overload.rs
@@ -67,7 +67,7 @@
     assert_eq!(behind(&jobs, &cores(5)), [1]);
     assert!(behind(&jobs, &soon).is_empty());
     assert_eq!(
-        soon.startable(4_000, 1_000),
+        soon.startable_core_ms(4_000, 1_000),
         58_500,
         "5 cores for 4 s, 15 more for 2 s and a task"
     );
@@ -76,7 +76,7 @@
         ..cores(5)
     };
     assert_eq!(
-        free.startable(0, 1_000),
+        free.startable_core_ms(0, 1_000),
         4_500,
         "what is free takes a task each at once"
     );
