--- a/src/core/sched/overload.rs
+++ b/src/core/sched/overload.rs
@@ -62,7 +62,7 @@
     /// Duration of the tasks of its longest step.
     pub task_ms: Millis,
     /// Work of its tasks that have not started, in core-milliseconds.
-    pub work: u64,
+    pub work_core_ms: u64,
 }
 
 /// Returns the jobs to defer so that the others can be in time.
@@ -72,8 +72,8 @@
     let mut sum = 0;
     let mut deferred = Vec::new();
     for job in jobs {
-        kept.push((job.work, job.job));
-        sum += job.work;
+        kept.push((job.work_core_ms, job.job));
+        sum += job.work_core_ms;
         let startable_work = supply.startable_core_ms(job.start_by_ms.saturating_sub(now_ms), job.task_ms);
         while sum > startable_work {
             let Some((work, largest)) = kept.pop() else {
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -221,7 +221,7 @@
             job: key,
             start_by_ms: self.due_ms.saturating_sub(task_ms),
             task_ms,
-            work,
+            work_core_ms: work,
         }
     }
 
--- a/tests/test_overload.rs
+++ b/tests/test_overload.rs
@@ -20,7 +20,7 @@
             job: keys.insert(n),
             start_by_ms: *start_by_ms,
             task_ms: 1_000,
-            work: *work,
+            work_core_ms: *work,
         });
     let contenders = contenders.collect();
     let mut places: Vec<usize> = jobs_to_defer(contenders, supply, 0)
