--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -28,7 +28,7 @@
 
 /// The outcome of an exchange with a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum ExchangeOutcome {
     /// It answered completely and without a server error.
     Good,
     /// It refused the request before running it: it is alive and full.
@@ -60,15 +60,15 @@
 
 impl Health {
     /// Records an outcome. `may_eject` says whether the number of ejected backend servers allows one more.
-    pub fn note(&mut self, sign: Sign, may_eject: bool, now_ms: Millis) -> Change {
+    pub fn note(&mut self, sign: ExchangeOutcome, may_eject: bool, now_ms: Millis) -> Change {
         match sign {
-            Sign::Full => {
+            ExchangeOutcome::Full => {
                 let full_ms = (FULL_MS << self.refusals.min(16)).min(FULL_MAX_MS);
                 self.refusals += 1;
                 self.full_until_ms = now_ms + full_ms;
                 Change::None
             }
-            Sign::Good => {
+            ExchangeOutcome::Good => {
                 self.failures = 0;
                 self.refusals = 0;
                 let was_out = std::mem::take(&mut self.ejections) > 0;
@@ -78,7 +78,7 @@
                     Change::None
                 }
             }
-            Sign::Bad => self.note_bad(may_eject, now_ms),
+            ExchangeOutcome::Bad => self.note_bad(may_eject, now_ms),
         }
     }
 
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -13,7 +13,7 @@
 use crate::clock::Millis;
 use crate::core::admit::{Queue, Shed};
 use crate::core::config::Class;
-use crate::core::health::{self, Change, Health, Sign};
+use crate::core::health::{self, Change, Health, ExchangeOutcome};
 use crate::core::retry::RetryBudget;
 use crate::core::route::{self, Candidate, Window};
 use crate::core::routes::BackendSpec;
@@ -219,23 +219,23 @@
 
 impl Place {
     /// Takes in what the exchange says about the backend server.
-    pub(super) fn note(&self, sign: Sign, route: &Route, shared: &Shared) {
+    pub(super) fn note(&self, sign: ExchangeOutcome, route: &Route, shared: &Shared) {
         let now_ms = shared.clock.now_ms();
         // Only a bad sign can eject, so only then the others are looked at.
         let ejected = match sign {
-            Sign::Bad => route
+            ExchangeOutcome::Bad => route
                 .backends
                 .iter()
                 .filter(|b| b.is_ejected(now_ms))
                 .count(),
-            Sign::Good | Sign::Full => 0,
+            ExchangeOutcome::Good | ExchangeOutcome::Full => 0,
         };
         let may_eject = health::may_eject(ejected, route.backends.len());
         let change = {
             let mut judged = lock(&self.backend.judged);
             match sign {
-                Sign::Full => judged.window.shrink(),
-                Sign::Good if self.at_window => judged.window.grow(),
+                ExchangeOutcome::Full => judged.window.shrink(),
+                ExchangeOutcome::Good if self.at_window => judged.window.grow(),
                 _ => {}
             }
             let size = judged.window.size();
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -10,7 +10,7 @@
 use super::shared::{Route, Shared};
 use crate::clock::Millis;
 use crate::core::config::Class;
-use crate::core::health::Sign;
+use crate::core::health::ExchangeOutcome;
 use crate::core::retry::{Cost, RetryBudget};
 use crate::error::{Failure, Kind, Run};
 use crate::event::{Code, Decision, Subject};
@@ -163,7 +163,7 @@
         let took_ms = self.shared.clock.now_ms() - began_ms;
         let (sign, outcome) = judge(result);
         place.note(sign, self.route, self.shared);
-        if sign == Sign::Good {
+        if sign == ExchangeOutcome::Good {
             self.route.lane.note_exchange(took_ms);
         }
         if let Err(Miss::Refused) = &outcome {
@@ -243,19 +243,19 @@
 }
 
 /// What an exchange says about the backend server, and about the run.
-fn judge(result: Result<Answer, Trouble>) -> (Sign, Result<Answer, Miss>) {
+fn judge(result: Result<Answer, Trouble>) -> (ExchangeOutcome, Result<Answer, Miss>) {
     match result {
         // The refusal convention: 503 together with `Rockwick-Run: no`.
         Ok(a) if a.status == 503 && a.header("rockwick-run") == Some("no") => {
-            (Sign::Full, Err(Miss::Refused))
+            (ExchangeOutcome::Full, Err(Miss::Refused))
         }
-        Ok(a) if a.status >= 500 => (Sign::Bad, Ok(a)),
-        Ok(a) => (Sign::Good, Ok(a)),
-        Err(trouble) if trouble.sent() == Sent::Nothing => (Sign::Bad, Err(Miss::Unreached)),
-        Err(Trouble::Timeout(_)) => (Sign::Bad, Err(Miss::Lost(Kind::BackendTimeout))),
+        Ok(a) if a.status >= 500 => (ExchangeOutcome::Bad, Ok(a)),
+        Ok(a) => (ExchangeOutcome::Good, Ok(a)),
+        Err(trouble) if trouble.sent() == Sent::Nothing => (ExchangeOutcome::Bad, Err(Miss::Unreached)),
+        Err(Trouble::Timeout(_)) => (ExchangeOutcome::Bad, Err(Miss::Lost(Kind::BackendTimeout))),
         // It answered, and too much: that says nothing about its health.
-        Err(Trouble::TooLarge) => (Sign::Good, Err(Miss::Lost(Kind::AnswerTooLarge))),
-        Err(_) => (Sign::Bad, Err(Miss::Lost(Kind::BackendBroken))),
+        Err(Trouble::TooLarge) => (ExchangeOutcome::Good, Err(Miss::Lost(Kind::AnswerTooLarge))),
+        Err(_) => (ExchangeOutcome::Bad, Err(Miss::Lost(Kind::BackendBroken))),
     }
 }
 
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -8,7 +8,7 @@
 
 use bpaf::{construct, long, Parser};
 use hdrhistogram::Histogram;
-use rockwick::core::health::{may_eject, share_percent, Health, Sign};
+use rockwick::core::health::{may_eject, share_percent, Health, ExchangeOutcome};
 use rockwick::core::retry::{Cost, RetryBudget};
 use rockwick::core::route::{pick, Candidate, Window};
 
@@ -379,14 +379,14 @@
         let at_window = v.in_flight >= v.window.size();
         v.in_flight -= 1;
         let sign = match outcome {
-            GOOD => Sign::Good,
-            FULL => Sign::Full,
-            _ => Sign::Bad,
+            GOOD => ExchangeOutcome::Good,
+            FULL => ExchangeOutcome::Full,
+            _ => ExchangeOutcome::Bad,
         };
-        if shipped && sign == Sign::Full {
+        if shipped && sign == ExchangeOutcome::Full {
             v.window.shrink();
         }
-        if shipped && sign == Sign::Good && at_window {
+        if shipped && sign == ExchangeOutcome::Good && at_window {
             v.window.grow();
         }
         // Health is the same for the two-choice ways and the fixed share; the baselines have none.
