--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns the time until which it gets no requests because it is ejected or full.
-    pub fn barred_until_ms(&self) -> Millis {
+    pub fn unavailable_until_ms(&self) -> Millis {
         self.ejected_until_ms.max(self.full_until_ms)
     }
 
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -245,7 +245,7 @@
             self.backend
                 .ejected_until_ms
                 .store(until_ms, Ordering::Relaxed);
-            let barred_ms = judged.health.barred_until_ms();
+            let barred_ms = judged.health.unavailable_until_ms();
             self.backend
                 .barred_until_ms
                 .store(barred_ms, Ordering::Relaxed);
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -253,7 +253,7 @@
 
     fn barred(&self, entry: usize, backend: usize, req: usize) -> bool {
         let v = &self.entries[entry].views[backend];
-        v.health.barred_until_ms() > self.now_ms() || self.reqs[req].barred.contains(&backend)
+        v.health.unavailable_until_ms() > self.now_ms() || self.reqs[req].barred.contains(&backend)
     }
 
     fn choose(&mut self, req: usize) -> Option<usize> {
