--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -57,14 +57,14 @@
     /// Maximum number of this entry's requests in flight there.
     pub window: u32,
     /// Whether it may not be picked: it is ejected or closed, or was already tried for this request.
-    pub barred: bool,
+    pub is_excluded: bool,
     /// Whether it is in this entry's hall.
     pub near: bool,
 }
 
 impl Candidate {
     fn has_room(&self) -> bool {
-        !self.barred && self.in_flight < self.window
+        !self.is_excluded && self.in_flight < self.window
     }
 
     /// Returns the load in thousandths of the window, and whether the backend server is in another hall.
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -106,7 +106,7 @@
         Candidate {
             in_flight: self.in_flight.load(Ordering::Relaxed),
             window: self.window(now_ms),
-            barred: barred || self.is_barred(now_ms) || self.closed.load(Ordering::Relaxed),
+            is_excluded: barred || self.is_barred(now_ms) || self.closed.load(Ordering::Relaxed),
             near: self.near,
         }
     }
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -282,7 +282,7 @@
                     Candidate {
                         in_flight: self.entries[entry].views[b].in_flight + told,
                         window: SLOTS,
-                        barred: self.barred(entry, b, req),
+                        is_excluded: self.barred(entry, b, req),
                         near: true,
                     }
                 };
@@ -296,7 +296,7 @@
                     Candidate {
                         in_flight: v.in_flight,
                         window: (v.window.size() * share / 100).max(1),
-                        barred: self.barred(entry, b, req),
+                        is_excluded: self.barred(entry, b, req),
                         near: true,
                     }
                 };
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -110,7 +110,7 @@
     let candidate = |in_flight, window, barred| Candidate {
         in_flight,
         window,
-        barred,
+        is_excluded: barred,
         near: true,
     };
     let mut rng = fastrand::Rng::with_seed(7);
