--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -59,7 +59,7 @@
     /// Whether it may not be picked: it is ejected or closed, or was already tried for this request.
     pub is_excluded: bool,
     /// Whether it is in this entry's hall.
-    pub near: bool,
+    pub is_same_hall: bool,
 }
 
 impl Candidate {
@@ -69,7 +69,7 @@
 
     /// Returns the load in thousandths of the window, and whether the backend server is in another hall.
     fn load(&self) -> (u32, bool) {
-        (self.in_flight * 1_000 / self.window.max(1), !self.near)
+        (self.in_flight * 1_000 / self.window.max(1), !self.is_same_hall)
     }
 }
 
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -107,7 +107,7 @@
             in_flight: self.in_flight.load(Ordering::Relaxed),
             window: self.window(now_ms),
             is_excluded: barred || self.is_barred(now_ms) || self.closed.load(Ordering::Relaxed),
-            near: self.near,
+            is_same_hall: self.near,
         }
     }
 
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -283,7 +283,7 @@
                         in_flight: self.entries[entry].views[b].in_flight + told,
                         window: SLOTS,
                         is_excluded: self.barred(entry, b, req),
-                        near: true,
+                        is_same_hall: true,
                     }
                 };
                 pick(BACKENDS, look, &mut rng)
@@ -297,7 +297,7 @@
                         in_flight: v.in_flight,
                         window: (v.window.size() * share / 100).max(1),
                         is_excluded: self.barred(entry, b, req),
-                        near: true,
+                        is_same_hall: true,
                     }
                 };
                 pick(BACKENDS, look, &mut rng)
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -111,7 +111,7 @@
         in_flight,
         window,
         is_excluded: barred,
-        near: true,
+        is_same_hall: true,
     };
     let mut rng = fastrand::Rng::with_seed(7);
     let list = [
