--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -77,7 +77,7 @@
 /// if there is none.
 ///
 /// `candidate_at` returns the candidate at an index below `count`, and is called only for indexes that are drawn.
-pub fn pick<F>(count: usize, candidate_at: F, rng: &mut fastrand::Rng) -> Option<usize>
+pub fn pick_candidate<F>(count: usize, candidate_at: F, rng: &mut fastrand::Rng) -> Option<usize>
 where
     F: Fn(usize) -> Candidate,
 {
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -381,7 +381,7 @@
                 b.candidate(barred.contains(&b.address()), now_ms)
             };
             let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
-            let at = route::pick(backends.len(), look, &mut rng)?;
+            let at = route::pick_candidate(backends.len(), look, &mut rng)?;
             let taken = backends[at].try_take(&self.route.lane, self.class, now_ms);
             if taken.is_some() {
                 return taken;
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use rockwick::core::health::{may_eject, share_percent, Health, ExchangeOutcome};
 use rockwick::core::retry::{Cost, RetryBudget};
-use rockwick::core::route::{pick, Candidate, Window};
+use rockwick::core::route::{pick_candidate, Candidate, Window};
 
 const ENTRIES: usize = 9;
 const BACKENDS: usize = 50;
@@ -286,7 +286,7 @@
                         is_same_hall: true,
                     }
                 };
-                pick(BACKENDS, look, &mut rng)
+                pick_candidate(BACKENDS, look, &mut rng)
             }
             Way::Windows => {
                 let mut rng = fastrand::Rng::with_seed(self.rng.u64(..));
@@ -300,7 +300,7 @@
                         is_same_hall: true,
                     }
                 };
-                pick(BACKENDS, look, &mut rng)
+                pick_candidate(BACKENDS, look, &mut rng)
             }
         }
     }
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -4,7 +4,7 @@
 use rockwick::core::config::Class;
 use rockwick::core::health::{may_eject, share_percent, Change, Health, ExchangeOutcome};
 use rockwick::core::retry::{Backoff, Cost, RetryBudget};
-use rockwick::core::route::{class_may_enter, pick, Candidate, Window};
+use rockwick::core::route::{class_may_enter, pick_candidate, Candidate, Window};
 
 #[test]
 fn admit_quota_split() {
@@ -122,7 +122,7 @@
     ];
     let mut counts = [0; 4];
     for _ in 0..1_000 {
-        let at = pick(list.len(), |i| list[i], &mut rng).expect("there is room");
+        let at = pick_candidate(list.len(), |i| list[i], &mut rng).expect("there is room");
         counts[at] += 1;
     }
     assert_eq!(
@@ -134,8 +134,8 @@
         counts[3] > counts[2],
         "the less loaded more often: {counts:?}"
     );
-    assert_eq!(pick(2, |i| list[i], &mut rng), None);
-    assert_eq!(pick(0, |i| list[i], &mut rng), None);
+    assert_eq!(pick_candidate(2, |i| list[i], &mut rng), None);
+    assert_eq!(pick_candidate(0, |i| list[i], &mut rng), None);
 }
 
 #[test]
