--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -192,7 +192,7 @@
 ) {
     state.reads.outstanding = false;
     let Some(changes) = changes else {
-        let pause_ms = state.reads.backoff.fail(&mut state.rng);
+        let pause_ms = state.reads.backoff.next_pause(&mut state.rng);
         state.reads.next_ms = now.ms + pause_ms;
         if !state.reads.failing {
             let d = Decision::new(
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -19,7 +19,7 @@
 impl Backoff {
     /// Counts a failure and returns the pause after it, half of it fixed and half random, so that many entries do not
     /// retry at the same moment.
-    pub fn fail(&mut self, rng: &mut fastrand::Rng) -> Millis {
+    pub fn next_pause(&mut self, rng: &mut fastrand::Rng) -> Millis {
         let full = (PAUSE_FIRST_MS << self.failures.min(8)).min(PAUSE_MAX_MS);
         self.failures = self.failures.saturating_add(1);
         full / 2 + rng.u64(0..=full / 2)
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -211,9 +211,9 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let mut b = Backoff::default();
     for full in [500, 1_000, 2_000, 4_000, 4_000, 4_000] {
-        let ms = b.fail(&mut rng);
+        let ms = b.next_pause(&mut rng);
         assert!((full / 2..=full).contains(&ms), "{ms} of {full}");
     }
     b.succeed();
-    assert!(b.fail(&mut rng) <= 500);
+    assert!(b.next_pause(&mut rng) <= 500);
 }
