--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -218,7 +218,7 @@
         out.push(Effect::Log(d));
     }
     state.reads.failing = false;
-    state.reads.backoff.succeed();
+    state.reads.backoff.reset();
     let more = changes.more;
     let has_new_rows = !changes.rows.is_empty();
     state.take_rows(changes.rows, changes.seq, now.ms, out);
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -26,7 +26,7 @@
     }
 
     /// Resets the pause after a success.
-    pub fn succeed(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -214,6 +214,6 @@
         let ms = b.next_pause(&mut rng);
         assert!((full / 2..=full).contains(&ms), "{ms} of {full}");
     }
-    b.succeed();
+    b.reset();
     assert!(b.next_pause(&mut rng) <= 500);
 }
