--- a/src/core/rows.rs
+++ b/src/core/rows.rs
@@ -8,7 +8,7 @@
 use crate::clock::Millis;
 
 /// Key prefixes whose rows every entry follows. The rows of runs under callers' keys are read one by one instead.
-pub const FOLLOWED: [&str; 6] = ["config", "entry", "host", "job", "pool", "wave"];
+pub const FOLLOWED_PREFIXES: [&str; 6] = ["config", "entry", "host", "job", "pool", "wave"];
 
 /// Key of the row with the configuration in force.
 pub const HEAD_KEY: &str = "config/head";
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -22,7 +22,7 @@
 use crate::core::operate::{Edit, Reply};
 use crate::core::reduce::Ticket;
 use crate::core::routes::{RouteService, RouteTable};
-use crate::core::rows::{JobRow, FOLLOWED};
+use crate::core::rows::{JobRow, FOLLOWED_PREFIXES};
 use crate::core::state::{Me, Tuning};
 use crate::core::{reduce, Effect, Event, State};
 use crate::error::{Error, Failure, Kind, Result};
@@ -303,7 +303,7 @@
             match effect {
                 Effect::ReadTable { since } => {
                     let begun_ms = shared.clock.now_ms();
-                    let changes = platform.changes(since, &FOLLOWED).await.ok();
+                    let changes = platform.changes(since, &FOLLOWED_PREFIXES).await.ok();
                     this.handle(Event::TableRead { begun_ms, changes });
                 }
                 Effect::ReadHosts => {
