--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -133,7 +133,7 @@
     }
 
     /// Stores a peer's report from an exchange that began at `begun_ms`.
-    pub fn take_digest(&mut self, d: Digest, begun_ms: Millis, out: &mut Vec<Effect>) {
+    pub fn apply_digest(&mut self, d: Digest, begun_ms: Millis, out: &mut Vec<Effect>) {
         if d.name == self.me.name {
             return;
         }
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -50,7 +50,7 @@
             complete,
             hosts,
         } => {
-            state.take_digest(digest, begun_ms, &mut out);
+            state.apply_digest(digest, begun_ms, &mut out);
             if !state.hosts_known && !hosts.is_empty() {
                 state.apply_host_list(hosts, now.ms, &mut out);
             }
@@ -289,7 +289,7 @@
         true => Vec::new(),
         false => state.host_facts(),
     };
-    state.take_digest(digest, now.ms, out);
+    state.apply_digest(digest, now.ms, out);
     let (rows, seq) = state.rows_changed_after(since, PEER_ROWS_MAX);
     let more = seq < state.seq;
     out.push(Effect::AnswerPeer {
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -229,7 +229,7 @@
             hosts_known: true,
             busy: vec![],
         };
-        state.take_digest(digest, now_ms, &mut Vec::new());
+        state.apply_digest(digest, now_ms, &mut Vec::new());
     }
 }
 
