--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -221,7 +221,7 @@
     state.reads.backoff.reset();
     let more = changes.more;
     let has_new_rows = !changes.rows.is_empty();
-    state.take_rows(changes.rows, changes.seq, now.ms, out);
+    state.apply_rows(changes.rows, changes.seq, now.ms, out);
     if more {
         state.reads.outstanding = true;
         out.push(Effect::ReadTable { since: state.seq });
@@ -267,7 +267,7 @@
         return;
     }
     let more = changes.more;
-    state.take_rows(changes.rows, changes.seq, now.ms, out);
+    state.apply_rows(changes.rows, changes.seq, now.ms, out);
     // An unregistered entry is sponsored by the peer, which records it before it answers the poll.
     state.spoken_for |= !state.is_registered();
     if !more {
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -292,7 +292,7 @@
     }
 
     /// Stores rows from a read or from a peer, and ignores those that are not newer than the known ones.
-    pub fn take_rows(&mut self, rows: Vec<Row>, upto: u64, now_ms: Millis, out: &mut Vec<Effect>) {
+    pub fn apply_rows(&mut self, rows: Vec<Row>, upto: u64, now_ms: Millis, out: &mut Vec<Effect>) {
         for row in rows {
             let known = self.raw.get(&row.key).map_or(0, |r| r.version);
             if row.version <= known {
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -107,7 +107,7 @@
             let read: Result<Changes, Down> = smol::block_on(platform.changes(0, &["host"]));
             if let Ok(changes) = read {
                 let mut state = crate::test_model::quiet_state();
-                state.take_rows(changes.rows, changes.seq, 0, &mut Vec::new());
+                state.apply_rows(changes.rows, changes.seq, 0, &mut Vec::new());
             }
         });
     }
