--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -269,7 +269,7 @@
     let more = changes.more;
     state.apply_rows(changes.rows, changes.seq, now.ms, out);
     // An unregistered entry is sponsored by the peer, which records it before it answers the poll.
-    state.spoken_for |= !state.is_registered();
+    state.is_sponsored |= !state.is_registered();
     if !more {
         state.reads.complete = true;
         confirm_view(state, begun_ms);
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -175,7 +175,7 @@
     /// Unregistered peers that took their view from this entry, by name.
     pub sponsored: BTreeMap<String, Sponsored>,
     /// Whether a peer that gave this entry its view sponsors it until it is registered.
-    pub spoken_for: bool,
+    pub is_sponsored: bool,
     /// Entries that the platform reports as ended for certain.
     pub ended_entries: Vec<String>,
     /// The configuration in force.
@@ -249,7 +249,7 @@
             waves: BTreeMap::new(),
             members: BTreeMap::new(),
             sponsored: BTreeMap::new(),
-            spoken_for: false,
+            is_sponsored: false,
             ended_entries: Vec::new(),
             config: Arc::new(Config::default()),
             config_version: 0,
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -241,7 +241,7 @@
             .store_down
             .store(state.reads.failing, Ordering::SeqCst);
         // Whoever sends must be waited for by drains: registered, or spoken for by a peer.
-        let awaited = state.is_registered() || state.spoken_for;
+        let awaited = state.is_registered() || state.is_sponsored;
         let ready = state.has_view() && awaited && state.hosts_known;
         if ready && !shared.ready.swap(true, Ordering::SeqCst) {
             use crate::event::{Code, Decision, Subject};
