--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -110,7 +110,7 @@
     }
 
     /// Records the duration of an exchange, smoothed as TCP smooths round-trip times (RFC 6298).
-    pub fn note_exchange(&mut self, ms: Millis) {
+    pub fn record_exchange(&mut self, ms: Millis) {
         if self.exchange_ms == 0 {
             self.exchange_ms = ms;
             return;
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -190,7 +190,7 @@
 
     /// Takes the length of an exchange in, for the next expected waits.
     pub(super) fn note_exchange(&self, ms: Millis) {
-        lock(&self.queue).note_exchange(ms);
+        lock(&self.queue).record_exchange(ms);
     }
 
     /// How many wait.
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -65,7 +65,7 @@
 #[test]
 fn admit_queue_too_late() {
     let mut queue = Queue::new();
-    queue.note_exchange(100);
+    queue.record_exchange(100);
     for n in 0..8 {
         assert_eq!(queue.enqueue(Class::Normal, n, 100, 4, 10_000), Ok(None));
     }
