--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -70,7 +70,7 @@
         since: u64,
     },
     /// An operator or a caller requested a change.
-    Asked {
+    EditRequested {
         /// The request to answer.
         ticket: Ticket,
         /// The requested change.
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -61,7 +61,7 @@
             digest,
             since,
         } => peer_polled(state, ticket, digest, since, now, &mut out),
-        Event::Asked { ticket, edit } => state.edit(ticket, edit, now, &mut out),
+        Event::EditRequested { ticket, edit } => state.edit(ticket, edit, now, &mut out),
         Event::StartAnswered { task, answer } => state.start_answered(&task, answer, now, &mut out),
         Event::StopAnswered { task, answer } => state.stop_answered(&task, answer, now, &mut out),
         Event::RebootAnswered { host, accepted } => {
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -178,7 +178,7 @@
             Message::Event(event) => self.handle(event),
             Message::Ask { edit, reply } => {
                 let ticket = self.wait_for(Waiting::Edit(reply));
-                self.handle(Event::Asked { ticket, edit });
+                self.handle(Event::EditRequested { ticket, edit });
             }
             Message::Poll {
                 digest,
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -277,7 +277,7 @@
     fn ask(&mut self, edit: Edit) {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        self.feed(Event::Asked { ticket, edit });
+        self.feed(Event::EditRequested { ticket, edit });
     }
 
     /// Feeds an event and all that follows from it at the same instant.
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -526,7 +526,7 @@
         };
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        self.feed(at, Event::Asked { ticket, edit });
+        self.feed(at, Event::EditRequested { ticket, edit });
     }
 
     /// One entry polls another; the answer may be lost on the way back.
@@ -701,7 +701,7 @@
             self.tickets += 1;
             let ticket = Ticket(self.tickets);
             let edit = Edit::StopWave { wave };
-            self.feed(0, Event::Asked { ticket, edit });
+            self.feed(0, Event::EditRequested { ticket, edit });
         }
     }
 
@@ -768,7 +768,7 @@
         text: config_text(3, 1, "none"),
     };
     let ticket = Ticket(0);
-    world.feed(0, Event::Asked { ticket, edit });
+    world.feed(0, Event::EditRequested { ticket, edit });
     for _ in 0..steps {
         world.step();
     }
