--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -17,7 +17,7 @@
     EntryRow, EntryState, HeadRow, HostRow, HostState, JobRow, JobState, PoolRow, Purpose, WaveRow,
     HEAD_KEY,
 };
-pub use super::tuning::{Me, Tuning};
+pub use super::tuning::{EntryIdentity, Tuning};
 use crate::clock::Millis;
 
 use crate::event::{Code, Decision, Subject};
@@ -143,7 +143,7 @@
 /// The in-memory state of an entry.
 pub struct State {
     /// Identity of this entry.
-    pub me: Me,
+    pub me: EntryIdentity,
     /// Intervals and timeouts.
     pub tuning: Tuning,
     /// Seeded random generator, so that a run can be repeated.
@@ -231,7 +231,7 @@
 
 impl State {
     /// Creates the state of an entry that has read nothing yet.
-    pub fn new(me: Me, tuning: Tuning, seed: u64) -> Self {
+    pub fn new(me: EntryIdentity, tuning: Tuning, seed: u64) -> Self {
         Self {
             me,
             tuning,
--- a/src/core/tuning.rs
+++ b/src/core/tuning.rs
@@ -46,7 +46,7 @@
 
 /// The identity of this entry.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct EntryIdentity {
     /// Name of the entry, unique among entries.
     pub name: String,
     /// Random number, new with each start.
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -23,7 +23,7 @@
 use crate::core::reduce::Ticket;
 use crate::core::routes::{RouteService, RouteTable};
 use crate::core::rows::{JobRow, FOLLOWED_PREFIXES};
-use crate::core::state::{Me, Tuning};
+use crate::core::state::{EntryIdentity, Tuning};
 use crate::core::{reduce, Effect, Event, State};
 use crate::error::{Error, Failure, Kind, Result};
 use crate::metrics::Metrics;
@@ -110,7 +110,7 @@
 impl Control {
     fn new(shared: Arc<Shared>) -> Self {
         let settings = &shared.settings;
-        let me = Me {
+        let me = EntryIdentity {
             name: settings.name.clone(),
             incarnation: shared.incarnation,
             hall: settings.hall.clone(),
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -10,7 +10,7 @@
 use rockwick::core::rows::{
     EntryRow, EntryState, HeadRow, HostRow, HostState, JobRow, JobSpec, JobState,
 };
-use rockwick::core::state::{Me, Tuning};
+use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{BackendFact, Changes, Expect, HostFact, Life, Listing, Put, Transaction};
 use rockwick::wire::{encode, Ask, Told};
@@ -155,7 +155,7 @@
 }
 
 fn measure(size: Size) -> Cost {
-    let me = Me {
+    let me = EntryIdentity {
         name: "e0".to_string(),
         incarnation: 1,
         hall: "hall1".to_string(),
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -8,7 +8,7 @@
 use rockwick::core::operate::Edit;
 use rockwick::core::reduce::Ticket;
 use rockwick::core::rows::{HostState, WaveState};
-use rockwick::core::state::{Me, Tuning};
+use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
     Attempt, BackendFact, HostFact, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
@@ -188,7 +188,7 @@
 
 impl Fleet {
     fn new(case: &Case, pace_percent: u64, seed: u64) -> Self {
-        let me = Me {
+        let me = EntryIdentity {
             name: "e1".to_string(),
             incarnation: 1,
             hall: "a".to_string(),
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -13,7 +13,7 @@
 use rockwick::core::rows::{
     HeadRow, HostRow, HostState, JobRow, JobSpec, PoolRow, WaveRow, WaveState, HEAD_KEY,
 };
-use rockwick::core::state::{decode, Me, Tuning, TxnKey};
+use rockwick::core::state::{decode, EntryIdentity, Tuning, TxnKey};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
     Attempt, BackendFact, HostFact, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
@@ -43,8 +43,8 @@
     )
 }
 
-fn me(name: &str, incarnation: u64) -> Me {
-    Me {
+fn me(name: &str, incarnation: u64) -> EntryIdentity {
+    EntryIdentity {
         name: name.to_string(),
         incarnation,
         hall: "a".to_string(),
