--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -27,7 +27,7 @@
 use crate::core::{reduce, Effect, Event, State};
 use crate::error::{Error, Failure, Kind, Result};
 use crate::metrics::Metrics;
-use crate::port::{commit, HostList, HostOrders, OrderAnswer, Patience, Table, Tasks};
+use crate::port::{commit, HostList, HostOrders, OrderAnswer, RetryPolicy, Table, Tasks};
 use crate::wire::Told;
 
 /// Bound on the wait for an operator's or a caller's edit; a commit gives up before.
@@ -318,7 +318,7 @@
                     this.handle(Event::ReportsRead(reports));
                 }
                 Effect::Commit { txn, transaction } => {
-                    let outcome = commit(platform, &transaction, Patience::default()).await;
+                    let outcome = commit(platform, &transaction, RetryPolicy::default()).await;
                     this.handle(Event::Committed { txn, outcome });
                 }
                 Effect::StartTask(start) => {
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -16,7 +16,7 @@
 use crate::event::{Code, Decision, Subject};
 use crate::http::{server, Answer, Incoming};
 use crate::metrics::Metrics;
-use crate::port::{commit, Objects, Outcome, Patience, Put, Table, Transaction};
+use crate::port::{commit, Objects, Outcome, RetryPolicy, Put, Table, Transaction};
 
 /// Larger bodies, and those that are no text, are kept as objects.
 const INLINE_MAX_BYTES: usize = 16 << 10;
@@ -69,7 +69,7 @@
     let mut version = 0;
     const ROUNDS: usize = 3;
     for _ in 0..ROUNDS {
-        match put(shared, &name, version, &row, Patience::default()).await {
+        match put(shared, &name, version, &row, RetryPolicy::default()).await {
             Outcome::Committed(version) => {
                 let why = format!("{account} claims a key");
                 let d = Decision::new(Code::RunClaimed, Subject::Request, request, why);
@@ -156,7 +156,7 @@
         state,
         ..claim.row.clone()
     };
-    let once = Patience {
+    let once = RetryPolicy {
         sends: 1,
         pause_ms: 0,
     };
@@ -223,7 +223,7 @@
         ))
         .await;
         pause_ms = (pause_ms * 2).min(8_000);
-        let outcome = put(shared, &key, version, &row, Patience::default()).await;
+        let outcome = put(shared, &key, version, &row, RetryPolicy::default()).await;
         if matches!(outcome, Outcome::Committed(_) | Outcome::Conflict) {
             tell_recorded(shared, &row.request, "recorded late");
             return;
@@ -267,7 +267,7 @@
         ..row.clone()
     };
     let version = known.map_or(0, |k| k.version);
-    let outcome = put(shared, key, version, &not_run, Patience::default()).await;
+    let outcome = put(shared, key, version, &not_run, RetryPolicy::default()).await;
     matches!(outcome, Outcome::Committed(_))
 }
 
@@ -276,7 +276,7 @@
     key: &str,
     version: u64,
     row: &RunRow,
-    patience: Patience,
+    patience: RetryPolicy,
 ) -> Outcome {
     Metrics::add(&shared.metrics.platform_calls);
     let txn = Transaction {
--- a/src/port/commit.rs
+++ b/src/port/commit.rs
@@ -13,14 +13,14 @@
 
 /// How often a transaction is sent, and how long the pauses between are.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct RetryPolicy {
     /// The largest number of attempts.
     pub sends: u32,
     /// The pause before the second attempt; each later one is about twice as long, with jitter.
     pub pause_ms: Millis,
 }
 
-impl Default for Patience {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
             sends: 4,
@@ -30,7 +30,7 @@
 }
 
 /// Commits `txn`; after a lost answer, the token in the rows shows whether it was applied.
-pub async fn commit<T: Table>(table: &T, txn: &Transaction, patience: Patience) -> Outcome {
+pub async fn commit<T: Table>(table: &T, txn: &Transaction, patience: RetryPolicy) -> Outcome {
     let mut maybe_applied = false;
     for n in 0..patience.sends {
         if n > 0 {
--- a/src/port/mod.rs
+++ b/src/port/mod.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use commit::{commit, Patience};
+pub use commit::{commit, RetryPolicy};
 pub use http::{Committed, Http, Ordered, Reboot};
 
 use crate::clock::Millis;
--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -1,10 +1,10 @@
 //! The table's contract: a lost answer is not a failure.
 
-use rockwick::port::{commit, Expect, Outcome, Patience, Put, Transaction};
+use rockwick::port::{commit, Expect, Outcome, RetryPolicy, Put, Transaction};
 
 use crate::table::{FakeTable, Fate};
 
-const QUICK: Patience = Patience {
+const QUICK: RetryPolicy = RetryPolicy {
     sends: 4,
     pause_ms: 1,
 };
