--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -157,7 +157,7 @@
         ..claim.row.clone()
     };
     let once = RetryPolicy {
-        sends: 1,
+        attempts_max: 1,
         pause_ms: 0,
     };
     let request = claim.row.request.clone();
--- a/src/port/commit.rs
+++ b/src/port/commit.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     /// The largest number of attempts.
-    pub sends: u32,
+    pub attempts_max: u32,
     /// The pause before the second attempt; each later one is about twice as long, with jitter.
     pub pause_ms: Millis,
 }
@@ -23,7 +23,7 @@
 impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
-            sends: 4,
+            attempts_max: 4,
             pause_ms: 100,
         }
     }
@@ -32,7 +32,7 @@
 /// Commits `txn`; after a lost answer, the token in the rows shows whether it was applied.
 pub async fn commit<T: Table>(table: &T, txn: &Transaction, patience: RetryPolicy) -> Outcome {
     let mut maybe_applied = false;
-    for n in 0..patience.sends {
+    for n in 0..patience.attempts_max {
         if n > 0 {
             pause(patience.pause_ms << (n - 1)).await;
         }
--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -5,7 +5,7 @@
 use crate::table::{FakeTable, Fate};
 
 const QUICK: RetryPolicy = RetryPolicy {
-    sends: 4,
+    attempts_max: 4,
     pause_ms: 1,
 };
 
