--- a/src/port/timeout.rs
+++ b/src/port/timeout.rs
@@ -34,7 +34,7 @@
     }
 
     /// Records that an answer took `took_ms`.
-    pub fn answered(&self, took_ms: Millis) {
+    pub fn record_answer(&self, took_ms: Millis) {
         let wanted_ms = took_ms * TIMES_LAST;
         let wanted_ms = wanted_ms.clamp(self.least_ms, self.most_ms);
         self.now_ms.store(wanted_ms, Ordering::Relaxed);
--- a/src/serve/shared.rs
+++ b/src/serve/shared.rs
@@ -116,8 +116,8 @@
             // A broken connection or a refusal says nothing about how fast the store answers.
             TxOutcome::Unknown | TxOutcome::Refused => {}
             TxOutcome::Committed(_) | TxOutcome::Conflict(_) => {
-                self.store_timeout.answered(took_ms);
-                self.intake_timeout.answered(took_ms);
+                self.store_timeout.record_answer(took_ms);
+                self.intake_timeout.record_answer(took_ms);
             }
         }
         outcome
--- a/tests/test_timeout.rs
+++ b/tests/test_timeout.rs
@@ -19,8 +19,8 @@
 #[test]
 fn timeout_follows_answers() {
     let timeout = AdaptiveTimeout::new(800, 2_400);
-    timeout.answered(540);
+    timeout.record_answer(540);
     assert_eq!(timeout.ms(), 1_620, "two others before it");
-    timeout.answered(8);
+    timeout.record_answer(8);
     assert_eq!(timeout.ms(), 800);
 }
