--- a/src/port/timeout.rs
+++ b/src/port/timeout.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records that no answer came within `waited_ms`; the timeout at least doubles from there, within its bounds.
-    pub fn silent(&self, waited_ms: Millis) {
+    pub fn record_timeout(&self, waited_ms: Millis) {
         let wanted_ms = (waited_ms * 2).clamp(self.least_ms, self.most_ms);
         self.now_ms.fetch_max(wanted_ms, Ordering::Relaxed);
     }
--- a/src/serve/shared.rs
+++ b/src/serve/shared.rs
@@ -108,8 +108,8 @@
         let took_ms = self.clock.now_ms() - began_ms;
         match outcome {
             TxOutcome::Unknown if took_ms >= timeout_ms => {
-                self.store_timeout.silent(timeout_ms);
-                self.intake_timeout.silent(timeout_ms);
+                self.store_timeout.record_timeout(timeout_ms);
+                self.intake_timeout.record_timeout(timeout_ms);
                 // A full channel means that a signal is pending already.
                 let _ = self.unanswered.0.try_send(());
             }
--- a/tests/test_timeout.rs
+++ b/tests/test_timeout.rs
@@ -6,13 +6,13 @@
 fn timeout_grows() {
     let timeout = AdaptiveTimeout::new(800, 2_400);
     assert_eq!(timeout.ms(), 800);
-    timeout.silent(800);
+    timeout.record_timeout(800);
     assert_eq!(timeout.ms(), 1_600);
-    timeout.silent(1_600);
-    timeout.silent(1_600);
+    timeout.record_timeout(1_600);
+    timeout.record_timeout(1_600);
     assert_eq!(timeout.ms(), 2_400, "bounded");
     // A call that was given up by an earlier, shorter bound tells nothing new.
-    timeout.silent(800);
+    timeout.record_timeout(800);
     assert_eq!(timeout.ms(), 2_400);
 }
 
