--- a/src/port/timeout.rs
+++ b/src/port/timeout.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns the timeout of the next call.
-    pub fn ms(&self) -> Millis {
+    pub fn current_ms(&self) -> Millis {
         self.now_ms.load(Ordering::Relaxed)
     }
 
--- a/src/serve/feeds.rs
+++ b/src/serve/feeds.rs
@@ -160,7 +160,7 @@
         rows_max: 1,
         ..Range::default()
     };
-    let timeout_ms = shared.intake_timeout.ms().max(PROBE_TIMEOUT_MS);
+    let timeout_ms = shared.intake_timeout.current_ms().max(PROBE_TIMEOUT_MS);
     let mut reads = Vec::new();
     for part in &parts {
         reads.push(platform.scan(Table::Owners, part, one_row(), timeout_ms));
--- a/src/serve/operations.rs
+++ b/src/serve/operations.rs
@@ -125,7 +125,7 @@
         let left_ms = until_ms.saturating_sub(shared.clock.now_ms());
         let timeout_max_ms = match parts.len() {
             // With another partition to try, this one gets only the adaptive timeout and not all the time that is left.
-            2.. => shared.intake_timeout.ms(),
+            2.. => shared.intake_timeout.current_ms(),
             _ => left_ms.max(TX_TIMEOUT_MS),
         };
         let tx = insert_tx(part, key, &value);
--- a/src/serve/shared.rs
+++ b/src/serve/shared.rs
@@ -102,7 +102,7 @@
         tx: &RowTx,
         timeout_max_ms: Millis,
     ) -> TxOutcome {
-        let timeout_ms = self.store_timeout.ms().min(timeout_max_ms);
+        let timeout_ms = self.store_timeout.current_ms().min(timeout_max_ms);
         let began_ms = self.clock.now_ms();
         let outcome = platform.transact(tx, timeout_ms).await;
         let took_ms = self.clock.now_ms() - began_ms;
--- a/tests/test_timeout.rs
+++ b/tests/test_timeout.rs
@@ -5,22 +5,22 @@
 #[test]
 fn timeout_grows() {
     let timeout = AdaptiveTimeout::new(800, 2_400);
-    assert_eq!(timeout.ms(), 800);
+    assert_eq!(timeout.current_ms(), 800);
     timeout.record_timeout(800);
-    assert_eq!(timeout.ms(), 1_600);
+    assert_eq!(timeout.current_ms(), 1_600);
     timeout.record_timeout(1_600);
     timeout.record_timeout(1_600);
-    assert_eq!(timeout.ms(), 2_400, "bounded");
+    assert_eq!(timeout.current_ms(), 2_400, "bounded");
     // A call that was given up by an earlier, shorter bound tells nothing new.
     timeout.record_timeout(800);
-    assert_eq!(timeout.ms(), 2_400);
+    assert_eq!(timeout.current_ms(), 2_400);
 }
 
 #[test]
 fn timeout_follows_answers() {
     let timeout = AdaptiveTimeout::new(800, 2_400);
     timeout.record_answer(540);
-    assert_eq!(timeout.ms(), 1_620, "two others before it");
+    assert_eq!(timeout.current_ms(), 1_620, "two others before it");
     timeout.record_answer(8);
-    assert_eq!(timeout.ms(), 800);
+    assert_eq!(timeout.current_ms(), 800);
 }
