--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -578,7 +578,7 @@
 /// Reports the state of waves to the operator.
 pub trait WaveStatus {
     /// Writes the state of a wave; `Running` is written only if no state was written before.
-    fn tell_wave(&self, wave: u64, state: WaveState) -> impl Future<Output = TxOutcome>;
+    fn write_wave_state(&self, wave: u64, state: WaveState) -> impl Future<Output = TxOutcome>;
 }
 
 /// Sends orders to hosts and lists them.
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -206,7 +206,7 @@
                 None
             }),
             Effect::ReportWave(wave, status) => self.spawn(async move {
-                retry_until_known(|| platform.tell_wave(wave, status)).await;
+                retry_until_known(|| platform.write_wave_state(wave, status)).await;
                 None
             }),
             Effect::ReadHosts(pool, epoch) => self.spawn(async move {
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -309,11 +309,11 @@
         assert_eq!(fleet.upkeeps(), vec!["m-1"]);
         let unknown = platform.move_to(&who, "m-7", "pool", TIMEOUT_MS).await;
         assert_eq!(unknown, HostReply::Wrong);
-        let running = platform.tell_wave(1, WaveState::Running).await;
+        let running = platform.write_wave_state(1, WaveState::Running).await;
         assert!(matches!(running, TxOutcome::Committed(_)));
-        let completed = platform.tell_wave(1, WaveState::Completed).await;
+        let completed = platform.write_wave_state(1, WaveState::Completed).await;
         assert!(matches!(completed, TxOutcome::Committed(_)));
-        let late = platform.tell_wave(1, WaveState::Running).await;
+        let late = platform.write_wave_state(1, WaveState::Running).await;
         assert!(
             matches!(late, TxOutcome::Conflict(_)),
             "never back to running: {late:?}"
