--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -207,14 +207,14 @@
             host: format!("host-{n}"),
             pool: format!("pool-{}", 1 + n % 4),
             state: HostState::Up,
-            life: format!("life-{n}"),
+            worker: format!("life-{n}"),
         })
         .collect();
     let offers: Vec<Offers> = (0..5)
         .map(|pool| {
             let mut offers = Offers::default();
             let given = list.iter().filter(|h| h.pool == format!("pool-{pool}"));
-            let given = given.map(|h| (h.host.clone(), h.life.clone()));
+            let given = given.map(|h| (h.host.clone(), h.worker.clone()));
             offers.row.offered = given.take(workers / 16).collect();
             offers
         })
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -399,7 +399,7 @@
         return true;
     }
     let record = controller.list.get(host);
-    let is_there = record.is_some_and(|h| h.pool == pool && h.life == taken.life);
+    let is_there = record.is_some_and(|h| h.pool == pool && h.worker == taken.life);
     is_there && taken.epoch == epoch && controller.sent_ms.contains_key(host)
 }
 
--- a/src/core/sched/moves.rs
+++ b/src/core/sched/moves.rs
@@ -170,7 +170,7 @@
         let taken = taken.map(|(host, by)| (host, &by.life, false));
         // A later worker instance on the host may be at work, which the row doesn't cover.
         let is_on =
-            |host: &str, life: &str| controller.list.get(host).is_some_and(|h| h.life == life);
+            |host: &str, life: &str| controller.list.get(host).is_some_and(|h| h.worker == life);
         let all = offered.chain(taken).filter(|(host, life, _)| {
             is_on(host, life) && self.is_free(controller, host, need.pool)
         });
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -625,7 +625,7 @@
         }
         let record = controller.hosts.get(host);
         let is_off =
-            |h: &HostRecord| h.pool == pool && h.state == HostState::Up && h.life.is_empty();
+            |h: &HostRecord| h.pool == pool && h.state == HostState::Up && h.worker.is_empty();
         if record.is_some_and(is_off) {
             found.push((host.to_string(), 0));
         }
--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -146,7 +146,7 @@
     let Some(key) = pool_state.worker_on(host) else {
         let record = controller.hosts.get(host).filter(|h| h.pool == pool)?;
         return Some(match record.state {
-            HostState::Up if record.life.is_empty() => "other hosts have their turns first",
+            HostState::Up if record.worker.is_empty() => "other hosts have their turns first",
             HostState::Up => {
                 "the worker instance named in the list of hosts is missing in the list of workers"
             }
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -563,7 +563,7 @@
     /// The state of the host.
     pub state: HostState,
     /// The id of the worker on the host; empty if there is none.
-    pub life: String,
+    pub worker: String,
 }
 
 /// The state of a wave, as the operator reads it.
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -56,7 +56,7 @@
             host: host.to_string(),
             pool: "idle".to_string(),
             state: HostState::Up,
-            life: format!("life of {host}"),
+            worker: format!("life of {host}"),
         });
         // The first look asks for the list.
         holder.look();
@@ -241,7 +241,7 @@
         host: host.clone(),
         pool: "idle".to_string(),
         state: HostState::Up,
-        life: String::new(),
+        worker: String::new(),
     });
     hosts::apply_list(&mut holder.controller, list.collect());
     holder.look();
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -291,7 +291,7 @@
                     false => POOL.to_string(),
                 },
                 state: HostState::Up,
-                life: host.replace("host", "life"),
+                worker: host.replace("host", "life"),
                 host,
             })
             .collect()
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -116,7 +116,7 @@
             host: host.to_string(),
             pool: "other".to_string(),
             state: HostState::Up,
-            life: "life".to_string(),
+            worker: "life".to_string(),
         });
         wave::apply_list(&mut turn.controller, hosts.to_vec());
         assert!(!turn.look(1_500), "the list is read anew");
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -216,7 +216,7 @@
         host: "old".to_string(),
         pool: POOL.to_string(),
         state: HostState::Up,
-        life: "life-1".to_string(),
+        worker: "life-1".to_string(),
     };
     wave::apply_list(&mut controller, vec![old]);
     let order = WaveOrder {
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -94,7 +94,7 @@
             host: HOST.to_string(),
             pool: POOL.to_string(),
             state,
-            life: "life-2".to_string(),
+            worker: "life-2".to_string(),
         };
         wave::apply_list(&mut self.controller, vec![record]);
     }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -493,7 +493,7 @@
                 } else {
                     HostState::Upkeep
                 },
-                life: w.fact.id.clone(),
+                worker: w.fact.id.clone(),
             };
             let is_up = hosts
                 .get(&record.host)
