--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -68,7 +68,7 @@
     };
     let request = RenewalRequest {
         lease_until_ms,
-        seen,
+        acked_through: seen,
         wait_ms,
     };
     w.renewal = RenewalPhase::Sent(ctx.now.ms);
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -459,7 +459,7 @@
     /// The new end of the lease on the worker's clock; `None` asks for a report without a renewal.
     pub lease_until_ms: Option<Millis>,
     /// The highest number of an end that is recorded in the store; the worker may drop ends up to it.
-    pub seen: u64,
+    pub acked_through: u64,
     /// How long the worker may delay its answer until a run ends.
     pub wait_ms: Millis,
 }
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -213,7 +213,7 @@
         let far_ms = 1_000_000;
         let ask = RenewalRequest {
             lease_until_ms: None,
-            seen: 0,
+            acked_through: 0,
             wait_ms: 0,
         };
         let cases = [
@@ -278,7 +278,7 @@
     };
     let ask = RenewalRequest {
         lease_until_ms: None,
-        seen: 0,
+        acked_through: 0,
         wait_ms: 1_000,
     };
     smol::block_on(async {
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -182,7 +182,7 @@
         let later = load::add_worker(&mut self.pool_state, fact(BORN_MS[1]), now_ms);
         let effects = self.held(later, now_ms + 10, report(BORN_MS[1], now_ms));
         let (fence, ask) = only_hold(&effects);
-        assert_eq!((ask.seen, ask.lease_until_ms), (0, None));
+        assert_eq!((ask.acked_through, ask.lease_until_ms), (0, None));
         (later, fence)
     }
 }
@@ -301,13 +301,13 @@
     let soon = decide(HEARD_MS + 100, |ctx| {
         renewal::send_next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
-    assert_eq!(only_hold(&soon).1.seen, 9);
+    assert_eq!(only_hold(&soon).1.acked_through, 9);
     let mut scene = Scene::new();
     let late = decide(HEARD_MS + 400, |ctx| {
         renewal::send_next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
     let (_, ask) = only_hold(&late);
-    assert_eq!(ask.seen, 0);
+    assert_eq!(ask.acked_through, 0);
 }
 
 /// The later life's clock counts from its start, and its lease is computed from that.
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -251,7 +251,7 @@
             w.lease_until_ms = w.lease_until_ms.max(until_ms.min(cap_ms));
         }
         let (seen, rest): (Vec<RunEnd>, Vec<RunEnd>) =
-            w.ended.drain(..).partition(|e| e.number <= ask.seen);
+            w.ended.drain(..).partition(|e| e.number <= ask.acked_through);
         w.ended = rest;
         let report = RenewalReport {
             born_wall_ms: w.fact.born_wall_ms,
