--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -24,7 +24,7 @@
 use rockwick::core::sched::worker::ClockSample;
 use rockwick::port::fleet::{
     AccountConfig, Capacity, FleetConfig, HostRecord, HostState, PoolConfig, QueueConfig,
-    StoredRow, WorkerFact,
+    StoredRow, WorkerInfo,
 };
 
 const SIZES: [usize; 4] = [50, 150, 500, 1_000];
@@ -111,7 +111,7 @@
 fn pool_state(workers: usize) -> PoolState {
     let mut pool_state = PoolState::default();
     for n in 0..workers {
-        let fact = WorkerFact {
+        let fact = WorkerInfo {
             id: format!("life-{n}"),
             born_wall_ms: None,
             host: format!("host-{n}"),
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -21,7 +21,7 @@
 use super::worker::Worker;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{FleetConfig, StoredRow, WorkerFact, ABSENT};
+use crate::port::fleet::{FleetConfig, StoredRow, WorkerInfo, ABSENT};
 
 /// Maximum time after a claim during which an order of a former owner can keep runs alive.
 pub const FOREIGN_LEASE_MS: Millis =
@@ -77,7 +77,7 @@
     /// Configuration that this entry has adopted.
     pub config: &'a FleetConfig,
     /// Workers that the platform lists, by id.
-    pub listed: &'a std::collections::BTreeMap<String, WorkerFact>,
+    pub listed: &'a std::collections::BTreeMap<String, WorkerInfo>,
 }
 
 impl<'a> Facts<'a> {
@@ -91,7 +91,7 @@
 }
 
 /// Adds a worker instance to the in-memory state.
-pub fn add_worker(pool_state: &mut PoolState, fact: WorkerFact, began_ms: Millis) -> WorkerKey {
+pub fn add_worker(pool_state: &mut PoolState, fact: WorkerInfo, began_ms: Millis) -> WorkerKey {
     pool_state.add_worker(Worker::new(fact, began_ms + FOREIGN_LEASE_MS))
 }
 
@@ -99,7 +99,7 @@
 /// have sent it a deadline that was meant for an earlier instance of the same id.
 pub(super) fn add_listed(
     pool_state: &mut PoolState,
-    fact: WorkerFact,
+    fact: WorkerInfo,
     began_ms: Millis,
     now: Now,
 ) -> WorkerKey {
@@ -303,7 +303,7 @@
     if let Some(key) = pool_state.find_instance(id, born_wall_ms) {
         return key;
     }
-    let fact = WorkerFact {
+    let fact = WorkerInfo {
         id: id.to_string(),
         born_wall_ms,
         host: host.to_string(),
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -22,7 +22,7 @@
 use crate::port::fleet::{
     Addressee, FleetConfig, HostRecord, HostReply, OperatorEvent, OrderReply, RenewalReport,
     RenewalRequest, Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder,
-    WaveState, WorkerEvent, WorkerFact, ABSENT,
+    WaveState, WorkerEvent, WorkerInfo, ABSENT,
 };
 
 /// Index of a pool in [`State::pools`]; pools are never removed.
@@ -248,7 +248,7 @@
     /// The list of workers changed.
     Worker(WorkerEvent),
     /// The whole list of workers was read.
-    WorkersRead(Vec<WorkerFact>),
+    WorkersRead(Vec<WorkerInfo>),
     /// A row of the owners table changed.
     Owner(StoredRow),
     /// A claim of a shard was answered: pool, shard, send time, outcome.
@@ -311,7 +311,7 @@
     /// Owner row, heartbeat and offers of the pool.
     pub owner: Vec<StoredRow>,
     /// The list of workers.
-    pub workers: Vec<WorkerFact>,
+    pub workers: Vec<WorkerInfo>,
     /// When the list of workers was requested.
     pub workers_asked_ms: Millis,
     /// Rows of waves.
@@ -400,7 +400,7 @@
     /// Keys of pools by name.
     pub pool_keys: BTreeMap<String, PoolKey>,
     /// Workers that the platform lists, by id.
-    pub listed: BTreeMap<String, WorkerFact>,
+    pub listed: BTreeMap<String, WorkerInfo>,
     /// When the feed of the list last reported each worker, and the whole list.
     pub list_changes: ListChanges,
     /// Undecodable entries of the list by worker id, with the reason; limited to those that were logged.
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -5,7 +5,7 @@
 use super::keys::{JobKey, TaskKey};
 use super::limits::{ADDRESS_SETTLED_MS, CLOCK_SLOW_PERCENT, LEASE_SLACK_MS};
 use crate::clock::Millis;
-use crate::port::fleet::{Capacity, WorkerFact};
+use crate::port::fleet::{Capacity, WorkerInfo};
 
 /// A reading of a worker's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// What the worker states about itself.
-    pub fact: WorkerFact,
+    pub fact: WorkerInfo,
     /// Whether it is in the platform's list.
     pub is_listed: bool,
     /// Capacity that its tasks take.
@@ -114,7 +114,7 @@
 
 impl Worker {
     /// Creates a worker that has not answered yet.
-    pub fn new(fact: WorkerFact, lease_end_ms: Millis) -> Self {
+    pub fn new(fact: WorkerInfo, lease_end_ms: Millis) -> Self {
         Self {
             fact,
             is_listed: true,
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -16,7 +16,7 @@
 use super::worker::Worker;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{WorkerEvent, WorkerFact};
+use crate::port::fleet::{WorkerEvent, WorkerInfo};
 
 /// Time for which changes reported by the feed are kept for comparison with readings requested earlier.
 const CHANGES_KEPT_MS: Millis = 60_000;
@@ -108,7 +108,7 @@
 /// Applies the whole list, with which the feed begins.
 pub(super) fn apply_feed_list(
     state: &mut State,
-    all: Vec<WorkerFact>,
+    all: Vec<WorkerInfo>,
     now: Now,
     out: &mut Vec<Effect>,
 ) {
@@ -119,7 +119,7 @@
 /// Applies a list that was read separately from the feed and requested at `asked_ms`.
 pub(super) fn apply_separate_list(
     state: &mut State,
-    mut all: Vec<WorkerFact>,
+    mut all: Vec<WorkerInfo>,
     asked_ms: Millis,
     now: Now,
     out: &mut Vec<Effect>,
@@ -132,7 +132,7 @@
     apply_list(state, all, now, out);
 }
 
-fn apply_list(state: &mut State, all: Vec<WorkerFact>, now: Now, out: &mut Vec<Effect>) {
+fn apply_list(state: &mut State, all: Vec<WorkerInfo>, now: Now, out: &mut Vec<Effect>) {
     let missing: Vec<String> = state
         .listed
         .keys()
@@ -149,7 +149,7 @@
 
 pub(super) fn apply_listed_worker(
     state: &mut State,
-    fact: WorkerFact,
+    fact: WorkerInfo,
     now: Now,
     out: &mut Vec<Effect>,
 ) {
@@ -178,7 +178,7 @@
 /// Applies a worker's entry in the list.
 pub fn apply_worker_entry(
     pool_state: &mut PoolState,
-    fact: &WorkerFact,
+    fact: &WorkerInfo,
     offers: &Offers,
     epoch: u64,
     ctx: &mut Ctx<'_>,
@@ -192,7 +192,7 @@
         if w.fact.address != fact.address {
             w.moved_ms = Some(ctx.now.ms);
         }
-        w.fact = WorkerFact {
+        w.fact = WorkerInfo {
             born_wall_ms: fact.born_wall_ms.or(w.fact.born_wall_ms),
             ..fact.clone()
         };
@@ -221,7 +221,7 @@
 
 /// Logs a change of a worker's capacity. Runs that no longer fit continue until they end, and nothing new is started
 /// beside them.
-fn log_resized(worker: &Worker, fact: &WorkerFact, ctx: &mut Ctx<'_>) {
+fn log_resized(worker: &Worker, fact: &WorkerInfo, ctx: &mut Ctx<'_>) {
     let (before, current) = (worker.fact.capacity, fact.capacity);
     if before == current {
         return;
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -289,7 +289,7 @@
 
 /// One instance of a worker, as its own entry in the list describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WorkerFact {
+pub struct WorkerInfo {
     /// The id of the worker; a later instance may have the same id.
     pub id: String,
     /// The start of this instance by the worker's wall clock. With the id, it identifies the instance. `None` if the
@@ -315,7 +315,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerEvent {
     /// A worker is in the list, with these properties.
-    Present(WorkerFact),
+    Present(WorkerInfo),
     /// The entry of the worker with this id was removed.
     Gone(String),
     /// An entry that can't be decoded: its id and the error.
--- a/src/serve/feeds.rs
+++ b/src/serve/feeds.rs
@@ -276,7 +276,7 @@
 }
 
 /// Returns the workers that a list shows as present.
-pub(super) fn present_workers(feed: &Feed<WorkerEvent>) -> Vec<crate::port::fleet::WorkerFact> {
+pub(super) fn present_workers(feed: &Feed<WorkerEvent>) -> Vec<crate::port::fleet::WorkerInfo> {
     let facts = feed.changes.iter().filter_map(|change| match change {
         WorkerEvent::Present(fact) => Some(fact.clone()),
         _ => None,
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -8,7 +8,7 @@
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::state::{Ctx, Effect, PoolKey, Timers};
 use rockwick::core::sched::worker::ClockSample;
-use rockwick::port::fleet::{FleetConfig, PoolConfig, WorkerFact};
+use rockwick::port::fleet::{FleetConfig, PoolConfig, WorkerInfo};
 
 /// Runs `work` at a moment, by an entry that may send orders, and gives the effects.
 pub(crate) fn decide(now_ms: u64, work: impl FnOnce(&mut Ctx<'_>)) -> Vec<Effect> {
@@ -31,7 +31,7 @@
 }
 
 /// Adds a worker that has answered a hold, and so may get work.
-pub(crate) fn answering(pool_state: &mut PoolState, fact: WorkerFact) -> WorkerKey {
+pub(crate) fn answering(pool_state: &mut PoolState, fact: WorkerInfo) -> WorkerKey {
     let key = load::add_worker(pool_state, fact, 0);
     let worker = &mut pool_state.workers[key];
     worker.is_answering = true;
--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::tasks::Phase;
 use rockwick::core::sched::{load, place, rows, runs};
-use rockwick::port::fleet::{EndKind, OrderReply, RunEnd, StoredRow, WorkerFact};
+use rockwick::port::fleet::{EndKind, OrderReply, RunEnd, StoredRow, WorkerInfo};
 
 use crate::decide::{answering, decide};
 use crate::world::{config, job, lasting, worker_fact, Faults, World, POOL};
@@ -30,7 +30,7 @@
 const SEEDS: u64 = 40;
 
 /// A worker with so many cores, a label and a rack.
-fn fact(name: &str, cores: u64, label: &str, rack: &str) -> WorkerFact {
+fn fact(name: &str, cores: u64, label: &str, rack: &str) -> WorkerInfo {
     let mut fact = worker_fact(name, name);
     fact.capacity.cpu_milli = cores * 1_000;
     fact.labels = vec![label.to_string(), rack.to_string()];
@@ -38,7 +38,7 @@
 }
 
 /// Books with these workers.
-fn pool_state(facts: &[WorkerFact]) -> (PoolState, Vec<WorkerKey>) {
+fn pool_state(facts: &[WorkerInfo]) -> (PoolState, Vec<WorkerKey>) {
     let mut pool_state = PoolState::default();
     let keys = facts
         .iter()
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -5,7 +5,7 @@
 //! "another life answered"; "left 1" for both waves from then on.)
 
 use rockwick::core::sched::state::Event;
-use rockwick::port::fleet::{WorkerEvent, WorkerFact};
+use rockwick::port::fleet::{WorkerEvent, WorkerInfo};
 
 use crate::world::{worker_fact, World};
 
@@ -26,7 +26,7 @@
     owner.listed.keys().cloned().collect()
 }
 
-fn young() -> WorkerFact {
+fn young() -> WorkerInfo {
     worker_fact("young", "host-9")
 }
 
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -20,7 +20,7 @@
 use rockwick::core::sched::worker_list;
 use rockwick::port::fleet::{
     EndKind, OrderReply, RenewalReport, RenewalRequest, RunEnd, RunningTask, StoredRow, TaskName,
-    WorkerFact,
+    WorkerInfo,
 };
 
 use crate::decide::decide;
@@ -91,8 +91,8 @@
 /// Its id, and the later one's.
 const ID: &str = "i-1";
 
-fn fact(born_wall_ms: u64) -> WorkerFact {
-    WorkerFact {
+fn fact(born_wall_ms: u64) -> WorkerInfo {
+    WorkerInfo {
         born_wall_ms: Some(born_wall_ms),
         ..worker_fact(ID, "host")
     }
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -74,7 +74,7 @@
 
     /// The entry of a life names an address for a while at which another life answers.
     pub(crate) fn readdress(&mut self, id: &str, other: &str, ms: u64) {
-        let fact = WorkerFact {
+        let fact = WorkerInfo {
             address: self.workers[other].fact.address,
             ..self.fact(id)
         };
--- a/tests/world/jobs.rs
+++ b/tests/world/jobs.rs
@@ -58,8 +58,8 @@
 }
 
 /// A worker of 16 cores and 32 GB on a host, as the platform lists it.
-pub(crate) fn worker_fact(life: &str, host: &str) -> WorkerFact {
-    WorkerFact {
+pub(crate) fn worker_fact(life: &str, host: &str) -> WorkerInfo {
+    WorkerInfo {
         id: life.to_string(),
         born_wall_ms: None,
         host: host.to_string(),
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -37,7 +37,7 @@
     AccountConfig, Capacity, EndKind, FleetConfig, HostRecord, HostReply, HostState, OperatorEvent,
     OrderReply, PoolConfig, QueueConfig, RenewalReport, RenewalRequest, RowTx, RunEnd, RunStart,
     RunningTask, StoredRow, Table, TaskName, TxOutcome, WaveOrder, WaveState, WorkerEvent,
-    WorkerFact,
+    WorkerInfo,
 };
 
 use happenings::{Happening, LateOrder, Queued};
@@ -126,7 +126,7 @@
 
 /// A worker's life.
 pub(crate) struct Worker {
-    fact: WorkerFact,
+    fact: WorkerInfo,
     /// Its number among all lives.
     serial: u64,
     fence: u64,
@@ -147,7 +147,7 @@
 
 impl Worker {
     /// A life that has just begun.
-    fn new(fact: WorkerFact, serial: u64) -> Self {
+    fn new(fact: WorkerInfo, serial: u64) -> Self {
         Worker {
             fact,
             serial,
@@ -387,7 +387,7 @@
     }
 
     /// A life's worker as entries see it.
-    pub(crate) fn fact(&self, id: &str) -> WorkerFact {
+    pub(crate) fn fact(&self, id: &str) -> WorkerInfo {
         self.workers[id].fact.clone()
     }
 
@@ -423,8 +423,8 @@
     }
 
     /// What a life before this one on the same host would have stated.
-    pub(crate) fn earlier_fact(&self, id: &str) -> WorkerFact {
-        WorkerFact {
+    pub(crate) fn earlier_fact(&self, id: &str) -> WorkerInfo {
+        WorkerInfo {
             id: "earlier".to_string(),
             address: SocketAddr::from(([10, 0, 0, 2], 1)),
             ..self.fact(id)
@@ -433,7 +433,7 @@
 
     /// A heartbeat of a life that has ended comes through now.
     pub(crate) fn relist(&mut self) {
-        let ended: Vec<WorkerFact> = self
+        let ended: Vec<WorkerInfo> = self
             .workers
             .values()
             .filter(|w| !w.is_up)
--- a/tests/world/restart.rs
+++ b/tests/world/restart.rs
@@ -47,7 +47,7 @@
         let Some(w) = self.workers.get_mut(id).filter(|w| !w.is_up) else {
             return;
         };
-        let fact = WorkerFact {
+        let fact = WorkerInfo {
             born_wall_ms: Some(born_wall_ms.saturating_sub(CLOCK_STEP_MS)),
             draining: false,
             ..w.fact.clone()
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -14,7 +14,7 @@
         // Ids tell nothing of the order of lives.
         let id = format!("w{:04x}-{}", self.rng.u16(..), self.next_life);
         let port = 1_000 + self.next_life as u16;
-        let fact = WorkerFact {
+        let fact = WorkerInfo {
             id: id.clone(),
             born_wall_ms: Some(WALL_MS + self.now_ms),
             host: host.to_string(),
@@ -474,7 +474,7 @@
     }
 
     /// The list of workers.
-    pub(super) fn listed(&self) -> Vec<WorkerFact> {
+    pub(super) fn listed(&self) -> Vec<WorkerInfo> {
         let listed = self
             .workers
             .values()
