--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -11,7 +11,7 @@
 use crate::error::Failure;
 use crate::event::Decision;
 use crate::port::{
-    Changes, HostFact, Listing, OrderAnswer, Outcome, Reports, TaskRef, TaskStart, Transaction,
+    Changes, HostInfo, Listing, OrderAnswer, Outcome, Reports, TaskRef, TaskStart, Transaction,
 };
 
 /// Identifies a request of an operator, a caller or a peer that waits for its answer.
@@ -58,7 +58,7 @@
         /// Whether the peer has a complete view.
         complete: bool,
         /// The peer's host list, if this entry had none.
-        hosts: Vec<HostFact>,
+        hosts: Vec<HostInfo>,
     },
     /// A peer polled this entry.
     PeerPolled {
@@ -156,7 +156,7 @@
         /// Whether this entry has a complete view.
         complete: bool,
         /// The host list, if the peer has none.
-        hosts: Vec<HostFact>,
+        hosts: Vec<HostInfo>,
     },
     /// Log a decision.
     Log(Decision),
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -12,7 +12,7 @@
 use crate::clock::{Millis, Now};
 use crate::error::Kind;
 use crate::event::{Code, Decision, Subject};
-use crate::port::{Changes, Check, HostFact, Outcome, Put, Transaction};
+use crate::port::{Changes, Check, HostInfo, Outcome, Put, Transaction};
 
 /// Maximum number of rows in one answer to a peer.
 const PEER_ROWS_MAX: usize = 400;
@@ -314,7 +314,7 @@
         }
     }
 
-    fn host_facts(&self) -> Vec<HostFact> {
+    fn host_facts(&self) -> Vec<HostInfo> {
         self.hosts.values().filter_map(|h| h.fact.clone()).collect()
     }
 
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -21,7 +21,7 @@
 use crate::clock::Millis;
 
 use crate::event::{Code, Decision, Subject};
-use crate::port::{HostFact, Life, Row, Stamped, TaskRef, TaskReport};
+use crate::port::{HostInfo, Life, Row, Stamped, TaskRef, TaskReport};
 
 new_key_type! {
     /// Arena key of a host.
@@ -40,7 +40,7 @@
     /// Id under which the platform lists the host.
     pub id: String,
     /// The host's entry in the platform's list; `None` if the platform does not list it.
-    pub fact: Option<HostFact>,
+    pub fact: Option<HostInfo>,
     /// The host's row in the table; the default if there is none.
     pub row: HostRow,
     /// Version of the row, 0 if there is none.
@@ -509,7 +509,7 @@
     }
 
     /// Stores the platform's list of hosts.
-    pub fn apply_host_list(&mut self, facts: Vec<HostFact>, now_ms: Millis, out: &mut Vec<Effect>) {
+    pub fn apply_host_list(&mut self, facts: Vec<HostInfo>, now_ms: Millis, out: &mut Vec<Effect>) {
         let mut listed = std::collections::HashSet::new();
         for fact in facts {
             listed.insert(fact.id.clone());
--- a/src/port/mod.rs
+++ b/src/port/mod.rs
@@ -179,7 +179,7 @@
 
 /// A host as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostFact {
+pub struct HostInfo {
     /// The name of the host, unique in the fleet.
     pub id: String,
     /// The data hall that the host stands in.
@@ -210,7 +210,7 @@
 pub struct Listing {
     /// All hosts.
     #[serde(default, rename = "host")]
-    pub hosts: Vec<HostFact>,
+    pub hosts: Vec<HostInfo>,
     /// The names of entries whose host the platform is certain to have ended.
     #[serde(default)]
     pub ended_entries: Vec<String>,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -4,7 +4,7 @@
 
 use crate::core::members::Digest;
 use crate::event::{Decision, Subject};
-use crate::port::{Changes, HostFact};
+use crate::port::{Changes, HostInfo};
 
 /// Bound on a message; a larger one is refused.
 pub const MESSAGE_MAX_BYTES: usize = 8 << 20;
@@ -43,7 +43,7 @@
         /// Whether the answerer's own view is whole.
         complete: bool,
         /// The host list, for an asker that has none.
-        hosts: Vec<HostFact>,
+        hosts: Vec<HostInfo>,
     },
     /// To a question for logged decisions.
     Decisions {
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -11,7 +11,7 @@
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Incoming, Limits, Wire};
 use rockwick::port::{
-    Attempt, Committed, HostFact, Life, Listing, OrderAnswer, Ordered, Reboot, Reports, TaskRef,
+    Attempt, Committed, HostInfo, Life, Listing, OrderAnswer, Ordered, Reboot, Reports, TaskRef,
     TaskReport, TaskStart, TaskState, Transaction,
 };
 use rockwick::runtime::Runtime;
@@ -103,7 +103,7 @@
 struct World {
     table: Rows,
     objects: HashMap<String, Vec<u8>>,
-    hosts: Vec<HostFact>,
+    hosts: Vec<HostInfo>,
     ended_entries: Vec<String>,
     /// The list as callers see it, with its etag.
     listed: (u64, Listing),
@@ -443,7 +443,7 @@
         {
             return OrderAnswer::Fenced;
         }
-        let live = |h: &HostFact| h.id == start.host && h.life == Life::Live;
+        let live = |h: &HostInfo| h.id == start.host && h.life == Life::Live;
         if !self.hosts.iter().any(live) {
             return OrderAnswer::NoHost;
         }
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -12,7 +12,7 @@
 };
 use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
-use rockwick::port::{BackendFact, Changes, Expect, HostFact, Life, Listing, Put, Transaction};
+use rockwick::port::{BackendFact, Changes, Expect, HostInfo, Life, Listing, Put, Transaction};
 use rockwick::wire::{encode, Ask, Told};
 use serde::Serialize;
 use standin::rows::Rows;
@@ -79,9 +79,9 @@
     text
 }
 
-fn facts(size: Size) -> Vec<HostFact> {
+fn facts(size: Size) -> Vec<HostInfo> {
     (0..size.hosts)
-        .map(|n| HostFact {
+        .map(|n| HostInfo {
             id: format!("h{n:04}"),
             hall: format!("hall{}", n / 4 % 11),
             rack: format!("rack{}", n / 4),
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -11,7 +11,7 @@
 use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
-    Attempt, BackendFact, HostFact, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
+    Attempt, BackendFact, HostInfo, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
     TaskReport, TaskState,
 };
 use standin::rows::Rows;
@@ -154,7 +154,7 @@
     now: Now,
     state: State,
     rows: Rows,
-    facts: Vec<HostFact>,
+    facts: Vec<HostInfo>,
     listed: bool,
     back_ms: HashMap<String, Millis>,
     tasks: BTreeMap<String, Task>,
@@ -205,7 +205,7 @@
             pause_ms: Millis::MAX,
             ..Tuning::default()
         };
-        let facts = (0..case.hosts).map(|n| HostFact {
+        let facts = (0..case.hosts).map(|n| HostInfo {
             id: format!("h{n:03}"),
             hall: format!("hall{}", n / 4 % 11),
             rack: format!("rack{}", n / 4),
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -16,7 +16,7 @@
 use rockwick::core::state::{decode, EntryIdentity, Tuning, TxnKey};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
-    Attempt, BackendFact, HostFact, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
+    Attempt, BackendFact, HostInfo, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
     TaskReport, TaskStart, TaskState, Transaction,
 };
 use serde::de::DeserializeOwned;
@@ -128,7 +128,7 @@
     rows: Rows,
     entries: Vec<Entry>,
     next_incarnation: u64,
-    facts: Vec<HostFact>,
+    facts: Vec<HostInfo>,
     tokens: BTreeSet<String>,
     tasks: BTreeMap<String, Task>,
     fenced: HashMap<String, u32>,
@@ -143,7 +143,7 @@
 impl World {
     fn new(seed: u64) -> Self {
         let facts = (0..HOSTS)
-            .map(|n| HostFact {
+            .map(|n| HostInfo {
                 id: format!("h{n}"),
                 hall: "a".to_string(),
                 rack: format!("r{}", n / 2),
--- a/tests/test_place.rs
+++ b/tests/test_place.rs
@@ -4,7 +4,7 @@
 use rockwick::core::config::Class;
 use rockwick::core::rows::{HostRow, HostState, JobRow, JobSpec, JobState};
 use rockwick::core::{reduce, Effect, Event, State};
-use rockwick::port::{Changes, HostFact, Life, Listing, Row};
+use rockwick::port::{Changes, HostInfo, Life, Listing, Row};
 use serde::Serialize;
 
 use crate::test_model::quiet_state;
@@ -40,7 +40,7 @@
             };
             view.put(&format!("host/h{n}"), &row);
         }
-        let facts = (1..=hosts).map(|n| HostFact {
+        let facts = (1..=hosts).map(|n| HostInfo {
             id: format!("h{n}"),
             hall: "a".to_string(),
             rack: format!("a{n}"),
