--- a/src/port/mod.rs
+++ b/src/port/mod.rs
@@ -166,7 +166,7 @@
 
 /// A backend server on a host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct BackendFact {
+pub struct BackendInfo {
     /// The service that it runs.
     pub service: String,
     /// The address that it listens on, as `IP:PORT`.
@@ -198,7 +198,7 @@
     pub boots: u64,
     /// The backend servers on the host.
     #[serde(default, rename = "backend")]
-    pub backends: Vec<BackendFact>,
+    pub backends: Vec<BackendInfo>,
 }
 
 fn live() -> Life {
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -12,7 +12,7 @@
 };
 use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
-use rockwick::port::{BackendFact, Changes, Expect, HostInfo, Life, Listing, Put, Transaction};
+use rockwick::port::{BackendInfo, Changes, Expect, HostInfo, Life, Listing, Put, Transaction};
 use rockwick::wire::{encode, Ask, Told};
 use serde::Serialize;
 use standin::rows::Rows;
@@ -89,7 +89,7 @@
             memory_mb: 32_768,
             life: Life::Live,
             boots: 3,
-            backends: vec![BackendFact {
+            backends: vec![BackendInfo {
                 service: "s".to_string(),
                 address: ([10, 0, (n / 250) as u8, (n % 250) as u8], 80).into(),
                 slots: 8,
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -11,7 +11,7 @@
 use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
-    Attempt, BackendFact, HostInfo, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
+    Attempt, BackendInfo, HostInfo, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
     TaskReport, TaskState,
 };
 use standin::rows::Rows;
@@ -213,7 +213,7 @@
             memory_mb: 32_768,
             life: Life::Live,
             boots: 0,
-            backends: vec![BackendFact {
+            backends: vec![BackendInfo {
                 service: "s".to_string(),
                 address: ([10, 0, (n / 250) as u8, (n % 250) as u8], 80).into(),
                 slots: 8,
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -16,7 +16,7 @@
 use rockwick::core::state::{decode, EntryIdentity, Tuning, TxnKey};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
-    Attempt, BackendFact, HostInfo, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
+    Attempt, BackendInfo, HostInfo, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
     TaskReport, TaskStart, TaskState, Transaction,
 };
 use serde::de::DeserializeOwned;
@@ -151,7 +151,7 @@
                 memory_mb: 1_000,
                 life: Life::Live,
                 boots: 0,
-                backends: vec![BackendFact {
+                backends: vec![BackendInfo {
                     service: "route".to_string(),
                     address: ([127, 0, 0, 1], 1_000 + n as u16).into(),
                     slots: 8,
