--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -20,7 +20,7 @@
 use super::worker::Worker;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{Addressee, EndKind, OrderReply, RunEnd, RunStart, TaskName};
+use crate::port::fleet::{OrderTarget, EndKind, OrderReply, RunEnd, RunStart, TaskName};
 
 /// Pause for a worker that reports that it is unwell or refuses connections.
 const UNWELL_PAUSE_MS: u64 = 500;
@@ -39,7 +39,7 @@
     Some(Order {
         pool: ctx.pool,
         pool_state: pool_state.id,
-        to: Addressee {
+        to: OrderTarget {
             worker: worker.fact.id.clone(),
             address: worker.fact.address,
             fence: fencing_token::encode(pool_state.id, epoch, worker.restarts),
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -20,7 +20,7 @@
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
-    Addressee, FleetConfig, HostRecord, HostReply, OperatorEvent, OrderReply, RenewalReport,
+    OrderTarget, FleetConfig, HostRecord, HostReply, OperatorEvent, OrderReply, RenewalReport,
     RenewalRequest, Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder,
     WaveState, WorkerEvent, WorkerInfo, ABSENT,
 };
@@ -328,7 +328,7 @@
     /// In-memory state that the order came from.
     pub pool_state: PoolStateId,
     /// Worker that the order goes to, and its fencing token.
-    pub to: Addressee,
+    pub to: OrderTarget,
     /// End of the owner's lease; the order must not be sent later.
     pub until_ms: Millis,
 }
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -357,7 +357,7 @@
 
 /// The worker that an order goes to, and the authority of the sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Addressee {
+pub struct OrderTarget {
     /// The id of the worker; a worker with another id refuses the order.
     pub worker: String,
     /// The address that the worker takes orders at.
@@ -484,14 +484,14 @@
     /// Starts a run; a repeated order changes nothing.
     fn start(
         &self,
-        to: &Addressee,
+        to: &OrderTarget,
         start: &RunStart,
         timeout_ms: Millis,
     ) -> impl Future<Output = OrderReply>;
     /// Stops a run, or prevents it for good if it has not started.
     fn stop(
         &self,
-        to: &Addressee,
+        to: &OrderTarget,
         task: &TaskName,
         run: u32,
         timeout_ms: Millis,
@@ -499,7 +499,7 @@
     /// Limits a run to a percentage of its full speed.
     fn pace(
         &self,
-        to: &Addressee,
+        to: &OrderTarget,
         task: &TaskName,
         run: u32,
         percent: u32,
@@ -508,7 +508,7 @@
     /// Renews the worker's lease and returns its report.
     fn renew_lease(
         &self,
-        to: &Addressee,
+        to: &OrderTarget,
         ask: RenewalRequest,
         timeout_ms: Millis,
     ) -> impl Future<Output = Result<RenewalReport, OrderReply>>;
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -2,7 +2,7 @@
 
 use rockwick::platform::Platform;
 use rockwick::port::fleet::{
-    Addressee, Directory, Guard, HostAuthority, HostMoves, HostReply, HostState, OperatorEvent,
+    OrderTarget, Directory, Guard, HostAuthority, HostMoves, HostReply, HostState, OperatorEvent,
     OrderReply, Range, ReadError, RenewalRequest, RowTx, Rows, RunStart, Table, TaskName,
     TxOutcome, WaveState, WaveStatus, WorkerEvent, WorkerOrders, Write, ABSENT,
 };
@@ -205,7 +205,7 @@
         let Some(WorkerEvent::Present(fact)) = workers.into_iter().next() else {
             panic!("a worker");
         };
-        let to = |fence, worker: &str| Addressee {
+        let to = |fence, worker: &str| OrderTarget {
             worker: worker.to_string(),
             address: fact.address,
             fence,
@@ -271,7 +271,7 @@
         wait.recv().expect("the test goes on");
     });
     let platform = Platform::new(address, None);
-    let to = Addressee {
+    let to = OrderTarget {
         worker: "life".to_string(),
         address,
         fence: 1,
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -1,6 +1,6 @@
 //! What befalls a world only where a test asks for it, drawn by generators of their own.
 
-use rockwick::port::fleet::Addressee;
+use rockwick::port::fleet::OrderTarget;
 
 use super::*;
 
@@ -83,7 +83,7 @@
     }
 
     /// What an order comes to that goes to another address than the worker's: who answers there says that it is another life.
-    pub(super) fn astray(&self, to: &Addressee) -> Option<OrderReply> {
+    pub(super) fn astray(&self, to: &OrderTarget) -> Option<OrderReply> {
         let w = self.workers.get(&to.worker)?;
         if w.fact.address == to.address {
             return None;
