--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -11,7 +11,7 @@
 use super::wave::EVERY_POOL;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
-use crate::port::Life;
+use crate::port::HostStatus;
 
 /// How long jobs avoid a host on which several of them failed.
 const FAILING_MS: Millis = 600_000;
@@ -284,7 +284,7 @@
     /// Returns the cores and the memory in MB that a job of a class may still take on a live host.
     fn free_capacity(&self, host: HostKey, class: Class, asked: u32) -> Option<(u32, u64)> {
         let h = &self.hosts[host];
-        let fact = h.fact.as_ref().filter(|f| f.life == Life::Live)?;
+        let fact = h.fact.as_ref().filter(|f| f.life == HostStatus::Live)?;
         let (mut cores, mut memory_mb) = (fact.cores, fact.memory_mb);
         let mut others = 0;
         let placing = self.placing.iter().filter(|(_, at)| **at == h.id);
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -7,7 +7,7 @@
 use super::config::{Account, Service};
 use super::rows::HostState;
 use super::state::{Host, State};
-use crate::port::Life;
+use crate::port::HostStatus;
 
 /// A backend server that a service's requests may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
                 let known = services
                     .entry(b.service.clone())
                     .or_insert_with(|| RouteService::new(Service::new(&b.service)));
-                if fact.life == Life::Live && open && self.belongs(host, &b.service) {
+                if fact.life == HostStatus::Live && open && self.belongs(host, &b.service) {
                     known.backends.push(BackendSpec {
                         host: host.id.clone(),
                         hall: fact.hall.clone(),
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -21,7 +21,7 @@
 use crate::clock::Millis;
 
 use crate::event::{Code, Decision, Subject};
-use crate::port::{HostInfo, Life, Row, Stamped, TaskRef, TaskReport};
+use crate::port::{HostInfo, HostStatus, Row, Stamped, TaskRef, TaskReport};
 
 new_key_type! {
     /// Arena key of a host.
@@ -60,7 +60,7 @@
 impl Host {
     /// Whether the platform lists it as live.
     pub fn is_live(&self) -> bool {
-        self.fact.as_ref().is_some_and(|f| f.life == Life::Live)
+        self.fact.as_ref().is_some_and(|f| f.life == HostStatus::Live)
     }
 
     /// Whether it serves its pool and is live.
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -19,7 +19,7 @@
 use crate::error::{Failure, Kind};
 use crate::event::Subject;
 use crate::http::{server, Incoming, Limits, Wire};
-use crate::port::Life;
+use crate::port::HostStatus;
 use crate::view::{EntryView, HostView, JobView, Line, PoolView, Status, TemplateView, WaveView};
 
 /// Takes operators' connections, on the control thread.
@@ -241,9 +241,9 @@
 fn host_view(state: &State, key: HostKey) -> HostView {
     let host = &state.hosts[key];
     let life = match host.fact.as_ref().map(|f| f.life) {
-        Some(Life::Live) => "live",
-        Some(Life::Leaving) => "leaving",
-        Some(Life::Gone) => "gone",
+        Some(HostStatus::Live) => "live",
+        Some(HostStatus::Leaving) => "leaving",
+        Some(HostStatus::Gone) => "gone",
         None => "unlisted",
     };
     let (hall, rack) = host.place();
--- a/src/port/mod.rs
+++ b/src/port/mod.rs
@@ -155,7 +155,7 @@
 /// Whether a host runs, as the platform lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Life {
+pub enum HostStatus {
     /// The host is in service.
     Live,
     /// The platform itself is about to stop the host.
@@ -192,7 +192,7 @@
     pub memory_mb: u64,
     /// Whether the host runs; a host without this field counts as live.
     #[serde(default = "live")]
-    pub life: Life,
+    pub life: HostStatus,
     /// The number of boots so far.
     #[serde(default)]
     pub boots: u64,
@@ -201,8 +201,8 @@
     pub backends: Vec<BackendInfo>,
 }
 
-fn live() -> Life {
-    Life::Live
+fn live() -> HostStatus {
+    HostStatus::Live
 }
 
 /// The platform's list of hosts, which may be out of date.
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -11,7 +11,7 @@
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Incoming, Limits, Wire};
 use rockwick::port::{
-    Attempt, Committed, HostInfo, Life, Listing, OrderAnswer, Ordered, Reboot, Reports, TaskRef,
+    Attempt, Committed, HostInfo, HostStatus, Listing, OrderAnswer, Ordered, Reboot, Reports, TaskRef,
     TaskReport, TaskStart, TaskState, Transaction,
 };
 use rockwick::runtime::Runtime;
@@ -149,7 +149,7 @@
 
 #[derive(Deserialize)]
 struct SetHost {
-    life: Life,
+    life: HostStatus,
 }
 
 #[derive(Deserialize)]
@@ -408,7 +408,7 @@
             return server::json(200, &Ordered { answer });
         };
         if self.reboot_tokens.insert(order.token) {
-            host.life = Life::Gone;
+            host.life = HostStatus::Gone;
             self.relist_ms = Some(relist_ms);
             self.rebooting.insert(id.to_string(), until_ms);
             *self.stats.reboots.entry(id.to_string()).or_default() += 1;
@@ -443,7 +443,7 @@
         {
             return OrderAnswer::Fenced;
         }
-        let live = |h: &HostInfo| h.id == start.host && h.life == Life::Live;
+        let live = |h: &HostInfo| h.id == start.host && h.life == HostStatus::Live;
         if !self.hosts.iter().any(live) {
             return OrderAnswer::NoHost;
         }
@@ -524,7 +524,7 @@
         let gone: BTreeSet<String> = self
             .hosts
             .iter()
-            .filter(|h| h.life == Life::Gone)
+            .filter(|h| h.life == HostStatus::Gone)
             .map(|h| h.id.clone())
             .collect();
         let mut ended = Vec::new();
@@ -550,7 +550,7 @@
         for host in &mut self.hosts {
             if self.rebooting.get(&host.id).is_some_and(|t| now_ms >= *t) {
                 self.rebooting.remove(&host.id);
-                host.life = Life::Live;
+                host.life = HostStatus::Live;
                 host.boots += 1;
                 self.relist_ms = Some(now_ms + lag_ms);
             }
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -12,7 +12,7 @@
 };
 use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
-use rockwick::port::{BackendInfo, Changes, Expect, HostInfo, Life, Listing, Put, Transaction};
+use rockwick::port::{BackendInfo, Changes, Expect, HostInfo, HostStatus, Listing, Put, Transaction};
 use rockwick::wire::{encode, Ask, Told};
 use serde::Serialize;
 use standin::rows::Rows;
@@ -87,7 +87,7 @@
             rack: format!("rack{}", n / 4),
             cores: 16,
             memory_mb: 32_768,
-            life: Life::Live,
+            life: HostStatus::Live,
             boots: 3,
             backends: vec![BackendInfo {
                 service: "s".to_string(),
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -11,7 +11,7 @@
 use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
-    Attempt, BackendInfo, HostInfo, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
+    Attempt, BackendInfo, HostInfo, HostStatus, Listing, OrderAnswer, Outcome, Reports, TaskRef,
     TaskReport, TaskState,
 };
 use standin::rows::Rows;
@@ -211,7 +211,7 @@
             rack: format!("rack{}", n / 4),
             cores: if n % 3 == 0 { 64 } else { 16 },
             memory_mb: 32_768,
-            life: Life::Live,
+            life: HostStatus::Live,
             boots: 0,
             backends: vec![BackendInfo {
                 service: "s".to_string(),
@@ -374,7 +374,7 @@
 
     fn set_gone(&mut self, host: &str, for_ms: Millis) {
         if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
-            f.life = Life::Gone;
+            f.life = HostStatus::Gone;
             self.listed = false;
         }
         let until_ms = self.now.ms + for_ms;
@@ -418,7 +418,7 @@
         for host in back {
             self.back_ms.remove(&host);
             if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
-                f.life = Life::Live;
+                f.life = HostStatus::Live;
                 f.boots += 1;
                 self.listed = false;
             }
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -16,7 +16,7 @@
 use rockwick::core::state::{decode, EntryIdentity, Tuning, TxnKey};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
-    Attempt, BackendInfo, HostInfo, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
+    Attempt, BackendInfo, HostInfo, HostStatus, Listing, OrderAnswer, Outcome, Reports, TaskRef,
     TaskReport, TaskStart, TaskState, Transaction,
 };
 use serde::de::DeserializeOwned;
@@ -149,7 +149,7 @@
                 rack: format!("r{}", n / 2),
                 cores: 8,
                 memory_mb: 1_000,
-                life: Life::Live,
+                life: HostStatus::Live,
                 boots: 0,
                 backends: vec![BackendInfo {
                     service: "route".to_string(),
@@ -374,7 +374,7 @@
             "the row is written before the start"
         );
         let host = self.facts.iter().find(|f| f.id == start.host);
-        let live = host.is_some_and(|f| f.life == Life::Live);
+        let live = host.is_some_and(|f| f.life == HostStatus::Live);
         let task = self.tasks.entry(start.job.clone()).or_default();
         if task.attempt == start.attempt && task.starts > 0 {
             return OrderAnswer::Accepted;
@@ -604,8 +604,8 @@
             0 => {
                 let n = self.rng.usize(..HOSTS);
                 let fact = &mut self.facts[n];
-                let gone = fact.life == Life::Live;
-                fact.life = if gone { Life::Gone } else { Life::Live };
+                let gone = fact.life == HostStatus::Live;
+                fact.life = if gone { HostStatus::Gone } else { HostStatus::Live };
                 let host = fact.id.clone();
                 self.end_tasks(TaskState::Lost, |t| gone && t.host == host);
             }
@@ -708,7 +708,7 @@
     /// All is well again: what was begun comes to its end.
     fn calm(&mut self) {
         for f in &mut self.facts {
-            f.life = Life::Live;
+            f.life = HostStatus::Live;
         }
         for at in 0..ENTRIES {
             self.entries[at].frozen = false;
--- a/tests/test_place.rs
+++ b/tests/test_place.rs
@@ -4,7 +4,7 @@
 use rockwick::core::config::Class;
 use rockwick::core::rows::{HostRow, HostState, JobRow, JobSpec, JobState};
 use rockwick::core::{reduce, Effect, Event, State};
-use rockwick::port::{Changes, HostInfo, Life, Listing, Row};
+use rockwick::port::{Changes, HostInfo, HostStatus, Listing, Row};
 use serde::Serialize;
 
 use crate::test_model::quiet_state;
@@ -46,7 +46,7 @@
             rack: format!("a{n}"),
             cores: 8,
             memory_mb: 1_000,
-            life: Life::Live,
+            life: HostStatus::Live,
             boots: 0,
             backends: Vec::new(),
         });
