--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -87,7 +87,7 @@
     let mut written = None;
     with_host_controller(state, key, now, out, |controller, _, inputs, ctx| {
         if inputs.epoch == epoch {
-            written = hosts::taken(controller, from, &outcome, epoch, ctx);
+            written = hosts::apply_taken(controller, from, &outcome, epoch, ctx);
         }
     });
     let Some(donor) = state.pool_keys.get(from).copied() else {
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -404,7 +404,7 @@
 }
 
 /// Applies the outcome of a change of a pool's offers. Returns the row as it is now known if it was written.
-pub fn taken(
+pub fn apply_taken(
     controller: &mut HostController,
     pool: &str,
     outcome: &TxOutcome,
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -102,7 +102,7 @@
         };
         let mut row = None;
         let effects = self.with_ctx(|controller, _, ctx| {
-            row = hosts::taken(controller, "idle", &outcome, EPOCH, ctx);
+            row = hosts::apply_taken(controller, "idle", &outcome, EPOCH, ctx);
         });
         self.offers.replace_row(row.unwrap_or_default(), 10);
         effects
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -311,7 +311,7 @@
             Arrival::Taken(outcome) => {
                 let mut row = None;
                 self.holder(|controller, _, ctx| {
-                    row = hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
+                    row = hosts::apply_taken(controller, POOL, &outcome, EPOCH, ctx);
                 });
                 match (outcome, row) {
                     (TxOutcome::Committed(revision), Some(row)) => self.seen.replace_row(row, revision),
@@ -424,7 +424,7 @@
     let is_take = |e: &Effect| matches!(e, Effect::TakeHosts(..));
     assert!(effects.iter().any(is_take), "{effects:?}");
     let effects = decide(100_010, |ctx| {
-        hosts::taken(
+        hosts::apply_taken(
             &mut controller,
             POOL,
             &TxOutcome::Conflict(Vec::new()),
@@ -481,7 +481,7 @@
                 &offers,
                 now_ms + 10,
                 |controller, look, ctx| {
-                    hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
+                    hosts::apply_taken(controller, POOL, &outcome, EPOCH, ctx);
                     if !is_newest {
                         hosts::retry_take(controller, &BTreeMap::new(), look, ctx);
                     }
