--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -478,7 +478,7 @@
 }
 
 /// Applies the outcome of recording orders, and sends those that are ready.
-pub fn recorded(
+pub fn apply_recorded(
     controller: &mut HostController,
     outcome: &TxOutcome,
     epoch: u64,
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -155,7 +155,7 @@
         Event::HostOrdersRecorded(pool, epoch, outcome) => {
             with_host_controller(state, pool, now, &mut out, |controller, _, inputs, ctx| {
                 if inputs.epoch == epoch {
-                    hosts::recorded(controller, &outcome, epoch, ctx);
+                    hosts::apply_recorded(controller, &outcome, epoch, ctx);
                 }
             });
         }
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -90,7 +90,7 @@
 
     fn recorded(&mut self) -> Vec<Effect> {
         self.with_ctx(|controller, _, ctx| {
-            hosts::recorded(controller, &TxOutcome::Committed(9), EPOCH, ctx)
+            hosts::apply_recorded(controller, &TxOutcome::Committed(9), EPOCH, ctx)
         })
     }
 
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -320,7 +320,7 @@
                 }
             }
             Arrival::Recorded => self.holder(|controller, _, ctx| {
-                hosts::recorded(controller, &TxOutcome::Committed(1), EPOCH, ctx);
+                hosts::apply_recorded(controller, &TxOutcome::Committed(1), EPOCH, ctx);
             }),
             Arrival::Ordered(host, reply) => self.holder(|controller, _, ctx| {
                 hosts::apply_reply(controller, &host, reply, ctx);
