--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -226,7 +226,7 @@
             wanted: if n == 0 { workers as u64 / 2 } else { 1 },
             needed: if n == 0 { workers as u64 / 2 } else { 1 },
             offers: &offers[n],
-            heard_ms: NOW_MS,
+            heartbeat_seen_ms: NOW_MS,
         })
         .collect();
     let look = Inputs {
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -68,7 +68,7 @@
     /// Hosts that the pool offers, and those that were taken from it.
     pub offers: &'a Offers,
     /// When the owner's heartbeat was last seen.
-    pub heard_ms: Millis,
+    pub heartbeat_seen_ms: Millis,
 }
 
 impl<'a> PoolNeed<'a> {
@@ -79,7 +79,7 @@
             wanted: pool.lease.heartbeat.wanted,
             needed: pool.lease.heartbeat.needed,
             offers: &pool.offers,
-            heard_ms: pool.lease.heartbeat_seen_ms,
+            heartbeat_seen_ms: pool.lease.heartbeat_seen_ms,
         }
     }
 
--- a/src/core/sched/moves.rs
+++ b/src/core/sched/moves.rs
@@ -67,7 +67,7 @@
     ctx: &Ctx<'_>,
 ) {
     let mut serving = count_serving(controller, inputs.needs);
-    let is_recent = |need: &PoolNeed<'_>| ctx.now.ms < need.heard_ms + NEED_KEPT_MS;
+    let is_recent = |need: &PoolNeed<'_>| ctx.now.ms < need.heartbeat_seen_ms + NEED_KEPT_MS;
     let recent: Vec<usize> = (0..inputs.needs.len())
         .filter(|n| is_recent(&inputs.needs[*n]))
         .collect();
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -70,6 +70,6 @@
         wanted: needed,
         needed,
         offers,
-        heard_ms: now_ms,
+        heartbeat_seen_ms: now_ms,
     }
 }
