--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -406,7 +406,7 @@
 }
 
 /// Applies an account's row as it was read.
-pub fn read(
+pub fn apply_row(
     pool_state: &mut PoolState,
     controller: &mut QuotaController,
     account: &str,
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -148,7 +148,7 @@
                 now,
                 &mut out,
                 |pool_state, controller, _, ctx| {
-                    quota::read(pool_state, controller, &account, row, ctx);
+                    quota::apply_row(pool_state, controller, &account, row, ctx);
                 },
             );
         }
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -234,7 +234,7 @@
                         outcome,
                         ctx,
                     ),
-                    None => quota::read(pool_state, controller, ACCOUNT, row, ctx),
+                    None => quota::apply_row(pool_state, controller, ACCOUNT, row, ctx),
                 },
             );
             self.carry(answer.owner, effects);
