--- a/src/core/sched/free_index.rs
+++ b/src/core/sched/free_index.rs
@@ -33,7 +33,7 @@
 
 impl FreeIndex {
     /// Updates the index with a worker's free processors and rack.
-    pub fn note(&mut self, key: WorkerKey, worker: &Worker) {
+    pub fn update(&mut self, key: WorkerKey, worker: &Worker) {
         let room = worker.fact.capacity.cpu_milli;
         let free = room.saturating_sub(worker.used.cpu_milli);
         let slot = Slot {
--- a/src/core/sched/instances.rs
+++ b/src/core/sched/instances.rs
@@ -60,7 +60,7 @@
     /// Updates the index of free capacity for a worker.
     pub fn update_free_index(&mut self, key: WorkerKey) {
         if let Some(worker) = self.workers.get(key) {
-            self.free_index.note(key, worker);
+            self.free_index.update(key, worker);
         }
     }
 
