--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -240,7 +240,7 @@
             }
             let size = judged.window.size();
             self.backend.window_size.store(size, Ordering::Relaxed);
-            let change = judged.health.note(sign, may_eject, now_ms);
+            let change = judged.health.record_outcome(sign, may_eject, now_ms);
             let until_ms = judged.health.ejected_until_ms();
             self.backend
                 .ejected_until_ms
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -391,7 +391,7 @@
         }
         // Health is the same for the two-choice ways and the fixed share; the baselines have none.
         if !matches!(self.way, Way::Random | Way::RoundRobin) {
-            v.health.note(sign, may_eject(ejected, BACKENDS), now_ms);
+            v.health.record_outcome(sign, may_eject(ejected, BACKENDS), now_ms);
         }
     }
 
