--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -60,7 +60,12 @@
 
 impl Health {
     /// Records an outcome. `may_eject` says whether the number of ejected backend servers allows one more.
-    pub fn record_outcome(&mut self, sign: ExchangeOutcome, may_eject: bool, now_ms: Millis) -> Change {
+    pub fn record_outcome(
+        &mut self,
+        sign: ExchangeOutcome,
+        may_eject: bool,
+        now_ms: Millis,
+    ) -> Change {
         match sign {
             ExchangeOutcome::Full => {
                 let full_ms = (FULL_MS << self.refusals.min(16)).min(FULL_MAX_MS);
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -69,7 +69,10 @@
 
     /// Returns the load in thousandths of the window, and whether the backend server is in another hall.
     fn load(&self) -> (u32, bool) {
-        (self.in_flight * 1_000 / self.window.max(1), !self.is_same_hall)
+        (
+            self.in_flight * 1_000 / self.window.max(1),
+            !self.is_same_hall,
+        )
     }
 }
 
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -673,7 +673,12 @@
 }
 
 /// Applies a host's reply to an order.
-pub fn apply_reply(controller: &mut HostController, host: &str, reply: HostReply, ctx: &mut Ctx<'_>) {
+pub fn apply_reply(
+    controller: &mut HostController,
+    host: &str,
+    reply: HostReply,
+    ctx: &mut Ctx<'_>,
+) {
     let Some(order) = controller.orders.get_mut(host) else {
         return;
     };
--- a/src/core/sched/overload.rs
+++ b/src/core/sched/overload.rs
@@ -74,7 +74,8 @@
     for job in jobs {
         kept.push((job.work_core_ms, job.job));
         sum += job.work_core_ms;
-        let startable_work = supply.startable_core_ms(job.start_by_ms.saturating_sub(now_ms), job.task_ms);
+        let startable_work =
+            supply.startable_core_ms(job.start_by_ms.saturating_sub(now_ms), job.task_ms);
         while sum > startable_work {
             let Some((work, largest)) = kept.pop() else {
                 break;
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -412,7 +412,8 @@
                 step,
                 index,
             };
-            let waits = |t: &Task| t.phase == Phase::Blocked && !t.losses.is_over_limit(lasts, t.run);
+            let waits =
+                |t: &Task| t.phase == Phase::Blocked && !t.losses.is_over_limit(lasts, t.run);
             if self.task(key).is_some_and(waits) {
                 self.set_phase(key, Phase::Ready, now_ms);
             }
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -237,7 +237,8 @@
     );
     drop_leftover_runs(pool_state, key, sent_ms, &report.running);
     let is_recorded = pool_state.settle_ends(key);
-    let is_blocked = pool_state.last_confirmable_end(key) < pool_state.workers[key].recorded_through;
+    let is_blocked =
+        pool_state.last_confirmable_end(key) < pool_state.workers[key].recorded_through;
     if !is_recorded {
         pool_state.workers[key].renewal = RenewalPhase::Recording(ctx.now.ms);
         pool_state.recording.insert(key);
@@ -331,7 +332,12 @@
     let found = pool_state
         .instances_on(&w.fact.host)
         .find(|(_, other)| w.is_succeeded_by(other))
-        .map(|(other, instance)| (other, instance.first_asked_ms.unwrap_or(instance.answered_ms)));
+        .map(|(other, instance)| {
+            (
+                other,
+                instance.first_asked_ms.unwrap_or(instance.answered_ms),
+            )
+        });
     if let Some((other, asked_ms)) = found {
         end_succeeded(pool_state, key, other, asked_ms, ctx);
     }
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -91,7 +91,10 @@
         return "JobUnknown".to_string();
     };
     let prefix = if job.state.is_final() { "JobOver," } else { "" };
-    let Some(known) = pool_state.find_task(task).and_then(|key| pool_state.task(key)) else {
+    let Some(known) = pool_state
+        .find_task(task)
+        .and_then(|key| pool_state.task(key))
+    else {
         return format!("{prefix}RoundOver");
     };
     let name = phase_name(known.phase);
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -20,7 +20,7 @@
 use super::worker::Worker;
 use crate::clock::Millis;
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{OrderTarget, EndKind, OrderReply, RunEnd, RunStart, TaskName};
+use crate::port::fleet::{EndKind, OrderReply, OrderTarget, RunEnd, RunStart, TaskName};
 
 /// Pause for a worker that reports that it is unwell or refuses connections.
 const UNWELL_PAUSE_MS: u64 = 500;
@@ -276,7 +276,13 @@
 }
 
 /// Sends a stop again after it got no reply.
-pub fn resend_stop(pool_state: &mut PoolState, key: TaskKey, run: u32, epoch: u64, ctx: &mut Ctx<'_>) {
+pub fn resend_stop(
+    pool_state: &mut PoolState,
+    key: TaskKey,
+    run: u32,
+    epoch: u64,
+    ctx: &mut Ctx<'_>,
+) {
     if pool_state.leftover_runs.contains_key(&(key, run)) {
         stop_leftover_run(pool_state, key, run, epoch, ctx);
         return;
@@ -480,7 +486,9 @@
     if step.longest_ms > 0 {
         let estimate_ms = job.spec.steps[usize::from(key.step)].estimate_ms;
         let took_ms = step.longest_ms;
-        pool_state.times.record(&job.spec.queue, estimate_ms, took_ms);
+        pool_state
+            .times
+            .record(&job.spec.queue, estimate_ms, took_ms);
     }
     if round.steps.iter().any(|s| s.tasks_left > 0) {
         pool_state.open_steps(key.job, key.round, ctx.now.ms);
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -20,7 +20,7 @@
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{
-    OrderTarget, FleetConfig, HostRecord, HostReply, OperatorEvent, OrderReply, RenewalReport,
+    FleetConfig, HostRecord, HostReply, OperatorEvent, OrderReply, OrderTarget, RenewalReport,
     RenewalRequest, Revision, RowTx, RunStart, StoredRow, TaskName, TxOutcome, WaveOrder,
     WaveState, WorkerEvent, WorkerInfo, ABSENT,
 };
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -109,7 +109,8 @@
             wave.is_done = true;
             let number = wave.order.wave;
             end_turns(pool_state, controller, number);
-            ctx.out.push(Effect::ReportWave(number, WaveState::Completed));
+            ctx.out
+                .push(Effect::ReportWave(number, WaveState::Completed));
             let id = number.to_string();
             ctx.log(Decision::new(
                 Code::WaveDone,
@@ -617,7 +618,10 @@
     for host in due.iter().copied().filter(|h| may_begin(h)) {
         if let Some(key) = pool_state.worker_on(host) {
             let w = &pool_state.workers[key];
-            if w.is_answering && !w.fact.draining && !w.is_offered && can_clear(pool_state, key, now_ms)
+            if w.is_answering
+                && !w.fact.draining
+                && !w.is_offered
+                && can_clear(pool_state, key, now_ms)
             {
                 found.push((host.to_string(), w.used.cpu_milli + w.tasks.len() as u64));
             }
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -193,7 +193,11 @@
         let may_still_serve = self.fact.draining || self.is_withdrawn;
         let is_gone = self.is_refusing && !may_still_serve;
         let answered_later = later.first_asked_ms.is_some_and(|at| self.answered_ms < at);
-        is_gone && self.has_been_seen() && later.is_answering && !later.fact.draining && answered_later
+        is_gone
+            && self.has_been_seen()
+            && later.is_answering
+            && !later.fact.draining
+            && answered_later
     }
 
     /// Returns whether it was ever in the platform's list. Other workers are known only from what a former owner
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -60,7 +60,9 @@
 impl Host {
     /// Whether the platform lists it as live.
     pub fn is_live(&self) -> bool {
-        self.fact.as_ref().is_some_and(|f| f.life == HostStatus::Live)
+        self.fact
+            .as_ref()
+            .is_some_and(|f| f.life == HostStatus::Live)
     }
 
     /// Whether it serves its pool and is live.
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -13,7 +13,7 @@
 use crate::clock::Millis;
 use crate::core::admit::{Queue, Shed};
 use crate::core::config::Class;
-use crate::core::health::{self, Change, Health, ExchangeOutcome};
+use crate::core::health::{self, Change, ExchangeOutcome, Health};
 use crate::core::retry::RetryBudget;
 use crate::core::route::{self, Candidate, Window};
 use crate::core::routes::BackendSpec;
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -16,7 +16,7 @@
 use crate::event::{Code, Decision, Subject};
 use crate::http::{server, Answer, Incoming};
 use crate::metrics::Metrics;
-use crate::port::{commit, Objects, Outcome, RetryPolicy, Put, Table, Transaction};
+use crate::port::{commit, Objects, Outcome, Put, RetryPolicy, Table, Transaction};
 
 /// Larger bodies, and those that are no text, are kept as objects.
 const INLINE_MAX_BYTES: usize = 16 << 10;
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -251,7 +251,9 @@
         }
         Ok(a) if a.status >= 500 => (ExchangeOutcome::Bad, Ok(a)),
         Ok(a) => (ExchangeOutcome::Good, Ok(a)),
-        Err(trouble) if trouble.sent() == Sent::Nothing => (ExchangeOutcome::Bad, Err(Miss::Unreached)),
+        Err(trouble) if trouble.sent() == Sent::Nothing => {
+            (ExchangeOutcome::Bad, Err(Miss::Unreached))
+        }
         Err(Trouble::Timeout(_)) => (ExchangeOutcome::Bad, Err(Miss::Lost(Kind::BackendTimeout))),
         // It answered, and too much: that says nothing about its health.
         Err(Trouble::TooLarge) => (ExchangeOutcome::Good, Err(Miss::Lost(Kind::AnswerTooLarge))),
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -11,8 +11,8 @@
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Incoming, Limits, Wire};
 use rockwick::port::{
-    Attempt, Committed, HostInfo, HostStatus, Listing, OrderAnswer, Ordered, Reboot, Reports, TaskRef,
-    TaskReport, TaskStart, TaskState, Transaction,
+    Attempt, Committed, HostInfo, HostStatus, Listing, OrderAnswer, Ordered, Reboot, Reports,
+    TaskRef, TaskReport, TaskStart, TaskState, Transaction,
 };
 use rockwick::runtime::Runtime;
 use serde::{Deserialize, Serialize};
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -8,7 +8,7 @@
 
 use bpaf::{construct, long, Parser};
 use hdrhistogram::Histogram;
-use rockwick::core::health::{may_eject, share_percent, Health, ExchangeOutcome};
+use rockwick::core::health::{may_eject, share_percent, ExchangeOutcome, Health};
 use rockwick::core::retry::{Cost, RetryBudget};
 use rockwick::core::route::{pick_candidate, Candidate, Window};
 
@@ -391,7 +391,8 @@
         }
         // Health is the same for the two-choice ways and the fixed share; the baselines have none.
         if !matches!(self.way, Way::Random | Way::RoundRobin) {
-            v.health.record_outcome(sign, may_eject(ejected, BACKENDS), now_ms);
+            v.health
+                .record_outcome(sign, may_eject(ejected, BACKENDS), now_ms);
         }
     }
 
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -12,7 +12,9 @@
 };
 use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
-use rockwick::port::{BackendInfo, Changes, Expect, HostInfo, HostStatus, Listing, Put, Transaction};
+use rockwick::port::{
+    BackendInfo, Changes, Expect, HostInfo, HostStatus, Listing, Put, Transaction,
+};
 use rockwick::wire::{encode, Ask, Told};
 use serde::Serialize;
 use standin::rows::Rows;
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -2,7 +2,7 @@
 
 use rockwick::core::admit::{Bucket, Queue, Shed};
 use rockwick::core::config::Class;
-use rockwick::core::health::{may_eject, share_percent, Change, Health, ExchangeOutcome};
+use rockwick::core::health::{may_eject, share_percent, Change, ExchangeOutcome, Health};
 use rockwick::core::retry::{Backoff, Cost, RetryBudget};
 use rockwick::core::route::{class_may_enter, pick_candidate, Candidate, Window};
 
@@ -157,22 +157,34 @@
 fn admit_ejection() {
     let mut h = Health::default();
     for _ in 0..4 {
-        assert_eq!(h.record_outcome(ExchangeOutcome::Bad, true, 0), Change::None);
+        assert_eq!(
+            h.record_outcome(ExchangeOutcome::Bad, true, 0),
+            Change::None
+        );
     }
     assert_eq!(
         h.record_outcome(ExchangeOutcome::Full, true, 0),
         Change::None,
         "full is no fault"
     );
-    assert_eq!(h.record_outcome(ExchangeOutcome::Bad, true, 0), Change::Ejected(2_000));
+    assert_eq!(
+        h.record_outcome(ExchangeOutcome::Bad, true, 0),
+        Change::Ejected(2_000)
+    );
     assert!(h.is_ejected(1_999) && !h.is_ejected(2_000));
     assert_eq!(
         h.record_outcome(ExchangeOutcome::Bad, true, 2_000),
         Change::Ejected(6_000),
         "on probation one is enough"
     );
-    assert_eq!(h.record_outcome(ExchangeOutcome::Good, true, 6_000), Change::Readmitted);
-    assert_eq!(h.record_outcome(ExchangeOutcome::Bad, true, 6_001), Change::None);
+    assert_eq!(
+        h.record_outcome(ExchangeOutcome::Good, true, 6_000),
+        Change::Readmitted
+    );
+    assert_eq!(
+        h.record_outcome(ExchangeOutcome::Bad, true, 6_001),
+        Change::None
+    );
     assert_eq!(share_percent(6_000, 6_000), 10);
     assert_eq!(share_percent(6_000, 8_500), 50);
     assert_eq!(share_percent(6_000, 60_000), 100);
@@ -183,7 +195,10 @@
     assert!(may_eject(0, 2) && !may_eject(1, 2) && !may_eject(0, 1));
     let mut h = Health::default();
     for _ in 0..50 {
-        assert_eq!(h.record_outcome(ExchangeOutcome::Bad, false, 0), Change::None);
+        assert_eq!(
+            h.record_outcome(ExchangeOutcome::Bad, false, 0),
+            Change::None
+        );
     }
 }
 
--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -1,6 +1,6 @@
 //! The table's contract: a lost answer is not a failure.
 
-use rockwick::port::{commit, Expect, Outcome, RetryPolicy, Put, Transaction};
+use rockwick::port::{commit, Expect, Outcome, Put, RetryPolicy, Transaction};
 
 use crate::table::{FakeTable, Fate};
 
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -170,10 +170,14 @@
     holder.look();
     holder.recorded();
     assert_eq!(moves(&holder.taken(true)).len(), 1);
-    holder.with_ctx(|controller, _, ctx| hosts::apply_reply(controller, "h1", HostReply::Silent, ctx));
+    holder.with_ctx(|controller, _, ctx| {
+        hosts::apply_reply(controller, "h1", HostReply::Silent, ctx)
+    });
     holder.now_ms += 500;
     assert_eq!(moves(&holder.look()), to_busy(), "it is taken: sent again");
-    holder.with_ctx(|controller, _, ctx| hosts::apply_reply(controller, "h1", HostReply::Silent, ctx));
+    holder.with_ctx(|controller, _, ctx| {
+        hosts::apply_reply(controller, "h1", HostReply::Silent, ctx)
+    });
     holder.offers.replace_row(OffersRow::default(), 12);
     holder.now_ms += 500;
     assert_eq!(moves(&holder.look()), [], "it is not taken any more");
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -605,7 +605,11 @@
                 let n = self.rng.usize(..HOSTS);
                 let fact = &mut self.facts[n];
                 let gone = fact.life == HostStatus::Live;
-                fact.life = if gone { HostStatus::Gone } else { HostStatus::Live };
+                fact.life = if gone {
+                    HostStatus::Gone
+                } else {
+                    HostStatus::Live
+                };
                 let host = fact.id.clone();
                 self.end_tasks(TaskState::Lost, |t| gone && t.host == host);
             }
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -314,7 +314,9 @@
                     row = hosts::apply_taken(controller, POOL, &outcome, EPOCH, ctx);
                 });
                 match (outcome, row) {
-                    (TxOutcome::Committed(revision), Some(row)) => self.seen.replace_row(row, revision),
+                    (TxOutcome::Committed(revision), Some(row)) => {
+                        self.seen.replace_row(row, revision)
+                    }
                     (TxOutcome::Conflict(found), _) => observe(&mut self.seen, &found[0].1),
                     _ => {}
                 }
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -2,8 +2,8 @@
 
 use rockwick::platform::Platform;
 use rockwick::port::fleet::{
-    OrderTarget, Directory, Guard, HostAuthority, HostMoves, HostReply, HostState, OperatorEvent,
-    OrderReply, Range, ReadError, RenewalRequest, RowTx, Rows, RunStart, Table, TaskName,
+    Directory, Guard, HostAuthority, HostMoves, HostReply, HostState, OperatorEvent, OrderReply,
+    OrderTarget, Range, ReadError, RenewalRequest, RowTx, Rows, RunStart, Table, TaskName,
     TxOutcome, WaveState, WaveStatus, WorkerEvent, WorkerOrders, Write, ABSENT,
 };
 use serde_json::json;
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -337,7 +337,13 @@
         let mut pool_state = PoolState::default();
         decide(100_000, |ctx| {
             let offers = Offers::default();
-            worker_list::apply_worker_entry(&mut pool_state, &fact(born_wall_ms), &offers, EPOCH, ctx);
+            worker_list::apply_worker_entry(
+                &mut pool_state,
+                &fact(born_wall_ms),
+                &offers,
+                EPOCH,
+                ctx,
+            );
         });
         let key = pool_state
             .find_instance(ID, Some(born_wall_ms))
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -245,7 +245,9 @@
 fn told_end_of_cancelled_job() {
     let (mut pool_state, worker) = starting(1);
     let job = key(&pool_state, 0).job;
-    decide(1_100, |ctx| runs::cancel_job(&mut pool_state, job, EPOCH, ctx));
+    decide(1_100, |ctx| {
+        runs::cancel_job(&mut pool_state, job, EPOCH, ctx)
+    });
     let done = end(1, name("a", 0), 1, EndKind::Done);
     let effects = account(&mut pool_state, worker, 1_500, vec![done], &[]);
     let told = only(&effects, Code::EndsTaken);
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -250,8 +250,10 @@
             let cap_ms = w.clock(now_ms) + RENEWAL_MAX_MS;
             w.lease_until_ms = w.lease_until_ms.max(until_ms.min(cap_ms));
         }
-        let (seen, rest): (Vec<RunEnd>, Vec<RunEnd>) =
-            w.ended.drain(..).partition(|e| e.number <= ask.acked_through);
+        let (seen, rest): (Vec<RunEnd>, Vec<RunEnd>) = w
+            .ended
+            .drain(..)
+            .partition(|e| e.number <= ask.acked_through);
         w.ended = rest;
         let report = RenewalReport {
             born_wall_ms: w.fact.born_wall_ms,
