--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -82,7 +82,7 @@
     pub recorded_through: u64,
     /// Number of the last end that was acknowledged to the worker. Used for the log only.
     pub acked_through: u64,
-    /// Ends after `recorded`, in order.
+    /// Ends after `recorded_through`, in order.
     pub unrecorded: VecDeque<TakenEnd>,
     /// Number of entries in its last report that could not be read.
     pub unreadable: usize,
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -467,7 +467,7 @@
 /// A worker's report of what runs on it and what has ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RenewalReport {
-    /// The start of the instance that answered, as in [`WorkerFact::born_wall_ms`].
+    /// The start of the instance that answered, as in [`WorkerInfo::born_wall_ms`].
     pub born_wall_ms: Option<Millis>,
     /// The time on the worker's clock, which counts from the start of the instance.
     pub clock_ms: Millis,
