--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -5,12 +5,12 @@
 
 mod control;
 mod feeds;
-mod front;
 mod operations;
 pub mod settings;
 mod shared;
-mod side;
+mod status;
 mod stop;
+mod traffic;
 
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -45,7 +45,7 @@
     let traffic = Arc::clone(&shared);
     std::thread::Builder::new()
         .name("traffic".to_string())
-        .spawn(move || front::run(&traffic, callers, balancer, metrics_listener))
+        .spawn(move || traffic::run(&traffic, callers, balancer, metrics_listener))
         .map_err(|e| Error::Io("traffic thread".to_string(), e))?;
     let control = Arc::clone(&shared);
     std::thread::Builder::new()
--- a/src/serve/traffic.rs
+++ b/src/serve/traffic.rs
@@ -15,7 +15,7 @@
 
 use super::operations;
 use super::shared::Shared;
-use super::{platform, side, KEEP_OPEN_MS};
+use super::{platform, status, KEEP_OPEN_MS};
 use crate::clock::wall_ms;
 use crate::core::sched::operation::{Operation, Outcome, Request};
 use crate::event::{Code, Decision, Subject};
@@ -51,12 +51,12 @@
     executor
         .spawn(accept(Rc::clone(&executor), callers, serve_caller))
         .detach();
-    let serve_readiness = side_server(shared, side::answer_readiness);
+    let serve_readiness = side_server(shared, status::answer_readiness);
     executor
         .spawn(accept(Rc::clone(&executor), balancer, serve_readiness))
         .detach();
     if let Some(listener) = metrics_listener {
-        let serve_metrics = side_server(shared, side::answer_metrics);
+        let serve_metrics = side_server(shared, status::answer_metrics);
         executor
             .spawn(accept(Rc::clone(&executor), listener, serve_metrics))
             .detach();
