--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -15,7 +15,7 @@
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
-use rockwick::core::sched::owner_lease::FormerOrders;
+use rockwick::core::sched::owner_lease::FormerHostOrders;
 use rockwick::core::sched::place;
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::routing::Routing;
@@ -24,7 +24,7 @@
 use rockwick::core::sched::worker::ClockSample;
 use rockwick::port::fleet::{
     AccountConfig, Capacity, FleetConfig, HostRecord, HostState, PoolConfig, QueueConfig,
-    StoredRow, WorkerFact,
+    StoredRow, WorkerInfo,
 };
 
 const SIZES: [usize; 4] = [50, 150, 500, 1_000];
@@ -111,7 +111,7 @@
 fn pool_state(workers: usize) -> PoolState {
     let mut pool_state = PoolState::default();
     for n in 0..workers {
-        let fact = WorkerFact {
+        let fact = WorkerInfo {
             id: format!("life-{n}"),
             born_wall_ms: None,
             host: format!("host-{n}"),
@@ -128,7 +128,7 @@
         };
         let key = load::add_worker(&mut pool_state, fact, 0);
         let worker = &mut pool_state.workers[key];
-        worker.answers = true;
+        worker.is_answering = true;
         worker.clock = Some(ClockSample {
             local_ms: 0,
             worker_ms: 0,
@@ -137,7 +137,7 @@
             cpu_milli: 8_000 + 100 * (n as u64 % 70),
             ..Capacity::default()
         };
-        worker.take(TaskKey::default(), taken);
+        worker.add_task(TaskKey::default(), taken);
         pool_state.update_free_index(key);
     }
     decide(|ctx| load::apply_intake(&mut pool_state, &job("a"), &config(), 1, ctx));
@@ -207,14 +207,14 @@
             host: format!("host-{n}"),
             pool: format!("pool-{}", 1 + n % 4),
             state: HostState::Up,
-            life: format!("life-{n}"),
+            worker: format!("life-{n}"),
         })
         .collect();
     let offers: Vec<Offers> = (0..5)
         .map(|pool| {
             let mut offers = Offers::default();
             let given = list.iter().filter(|h| h.pool == format!("pool-{pool}"));
-            let given = given.map(|h| (h.host.clone(), h.life.clone()));
+            let given = given.map(|h| (h.host.clone(), h.worker.clone()));
             offers.row.offered = given.take(workers / 16).collect();
             offers
         })
@@ -226,7 +226,7 @@
             wanted: if n == 0 { workers as u64 / 2 } else { 1 },
             needed: if n == 0 { workers as u64 / 2 } else { 1 },
             offers: &offers[n],
-            heard_ms: NOW_MS,
+            heartbeat_seen_ms: NOW_MS,
         })
         .collect();
     let look = Inputs {
@@ -237,9 +237,9 @@
     };
     let controller = || {
         let new = |ctx: &mut Ctx<'_>| {
-            let mut controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+            let mut controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
             hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
-            hosts::list_read(&mut controller, list.clone());
+            hosts::apply_list(&mut controller, list.clone());
             controller
         };
         decide(new).0
--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -1,4 +1,6 @@
-//! What operators and callers may ask for, checked against what is known, then committed.
+//! Requests of operators and callers for a change: each is checked against the in-memory state, then committed.
+//!
+//! The reducer passes them in as [`Edit`]s, and answers each with a [`Reply`] or a failure.
 
 use std::sync::Arc;
 
@@ -19,87 +21,87 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::Put;
 
-/// Bound on a job's payload.
+/// Maximum size of a job's payload.
 pub const PAYLOAD_MAX_BYTES: usize = 16 << 10;
 
-/// A change that somebody asks for.
+/// A change that an operator or a caller requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "snake_case")]
 pub enum Edit {
-    /// A new configuration, on condition of the present version.
+    /// Replace the configuration, if its current version is `expect`.
     Apply {
-        /// The version that it replaces; 0 for none.
+        /// The version to be replaced; 0 if there is none yet.
         expect: u64,
-        /// The text, whole.
+        /// The whole text of the new configuration.
         text: String,
     },
-    /// Drain a host; it stays out until it is returned.
+    /// Drain a host; without `reboot` it stays out until an operator returns it.
     Drain {
-        /// Which.
+        /// Id of the host.
         host: String,
-        /// Whether it is rebooted and returned by itself.
+        /// Whether the host is rebooted and then returns to service without an operator.
         reboot: bool,
-        /// Why, for the history.
+        /// The operator's reason, kept in the host's history.
         why: String,
     },
-    /// Return a host that was drained, or take its drain back.
+    /// Return a drained host to service, or cancel its drain.
     Return {
-        /// Which.
+        /// Id of the host.
         host: String,
     },
     /// Move a host to another pool, or to the free hosts.
     Move {
-        /// Which.
+        /// Id of the host.
         host: String,
-        /// Where to; nothing for the free hosts.
+        /// The pool to move to; `None` for the free hosts.
         pool: Option<String>,
     },
-    /// Start a wave.
+    /// Start a maintenance wave.
     StartWave {
-        /// The pool, or `*`.
+        /// Name of the pool, or `*` for every host.
         pool: String,
-        /// Times of day, `HH:MM-HH:MM`; empty for the pools' own.
+        /// Daily windows in UTC as `HH:MM-HH:MM`; empty if only the pools' own windows apply.
         windows: Vec<String>,
     },
-    /// Stop a wave.
+    /// Stop a wave; hosts that it has already taken come back.
     StopWave {
-        /// Which.
+        /// Id of the wave.
         wave: String,
     },
-    /// Vouch that an entry has ended.
+    /// Remove an entry, on the operator's assurance that its process has ended.
     RemoveEntry {
-        /// Which.
+        /// Name of the entry.
         entry: String,
     },
-    /// Take a job.
+    /// Submit a job.
     Submit {
         /// The account that it belongs to.
         account: String,
-        /// Its id, made from the caller's key where one was given.
+        /// The job's id, derived from the caller's key; `None` if the caller gave no key.
         id: Option<String>,
-        /// What is asked for.
+        /// What the job needs and runs.
         spec: JobSpec,
     },
-    /// Stop a job.
+    /// Cancel a job.
     Cancel {
-        /// The account that asks; nothing for an operator.
+        /// The account that requests it; `None` for an operator.
         account: Option<String>,
-        /// Which.
+        /// Id of the job.
         job: String,
     },
 }
 
-/// What a change that took effect is answered with.
+/// The answer to a change that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// The version of the configuration.
+    /// The new version of the configuration.
     Version(u64),
-    /// The id of the wave.
+    /// The id of the new wave.
     Wave(String),
-    /// The id of the job.
+    /// The id of the submitted job.
     Job(String),
-    /// What was done, in words.
+    /// What was done, as text for people.
     Done(String),
 }
 
@@ -111,34 +113,35 @@
 }
 
 impl State {
-    /// Checks what is asked for and commits it, or refuses it.
+    /// Checks an edit and commits it, or refuses it.
     ///
-    /// What is not known here may have been committed at another entry a moment ago, so such an edit is
-    /// looked at once more after a fresh read of the table.
+    /// Something unknown here may just have been committed by another entry, so an edit that names it is checked once
+    /// more after a fresh read of the table.
     pub(super) fn edit(&mut self, ticket: Ticket, edit: Edit, now: Now, out: &mut Vec<Effect>) {
-        match self.checked(ticket, edit.clone(), now, out) {
+        match self.check_and_commit(ticket, edit.clone(), now, out) {
             Ok(()) => {}
             Err(f) if f.kind.is_unknown_thing() && !self.reads.failing => {
-                self.unknown_edits.push((ticket, edit, now.ms));
+                self.edits_to_recheck.push((ticket, edit, now.ms));
                 self.read_soon(now, out);
             }
             Err(failure) => refuse(ticket, failure, out),
         }
     }
 
-    /// Looks again at edits that named something unknown, after a read begun at `begun_ms`.
-    pub(super) fn edit_again(&mut self, begun_ms: Option<u64>, now: Now, out: &mut Vec<Effect>) {
-        for (ticket, edit, asked_ms) in std::mem::take(&mut self.unknown_edits) {
+    /// Checks edits that named something unknown again, after a read that began at `begun_ms`, or after a failed read
+    /// if it is `None`.
+    pub(super) fn recheck_edits(&mut self, begun_ms: Option<u64>, now: Now, out: &mut Vec<Effect>) {
+        for (ticket, edit, asked_ms) in std::mem::take(&mut self.edits_to_recheck) {
             if begun_ms.is_some_and(|t| t < asked_ms) {
-                self.unknown_edits.push((ticket, edit, asked_ms));
+                self.edits_to_recheck.push((ticket, edit, asked_ms));
                 self.read_soon(now, out);
-            } else if let Err(failure) = self.checked(ticket, edit, now, out) {
+            } else if let Err(failure) = self.check_and_commit(ticket, edit, now, out) {
                 refuse(ticket, failure, out);
             }
         }
     }
 
-    fn may_edit(&self) -> Result<(), Refusal> {
+    fn check_ready(&self) -> Result<(), Refusal> {
         if self.stopping {
             return Err(Kind::Stopping.into());
         }
@@ -151,14 +154,14 @@
         Ok(())
     }
 
-    fn checked(
+    fn check_and_commit(
         &mut self,
         ticket: Ticket,
         edit: Edit,
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        self.may_edit()?;
+        self.check_ready()?;
         match edit {
             Edit::Apply { expect, text } => self.apply(ticket, expect, text, now, out),
             Edit::Drain { host, reboot, why } => self.drain(ticket, &host, reboot, &why, now, out),
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Commits an edit of one row, answered with `reply` when it took effect.
+    /// Commits an edit of one row, to be answered with `reply` once it is committed.
     fn commit_edit(
         &mut self,
         ticket: Ticket,
@@ -197,19 +200,19 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        if let Err(flaw) = config::parse(&text) {
+        if let Err(error) = config::parse(&text) {
             let d = Decision::new(
                 Code::ConfigRefused,
                 Subject::Config,
                 "head",
-                flaw.to_string(),
+                error.to_string(),
             );
             out.push(Effect::Log(d));
-            return Err(Kind::InvalidTemplate.because(flaw.to_string()));
+            return Err(Kind::InvalidTemplate.because(error.to_string()));
         }
         if wanted != self.config_version || !self.is_unlocked(HEAD_KEY) {
             let detail = format!(
-                "the version is {}, not {wanted}; show it and apply to it",
+                "the version is {}, not {wanted}; read it and base the change on it",
                 self.config_version
             );
             return Err(Kind::Conflict.because(detail));
@@ -233,7 +236,7 @@
         Ok(())
     }
 
-    fn known_host(&self, id: &str) -> Result<HostKey, Refusal> {
+    fn find_changeable_host(&self, id: &str) -> Result<HostKey, Refusal> {
         let key = self.host_ids.get(id).copied();
         let key = key.ok_or_else(|| Kind::UnknownHost.because(id))?;
         if self.may_change(&self.hosts[key]) {
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Refuses where the pool's budget does not let the host leave.
+    /// Returns an error if the pool's budget does not let the host leave.
     fn check_budget(&self, host: HostKey, out: &mut Vec<Effect>) -> Result<(), Refusal> {
         let h = &self.hosts[host];
         let Some(pool) = h.row.pool.as_ref().and_then(|p| self.pool_names.get(p)) else {
@@ -254,7 +257,7 @@
             return Ok(());
         };
         let detail = format!(
-            "{} would serve, {} must, and {} more are held for a failure",
+            "{} hosts would serve, but {} must, and {} more are reserved for a failure",
             verdict.serving_after, view.budget.serving_min, verdict.reserved
         );
         let d = Decision::new(Code::DrainRefused, Subject::Host, &h.id, detail.clone())
@@ -265,7 +268,7 @@
         Err(Kind::BudgetHolds.because(detail))
     }
 
-    fn at_rest(&self, host: HostKey) -> Result<(), Refusal> {
+    fn check_at_rest(&self, host: HostKey) -> Result<(), Refusal> {
         let h = &self.hosts[host];
         match h.row.state {
             HostState::Free | HostState::Serving => Ok(()),
@@ -282,8 +285,8 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let host = self.known_host(id)?;
-        self.at_rest(host)?;
+        let host = self.find_changeable_host(id)?;
+        self.check_at_rest(host)?;
         self.check_budget(host, out)?;
         let purpose = if reboot {
             Purpose::Maintenance
@@ -313,13 +316,13 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let host = self.known_host(id)?;
+        let host = self.find_changeable_host(id)?;
         let state = self.hosts[host].row.state;
         if matches!(state, HostState::Free | HostState::Serving) {
             let detail = format!("the host is {}", state.as_str());
             return Err(Kind::NotAllowed.because(detail));
         }
-        // The order to reboot may still be on its way, and must not hit a host that serves again.
+        // The reboot order may still be on its way, and must not reach a host that serves again.
         let rebooting = self.hosts[host].row.purpose == Purpose::Maintenance;
         if state == HostState::Out && rebooting {
             let detail = "its reboot is ordered; it returns by itself";
@@ -332,7 +335,7 @@
             reply: Reply::Done(format!("host {id} is back")),
             line,
         };
-        self.serve_again(host, purpose, &what, now, out);
+        self.return_to_service(host, purpose, &what, now, out);
         Ok(())
     }
 
@@ -344,13 +347,13 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
-        let host = self.known_host(id)?;
+        let host = self.find_changeable_host(id)?;
         if let Some(pool) = to.as_ref().filter(|p| !self.config.pools.contains_key(*p)) {
             return Err(Kind::UnknownPool.because(pool.as_str()));
         }
-        self.at_rest(host)?;
+        self.check_at_rest(host)?;
         if self.hosts[host].row.pool == to {
-            return Err(Kind::NotAllowed.because("the host is there already"));
+            return Err(Kind::NotAllowed.because("the host is already there"));
         }
         self.check_budget(host, out)?;
         let (purpose, why) = match to {
@@ -390,7 +393,9 @@
         let mut spans = Vec::new();
         for text in windows {
             let span = Window::parse(text);
-            let span = span.ok_or_else(|| Kind::BadRequest.because(format!("window {text:?}")))?;
+            let span = span.ok_or_else(|| {
+                Kind::BadRequest.because(format!("window {text:?}: must be HH:MM-HH:MM"))
+            })?;
             spans.push(span);
         }
         let id = format!("w-{:08x}", self.rng.u32(..));
@@ -432,7 +437,12 @@
             ended_ms: now.wall_ms,
             ..row
         };
-        let line = Decision::new(Code::WaveStopped, Subject::Wave, id, "operator");
+        let line = Decision::new(
+            Code::WaveStopped,
+            Subject::Wave,
+            id,
+            "stopped by an operator",
+        );
         let reply = Reply::Done(format!("wave {id} is stopped"));
         let put = Put::new(wave_key(id), expect(version), &row);
         self.commit_edit(ticket, reply, line, put, out);
@@ -459,7 +469,12 @@
             state: EntryState::Left,
             ..row
         };
-        let line = Decision::new(Code::EntryRemoved, Subject::Entry, name, "operator vouches");
+        let line = Decision::new(
+            Code::EntryRemoved,
+            Subject::Entry,
+            name,
+            "an operator confirmed that the entry has ended",
+        );
         let reply = Reply::Done(format!("entry {name} is removed"));
         let put = Put::new(entry_key(name), expect(version), &row);
         self.commit_edit(ticket, reply, line, put, out);
@@ -476,16 +491,18 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
         if spec.payload.len() > PAYLOAD_MAX_BYTES {
-            return Err(Kind::BodyTooLarge.because(format!("payload: {PAYLOAD_MAX_BYTES} bytes")));
+            return Err(
+                Kind::BodyTooLarge.because(format!("payload: at most {PAYLOAD_MAX_BYTES} bytes"))
+            );
         }
         if let Some(known) = id.as_ref().and_then(|i| self.job_ids.get(i)) {
-            return self.submitted_before(ticket, &account, &spec, *known, out);
+            return self.answer_repeated_submit(ticket, &account, &spec, *known, out);
         }
         if !self.config.pools.contains_key(&spec.pool) {
             return Err(Kind::UnknownPool.because(spec.pool.as_str()));
         }
         if !self.hosts_known {
-            return Err(Kind::NotReady.because("no list of hosts yet"));
+            return Err(Kind::NotReady.because("the list of hosts has not been read yet"));
         }
         if spec.cores == 0 || !self.can_ever_fit(&spec.pool, spec.cores, spec.memory_mb) {
             let detail = format!(
@@ -502,7 +519,7 @@
             Code::JobAccepted,
             Subject::Job,
             &id,
-            format!("for {account}"),
+            format!("submitted by account {account}"),
         )
         .with("cores", u64::from(spec.cores))
         .with("memory_mb", spec.memory_mb);
@@ -524,8 +541,8 @@
         Ok(())
     }
 
-    /// The same key again: the same job, if it asks for the same.
-    fn submitted_before(
+    /// Answers a repeated key with the existing job, or refuses it if the request differs.
+    fn answer_repeated_submit(
         &self,
         ticket: Ticket,
         account: &str,
@@ -567,7 +584,7 @@
             return Ok(());
         }
         if !self.is_unlocked(&job_key(id)) {
-            return Err(Kind::Conflict.because("the job is being placed; ask again"));
+            return Err(Kind::Conflict.because("the job is being changed; try again"));
         }
         let mut row = job.row.clone();
         let (reply, what) = match row.state {
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -1,4 +1,6 @@
-//! The one reducer: events in, effects out, nothing else.
+//! The reducer of an entry: takes one event, changes the in-memory state and returns the effects to perform.
+//!
+//! It does no I/O itself. The entry's control thread calls [`reduce`] and carries out the effects.
 
 use std::collections::HashSet;
 
@@ -10,15 +12,15 @@
 use crate::clock::{Millis, Now};
 use crate::error::Kind;
 use crate::event::{Code, Decision, Subject};
-use crate::port::{Changes, Check, HostFact, Outcome, Put, Transaction};
+use crate::port::{Changes, Check, HostInfo, Outcome, Put, Transaction};
 
-/// Most rows that one answer to a peer carries.
+/// Maximum number of rows in one answer to a peer.
 const PEER_ROWS_MAX: usize = 400;
 
-/// Time between two looks at the host list and the task reports.
-const LISTS_MS: Millis = 1_000;
+/// Interval between reads of the host list and of the task reports.
+const LISTS_INTERVAL_MS: Millis = 1_000;
 
-/// Takes in one event and says what follows from it.
+/// Applies one event to the state and returns the resulting effects.
 pub fn reduce(state: &mut State, event: Event, now: Now) -> Vec<Effect> {
     let mut out = Vec::new();
     match event {
@@ -32,15 +34,15 @@
         Event::HostsRead(listing) => {
             if let Some(l) = listing {
                 state.ended_entries = l.ended_entries;
-                state.take_hosts(l.hosts, now.ms, &mut out);
+                state.apply_host_list(l.hosts, now.ms, &mut out);
             }
         }
         Event::ReportsRead(reports) => {
             if let Some(r) = reports {
-                state.take_reports(r, &mut out);
+                state.apply_reports(r, &mut out);
             }
         }
-        Event::Committed { txn, outcome } => committed(state, txn, outcome, now, &mut out),
+        Event::Committed { txn, outcome } => handle_committed(state, txn, outcome, now, &mut out),
         Event::PeerAnswered {
             begun_ms,
             digest,
@@ -48,9 +50,9 @@
             complete,
             hosts,
         } => {
-            state.take_digest(digest, begun_ms, &mut out);
+            state.apply_digest(digest, begun_ms, &mut out);
             if !state.hosts_known && !hosts.is_empty() {
-                state.take_hosts(hosts, now.ms, &mut out);
+                state.apply_host_list(hosts, now.ms, &mut out);
             }
             take_peer_rows(state, begun_ms, changes, complete, now, &mut out);
         }
@@ -59,7 +61,7 @@
             digest,
             since,
         } => peer_polled(state, ticket, digest, since, now, &mut out),
-        Event::Asked { ticket, edit } => state.edit(ticket, edit, now, &mut out),
+        Event::EditRequested { ticket, edit } => state.edit(ticket, edit, now, &mut out),
         Event::StartAnswered { task, answer } => state.start_answered(&task, answer, now, &mut out),
         Event::StopAnswered { task, answer } => state.stop_answered(&task, answer, now, &mut out),
         Event::RebootAnswered { host, accepted } => {
@@ -88,25 +90,30 @@
 fn tick(state: &mut State, published_seq: u64, busy: Vec<String>, now: Now, out: &mut Vec<Effect>) {
     let gap_ms = now.ms.saturating_sub(state.tick_ms);
     if state.tick_ms > 0 && gap_ms >= state.tuning.pause_ms {
-        resumed(state, gap_ms, out);
+        handle_pause(state, gap_ms, out);
     }
     state.tick_ms = now.ms;
     state.published_seq = state.published_seq.max(published_seq);
     state.busy = busy;
     state.watch_members(now, out);
     watch_isolation(state, now, out);
-    ask_for_reads(state, now, out);
-    state.keep_own_row(now, out);
-    if may_decide(state) {
+    start_due_reads(state, now, out);
+    state.update_own_row(now, out);
+    if can_decide(state) {
         decide(state, now, out);
     }
 }
 
-/// After a pause nothing in hand is fresh: what was on its way when we stopped is answered to nobody.
-fn resumed(state: &mut State, gap_ms: Millis, out: &mut Vec<Effect>) {
+/// Reads the table anew after the process was paused: an answer that was on its way is lost, so the state is stale.
+fn handle_pause(state: &mut State, gap_ms: Millis, out: &mut Vec<Effect>) {
     let me = state.me.name.clone();
-    let d = Decision::new(Code::Resumed, Subject::Entry, &me, "the clock jumped")
-        .with("gap_ms", gap_ms);
+    let d = Decision::new(
+        Code::Resumed,
+        Subject::Entry,
+        &me,
+        "the entry was paused between two ticks",
+    )
+    .with("gap_ms", gap_ms);
     out.push(Effect::Log(d));
     state.reads.outstanding = false;
     state.reads.next_ms = 0;
@@ -120,7 +127,7 @@
             Code::Isolated,
             Subject::Entry,
             &state.me.name,
-            "hears nobody",
+            "neither the table nor a peer confirms the view",
         )
         .with("silent_ms", silent_ms);
         out.push(Effect::Log(d));
@@ -128,13 +135,13 @@
     state.isolated = isolated;
 }
 
-fn ask_for_reads(state: &mut State, now: Now, out: &mut Vec<Effect>) {
+fn start_due_reads(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     if !state.reads.outstanding && now.ms >= state.reads.next_ms {
         state.reads.outstanding = true;
         out.push(Effect::ReadTable { since: state.seq });
     }
     if !state.reads.failing && now.ms >= state.lists_next_ms {
-        state.lists_next_ms = now.ms + LISTS_MS;
+        state.lists_next_ms = now.ms + LISTS_INTERVAL_MS;
         out.push(Effect::ReadHosts);
         out.push(Effect::ReadReports {
             since: state.reports_seq,
@@ -142,8 +149,9 @@
     }
 }
 
-/// Nothing that needs a new durable fact is begun while the table is out of reach.
-fn may_decide(state: &State) -> bool {
+/// Whether this entry may decide: it needs a registered row, a complete view, the host list and a reachable table,
+/// since every decision is committed to the table.
+fn can_decide(state: &State) -> bool {
     !state.stopping
         && state.reads.complete
         && !state.reads.failing
@@ -169,10 +177,10 @@
         state.grant_wave(*pool, now, out);
     }
     state.grant_free_hosts(&alive, now, out);
-    state.drive_drains(&alive, now, out);
+    state.advance_drains(&alive, now, out);
     state.close_waves(&alive, now, out);
     let owned: HashSet<_> = owned.into_iter().collect();
-    state.drive_jobs(&owned, now, out);
+    state.advance_jobs(&owned, now, out);
 }
 
 fn table_read(
@@ -184,15 +192,20 @@
 ) {
     state.reads.outstanding = false;
     let Some(changes) = changes else {
-        let pause_ms = state.reads.backoff.fail(&mut state.rng);
+        let pause_ms = state.reads.backoff.next_pause(&mut state.rng);
         state.reads.next_ms = now.ms + pause_ms;
         if !state.reads.failing {
-            let d = Decision::new(Code::StoreLost, Subject::Entry, &state.me.name, "no answer");
+            let d = Decision::new(
+                Code::StoreLost,
+                Subject::Entry,
+                &state.me.name,
+                "a read of the table failed",
+            );
             out.push(Effect::Log(d.with("retry_ms", pause_ms)));
         }
         state.reads.failing = true;
         answer_lost_applies(state, out);
-        state.edit_again(None, now, out);
+        state.recheck_edits(None, now, out);
         return;
     };
     if state.reads.failing {
@@ -200,15 +213,15 @@
             Code::StoreFound,
             Subject::Entry,
             &state.me.name,
-            "answers again",
+            "a read of the table succeeded again",
         );
         out.push(Effect::Log(d));
     }
     state.reads.failing = false;
-    state.reads.backoff.succeed();
+    state.reads.backoff.reset();
     let more = changes.more;
-    let news = !changes.rows.is_empty();
-    state.take_rows(changes.rows, changes.seq, now.ms, out);
+    let has_new_rows = !changes.rows.is_empty();
+    state.apply_rows(changes.rows, changes.seq, now.ms, out);
     if more {
         state.reads.outstanding = true;
         out.push(Effect::ReadTable { since: state.seq });
@@ -216,17 +229,17 @@
     }
     state.reads.complete = true;
     state.reads.next_ms = now.ms + state.tuning.tick_ms;
-    confirm(state, begun_ms);
+    confirm_view(state, begun_ms);
     answer_lost_applies(state, out);
-    state.edit_again(Some(begun_ms), now, out);
-    state.keep_own_row(now, out);
-    // The next step follows from what was read, without waiting for the tick.
-    if news && may_decide(state) {
+    state.recheck_edits(Some(begun_ms), now, out);
+    state.update_own_row(now, out);
+    // Decides on the new rows at once instead of at the next tick.
+    if has_new_rows && can_decide(state) {
         decide(state, now, out);
     }
 }
 
-fn confirm(state: &mut State, begun_ms: Millis) {
+fn confirm_view(state: &mut State, begun_ms: Millis) {
     state.confirmed_ms = state.confirmed_ms.max(begun_ms);
 }
 
@@ -234,7 +247,7 @@
     for (ticket, base, version) in std::mem::take(&mut state.lost_applies) {
         let changed = super::config::differences(&base, &state.config).join("; ");
         let detail = format!(
-            "version {version} was taken meanwhile, the version is now {}: {changed}",
+            "another change took version {version} first, the version is now {}: {changed}",
             state.config_version
         );
         let result = Err(Kind::Conflict.because(detail));
@@ -254,12 +267,12 @@
         return;
     }
     let more = changes.more;
-    state.take_rows(changes.rows, changes.seq, now.ms, out);
-    // We asked unregistered, so the peer took note of us before it answered.
-    state.spoken_for |= !state.is_registered();
+    state.apply_rows(changes.rows, changes.seq, now.ms, out);
+    // An unregistered entry is sponsored by the peer, which records it before it answers the poll.
+    state.is_sponsored |= !state.is_registered();
     if !more {
         state.reads.complete = true;
-        confirm(state, begun_ms);
+        confirm_view(state, begun_ms);
     }
 }
 
@@ -276,8 +289,8 @@
         true => Vec::new(),
         false => state.host_facts(),
     };
-    state.take_digest(digest, now.ms, out);
-    let (rows, seq) = state.rows_after(since, PEER_ROWS_MAX);
+    state.apply_digest(digest, now.ms, out);
+    let (rows, seq) = state.rows_changed_after(since, PEER_ROWS_MAX);
     let more = seq < state.seq;
     out.push(Effect::AnswerPeer {
         ticket,
@@ -289,7 +302,7 @@
 }
 
 impl State {
-    /// Reads the table now, or as soon as the read under way has ended; not while it is out of reach.
+    /// Reads the table now, or as soon as the outstanding read ends. Does nothing while the table is unreachable.
     pub(super) fn read_soon(&mut self, now: Now, out: &mut Vec<Effect>) {
         if self.reads.failing {
             return;
@@ -301,11 +314,11 @@
         }
     }
 
-    fn host_facts(&self) -> Vec<HostFact> {
+    fn host_facts(&self) -> Vec<HostInfo> {
         self.hosts.values().filter_map(|h| h.fact.clone()).collect()
     }
 
-    /// Sends a transaction, and leaves its rows alone until its outcome is in the view.
+    /// Sends a transaction and locks its rows until its outcome is in the view.
     pub fn commit(
         &mut self,
         checks: Vec<Check>,
@@ -329,9 +342,9 @@
 }
 
 impl State {
-    /// A placement that did not come about holds no room. One that may have come about is in the next
-    /// read, and counts from there.
-    fn give_up_placing(&mut self, key: &str) {
+    /// Stops counting a placement that was not committed against its host's free capacity. If the outcome is unknown
+    /// and the placement was committed, the next read of the table shows it, and it counts from then on.
+    fn forget_placement(&mut self, key: &str) {
         let job = key.strip_prefix("job/").and_then(|id| self.job_ids.get(id));
         if let Some(job) = job {
             self.placing.remove(job);
@@ -339,16 +352,22 @@
     }
 }
 
-/// A transaction whose outcome is awaited.
+/// A transaction that was sent and whose outcome is not known yet.
 #[derive(Debug)]
 pub struct Pending {
-    /// Why it was sent.
+    /// Why it was sent, which says what to do with the outcome.
     pub purpose: Purpose,
-    /// The rows that it writes.
+    /// Keys of the rows that it writes.
     pub keys: Vec<String>,
 }
 
-fn committed(state: &mut State, txn: TxnKey, outcome: Outcome, now: Now, out: &mut Vec<Effect>) {
+fn handle_committed(
+    state: &mut State,
+    txn: TxnKey,
+    outcome: Outcome,
+    now: Now,
+    out: &mut Vec<Effect>,
+) {
     let Some(pending) = state.pending.remove(txn) else {
         return;
     };
@@ -360,11 +379,11 @@
             }
             _ => {
                 state.locked.remove(key);
-                state.give_up_placing(key);
+                state.forget_placement(key);
             }
         }
     }
-    // The sooner the view has it, the sooner the next step follows.
+    // The next decision waits until the outcome is in the view, so the table is read at once.
     state.read_soon(now, out);
     settle(state, pending.purpose, outcome, out);
 }
@@ -388,7 +407,7 @@
                     out.push(Effect::Log(line));
                     Ok(reply)
                 }
-                Some(kind) => Err(kind.because("try again after a look at the present state")),
+                Some(kind) => Err(kind.because("read the current state, then try again")),
             };
             out.push(Effect::Answer { ticket, result });
         }
@@ -398,14 +417,19 @@
             base,
         } => match failure(outcome) {
             None => {
-                let d = Decision::new(Code::ConfigAccepted, Subject::Config, "head", "committed");
+                let d = Decision::new(
+                    Code::ConfigAccepted,
+                    Subject::Config,
+                    "head",
+                    "the new configuration was committed",
+                );
                 out.push(Effect::Log(d.with("version", version)));
                 let result = Ok(Reply::Version(version));
                 out.push(Effect::Answer { ticket, result });
             }
             Some(Kind::Conflict) => state.lost_applies.push((ticket, base, version)),
             Some(kind) => {
-                let detail = format!("look whether the version is {version} now");
+                let detail = format!("check whether the version is {version} now");
                 let result = Err(kind.because(detail));
                 out.push(Effect::Answer { ticket, result });
             }
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -1,4 +1,7 @@
-//! What becomes of pools' offers: changes by their owners, and hosts taken by the entry that orders them.
+//! Exchange of hosts between pools by way of their offers.
+//!
+//! Handles changes of offers by pool owners, and hosts taken by the entry that orders hosts about. The reducer calls it
+//! with rows and answers of the store.
 
 use super::access::{with_host_controller, with_pool};
 use super::hosts;
@@ -10,15 +13,15 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{StoredRow, Table, TxOutcome};
 
-/// Hosts that are on offer, or were taken, get no work from a new owner either.
-pub(super) fn close_given(pool_state: &mut PoolState, offers: &Offers) {
+/// Marks workers on hosts that are on offer or were taken, so that a new owner places no work there either.
+pub(super) fn close_offered_hosts(pool_state: &mut PoolState, offers: &Offers) {
     sizing::mark_offered(pool_state, offers);
     for (_, worker) in &mut pool_state.workers {
         worker.is_spare = worker.is_offered;
     }
 }
 
-/// Takes in rows of offers as read; one that can not be read is logged.
+/// Applies rows of offers as read, and logs those that cannot be decoded.
 pub(super) fn observe_offers<'a>(
     offers: &mut Offers,
     pool: &str,
@@ -26,14 +29,14 @@
     ctx: &mut Ctx<'_>,
 ) {
     for row in rows {
-        if let Err(e) = offers.observe(row) {
+        if let Err(e) = offers.apply_row(row) {
             ctx.log(Decision::new(Code::BadRow, Subject::Pool, pool, e));
         }
     }
 }
 
-/// Settles a change of a pool's offers by its owner.
-pub(super) fn offers_settled(
+/// Handles the answer to a change of a pool's offers by its owner.
+pub(super) fn settle_offers(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
@@ -46,33 +49,33 @@
             return;
         }
         match outcome {
-            TxOutcome::Committed(revision) => pool.offers.changed(revision),
+            TxOutcome::Committed(revision) => pool.offers.apply_change(revision),
             TxOutcome::Conflict(found) => {
                 pool.offers.pending = None;
                 observe_found(&mut pool.offers, &pool.name, &found, ctx);
             }
             TxOutcome::Refused => pool.offers.pending = None,
-            TxOutcome::Unknown => pool.offers.left_open(),
+            TxOutcome::Unknown => pool.offers.keep_unsure(),
         }
     });
 }
 
-/// Takes in the row of offers as a conflict found it; one that can not be read is logged.
+/// Applies the row of offers that a conflict returned, and logs it if it cannot be decoded.
 fn observe_found(offers: &mut Offers, pool: &str, found: &[(Table, StoredRow)], ctx: &mut Ctx<'_>) {
     let Some(row) = offers_in(found) else { return };
-    if let Err(e) = offers.observe_found(row) {
+    if let Err(e) = offers.apply_conflict_row(row) {
         ctx.log(Decision::new(Code::BadRow, Subject::Pool, pool, e));
     }
 }
 
-/// The row of offers among what a conflict found.
+/// Returns the row of offers among the rows that a conflict returned.
 fn offers_in(found: &[(Table, StoredRow)]) -> Option<&StoredRow> {
     let mut rows = found.iter().map(|(_, row)| row);
     rows.find(|row| row.key == OFFERS_KEY && row.value.is_some())
 }
 
-/// Settles a take of hosts that pool `from` has on offer.
-pub(super) fn hosts_taken(
+/// Handles the answer to a transaction that takes hosts on offer by pool `from`.
+pub(super) fn settle_taken_hosts(
     state: &mut State,
     key: PoolKey,
     epoch: u64,
@@ -84,7 +87,7 @@
     let mut written = None;
     with_host_controller(state, key, now, out, |controller, _, inputs, ctx| {
         if inputs.epoch == epoch {
-            written = hosts::taken(controller, from, &outcome, epoch, ctx);
+            written = hosts::apply_taken(controller, from, &outcome, epoch, ctx);
         }
     });
     let Some(donor) = state.pool_keys.get(from).copied() else {
@@ -93,7 +96,7 @@
     let is_conflict = matches!(outcome, TxOutcome::Conflict(_));
     with_pool(state, donor, now, out, |pool, ctx, _| {
         match (outcome, written) {
-            (TxOutcome::Committed(revision), Some(row)) => pool.offers.took(row, revision),
+            (TxOutcome::Committed(revision), Some(row)) => pool.offers.replace_row(row, revision),
             (TxOutcome::Conflict(found), _) => {
                 observe_found(&mut pool.offers, &pool.name, &found, ctx);
             }
@@ -102,7 +105,7 @@
     });
     if is_conflict {
         with_host_controller(state, key, now, out, |controller, waves, inputs, ctx| {
-            hosts::retake(controller, waves, inputs, ctx);
+            hosts::retry_take(controller, waves, inputs, ctx);
         });
     }
 }
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -1,4 +1,4 @@
-//! A job's progress as its row holds it.
+//! Converts a job's in-memory progress to its row in the store; the row's format is in [`rows`](super::rows).
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use super::tasks::{Phase, Seen, Task, WorkerLosses};
 
 impl PoolState {
-    /// A job's progress as its row holds it.
+    /// Returns the progress row of a job.
     pub fn progress(&self, key: JobKey) -> Option<ProgressRow> {
         let job = self.jobs.get(key)?;
         let mut row = ProgressRow {
@@ -25,14 +25,14 @@
             return Some(row);
         }
         row.policy = job.changed_policy();
-        let mut places: HashMap<WorkerKey, u16> = HashMap::new();
+        let mut worker_indices: HashMap<WorkerKey, u16> = HashMap::new();
         for (number, round) in &job.rounds {
             let mut steps = Vec::with_capacity(round.steps.len());
             for step in &round.steps {
                 let tasks = step.tasks.iter();
                 steps.push(
                     tasks
-                        .map(|t| self.task_row(t, &mut row, &mut places))
+                        .map(|t| self.task_row(t, &mut row, &mut worker_indices))
                         .collect(),
                 );
             }
@@ -41,7 +41,8 @@
                 steps,
             });
         }
-        // A later round may end first: not told apart from one that never began, the next owner would begin it again.
+        // A later round may end first. If the row did not distinguish it from a round that never began, the next owner
+        // would begin it again.
         if row.begun() < job.rounds_begun {
             row.rounds_begun = job.rounds_begun;
         }
@@ -52,23 +53,29 @@
         &self,
         task: &Task,
         row: &mut ProgressRow,
-        places: &mut HashMap<WorkerKey, u16>,
+        worker_indices: &mut HashMap<WorkerKey, u16>,
     ) -> TaskRow {
-        let standing = match (task.phase, task.phase.worker()) {
+        let task_progress = match (task.phase, task.phase.worker()) {
             (Phase::Done, _) => TaskProgress::Done,
             (_, Some(worker)) => match self.workers.get(worker) {
-                Some(w) => TaskProgress::Started(*places.entry(worker).or_insert_with(|| {
-                    row.add_instance(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
-                })),
+                Some(w) => {
+                    TaskProgress::Started(*worker_indices.entry(worker).or_insert_with(|| {
+                        row.add_instance(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
+                    }))
+                }
                 None => TaskProgress::Idle,
             },
             _ => TaskProgress::Idle,
         };
-        let is_told = task.ended.is_noted() || task.seen >= Seen::Gone;
+        let is_reported = task.losses.has_losses() || task.seen >= Seen::Gone;
         let ended = WorkerLosses {
-            seen: if is_told { task.seen } else { Seen::Nothing },
-            ..task.ended
+            seen: if is_reported {
+                task.seen
+            } else {
+                Seen::Nothing
+            },
+            ..task.losses
         };
-        TaskRow(task.run, task.failed_runs, standing, ended)
+        TaskRow(task.run, task.failed_runs, task_progress, ended)
     }
 }
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -1,7 +1,7 @@
-//! The list of workers: lives that appear, and that the platform took from its list.
+//! Changes of the list of workers: instances that appear, and instances that the platform removed from its list.
 //!
-//! The list tells nothing of which life of a host is alive: entries of lives that are over stay for some
-//! heartbeats, and a write that was held up may bring one back.
+//! The list does not tell which instance of a host is alive. Entries of instances that are over remain for some
+//! heartbeats, and a delayed write may restore one.
 
 use std::collections::BTreeMap;
 
@@ -16,71 +16,84 @@
 use super::worker::Worker;
 use crate::clock::{Millis, Now};
 use crate::event::{Code, Decision, Subject};
-use crate::port::fleet::{WorkerEvent, WorkerFact};
+use crate::port::fleet::{WorkerEvent, WorkerInfo};
 
-/// What the feed of the list told is compared with readings that were asked for up to so long ago.
-const NEWS_KEPT_MS: Millis = 60_000;
+/// Time for which changes reported by the feed are kept for comparison with readings requested earlier.
+const CHANGES_KEPT_MS: Millis = 60_000;
 
-/// From so many noted workers on, old ones are dropped with each further one.
-const NEWS_MAX: usize = 4_096;
+/// Number of noted workers from which on old ones are dropped with each addition.
+const CHANGES_MAX: usize = 4_096;
 
-/// When the feed of the list of workers told of each of them. It tells each change once, in order: a reading beside it that was
-/// asked for before is no newer, and must not undo what it told.
+/// Records when the feed of the list last reported each worker. The feed reports each change once, in order. A separate
+/// reading that was requested before a change may be older than the change and must not undo it.
 #[derive(Clone, Debug, Default)]
-pub struct ListNews {
+pub struct ListChanges {
     by_id: BTreeMap<String, Millis>,
     all_ms: Millis,
 }
 
-impl ListNews {
-    fn note(&mut self, id: &str, now_ms: Millis) {
-        if self.by_id.len() >= NEWS_MAX {
+impl ListChanges {
+    fn note_worker(&mut self, id: &str, now_ms: Millis) {
+        if self.by_id.len() >= CHANGES_MAX {
             self.drop_old(now_ms);
         }
         self.by_id.insert(id.to_string(), now_ms);
     }
 
-    /// All of the list was told.
+    /// Records that the feed reported the whole list.
     fn note_all(&mut self, now_ms: Millis) {
         self.by_id.clear();
         self.all_ms = now_ms;
     }
 
-    /// Whether the feed told of a worker since a reading was asked for.
-    fn is_since(&self, id: &str, asked_ms: Millis) -> bool {
-        let told_ms = self.by_id.get(id).copied().unwrap_or(0);
-        told_ms.max(self.all_ms) >= asked_ms
+    /// Returns whether the feed reported a worker since a reading was requested.
+    fn is_reported_since(&self, id: &str, asked_ms: Millis) -> bool {
+        let reported_ms = self.by_id.get(id).copied().unwrap_or(0);
+        reported_ms.max(self.all_ms) >= asked_ms
     }
 
     fn drop_old(&mut self, now_ms: Millis) {
-        self.by_id.retain(|_, at_ms| now_ms < *at_ms + NEWS_KEPT_MS);
+        self.by_id
+            .retain(|_, at_ms| now_ms < *at_ms + CHANGES_KEPT_MS);
     }
 }
 
-/// Entries that can't be read are told up to this number, until they are gone or good again.
-const UNREADABLE_TOLD: usize = 256;
+/// Maximum number of undecodable entries that are logged, until they are removed or become valid.
+const UNREADABLE_LOGGED_MAX: usize = 256;
 
-pub(super) fn worker_event(state: &mut State, word: WorkerEvent, now: Now, out: &mut Vec<Effect>) {
-    let id = match &word {
+pub(super) fn apply_worker_event(
+    state: &mut State,
+    change: WorkerEvent,
+    now: Now,
+    out: &mut Vec<Effect>,
+) {
+    let id = match &change {
         WorkerEvent::Present(fact) => &fact.id,
         WorkerEvent::Gone(id) | WorkerEvent::Unreadable(id, _) => id,
     };
-    state.list_news.note(id, now.ms);
-    match word {
-        WorkerEvent::Present(fact) => present(state, fact, now, out),
+    state.list_changes.note_worker(id, now.ms);
+    match change {
+        WorkerEvent::Present(fact) => apply_listed_worker(state, fact, now, out),
         WorkerEvent::Gone(id) => {
             state.unreadable.remove(&id);
-            gone(state, &id, now, out);
+            apply_unlisted_worker(state, &id, now, out);
         }
-        WorkerEvent::Unreadable(id, why) => unreadable(state, id, why, now, out),
+        WorkerEvent::Unreadable(id, why) => apply_unreadable_entry(state, id, why, now, out),
     }
 }
 
-/// An entry that can't be read names no worker to use, whatever the one before it said; what runs there goes on.
-fn unreadable(state: &mut State, id: String, why: String, now: Now, out: &mut Vec<Effect>) {
-    gone(state, &id, now, out);
+/// Handles an undecodable entry. It names no worker to use, whatever the entry before it named, but runs on that worker
+/// continue.
+fn apply_unreadable_entry(
+    state: &mut State,
+    id: String,
+    why: String,
+    now: Now,
+    out: &mut Vec<Effect>,
+) {
+    apply_unlisted_worker(state, &id, now, out);
     let is_known = state.unreadable.get(&id) == Some(&why);
-    if is_known || state.unreadable.len() >= UNREADABLE_TOLD {
+    if is_known || state.unreadable.len() >= UNREADABLE_LOGGED_MAX {
         return;
     }
     out.push(Effect::Log(Decision::new(
@@ -92,34 +105,34 @@
     state.unreadable.insert(id, why);
 }
 
-/// Takes in the whole list as the feed begins with it.
-pub(super) fn workers_read(
+/// Applies the whole list, with which the feed begins.
+pub(super) fn apply_feed_list(
     state: &mut State,
-    all: Vec<WorkerFact>,
+    all: Vec<WorkerInfo>,
     now: Now,
     out: &mut Vec<Effect>,
 ) {
-    list_read(state, all, now, out);
-    state.list_news.note_all(now.ms);
+    apply_list(state, all, now, out);
+    state.list_changes.note_all(now.ms);
 }
 
-/// Takes in a list that was read beside the feed, and asked for then.
-pub(super) fn workers_loaded(
+/// Applies a list that was read separately from the feed and requested at `asked_ms`.
+pub(super) fn apply_separate_list(
     state: &mut State,
-    mut all: Vec<WorkerFact>,
+    mut all: Vec<WorkerInfo>,
     asked_ms: Millis,
     now: Now,
     out: &mut Vec<Effect>,
 ) {
-    state.list_news.drop_old(now.ms);
-    let is_news = |id: &str| state.list_news.is_since(id, asked_ms);
-    all.retain(|fact| !is_news(&fact.id));
-    let kept = state.listed.values().filter(|fact| is_news(&fact.id));
+    state.list_changes.drop_old(now.ms);
+    let is_reported = |id: &str| state.list_changes.is_reported_since(id, asked_ms);
+    all.retain(|fact| !is_reported(&fact.id));
+    let kept = state.listed.values().filter(|fact| is_reported(&fact.id));
     all.extend(kept.cloned());
-    list_read(state, all, now, out);
+    apply_list(state, all, now, out);
 }
 
-fn list_read(state: &mut State, all: Vec<WorkerFact>, now: Now, out: &mut Vec<Effect>) {
+fn apply_list(state: &mut State, all: Vec<WorkerInfo>, now: Now, out: &mut Vec<Effect>) {
     let missing: Vec<String> = state
         .listed
         .keys()
@@ -127,14 +140,19 @@
         .cloned()
         .collect();
     for id in missing {
-        gone(state, &id, now, out);
+        apply_unlisted_worker(state, &id, now, out);
     }
     for fact in all {
-        present(state, fact, now, out);
+        apply_listed_worker(state, fact, now, out);
     }
 }
 
-pub(super) fn present(state: &mut State, fact: WorkerFact, now: Now, out: &mut Vec<Effect>) {
+pub(super) fn apply_listed_worker(
+    state: &mut State,
+    fact: WorkerInfo,
+    now: Now,
+    out: &mut Vec<Effect>,
+) {
     state.unreadable.remove(&fact.id);
     state.listed.insert(fact.id.clone(), fact.clone());
     for key in owned_pools(state) {
@@ -149,18 +167,18 @@
                 return;
             };
             match is_its_pool {
-                true => note_present(pool_state, &fact, offers, epoch, ctx),
-                // A life of the same id came up in another pool.
+                true => apply_worker_entry(pool_state, &fact, offers, epoch, ctx),
+                // An instance of the same id has appeared in another pool.
                 false => note_gone(pool_state, &fact.id, ctx),
             }
         });
     }
 }
 
-/// Takes in a worker's entry in the list.
-pub fn note_present(
+/// Applies a worker's entry in the list.
+pub fn apply_worker_entry(
     pool_state: &mut PoolState,
-    fact: &WorkerFact,
+    fact: &WorkerInfo,
     offers: &Offers,
     epoch: u64,
     ctx: &mut Ctx<'_>,
@@ -174,7 +192,7 @@
         if w.fact.address != fact.address {
             w.moved_ms = Some(ctx.now.ms);
         }
-        w.fact = WorkerFact {
+        w.fact = WorkerInfo {
             born_wall_ms: fact.born_wall_ms.or(w.fact.born_wall_ms),
             ..fact.clone()
         };
@@ -189,7 +207,7 @@
         ctx.log(run_log::worker_restarted(
             earlier,
             fact.born_wall_ms,
-            "its entry",
+            "a new instance of its id was listed",
         ));
     }
     let key = load::add_listed(pool_state, fact.clone(), ctx.now.ms, ctx.now);
@@ -201,24 +219,24 @@
     start_renewing(pool_state, key, epoch, ctx);
 }
 
-/// Tells that a worker's room is another one. What runs there and does not fit any more is left till it ends: nothing new
-/// is started beside it.
-fn log_resized(worker: &Worker, fact: &WorkerFact, ctx: &mut Ctx<'_>) {
-    let (before, room) = (worker.fact.capacity, fact.capacity);
-    if before == room {
+/// Logs a change of a worker's capacity. Runs that no longer fit continue until they end, and nothing new is started
+/// beside them.
+fn log_resized(worker: &Worker, fact: &WorkerInfo, ctx: &mut Ctx<'_>) {
+    let (before, current) = (worker.fact.capacity, fact.capacity);
+    if before == current {
         return;
     }
     ctx.log(
         Decision::new(Code::WorkerResized, Subject::Host, &fact.id, &*fact.host)
-            .with("cpu_milli", room.cpu_milli)
+            .with("cpu_milli", current.cpu_milli)
             .with("before_cpu_milli", before.cpu_milli)
-            .with("mem_mb", room.mem_mb)
+            .with("mem_mb", current.mem_mb)
             .with("before_mem_mb", before.mem_mb)
             .with("used_cpu_milli", worker.used.cpu_milli),
     );
 }
 
-pub(super) fn gone(state: &mut State, id: &str, now: Now, out: &mut Vec<Effect>) {
+pub(super) fn apply_unlisted_worker(state: &mut State, id: &str, now: Now, out: &mut Vec<Effect>) {
     state.listed.remove(id);
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, _| {
@@ -232,16 +250,17 @@
 }
 
 fn note_gone(pool_state: &mut PoolState, id: &str, ctx: &Ctx<'_>) {
-    let lives: Vec<WorkerKey> = pool_state.instances_of(id).map(|(key, _)| key).collect();
-    for key in lives {
+    let instances: Vec<WorkerKey> = pool_state.instances_of(id).map(|(key, _)| key).collect();
+    for key in instances {
         let w = &mut pool_state.workers[key];
         w.is_listed = false;
-        w.is_withdrawn = w.answers;
-        renewal::forget_if_over(pool_state, key, ctx);
+        w.is_withdrawn = w.is_answering;
+        renewal::remove_if_over(pool_state, key, ctx);
     }
 }
 
-/// First hold to a worker, and a look at the end of what others may have ordered there.
+/// Requests the first renewal of a worker's lease, and sets a timer for the end of leases that other owners may have
+/// granted there.
 pub(super) fn start_renewing(
     pool_state: &mut PoolState,
     worker: WorkerKey,
@@ -251,6 +270,6 @@
     let left_ms = pool_state.workers[worker]
         .lease_end_ms
         .saturating_sub(ctx.now.ms);
-    ctx.after(left_ms, Timer::LeaseOver(worker));
+    ctx.set_timer(left_ms, Timer::ExpireLease(worker));
     renewal::send_next(pool_state, worker, epoch, ctx);
 }
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -13,7 +13,7 @@
 use crate::clock::Millis;
 use crate::core::admit::{Queue, Shed};
 use crate::core::config::Class;
-use crate::core::health::{self, Change, Health, Sign};
+use crate::core::health::{self, Change, ExchangeOutcome, Health};
 use crate::core::retry::RetryBudget;
 use crate::core::route::{self, Candidate, Window};
 use crate::core::routes::BackendSpec;
@@ -106,8 +106,8 @@
         Candidate {
             in_flight: self.in_flight.load(Ordering::Relaxed),
             window: self.window(now_ms),
-            barred: barred || self.is_barred(now_ms) || self.closed.load(Ordering::Relaxed),
-            near: self.near,
+            is_excluded: barred || self.is_barred(now_ms) || self.closed.load(Ordering::Relaxed),
+            is_same_hall: self.near,
         }
     }
 
@@ -190,7 +190,7 @@
 
     /// Takes the length of an exchange in, for the next expected waits.
     pub(super) fn note_exchange(&self, ms: Millis) {
-        lock(&self.queue).note_exchange(ms);
+        lock(&self.queue).record_exchange(ms);
     }
 
     /// How many wait.
@@ -219,33 +219,33 @@
 
 impl Place {
     /// Takes in what the exchange says about the backend server.
-    pub(super) fn note(&self, sign: Sign, route: &Route, shared: &Shared) {
+    pub(super) fn note(&self, sign: ExchangeOutcome, route: &Route, shared: &Shared) {
         let now_ms = shared.clock.now_ms();
         // Only a bad sign can eject, so only then the others are looked at.
         let ejected = match sign {
-            Sign::Bad => route
+            ExchangeOutcome::Bad => route
                 .backends
                 .iter()
                 .filter(|b| b.is_ejected(now_ms))
                 .count(),
-            Sign::Good | Sign::Full => 0,
+            ExchangeOutcome::Good | ExchangeOutcome::Full => 0,
         };
         let may_eject = health::may_eject(ejected, route.backends.len());
         let change = {
             let mut judged = lock(&self.backend.judged);
             match sign {
-                Sign::Full => judged.window.shrink(),
-                Sign::Good if self.at_window => judged.window.grow(),
+                ExchangeOutcome::Full => judged.window.shrink(),
+                ExchangeOutcome::Good if self.at_window => judged.window.grow(),
                 _ => {}
             }
             let size = judged.window.size();
             self.backend.window_size.store(size, Ordering::Relaxed);
-            let change = judged.health.note(sign, may_eject, now_ms);
+            let change = judged.health.record_outcome(sign, may_eject, now_ms);
             let until_ms = judged.health.ejected_until_ms();
             self.backend
                 .ejected_until_ms
                 .store(until_ms, Ordering::Relaxed);
-            let barred_ms = judged.health.barred_until_ms();
+            let barred_ms = judged.health.unavailable_until_ms();
             self.backend
                 .barred_until_ms
                 .store(barred_ms, Ordering::Relaxed);
@@ -381,7 +381,7 @@
                 b.candidate(barred.contains(&b.address()), now_ms)
             };
             let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
-            let at = route::pick(backends.len(), look, &mut rng)?;
+            let at = route::pick_candidate(backends.len(), look, &mut rng)?;
             let taken = backends[at].try_take(&self.route.lane, self.class, now_ms);
             if taken.is_some() {
                 return taken;
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -22,12 +22,12 @@
 use crate::core::operate::{Edit, Reply};
 use crate::core::reduce::Ticket;
 use crate::core::routes::{RouteService, RouteTable};
-use crate::core::rows::{JobRow, FOLLOWED};
-use crate::core::state::{Me, Tuning};
+use crate::core::rows::{JobRow, FOLLOWED_PREFIXES};
+use crate::core::state::{EntryIdentity, Tuning};
 use crate::core::{reduce, Effect, Event, State};
 use crate::error::{Error, Failure, Kind, Result};
 use crate::metrics::Metrics;
-use crate::port::{commit, HostList, HostOrders, OrderAnswer, Patience, Table, Tasks};
+use crate::port::{commit, HostList, HostOrders, OrderAnswer, RetryPolicy, Table, Tasks};
 use crate::wire::Told;
 
 /// Bound on the wait for an operator's or a caller's edit; a commit gives up before.
@@ -110,7 +110,7 @@
 impl Control {
     fn new(shared: Arc<Shared>) -> Self {
         let settings = &shared.settings;
-        let me = Me {
+        let me = EntryIdentity {
             name: settings.name.clone(),
             incarnation: shared.incarnation,
             hall: settings.hall.clone(),
@@ -178,7 +178,7 @@
             Message::Event(event) => self.handle(event),
             Message::Ask { edit, reply } => {
                 let ticket = self.wait_for(Waiting::Edit(reply));
-                self.handle(Event::Asked { ticket, edit });
+                self.handle(Event::EditRequested { ticket, edit });
             }
             Message::Poll {
                 digest,
@@ -241,7 +241,7 @@
             .store_down
             .store(state.reads.failing, Ordering::SeqCst);
         // Whoever sends must be waited for by drains: registered, or spoken for by a peer.
-        let awaited = state.is_registered() || state.spoken_for;
+        let awaited = state.is_registered() || state.is_sponsored;
         let ready = state.has_view() && awaited && state.hosts_known;
         if ready && !shared.ready.swap(true, Ordering::SeqCst) {
             use crate::event::{Code, Decision, Subject};
@@ -303,7 +303,7 @@
             match effect {
                 Effect::ReadTable { since } => {
                     let begun_ms = shared.clock.now_ms();
-                    let changes = platform.changes(since, &FOLLOWED).await.ok();
+                    let changes = platform.changes(since, &FOLLOWED_PREFIXES).await.ok();
                     this.handle(Event::TableRead { begun_ms, changes });
                 }
                 Effect::ReadHosts => {
@@ -318,7 +318,7 @@
                     this.handle(Event::ReportsRead(reports));
                 }
                 Effect::Commit { txn, transaction } => {
-                    let outcome = commit(platform, &transaction, Patience::default()).await;
+                    let outcome = commit(platform, &transaction, RetryPolicy::default()).await;
                     this.handle(Event::Committed { txn, outcome });
                 }
                 Effect::StartTask(start) => {
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -8,9 +8,9 @@
 
 use bpaf::{construct, long, Parser};
 use hdrhistogram::Histogram;
-use rockwick::core::health::{may_eject, share_percent, Health, Sign};
+use rockwick::core::health::{may_eject, share_percent, ExchangeOutcome, Health};
 use rockwick::core::retry::{Cost, RetryBudget};
-use rockwick::core::route::{pick, Candidate, Window};
+use rockwick::core::route::{pick_candidate, Candidate, Window};
 
 const ENTRIES: usize = 9;
 const BACKENDS: usize = 50;
@@ -253,7 +253,7 @@
 
     fn barred(&self, entry: usize, backend: usize, req: usize) -> bool {
         let v = &self.entries[entry].views[backend];
-        v.health.barred_until_ms() > self.now_ms() || self.reqs[req].barred.contains(&backend)
+        v.health.unavailable_until_ms() > self.now_ms() || self.reqs[req].barred.contains(&backend)
     }
 
     fn choose(&mut self, req: usize) -> Option<usize> {
@@ -282,11 +282,11 @@
                     Candidate {
                         in_flight: self.entries[entry].views[b].in_flight + told,
                         window: SLOTS,
-                        barred: self.barred(entry, b, req),
-                        near: true,
+                        is_excluded: self.barred(entry, b, req),
+                        is_same_hall: true,
                     }
                 };
-                pick(BACKENDS, look, &mut rng)
+                pick_candidate(BACKENDS, look, &mut rng)
             }
             Way::Windows => {
                 let mut rng = fastrand::Rng::with_seed(self.rng.u64(..));
@@ -296,11 +296,11 @@
                     Candidate {
                         in_flight: v.in_flight,
                         window: (v.window.size() * share / 100).max(1),
-                        barred: self.barred(entry, b, req),
-                        near: true,
+                        is_excluded: self.barred(entry, b, req),
+                        is_same_hall: true,
                     }
                 };
-                pick(BACKENDS, look, &mut rng)
+                pick_candidate(BACKENDS, look, &mut rng)
             }
         }
     }
@@ -379,19 +379,20 @@
         let at_window = v.in_flight >= v.window.size();
         v.in_flight -= 1;
         let sign = match outcome {
-            GOOD => Sign::Good,
-            FULL => Sign::Full,
-            _ => Sign::Bad,
+            GOOD => ExchangeOutcome::Good,
+            FULL => ExchangeOutcome::Full,
+            _ => ExchangeOutcome::Bad,
         };
-        if shipped && sign == Sign::Full {
+        if shipped && sign == ExchangeOutcome::Full {
             v.window.shrink();
         }
-        if shipped && sign == Sign::Good && at_window {
+        if shipped && sign == ExchangeOutcome::Good && at_window {
             v.window.grow();
         }
         // Health is the same for the two-choice ways and the fixed share; the baselines have none.
         if !matches!(self.way, Way::Random | Way::RoundRobin) {
-            v.health.note(sign, may_eject(ejected, BACKENDS), now_ms);
+            v.health
+                .record_outcome(sign, may_eject(ejected, BACKENDS), now_ms);
         }
     }
 
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -10,9 +10,11 @@
 use rockwick::core::rows::{
     EntryRow, EntryState, HeadRow, HostRow, HostState, JobRow, JobSpec, JobState,
 };
-use rockwick::core::state::{Me, Tuning};
+use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
-use rockwick::port::{BackendFact, Changes, Expect, HostFact, Life, Listing, Put, Transaction};
+use rockwick::port::{
+    BackendInfo, Changes, Expect, HostInfo, HostStatus, Listing, Put, Transaction,
+};
 use rockwick::wire::{encode, Ask, Told};
 use serde::Serialize;
 use standin::rows::Rows;
@@ -79,17 +81,17 @@
     text
 }
 
-fn facts(size: Size) -> Vec<HostFact> {
+fn facts(size: Size) -> Vec<HostInfo> {
     (0..size.hosts)
-        .map(|n| HostFact {
+        .map(|n| HostInfo {
             id: format!("h{n:04}"),
             hall: format!("hall{}", n / 4 % 11),
             rack: format!("rack{}", n / 4),
             cores: 16,
             memory_mb: 32_768,
-            life: Life::Live,
+            life: HostStatus::Live,
             boots: 3,
-            backends: vec![BackendFact {
+            backends: vec![BackendInfo {
                 service: "s".to_string(),
                 address: ([10, 0, (n / 250) as u8, (n % 250) as u8], 80).into(),
                 slots: 8,
@@ -155,7 +157,7 @@
 }
 
 fn measure(size: Size) -> Cost {
-    let me = Me {
+    let me = EntryIdentity {
         name: "e0".to_string(),
         incarnation: 1,
         hall: "hall1".to_string(),
@@ -229,7 +231,7 @@
             hosts_known: true,
             busy: vec![],
         };
-        state.take_digest(digest, now_ms, &mut Vec::new());
+        state.apply_digest(digest, now_ms, &mut Vec::new());
     }
 }
 
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -8,10 +8,10 @@
 use rockwick::core::operate::Edit;
 use rockwick::core::reduce::Ticket;
 use rockwick::core::rows::{HostState, WaveState};
-use rockwick::core::state::{Me, Tuning};
+use rockwick::core::state::{EntryIdentity, Tuning};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
-    Attempt, BackendFact, HostFact, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
+    Attempt, BackendInfo, HostInfo, HostStatus, Listing, OrderAnswer, Outcome, Reports, TaskRef,
     TaskReport, TaskState,
 };
 use standin::rows::Rows;
@@ -154,7 +154,7 @@
     now: Now,
     state: State,
     rows: Rows,
-    facts: Vec<HostFact>,
+    facts: Vec<HostInfo>,
     listed: bool,
     back_ms: HashMap<String, Millis>,
     tasks: BTreeMap<String, Task>,
@@ -188,7 +188,7 @@
 
 impl Fleet {
     fn new(case: &Case, pace_percent: u64, seed: u64) -> Self {
-        let me = Me {
+        let me = EntryIdentity {
             name: "e1".to_string(),
             incarnation: 1,
             hall: "a".to_string(),
@@ -205,15 +205,15 @@
             pause_ms: Millis::MAX,
             ..Tuning::default()
         };
-        let facts = (0..case.hosts).map(|n| HostFact {
+        let facts = (0..case.hosts).map(|n| HostInfo {
             id: format!("h{n:03}"),
             hall: format!("hall{}", n / 4 % 11),
             rack: format!("rack{}", n / 4),
             cores: if n % 3 == 0 { 64 } else { 16 },
             memory_mb: 32_768,
-            life: Life::Live,
+            life: HostStatus::Live,
             boots: 0,
-            backends: vec![BackendFact {
+            backends: vec![BackendInfo {
                 service: "s".to_string(),
                 address: ([10, 0, (n / 250) as u8, (n % 250) as u8], 80).into(),
                 slots: 8,
@@ -277,7 +277,7 @@
     fn ask(&mut self, edit: Edit) {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        self.feed(Event::Asked { ticket, edit });
+        self.feed(Event::EditRequested { ticket, edit });
     }
 
     /// Feeds an event and all that follows from it at the same instant.
@@ -374,7 +374,7 @@
 
     fn set_gone(&mut self, host: &str, for_ms: Millis) {
         if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
-            f.life = Life::Gone;
+            f.life = HostStatus::Gone;
             self.listed = false;
         }
         let until_ms = self.now.ms + for_ms;
@@ -418,7 +418,7 @@
         for host in back {
             self.back_ms.remove(&host);
             if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
-                f.life = Life::Live;
+                f.life = HostStatus::Live;
                 f.boots += 1;
                 self.listed = false;
             }
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -2,9 +2,9 @@
 
 use rockwick::core::admit::{Bucket, Queue, Shed};
 use rockwick::core::config::Class;
-use rockwick::core::health::{may_eject, share_percent, Change, Health, Sign};
+use rockwick::core::health::{may_eject, share_percent, Change, ExchangeOutcome, Health};
 use rockwick::core::retry::{Backoff, Cost, RetryBudget};
-use rockwick::core::route::{class_may_enter, pick, Candidate, Window};
+use rockwick::core::route::{class_may_enter, pick_candidate, Candidate, Window};
 
 #[test]
 fn admit_quota_split() {
@@ -65,7 +65,7 @@
 #[test]
 fn admit_queue_too_late() {
     let mut queue = Queue::new();
-    queue.note_exchange(100);
+    queue.record_exchange(100);
     for n in 0..8 {
         assert_eq!(queue.enqueue(Class::Normal, n, 100, 4, 10_000), Ok(None));
     }
@@ -110,8 +110,8 @@
     let candidate = |in_flight, window, barred| Candidate {
         in_flight,
         window,
-        barred,
-        near: true,
+        is_excluded: barred,
+        is_same_hall: true,
     };
     let mut rng = fastrand::Rng::with_seed(7);
     let list = [
@@ -122,7 +122,7 @@
     ];
     let mut counts = [0; 4];
     for _ in 0..1_000 {
-        let at = pick(list.len(), |i| list[i], &mut rng).expect("there is room");
+        let at = pick_candidate(list.len(), |i| list[i], &mut rng).expect("there is room");
         counts[at] += 1;
     }
     assert_eq!(
@@ -134,8 +134,8 @@
         counts[3] > counts[2],
         "the less loaded more often: {counts:?}"
     );
-    assert_eq!(pick(2, |i| list[i], &mut rng), None);
-    assert_eq!(pick(0, |i| list[i], &mut rng), None);
+    assert_eq!(pick_candidate(2, |i| list[i], &mut rng), None);
+    assert_eq!(pick_candidate(0, |i| list[i], &mut rng), None);
 }
 
 #[test]
@@ -157,22 +157,34 @@
 fn admit_ejection() {
     let mut h = Health::default();
     for _ in 0..4 {
-        assert_eq!(h.note(Sign::Bad, true, 0), Change::None);
+        assert_eq!(
+            h.record_outcome(ExchangeOutcome::Bad, true, 0),
+            Change::None
+        );
     }
     assert_eq!(
-        h.note(Sign::Full, true, 0),
+        h.record_outcome(ExchangeOutcome::Full, true, 0),
         Change::None,
         "full is no fault"
     );
-    assert_eq!(h.note(Sign::Bad, true, 0), Change::Ejected(2_000));
+    assert_eq!(
+        h.record_outcome(ExchangeOutcome::Bad, true, 0),
+        Change::Ejected(2_000)
+    );
     assert!(h.is_ejected(1_999) && !h.is_ejected(2_000));
     assert_eq!(
-        h.note(Sign::Bad, true, 2_000),
+        h.record_outcome(ExchangeOutcome::Bad, true, 2_000),
         Change::Ejected(6_000),
         "on probation one is enough"
     );
-    assert_eq!(h.note(Sign::Good, true, 6_000), Change::Readmitted);
-    assert_eq!(h.note(Sign::Bad, true, 6_001), Change::None);
+    assert_eq!(
+        h.record_outcome(ExchangeOutcome::Good, true, 6_000),
+        Change::Readmitted
+    );
+    assert_eq!(
+        h.record_outcome(ExchangeOutcome::Bad, true, 6_001),
+        Change::None
+    );
     assert_eq!(share_percent(6_000, 6_000), 10);
     assert_eq!(share_percent(6_000, 8_500), 50);
     assert_eq!(share_percent(6_000, 60_000), 100);
@@ -183,7 +195,10 @@
     assert!(may_eject(0, 2) && !may_eject(1, 2) && !may_eject(0, 1));
     let mut h = Health::default();
     for _ in 0..50 {
-        assert_eq!(h.note(Sign::Bad, false, 0), Change::None);
+        assert_eq!(
+            h.record_outcome(ExchangeOutcome::Bad, false, 0),
+            Change::None
+        );
     }
 }
 
@@ -211,9 +226,9 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let mut b = Backoff::default();
     for full in [500, 1_000, 2_000, 4_000, 4_000, 4_000] {
-        let ms = b.fail(&mut rng);
+        let ms = b.next_pause(&mut rng);
         assert!((full / 2..=full).contains(&ms), "{ms} of {full}");
     }
-    b.succeed();
-    assert!(b.fail(&mut rng) <= 500);
+    b.reset();
+    assert!(b.next_pause(&mut rng) <= 500);
 }
--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -1,11 +1,11 @@
 //! The table's contract: a lost answer is not a failure.
 
-use rockwick::port::{commit, Expect, Outcome, Patience, Put, Transaction};
+use rockwick::port::{commit, Expect, Outcome, Put, RetryPolicy, Transaction};
 
 use crate::table::{FakeTable, Fate};
 
-const QUICK: Patience = Patience {
-    sends: 4,
+const QUICK: RetryPolicy = RetryPolicy {
+    attempts_max: 4,
     pause_ms: 1,
 };
 
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -4,7 +4,7 @@
 
 use rockwick::core::sched::hosts::{self, HostController, HostTask, Inputs};
 use rockwick::core::sched::offers::{Offers, OffersRow, Taken};
-use rockwick::core::sched::owner_lease::FormerOrders;
+use rockwick::core::sched::owner_lease::FormerHostOrders;
 use rockwick::core::sched::rows::{encode, HostOrdersRow};
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::port::fleet::{FleetConfig, HostRecord, HostReply, HostState, StoredRow, TxOutcome};
@@ -36,7 +36,7 @@
             revision: 1,
         };
         let told = reported_ms.iter().map(|(host, at)| (host.to_string(), *at));
-        let former = FormerOrders {
+        let former = FormerHostOrders {
             reported_ms: told.collect(),
             over_ms: 49_500,
         };
@@ -56,11 +56,11 @@
             host: host.to_string(),
             pool: "idle".to_string(),
             state: HostState::Up,
-            life: format!("life of {host}"),
+            worker: format!("life of {host}"),
         });
         // The first look asks for the list.
         holder.look();
-        hosts::list_read(&mut holder.controller, list.to_vec());
+        hosts::apply_list(&mut holder.controller, list.to_vec());
         holder
     }
 
@@ -90,7 +90,7 @@
 
     fn recorded(&mut self) -> Vec<Effect> {
         self.with_ctx(|controller, _, ctx| {
-            hosts::recorded(controller, &TxOutcome::Committed(9), EPOCH, ctx)
+            hosts::apply_recorded(controller, &TxOutcome::Committed(9), EPOCH, ctx)
         })
     }
 
@@ -102,9 +102,9 @@
         };
         let mut row = None;
         let effects = self.with_ctx(|controller, _, ctx| {
-            row = hosts::taken(controller, "idle", &outcome, EPOCH, ctx);
+            row = hosts::apply_taken(controller, "idle", &outcome, EPOCH, ctx);
         });
-        self.offers.took(row.unwrap_or_default(), 10);
+        self.offers.replace_row(row.unwrap_or_default(), 10);
         effects
     }
 }
@@ -158,7 +158,7 @@
     holder.look();
     holder.recorded();
     assert_eq!(moves(&holder.taken(false)), []);
-    holder.offers.took(OffersRow::default(), 11);
+    holder.offers.replace_row(OffersRow::default(), 11);
     holder.now_ms += 2_000;
     let effects = holder.look();
     assert_eq!((moves(&effects), takes(&effects)), (vec![], 0));
@@ -170,11 +170,15 @@
     holder.look();
     holder.recorded();
     assert_eq!(moves(&holder.taken(true)).len(), 1);
-    holder.with_ctx(|controller, _, ctx| hosts::ordered(controller, "h1", HostReply::Silent, ctx));
+    holder.with_ctx(|controller, _, ctx| {
+        hosts::apply_reply(controller, "h1", HostReply::Silent, ctx)
+    });
     holder.now_ms += 500;
     assert_eq!(moves(&holder.look()), to_busy(), "it is taken: sent again");
-    holder.with_ctx(|controller, _, ctx| hosts::ordered(controller, "h1", HostReply::Silent, ctx));
-    holder.offers.took(OffersRow::default(), 12);
+    holder.with_ctx(|controller, _, ctx| {
+        hosts::apply_reply(controller, "h1", HostReply::Silent, ctx)
+    });
+    holder.offers.replace_row(OffersRow::default(), 12);
     holder.now_ms += 500;
     assert_eq!(moves(&holder.look()), [], "it is not taken any more");
 }
@@ -241,9 +245,9 @@
         host: host.clone(),
         pool: "idle".to_string(),
         state: HostState::Up,
-        life: String::new(),
+        worker: String::new(),
     });
-    hosts::list_read(&mut holder.controller, list.collect());
+    hosts::apply_list(&mut holder.controller, list.collect());
     holder.look();
     holder.recorded();
     holder.taken(true);
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -13,10 +13,10 @@
 use rockwick::core::rows::{
     HeadRow, HostRow, HostState, JobRow, JobSpec, PoolRow, WaveRow, WaveState, HEAD_KEY,
 };
-use rockwick::core::state::{decode, Me, Tuning, TxnKey};
+use rockwick::core::state::{decode, EntryIdentity, Tuning, TxnKey};
 use rockwick::core::{reduce, Effect, Event, State};
 use rockwick::port::{
-    Attempt, BackendFact, HostFact, Life, Listing, OrderAnswer, Outcome, Reports, TaskRef,
+    Attempt, BackendInfo, HostInfo, HostStatus, Listing, OrderAnswer, Outcome, Reports, TaskRef,
     TaskReport, TaskStart, TaskState, Transaction,
 };
 use serde::de::DeserializeOwned;
@@ -43,8 +43,8 @@
     )
 }
 
-fn me(name: &str, incarnation: u64) -> Me {
-    Me {
+fn me(name: &str, incarnation: u64) -> EntryIdentity {
+    EntryIdentity {
         name: name.to_string(),
         incarnation,
         hall: "a".to_string(),
@@ -128,7 +128,7 @@
     rows: Rows,
     entries: Vec<Entry>,
     next_incarnation: u64,
-    facts: Vec<HostFact>,
+    facts: Vec<HostInfo>,
     tokens: BTreeSet<String>,
     tasks: BTreeMap<String, Task>,
     fenced: HashMap<String, u32>,
@@ -143,15 +143,15 @@
 impl World {
     fn new(seed: u64) -> Self {
         let facts = (0..HOSTS)
-            .map(|n| HostFact {
+            .map(|n| HostInfo {
                 id: format!("h{n}"),
                 hall: "a".to_string(),
                 rack: format!("r{}", n / 2),
                 cores: 8,
                 memory_mb: 1_000,
-                life: Life::Live,
+                life: HostStatus::Live,
                 boots: 0,
-                backends: vec![BackendFact {
+                backends: vec![BackendInfo {
                     service: "route".to_string(),
                     address: ([127, 0, 0, 1], 1_000 + n as u16).into(),
                     slots: 8,
@@ -374,7 +374,7 @@
             "the row is written before the start"
         );
         let host = self.facts.iter().find(|f| f.id == start.host);
-        let live = host.is_some_and(|f| f.life == Life::Live);
+        let live = host.is_some_and(|f| f.life == HostStatus::Live);
         let task = self.tasks.entry(start.job.clone()).or_default();
         if task.attempt == start.attempt && task.starts > 0 {
             return OrderAnswer::Accepted;
@@ -526,7 +526,7 @@
         };
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        self.feed(at, Event::Asked { ticket, edit });
+        self.feed(at, Event::EditRequested { ticket, edit });
     }
 
     /// One entry polls another; the answer may be lost on the way back.
@@ -604,8 +604,12 @@
             0 => {
                 let n = self.rng.usize(..HOSTS);
                 let fact = &mut self.facts[n];
-                let gone = fact.life == Life::Live;
-                fact.life = if gone { Life::Gone } else { Life::Live };
+                let gone = fact.life == HostStatus::Live;
+                fact.life = if gone {
+                    HostStatus::Gone
+                } else {
+                    HostStatus::Live
+                };
                 let host = fact.id.clone();
                 self.end_tasks(TaskState::Lost, |t| gone && t.host == host);
             }
@@ -701,14 +705,14 @@
             self.tickets += 1;
             let ticket = Ticket(self.tickets);
             let edit = Edit::StopWave { wave };
-            self.feed(0, Event::Asked { ticket, edit });
+            self.feed(0, Event::EditRequested { ticket, edit });
         }
     }
 
     /// All is well again: what was begun comes to its end.
     fn calm(&mut self) {
         for f in &mut self.facts {
-            f.life = Life::Live;
+            f.life = HostStatus::Live;
         }
         for at in 0..ENTRIES {
             self.entries[at].frozen = false;
@@ -768,7 +772,7 @@
         text: config_text(3, 1, "none"),
     };
     let ticket = Ticket(0);
-    world.feed(0, Event::Asked { ticket, edit });
+    world.feed(0, Event::EditRequested { ticket, edit });
     for _ in 0..steps {
         world.step();
     }
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -8,7 +8,7 @@
 use rockwick::core::sched::keys::TaskKey;
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::{Offers, OffersRow, OFFERS_KEY};
-use rockwick::core::sched::owner_lease::FormerOrders;
+use rockwick::core::sched::owner_lease::FormerHostOrders;
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::rows;
 use rockwick::core::sched::sizing::{self, Sizing};
@@ -76,7 +76,7 @@
         }
         let mut controller = HostController::default();
         decide(0, |ctx| {
-            controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+            controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
         });
         let sizing = Sizing::default();
         Self {
@@ -227,7 +227,7 @@
         let keys: Vec<_> = self.pool_state.jobs.keys().collect();
         if keys.len() > 2 || self.rng.bool() {
             for key in keys.into_iter().skip(1) {
-                self.pool_state.forget(key, self.now_ms);
+                self.pool_state.drop_job(key, self.now_ms);
             }
             return;
         }
@@ -259,9 +259,9 @@
         let is_open = self.pool_state.workers[key].is_open(self.now_ms);
         let worker = &mut self.pool_state.workers[key];
         if is_open && self.rng.bool() {
-            worker.take(task, demand);
+            worker.add_task(task, demand);
         } else {
-            worker.release(task, demand);
+            worker.remove_task(task, demand);
         }
     }
 
@@ -291,7 +291,7 @@
                     false => POOL.to_string(),
                 },
                 state: HostState::Up,
-                life: host.replace("host", "life"),
+                worker: host.replace("host", "life"),
                 host,
             })
             .collect()
@@ -300,30 +300,32 @@
     fn arrive(&mut self, what: Arrival) {
         match what {
             Arrival::Settled(outcome) => match outcome {
-                TxOutcome::Committed(revision) => self.offers.changed(revision),
+                TxOutcome::Committed(revision) => self.offers.apply_change(revision),
                 TxOutcome::Conflict(found) => {
                     self.offers.pending = None;
                     observe(&mut self.offers, &found[0].1);
                 }
                 TxOutcome::Refused => self.offers.pending = None,
-                TxOutcome::Unknown => self.offers.left_open(),
+                TxOutcome::Unknown => self.offers.keep_unsure(),
             },
             Arrival::Taken(outcome) => {
                 let mut row = None;
                 self.holder(|controller, _, ctx| {
-                    row = hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
+                    row = hosts::apply_taken(controller, POOL, &outcome, EPOCH, ctx);
                 });
                 match (outcome, row) {
-                    (TxOutcome::Committed(revision), Some(row)) => self.seen.took(row, revision),
+                    (TxOutcome::Committed(revision), Some(row)) => {
+                        self.seen.replace_row(row, revision)
+                    }
                     (TxOutcome::Conflict(found), _) => observe(&mut self.seen, &found[0].1),
                     _ => {}
                 }
             }
             Arrival::Recorded => self.holder(|controller, _, ctx| {
-                hosts::recorded(controller, &TxOutcome::Committed(1), EPOCH, ctx);
+                hosts::apply_recorded(controller, &TxOutcome::Committed(1), EPOCH, ctx);
             }),
             Arrival::Ordered(host, reply) => self.holder(|controller, _, ctx| {
-                hosts::ordered(controller, &host, reply, ctx);
+                hosts::apply_reply(controller, &host, reply, ctx);
             }),
             Arrival::ToOwner(row) => observe(&mut self.offers, &row),
             Arrival::ToHolder(row) => observe(&mut self.seen, &row),
@@ -363,7 +365,7 @@
             self.owner_looks();
             let list = self.list();
             self.holder(|controller, look, ctx| {
-                hosts::list_read(controller, list);
+                hosts::apply_list(controller, list);
                 hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
             });
         }
@@ -372,7 +374,7 @@
 
 fn observe(offers: &mut Offers, row: &StoredRow) {
     if row.revision > 0 {
-        offers.observe(row).expect("the row decodes");
+        offers.apply_row(row).expect("the row decodes");
     }
 }
 
@@ -416,15 +418,15 @@
     };
     let mut controller = HostController::default();
     let effects = decide(100_000, |ctx| {
-        controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+        controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
         hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
-        hosts::list_read(&mut controller, Pair::new(1).list());
+        hosts::apply_list(&mut controller, Pair::new(1).list());
         hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
     });
     let is_take = |e: &Effect| matches!(e, Effect::TakeHosts(..));
     assert!(effects.iter().any(is_take), "{effects:?}");
     let effects = decide(100_010, |ctx| {
-        hosts::taken(
+        hosts::apply_taken(
             &mut controller,
             POOL,
             &TxOutcome::Conflict(Vec::new()),
@@ -446,7 +448,7 @@
     let mut offers = Offers::default();
     let mut took = 0;
     decide(100_000, |ctx| {
-        controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
+        controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
     });
     for look_n in 0..10 {
         let now_ms = 100_000 + look_n * 100;
@@ -457,7 +459,7 @@
             now_ms,
             |controller, look, ctx| {
                 hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
-                hosts::list_read(controller, Pair::new(1).list());
+                hosts::apply_list(controller, Pair::new(1).list());
             },
             &mut controller,
         );
@@ -481,9 +483,9 @@
                 &offers,
                 now_ms + 10,
                 |controller, look, ctx| {
-                    hosts::taken(controller, POOL, &outcome, EPOCH, ctx);
+                    hosts::apply_taken(controller, POOL, &outcome, EPOCH, ctx);
                     if !is_newest {
-                        hosts::retake(controller, &BTreeMap::new(), look, ctx);
+                        hosts::retry_take(controller, &BTreeMap::new(), look, ctx);
                     }
                 },
                 &mut controller,
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -34,9 +34,9 @@
     };
     let mut offers = Offers::default();
     let fed = stored(OFFERS_KEY, rows::encode(&new), 11);
-    offers.observe(&fed).expect("it can be read");
+    offers.apply_row(&fed).expect("it can be read");
     let found = stored(OFFERS_KEY, rows::encode(&OffersRow::default()), 10);
-    offers.observe_found(&found).expect("it can be read");
+    offers.apply_conflict_row(&found).expect("it can be read");
     assert!(offers.is_offered(HOST), "the feed told it at revision 11");
 }
 
@@ -54,8 +54,8 @@
     let fed = stored("1", rows::encode(&new), 11);
     let found = stored("1", rows::encode(&WaveRow::default()), 10);
     decide(1_000, |ctx| {
-        wave::observe(&mut known, &fed, ctx);
-        wave::observe(&mut known, &found, ctx);
+        wave::apply_row(&mut known, &fed, ctx);
+        wave::apply_row(&mut known, &found, ctx);
     });
     assert!(
         known.row.out.contains_key(HOST),
@@ -116,11 +116,11 @@
             host: host.to_string(),
             pool: "other".to_string(),
             state: HostState::Up,
-            life: "life".to_string(),
+            worker: "life".to_string(),
         });
-        wave::hosts_read(&mut turn.controller, hosts.to_vec());
+        wave::apply_list(&mut turn.controller, hosts.to_vec());
         assert!(!turn.look(1_500), "the list is read anew");
-        wave::hosts_read(&mut turn.controller, hosts.to_vec());
+        wave::apply_list(&mut turn.controller, hosts.to_vec());
         assert!(turn.look(2_000), "the host is given back");
         turn
     }
@@ -139,14 +139,14 @@
     fn row(&mut self, row: &WaveRow, revision: u64) {
         let known = self.waves.get_mut(&1).expect("it is there");
         let row = stored("1", rows::encode(row), revision);
-        decide(2_000, |ctx| wave::observe(known, &row, ctx));
+        decide(2_000, |ctx| wave::apply_row(known, &row, ctx));
     }
 
     fn answer(&mut self, outcome: TxOutcome) {
         let (pool_state, controller, waves) =
             (&mut self.pool_state, &mut self.controller, &mut self.waves);
         decide(2_000, |ctx| {
-            wave::settled(Some(pool_state), controller, waves, outcome, ctx);
+            wave::apply_settled(Some(pool_state), controller, waves, outcome, ctx);
         });
     }
 }
--- a/tests/test_place.rs
+++ b/tests/test_place.rs
@@ -4,7 +4,7 @@
 use rockwick::core::config::Class;
 use rockwick::core::rows::{HostRow, HostState, JobRow, JobSpec, JobState};
 use rockwick::core::{reduce, Effect, Event, State};
-use rockwick::port::{Changes, HostFact, Life, Listing, Row};
+use rockwick::port::{Changes, HostInfo, HostStatus, Listing, Row};
 use serde::Serialize;
 
 use crate::test_model::quiet_state;
@@ -40,13 +40,13 @@
             };
             view.put(&format!("host/h{n}"), &row);
         }
-        let facts = (1..=hosts).map(|n| HostFact {
+        let facts = (1..=hosts).map(|n| HostInfo {
             id: format!("h{n}"),
             hall: "a".to_string(),
             rack: format!("a{n}"),
             cores: 8,
             memory_mb: 1_000,
-            life: Life::Live,
+            life: HostStatus::Live,
             boots: 0,
             backends: Vec::new(),
         });
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -2,8 +2,8 @@
 
 use rockwick::platform::Platform;
 use rockwick::port::fleet::{
-    Addressee, Directory, Guard, HostAuthority, HostMoves, HostReply, HostState, OperatorEvent,
-    OrderReply, Range, ReadError, RenewalRequest, RowTx, Rows, RunStart, Table, TaskName,
+    Directory, Guard, HostAuthority, HostMoves, HostReply, HostState, OperatorEvent, OrderReply,
+    OrderTarget, Range, ReadError, RenewalRequest, RowTx, Rows, RunStart, Table, TaskName,
     TxOutcome, WaveState, WaveStatus, WorkerEvent, WorkerOrders, Write, ABSENT,
 };
 use serde_json::json;
@@ -205,7 +205,7 @@
         let Some(WorkerEvent::Present(fact)) = workers.into_iter().next() else {
             panic!("a worker");
         };
-        let to = |fence, worker: &str| Addressee {
+        let to = |fence, worker: &str| OrderTarget {
             worker: worker.to_string(),
             address: fact.address,
             fence,
@@ -213,7 +213,7 @@
         let far_ms = 1_000_000;
         let ask = RenewalRequest {
             lease_until_ms: None,
-            seen: 0,
+            acked_through: 0,
             wait_ms: 0,
         };
         let cases = [
@@ -271,14 +271,14 @@
         wait.recv().expect("the test goes on");
     });
     let platform = Platform::new(address, None);
-    let to = Addressee {
+    let to = OrderTarget {
         worker: "life".to_string(),
         address,
         fence: 1,
     };
     let ask = RenewalRequest {
         lease_until_ms: None,
-        seen: 0,
+        acked_through: 0,
         wait_ms: 1_000,
     };
     smol::block_on(async {
@@ -309,11 +309,11 @@
         assert_eq!(fleet.upkeeps(), vec!["m-1"]);
         let unknown = platform.move_to(&who, "m-7", "pool", TIMEOUT_MS).await;
         assert_eq!(unknown, HostReply::Wrong);
-        let running = platform.tell_wave(1, WaveState::Running).await;
+        let running = platform.write_wave_state(1, WaveState::Running).await;
         assert!(matches!(running, TxOutcome::Committed(_)));
-        let completed = platform.tell_wave(1, WaveState::Completed).await;
+        let completed = platform.write_wave_state(1, WaveState::Completed).await;
         assert!(matches!(completed, TxOutcome::Committed(_)));
-        let late = platform.tell_wave(1, WaveState::Running).await;
+        let late = platform.write_wave_state(1, WaveState::Running).await;
         assert!(
             matches!(late, TxOutcome::Conflict(_)),
             "never back to running: {late:?}"
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -226,7 +226,7 @@
                 now_ms,
                 &BTreeSet::new(),
                 |pool_state, controller, with, ctx| match answer.what {
-                    Some(outcome) => quota::settled(
+                    Some(outcome) => quota::apply_settled(
                         Some(pool_state),
                         controller,
                         with.pool,
@@ -234,7 +234,7 @@
                         outcome,
                         ctx,
                     ),
-                    None => quota::read(pool_state, controller, ACCOUNT, row, ctx),
+                    None => quota::apply_row(pool_state, controller, ACCOUNT, row, ctx),
                 },
             );
             self.carry(answer.owner, effects);
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -20,7 +20,7 @@
 use rockwick::core::sched::worker_list;
 use rockwick::port::fleet::{
     EndKind, OrderReply, RenewalReport, RenewalRequest, RunEnd, RunningTask, StoredRow, TaskName,
-    WorkerFact,
+    WorkerInfo,
 };
 
 use crate::decide::decide;
@@ -91,8 +91,8 @@
 /// Its id, and the later one's.
 const ID: &str = "i-1";
 
-fn fact(born_wall_ms: u64) -> WorkerFact {
-    WorkerFact {
+fn fact(born_wall_ms: u64) -> WorkerInfo {
+    WorkerInfo {
         born_wall_ms: Some(born_wall_ms),
         ..worker_fact(ID, "host")
     }
@@ -118,10 +118,10 @@
         let mut pool_state = PoolState::default();
         let earlier = load::add_worker(&mut pool_state, fact(BORN_MS[0]), 0);
         let w = &mut pool_state.workers[earlier];
-        w.answers = true;
-        w.heard_ms = HEARD_MS;
-        w.taken = 9;
-        w.recorded = 9;
+        w.is_answering = true;
+        w.answered_ms = HEARD_MS;
+        w.taken_through = 9;
+        w.recorded_through = 9;
         w.clock = Some(ClockSample {
             local_ms: HEARD_MS,
             worker_ms: EARLIER_CLOCK_MS,
@@ -135,7 +135,7 @@
         decide(HEARD_MS, |ctx| {
             load::apply_intake(&mut pool_state, &row, &config(1), EPOCH, ctx);
             place::place(&mut pool_state, ctx);
-            for (task, run) in std::mem::take(&mut pool_state.unsent) {
+            for (task, run) in std::mem::take(&mut pool_state.unsent_starts) {
                 runs::send_start(&mut pool_state, task, run, EPOCH, ctx);
             }
         });
@@ -149,7 +149,7 @@
 
     fn task(&self, index: u16) -> TaskKey {
         self.pool_state
-            .find(&name(index))
+            .find_task(&name(index))
             .expect("the task is there")
     }
 
@@ -162,7 +162,7 @@
         let task = self.task(index);
         let mut is_lost = false;
         decide(now_ms, |ctx| {
-            is_lost = runs::started(&mut self.pool_state, task, 1, reply, EPOCH, ctx);
+            is_lost = runs::settle_start(&mut self.pool_state, task, 1, reply, EPOCH, ctx);
         });
         is_lost
     }
@@ -182,7 +182,7 @@
         let later = load::add_worker(&mut self.pool_state, fact(BORN_MS[1]), now_ms);
         let effects = self.held(later, now_ms + 10, report(BORN_MS[1], now_ms));
         let (fence, ask) = only_hold(&effects);
-        assert_eq!((ask.seen, ask.lease_until_ms), (0, None));
+        assert_eq!((ask.acked_through, ask.lease_until_ms), (0, None));
         (later, fence)
     }
 }
@@ -301,13 +301,13 @@
     let soon = decide(HEARD_MS + 100, |ctx| {
         renewal::send_next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
-    assert_eq!(only_hold(&soon).1.seen, 9);
+    assert_eq!(only_hold(&soon).1.acked_through, 9);
     let mut scene = Scene::new();
     let late = decide(HEARD_MS + 400, |ctx| {
         renewal::send_next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
     });
     let (_, ask) = only_hold(&late);
-    assert_eq!(ask.seen, 0);
+    assert_eq!(ask.acked_through, 0);
 }
 
 /// The later life's clock counts from its start, and its lease is computed from that.
@@ -337,7 +337,13 @@
         let mut pool_state = PoolState::default();
         decide(100_000, |ctx| {
             let offers = Offers::default();
-            worker_list::note_present(&mut pool_state, &fact(born_wall_ms), &offers, EPOCH, ctx);
+            worker_list::apply_worker_entry(
+                &mut pool_state,
+                &fact(born_wall_ms),
+                &offers,
+                EPOCH,
+                ctx,
+            );
         });
         let key = pool_state
             .find_instance(ID, Some(born_wall_ms))
@@ -361,7 +367,7 @@
     let earlier = scene.earlier;
     let effects = scene.held(earlier, 3_030, account);
     assert_eq!(scene.phase(0), Phase::Done);
-    assert!(!scene.pool_state.workers[earlier].answers);
+    assert!(!scene.pool_state.workers[earlier].is_answering);
     assert!(!effects.iter().any(|e| matches!(e, Effect::RenewWorker(..))));
 }
 
@@ -391,7 +397,7 @@
         scene.pool_state.workers.get(stale).is_none(),
         "it is not there"
     );
-    assert!(scene.pool_state.workers[later].answers);
+    assert!(scene.pool_state.workers[later].is_answering);
     assert!(!scene.pool_state.workers[later].is_superseded);
 }
 
@@ -422,7 +428,7 @@
     let (later, _) = scene.prove_later(3_000);
     scene.held(later, 3_020, report(BORN_MS[1], 20));
     let w = &scene.pool_state.workers[later];
-    assert_eq!((w.fails_in_row, w.suspensions, w.taken), (0, 0, 0));
+    assert_eq!((w.fails_in_row, w.suspensions, w.taken_through), (0, 0, 0));
     assert!(w.is_open(3_020));
     assert!(scene.pool_state.workers.get(scene.earlier).is_none());
 }
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -19,13 +19,13 @@
     fact.capacity.cpu_milli = rng.u64(1..5) * 4_000;
     let key = answering(pool_state, fact);
     let worker = &mut pool_state.workers[key];
-    worker.answers = rng.u32(0..5) > 0;
+    worker.is_answering = rng.u32(0..5) > 0;
     worker.fails_in_row = rng.u32(0..3);
     let taken = Capacity {
         cpu_milli: rng.u64(0..=worker.fact.capacity.cpu_milli),
         ..Capacity::default()
     };
-    worker.take(TaskKey::default(), taken);
+    worker.add_task(TaskKey::default(), taken);
     pool_state.update_free_index(key);
 }
 
@@ -73,7 +73,7 @@
             place::place(&mut pool_state, ctx);
         });
         let task = pool_state.ready.first().map(|rank| rank.task);
-        let chosen = pool_state.unsent.first().and_then(|(task, _)| {
+        let chosen = pool_state.unsent_starts.first().and_then(|(task, _)| {
             let Phase::Recording(worker) = pool_state.task(*task)?.phase else {
                 return None;
             };
@@ -95,9 +95,9 @@
         .find_instance("life-0", None)
         .expect("it was added");
     let worker = &mut pool_state.workers[key];
-    worker.answers = true;
+    worker.is_answering = true;
     let taken = worker.used;
-    worker.release(TaskKey::default(), taken);
+    worker.remove_task(TaskKey::default(), taken);
     pool_state.update_free_index(key);
     let whole = pool_state.workers[key].fact.capacity.cpu_milli;
     assert_eq!(pool_state.free_index.workers_with_free(whole).count(), 1);
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -172,10 +172,10 @@
     // All carry something; one host more is empty at each look.
     let task = TaskKey::default();
     for key in &keys {
-        pool_state.workers[*key].take(task, Capacity::default());
+        pool_state.workers[*key].add_task(task, Capacity::default());
     }
     for (n, key) in keys.iter().enumerate() {
-        pool_state.workers[*key].release(task, Capacity::default());
+        pool_state.workers[*key].remove_task(task, Capacity::default());
         let now_ms = 100_000 + n as u64 * 100;
         let effects = decide(now_ms, |ctx| {
             sizing::reconcile(&mut pool_state, &mut sizing, &mut offers, &with, ctx);
@@ -185,7 +185,7 @@
             .any(|e| matches!(e, Effect::SettleOffers(..)))
         {
             changes.push(now_ms);
-            offers.changed(n as u64 + 1);
+            offers.apply_change(n as u64 + 1);
         }
     }
     assert!(changes.len() >= 2, "{changes:?}");
@@ -225,7 +225,7 @@
 fn sizing_waiting_shape() {
     let mut bench = Bench::new(4);
     for worker in bench.pool_state.workers.values_mut() {
-        worker.answers = true;
+        worker.is_answering = true;
         worker.clock = Some(ClockSample {
             local_ms: 0,
             worker_ms: 0,
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -51,7 +51,7 @@
 /// Places what waits, and sends its starts as if that were on record.
 fn send_placed(pool_state: &mut PoolState, ctx: &mut Ctx<'_>) {
     place::place(pool_state, ctx);
-    for (task, run) in std::mem::take(&mut pool_state.unsent) {
+    for (task, run) in std::mem::take(&mut pool_state.unsent_starts) {
         runs::send_start(pool_state, task, run, EPOCH, ctx);
     }
 }
@@ -67,14 +67,14 @@
 
 fn key(pool_state: &PoolState, index: u16) -> TaskKey {
     pool_state
-        .find(&name("a", index))
+        .find_task(&name("a", index))
         .expect("the task is there")
 }
 
 fn answer(pool_state: &mut PoolState, now_ms: u64, reply: OrderReply) -> Vec<Effect> {
     let task = key(pool_state, 0);
     decide(now_ms, |ctx| {
-        runs::started(pool_state, task, 1, reply, EPOCH, ctx);
+        runs::settle_start(pool_state, task, 1, reply, EPOCH, ctx);
     })
 }
 
@@ -245,7 +245,9 @@
 fn told_end_of_cancelled_job() {
     let (mut pool_state, worker) = starting(1);
     let job = key(&pool_state, 0).job;
-    decide(1_100, |ctx| runs::cancel(&mut pool_state, job, EPOCH, ctx));
+    decide(1_100, |ctx| {
+        runs::cancel_job(&mut pool_state, job, EPOCH, ctx)
+    });
     let done = end(1, name("a", 0), 1, EndKind::Done);
     let effects = account(&mut pool_state, worker, 1_500, vec![done], &[]);
     let told = only(&effects, Code::EndsTaken);
@@ -309,8 +311,8 @@
 #[test]
 fn told_lease_over() {
     let (mut pool_state, worker) = starting(1);
-    pool_state.workers[worker].answers = false;
-    pool_state.workers[worker].heard_ms = 900;
+    pool_state.workers[worker].is_answering = false;
+    pool_state.workers[worker].answered_ms = 900;
     let over_ms = pool_state.workers[worker].lease_end_ms;
     let effects = decide(over_ms, |ctx| {
         renewal::expire_lease(&mut pool_state, worker, ctx)
@@ -330,7 +332,7 @@
 #[test]
 fn told_later_life() {
     let (mut pool_state, worker) = starting(1);
-    pool_state.workers[worker].heard_ms = 900;
+    pool_state.workers[worker].answered_ms = 900;
     let left_ms = pool_state.workers[worker].lease_end_ms - 1_500;
     let later = load::add_worker(&mut pool_state, worker_fact("life-2", "host"), 0);
     let effects = decide(1_400, |ctx| {
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -216,9 +216,9 @@
         host: "old".to_string(),
         pool: POOL.to_string(),
         state: HostState::Up,
-        life: "life-1".to_string(),
+        worker: "life-1".to_string(),
     };
-    wave::hosts_read(&mut controller, vec![old]);
+    wave::apply_list(&mut controller, vec![old]);
     let order = WaveOrder {
         wave: 1,
         hosts: vec!["new".to_string()],
@@ -234,7 +234,7 @@
     let effects = decide(10_000, |ctx| {
         wave::reconcile(&mut pool_state, &mut controller, &mut waves, POOL, 7, ctx);
     });
-    let is_told = |e: &Effect| matches!(e, Effect::TellWave(1, WaveState::Completed));
+    let is_told = |e: &Effect| matches!(e, Effect::ReportWave(1, WaveState::Completed));
     assert!(!effects.iter().any(is_told));
 }
 
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -94,9 +94,9 @@
             host: HOST.to_string(),
             pool: POOL.to_string(),
             state,
-            life: "life-2".to_string(),
+            worker: "life-2".to_string(),
         };
-        wave::hosts_read(&mut self.controller, vec![record]);
+        wave::apply_list(&mut self.controller, vec![record]);
     }
 }
 
--- a/tests/world/carry.rs
+++ b/tests/world/carry.rs
@@ -44,7 +44,7 @@
                 let (after_ms, outcome) = self.store_call(n, &tx);
                 self.reply(n, after_ms, Event::WaveSettled(pool, epoch, outcome));
             }
-            Effect::TellWave(wave, state) => self.wave_told(wave, state),
+            Effect::ReportWave(wave, state) => self.wave_told(wave, state),
             Effect::Load(pool, epoch, _) => {
                 // A part that is away can't be read either.
                 let is_cut = self.entries[n].cut_until_ms > self.now_ms;
@@ -116,9 +116,9 @@
                 let event = Event::WorkerRenewed(order.pool, pool_state, worker, sent_ms, result);
                 self.reply(n, after_ms, event);
             }
-            Effect::SettleOrdered(pool, epoch, tx) => {
+            Effect::RecordHostsOut(pool, epoch, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::OrderedSettled(pool, epoch, outcome));
+                self.reply(n, after_ms, Event::HostsOutRecorded(pool, epoch, outcome));
             }
             Effect::RemoveIntake(pool, pool_state, tx) => {
                 let (after_ms, outcome) = self.store_call(n, &tx);
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -14,7 +14,7 @@
         // Ids tell nothing of the order of lives.
         let id = format!("w{:04x}-{}", self.rng.u16(..), self.next_life);
         let port = 1_000 + self.next_life as u16;
-        let fact = WorkerFact {
+        let fact = WorkerInfo {
             id: id.clone(),
             born_wall_ms: Some(WALL_MS + self.now_ms),
             host: host.to_string(),
@@ -250,8 +250,10 @@
             let cap_ms = w.clock(now_ms) + RENEWAL_MAX_MS;
             w.lease_until_ms = w.lease_until_ms.max(until_ms.min(cap_ms));
         }
-        let (seen, rest): (Vec<RunEnd>, Vec<RunEnd>) =
-            w.ended.drain(..).partition(|e| e.number <= ask.seen);
+        let (seen, rest): (Vec<RunEnd>, Vec<RunEnd>) = w
+            .ended
+            .drain(..)
+            .partition(|e| e.number <= ask.acked_through);
         w.ended = rest;
         let report = RenewalReport {
             born_wall_ms: w.fact.born_wall_ms,
@@ -474,7 +476,7 @@
     }
 
     /// The list of workers.
-    pub(super) fn listed(&self) -> Vec<WorkerFact> {
+    pub(super) fn listed(&self) -> Vec<WorkerInfo> {
         let listed = self
             .workers
             .values()
@@ -493,7 +495,7 @@
                 } else {
                     HostState::Upkeep
                 },
-                life: w.fact.id.clone(),
+                worker: w.fact.id.clone(),
             };
             let is_up = hosts
                 .get(&record.host)
