--- a/src/wire.rs
+++ b/src/wire.rs
@@ -34,10 +34,10 @@
     },
 }
 
-/// Answer to an [`Ask`].
+/// Answer of an entry to a request of another one.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum Told {
-    /// Answers [`Ask::Poll`].
+    /// Answers a poll.
     View {
         /// State of the entry that answers.
         digest: Digest,
@@ -48,7 +48,7 @@
         /// The host list if the sender of the poll has none; else empty.
         hosts: Vec<HostFact>,
     },
-    /// Answers [`Ask::Explain`].
+    /// Answers a request for logged decisions.
     Decisions {
         /// Name of the entry that logged the decisions.
         entry: String,
