--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -17,7 +17,7 @@
 use crate::core::Event;
 use crate::error::{Error, Result};
 use crate::event::{Decision, Subject};
-use crate::wire::{decode, encode, Ask, Told, MESSAGE_MAX_BYTES};
+use crate::wire::{decode, encode, PeerRequest, Told, MESSAGE_MAX_BYTES};
 
 /// Between two polls of the same peer.
 const POLL_MS: Millis = 1_000;
@@ -67,8 +67,8 @@
         };
         count(shared, message.len());
         let told = match decode(&message) {
-            Some(Ask::Poll { digest, since }) => poll_answer(shared, digest, since),
-            Some(Ask::Explain { subject, id }) => Some(Told::Decisions {
+            Some(PeerRequest::Poll { digest, since }) => poll_answer(shared, digest, since),
+            Some(PeerRequest::Explain { subject, id }) => Some(Told::Decisions {
                 entry: shared.settings.name.clone(),
                 list: shared.log.about(subject, &id),
             }),
@@ -126,7 +126,7 @@
 fn poll_once(shared: &Shared, socket: &Socket) -> bool {
     let view = shared.peer_view.load_full();
     let begun_ms = shared.clock.now_ms();
-    let ask = Ask::Poll {
+    let ask = PeerRequest::Poll {
         digest: view.digest.clone(),
         since: view.since,
     };
@@ -154,7 +154,7 @@
     more
 }
 
-fn exchange(shared: &Shared, socket: &Socket, ask: &Ask) -> Option<Told> {
+fn exchange(shared: &Shared, socket: &Socket, ask: &PeerRequest) -> Option<Told> {
     let bytes = encode(ask)?;
     count(shared, bytes.len());
     socket.send(bytes.as_slice()).ok()?;
@@ -177,7 +177,7 @@
         if *peer == shared.settings.peer_listen {
             continue;
         }
-        let ask = Ask::Explain {
+        let ask = PeerRequest::Explain {
             subject,
             id: id.to_string(),
         };
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -17,7 +17,7 @@
 
 /// Request from one entry to another.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Introduces the sender and asks for the rows that changed after `since`.
     Poll {
         /// State of the sender.
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -15,7 +15,7 @@
 use rockwick::port::{
     BackendInfo, Changes, Expect, HostInfo, HostStatus, Listing, Put, Transaction,
 };
-use rockwick::wire::{encode, Ask, Told};
+use rockwick::wire::{encode, PeerRequest, Told};
 use serde::Serialize;
 use standin::rows::Rows;
 
@@ -251,7 +251,7 @@
 }
 
 fn idle_poll_bytes(state: &State) -> usize {
-    let ask = Ask::Poll {
+    let ask = PeerRequest::Poll {
         digest: state.digest(),
         since: state.seq,
     };
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -12,7 +12,7 @@
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Client, Limits, Wire};
 use rockwick::port::{Changes, Down, Http, Table};
-use rockwick::wire::{decode, encode, Ask, Told};
+use rockwick::wire::{decode, encode, PeerRequest, Told};
 use smol::Async;
 
 use crate::fleet::CONFIG;
@@ -118,18 +118,18 @@
 
     #[test]
     fn fuzz_peers(bytes in vec(any::<u8>(), 0..200)) {
-        let _: Option<Ask> = decode(&bytes);
+        let _: Option<PeerRequest> = decode(&bytes);
         let _: Option<Told> = decode(&bytes);
     }
 
     #[test]
     fn fuzz_peers_cut(name in ".{0,20}", seq in any::<u64>(), cut in 0usize..60) {
         let digest = Digest { name, incarnation: 7, ..Digest::default() };
-        let ask = Ask::Poll { digest, since: seq };
+        let ask = PeerRequest::Poll { digest, since: seq };
         let bytes = encode(&ask).expect("encodes");
-        prop_assert_eq!(decode::<Ask>(&bytes), Some(ask));
+        prop_assert_eq!(decode::<PeerRequest>(&bytes), Some(ask));
         let cut = cut.min(bytes.len());
-        prop_assert_eq!(decode::<Ask>(&bytes[..bytes.len() - cut]).is_some(), cut == 0);
+        prop_assert_eq!(decode::<PeerRequest>(&bytes[..bytes.len() - cut]).is_some(), cut == 0);
     }
 
     #[test]
