--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -28,7 +28,7 @@
 use crate::error::{Error, Failure, Kind, Result};
 use crate::metrics::Metrics;
 use crate::port::{commit, HostList, HostOrders, OrderAnswer, RetryPolicy, Table, Tasks};
-use crate::wire::Told;
+use crate::wire::PeerReply;
 
 /// Bound on the wait for an operator's or a caller's edit; a commit gives up before.
 const ASK_MS: Millis = 20_000;
@@ -49,7 +49,7 @@
     Poll {
         digest: crate::core::members::Digest,
         since: u64,
-        reply: Sender<Told>,
+        reply: Sender<PeerReply>,
     },
     /// A caller asks for a job.
     Job {
@@ -75,7 +75,7 @@
 
 enum Waiting {
     Edit(Sender<std::result::Result<Reply, Failure>>),
-    Peer(Sender<Told>),
+    Peer(Sender<PeerReply>),
 }
 
 /// What the control thread owns.
@@ -281,7 +281,7 @@
                 hosts,
             } => {
                 if let Some(Waiting::Peer(reply)) = self.waiting.borrow_mut().remove(&ticket) {
-                    let _ = reply.try_send(Told::View {
+                    let _ = reply.try_send(PeerReply::View {
                         digest,
                         changes,
                         complete,
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -17,7 +17,7 @@
 use crate::core::Event;
 use crate::error::{Error, Result};
 use crate::event::{Decision, Subject};
-use crate::wire::{decode, encode, PeerRequest, Told, MESSAGE_MAX_BYTES};
+use crate::wire::{decode, encode, PeerRequest, PeerReply, MESSAGE_MAX_BYTES};
 
 /// Between two polls of the same peer.
 const POLL_MS: Millis = 1_000;
@@ -68,7 +68,7 @@
         count(shared, message.len());
         let told = match decode(&message) {
             Some(PeerRequest::Poll { digest, since }) => poll_answer(shared, digest, since),
-            Some(PeerRequest::Explain { subject, id }) => Some(Told::Decisions {
+            Some(PeerRequest::Explain { subject, id }) => Some(PeerReply::Decisions {
                 entry: shared.settings.name.clone(),
                 list: shared.log.about(subject, &id),
             }),
@@ -82,7 +82,7 @@
     }
 }
 
-fn poll_answer(shared: &Shared, digest: crate::core::members::Digest, since: u64) -> Option<Told> {
+fn poll_answer(shared: &Shared, digest: crate::core::members::Digest, since: u64) -> Option<PeerReply> {
     let (reply, answer) = smol::channel::bounded(1);
     shared.tell_control(Message::Poll {
         digest,
@@ -130,7 +130,7 @@
         digest: view.digest.clone(),
         since: view.since,
     };
-    let Some(Told::View {
+    let Some(PeerReply::View {
         digest,
         changes,
         complete,
@@ -154,7 +154,7 @@
     more
 }
 
-fn exchange(shared: &Shared, socket: &Socket, ask: &PeerRequest) -> Option<Told> {
+fn exchange(shared: &Shared, socket: &Socket, ask: &PeerRequest) -> Option<PeerReply> {
     let bytes = encode(ask)?;
     count(shared, bytes.len());
     socket.send(bytes.as_slice()).ok()?;
@@ -182,7 +182,7 @@
             id: id.to_string(),
         };
         let told = dial(*peer).ok().and_then(|s| exchange(shared, &s, &ask));
-        if let Some(Told::Decisions { entry, list }) = told {
+        if let Some(PeerReply::Decisions { entry, list }) = told {
             found.extend(list.into_iter().map(|d| (entry.clone(), d)));
         }
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -36,7 +36,7 @@
 
 /// Answer of an entry to a request of another one.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
+pub enum PeerReply {
     /// Answers a poll.
     View {
         /// State of the entry that answers.
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -15,7 +15,7 @@
 use rockwick::port::{
     BackendInfo, Changes, Expect, HostInfo, HostStatus, Listing, Put, Transaction,
 };
-use rockwick::wire::{encode, PeerRequest, Told};
+use rockwick::wire::{encode, PeerRequest, PeerReply};
 use serde::Serialize;
 use standin::rows::Rows;
 
@@ -255,7 +255,7 @@
         digest: state.digest(),
         since: state.seq,
     };
-    let told = Told::View {
+    let told = PeerReply::View {
         digest: state.digest(),
         changes: Changes {
             seq: state.seq,
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -12,7 +12,7 @@
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Client, Limits, Wire};
 use rockwick::port::{Changes, Down, Http, Table};
-use rockwick::wire::{decode, encode, PeerRequest, Told};
+use rockwick::wire::{decode, encode, PeerRequest, PeerReply};
 use smol::Async;
 
 use crate::fleet::CONFIG;
@@ -119,7 +119,7 @@
     #[test]
     fn fuzz_peers(bytes in vec(any::<u8>(), 0..200)) {
         let _: Option<PeerRequest> = decode(&bytes);
-        let _: Option<Told> = decode(&bytes);
+        let _: Option<PeerReply> = decode(&bytes);
     }
 
     #[test]
