--- a/src/auth.rs
+++ b/src/auth.rs
@@ -4,7 +4,7 @@
 use subtle::ConstantTimeEq;
 
 /// Name and token of the account that exists while no account is configured.
-pub const DEMO: &str = "demo";
+pub const DEMO_ACCOUNT: &str = "demo";
 
 /// Returns the SHA-256 of several parts in lower-case hexadecimal.
 pub fn sha256_hex(parts: &[&[u8]]) -> String {
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -410,8 +410,8 @@
         let mut accounts = table.accounts.clone();
         if accounts.is_empty() {
             accounts.push(Account {
-                name: auth::DEMO.to_string(),
-                token_sha256: auth::token_hash(auth::DEMO),
+                name: auth::DEMO_ACCOUNT.to_string(),
+                token_sha256: auth::token_hash(auth::DEMO_ACCOUNT),
                 rate_per_s: 0,
                 burst: 1,
             });
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -90,7 +90,7 @@
             why,
         ));
     }
-    let why = format!("without accounts the token {:?} is accepted", auth::DEMO);
+    let why = format!("without accounts the token {:?} is accepted", auth::DEMO_ACCOUNT);
     shared.tell(Decision::new(
         Code::DemoAccount,
         Subject::Entry,
