--- a/src/auth.rs
+++ b/src/auth.rs
@@ -40,7 +40,7 @@
 }
 
 /// Returns whether two hashes are equal. The time taken does not depend on where they differ.
-pub fn same_hash(a: &str, b: &str) -> bool {
+pub fn hashes_match(a: &str, b: &str) -> bool {
     a.as_bytes().ct_eq(b.as_bytes()).into()
 }
 
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -96,7 +96,7 @@
         return Ok(());
     };
     let token = auth::bearer(incoming.header("authorization"));
-    let good = token.is_some_and(|t| auth::same_hash(&auth::token_hash(t), hash));
+    let good = token.is_some_and(|t| auth::hashes_match(&auth::token_hash(t), hash));
     good.then_some(()).ok_or_else(|| Kind::Unauthorized.into())
 }
 
--- a/src/entry/shared.rs
+++ b/src/entry/shared.rs
@@ -52,7 +52,7 @@
         let hash = auth::token_hash(token?);
         self.callers
             .get(&hash)
-            .filter(|c| auth::same_hash(&c.token_sha256, &hash))
+            .filter(|c| auth::hashes_match(&c.token_sha256, &hash))
     }
 }
 
