--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -262,8 +262,8 @@
     let account = |n: usize| AccountConfig {
         name: format!("account-{n}"),
         keys: vec![
-            TokenHash::of(&format!("a{n}")),
-            TokenHash::of(&format!("b{n}")),
+            TokenHash::from_token(&format!("a{n}")),
+            TokenHash::from_token(&format!("b{n}")),
         ],
         ..AccountConfig::default()
     };
--- a/src/auth.rs
+++ b/src/auth.rs
@@ -24,7 +24,7 @@
 
 impl TokenHash {
     /// Computes the hash of a token.
-    pub fn of(token: &str) -> Self {
+    pub fn from_token(token: &str) -> Self {
         Self(Sha256::digest(token.as_bytes()).into())
     }
 
@@ -36,7 +36,7 @@
 
 /// Returns the hash of a token in lower-case hexadecimal, as configurations hold it.
 pub fn token_hash(token: &str) -> String {
-    TokenHash::of(token).to_hex()
+    TokenHash::from_token(token).to_hex()
 }
 
 /// Returns whether two hashes are equal. The time taken does not depend on where they differ.
--- a/tests/test_routing.rs
+++ b/tests/test_routing.rs
@@ -19,7 +19,7 @@
 fn account(name: &str, keys: &[&str]) -> (String, AccountConfig) {
     let config = AccountConfig {
         name: name.to_string(),
-        keys: keys.iter().map(|key| TokenHash::of(key)).collect(),
+        keys: keys.iter().map(|key| TokenHash::from_token(key)).collect(),
         ..AccountConfig::default()
     };
     (name.to_string(), config)
