--- a/src/config.rs
+++ b/src/config.rs
@@ -228,7 +228,7 @@
 }
 
 /// Returns the usage error for a flag whose value is not `allowed`.
-pub(crate) fn bad<T>(flag: &str, value: &str, allowed: &str) -> Result<T> {
+pub(crate) fn usage_error<T>(flag: &str, value: &str, allowed: &str) -> Result<T> {
     Err(Error::Usage(format!(
         "--{flag} {value:?}: must be {allowed}"
     )))
@@ -238,7 +238,7 @@
 pub(crate) fn address(flag: &str, value: &str) -> Result<SocketAddr> {
     match value.parse::<SocketAddr>() {
         Ok(addr) => Ok(addr),
-        Err(_) => bad(flag, value, "an IP address and a port, as in 10.0.0.1:8080"),
+        Err(_) => usage_error(flag, value, "an IP address and a port, as in 10.0.0.1:8080"),
     }
 }
 
@@ -246,7 +246,7 @@
 pub(crate) fn name(flag: &str, value: String) -> Result<String> {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     if value.is_empty() || value.len() > 64 || !value.bytes().all(is_allowed) {
-        return bad(flag, &value, "1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'");
+        return usage_error(flag, &value, "1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'");
     }
     Ok(value)
 }
@@ -254,13 +254,13 @@
 fn parse_number(flag: &str, value: &str, min: u64, max: u64) -> Result<u64> {
     match value.parse::<u64>() {
         Ok(n) if (min..=max).contains(&n) => Ok(n),
-        _ => bad(flag, value, &format!("a whole number from {min} to {max}")),
+        _ => usage_error(flag, value, &format!("a whole number from {min} to {max}")),
     }
 }
 
 fn check_hash(value: String) -> Result<String> {
     if value.len() != 64 || !value.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return bad("operator-token-sha256", &value, "64 hexadecimal digits");
+        return usage_error("operator-token-sha256", &value, "64 hexadecimal digits");
     }
     Ok(value.to_ascii_lowercase())
 }
--- a/src/serve/settings.rs
+++ b/src/serve/settings.rs
@@ -8,7 +8,7 @@
 use bpaf::{construct, long, Parser};
 
 use crate::clock::Millis;
-use crate::config::{address, bad, name};
+use crate::config::{address, usage_error, name};
 use crate::error::Result;
 
 /// The default of `config-within-ms`: the shortest that the users' deployments state.
@@ -141,7 +141,7 @@
     if (1.0..=1_000_000.0).contains(&milli) {
         return Ok(milli as u64);
     }
-    bad("cpu-share", &share.to_string(), "0.001 to 1000 cores")
+    usage_error("cpu-share", &share.to_string(), "0.001 to 1000 cores")
 }
 
 /// Parses a bound in milliseconds, which must leave time for a few answers of a store; `fallback_ms` if it is empty.
@@ -151,7 +151,7 @@
     }
     match value.parse::<Millis>() {
         Ok(ms) if (200..=600_000).contains(&ms) => Ok(ms),
-        _ => bad(flag, value, "200 to 600000 milliseconds"),
+        _ => usage_error(flag, value, "200 to 600000 milliseconds"),
     }
 }
 
