--- a/src/config.rs
+++ b/src/config.rs
@@ -193,7 +193,7 @@
     /// Without an operators' token, the admin address must be on loopback, since anybody who reaches it may make
     /// changes.
     pub fn check(self) -> Result<Settings> {
-        let admin = address("admin", &self.admin)?;
+        let admin = parse_address("admin", &self.admin)?;
         if self.operator_token_sha256.is_none() && !admin.ip().is_loopback() {
             let text = format!(
                 "--admin {admin}: must be a loopback address unless --operator-token-sha256 is set"
@@ -205,16 +205,16 @@
             .split(',')
             .map(str::trim)
             .filter(|p| !p.is_empty())
-            .map(|p| address("peers", p))
+            .map(|p| parse_address("peers", p))
             .collect::<Result<Vec<_>>>()?;
         Ok(Settings {
             name: name("name", self.name)?,
             hall: name("hall", self.hall)?,
-            listen: address("listen", &self.listen)?,
+            listen: parse_address("listen", &self.listen)?,
             admin,
-            peer_listen: address("peer-listen", &self.peer_listen)?,
+            peer_listen: parse_address("peer-listen", &self.peer_listen)?,
             peers,
-            platform: address("platform", &self.platform)?,
+            platform: parse_address("platform", &self.platform)?,
             threads: parse_number("threads", &self.threads, 1, 64)? as usize,
             body_bytes: parse_number("body-bytes", &self.body_bytes, 1, 1 << 30)? as usize,
             answer_bytes: parse_number("answer-bytes", &self.answer_bytes, 1, 1 << 30)? as usize,
@@ -235,7 +235,7 @@
 }
 
 /// Parses the value of a flag as an IP address and a port.
-pub(crate) fn address(flag: &str, value: &str) -> Result<SocketAddr> {
+pub(crate) fn parse_address(flag: &str, value: &str) -> Result<SocketAddr> {
     match value.parse::<SocketAddr>() {
         Ok(addr) => Ok(addr),
         Err(_) => usage_error(flag, value, "an IP address and a port, as in 10.0.0.1:8080"),
--- a/src/serve/settings.rs
+++ b/src/serve/settings.rs
@@ -8,7 +8,7 @@
 use bpaf::{construct, long, Parser};
 
 use crate::clock::Millis;
-use crate::config::{address, usage_error, name};
+use crate::config::{parse_address, usage_error, name};
 use crate::error::Result;
 
 /// The default of `config-within-ms`: the shortest that the users' deployments state.
@@ -124,11 +124,11 @@
         Ok(ServeSettings {
             name: name("name", self.name)?,
             hall: name("hall", self.hall)?,
-            listen: address("listen", &self.listen)?,
-            ready: address("ready", &self.ready)?,
+            listen: parse_address("listen", &self.listen)?,
+            ready: parse_address("ready", &self.ready)?,
             metrics: optional("metrics", &self.metrics)?,
             cpu_milli: cpu_milli(self.cpu_share)?,
-            store: address("store", &self.store)?,
+            store: parse_address("store", &self.store)?,
             hosts: optional("hosts", &self.hosts)?,
             config_within_ms: bound("config-within-ms", &self.config_within_ms, CONFIG_WITHIN_MS)?,
             config_outage_ms: bound("config-outage-ms", &self.config_outage_ms, CONFIG_OUTAGE_MS)?,
@@ -159,5 +159,5 @@
     if value.is_empty() {
         return Ok(None);
     }
-    address(flag, value).map(Some)
+    parse_address(flag, value).map(Some)
 }
