--- a/src/config.rs
+++ b/src/config.rs
@@ -208,8 +208,8 @@
             .map(|p| parse_address("peers", p))
             .collect::<Result<Vec<_>>>()?;
         Ok(Settings {
-            name: name("name", self.name)?,
-            hall: name("hall", self.hall)?,
+            name: check_name("name", self.name)?,
+            hall: check_name("hall", self.hall)?,
             listen: parse_address("listen", &self.listen)?,
             admin,
             peer_listen: parse_address("peer-listen", &self.peer_listen)?,
@@ -243,7 +243,7 @@
 }
 
 /// Checks the value of a flag as a name: 1 to 64 letters, digits, `-`, `_` and `.`.
-pub(crate) fn name(flag: &str, value: String) -> Result<String> {
+pub(crate) fn check_name(flag: &str, value: String) -> Result<String> {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     if value.is_empty() || value.len() > 64 || !value.bytes().all(is_allowed) {
         return usage_error(flag, &value, "1 to 64 of a-z, A-Z, 0-9, '-', '_', '.'");
--- a/src/serve/settings.rs
+++ b/src/serve/settings.rs
@@ -8,7 +8,7 @@
 use bpaf::{construct, long, Parser};
 
 use crate::clock::Millis;
-use crate::config::{parse_address, usage_error, name};
+use crate::config::{parse_address, usage_error, check_name};
 use crate::error::Result;
 
 /// The default of `config-within-ms`: the shortest that the users' deployments state.
@@ -122,8 +122,8 @@
     /// Checks every flag and returns the settings, or an error that names the wrong flag.
     pub fn check(self) -> Result<ServeSettings> {
         Ok(ServeSettings {
-            name: name("name", self.name)?,
-            hall: name("hall", self.hall)?,
+            name: check_name("name", self.name)?,
+            hall: check_name("hall", self.hall)?,
             listen: parse_address("listen", &self.listen)?,
             ready: parse_address("ready", &self.ready)?,
             metrics: optional("metrics", &self.metrics)?,
