--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -208,14 +208,14 @@
                 error.to_string(),
             );
             out.push(Effect::Log(d));
-            return Err(Kind::InvalidTemplate.because(error.to_string()));
+            return Err(Kind::InvalidTemplate.with_detail(error.to_string()));
         }
         if wanted != self.config_version || !self.is_unlocked(HEAD_KEY) {
             let detail = format!(
                 "the version is {}, not {wanted}; read it and base the change on it",
                 self.config_version
             );
-            return Err(Kind::Conflict.because(detail));
+            return Err(Kind::Conflict.with_detail(detail));
         }
         let head = HeadRow {
             version: wanted + 1,
@@ -238,11 +238,11 @@
 
     fn find_changeable_host(&self, id: &str) -> Result<HostKey, Refusal> {
         let key = self.host_ids.get(id).copied();
-        let key = key.ok_or_else(|| Kind::UnknownHost.because(id))?;
+        let key = key.ok_or_else(|| Kind::UnknownHost.with_detail(id))?;
         if self.may_change(&self.hosts[key]) {
             Ok(key)
         } else {
-            Err(Kind::Conflict.because("another change of this host or its pool is under way"))
+            Err(Kind::Conflict.with_detail("another change of this host or its pool is under way"))
         }
     }
 
@@ -265,14 +265,14 @@
             .with("serving_min", view.budget.serving_min as u64)
             .with("reserved", verdict.reserved as u64);
         out.push(Effect::Log(d));
-        Err(Kind::BudgetHolds.because(detail))
+        Err(Kind::BudgetHolds.with_detail(detail))
     }
 
     fn check_at_rest(&self, host: HostKey) -> Result<(), Refusal> {
         let h = &self.hosts[host];
         match h.row.state {
             HostState::Free | HostState::Serving => Ok(()),
-            state => Err(Kind::NotAllowed.because(format!("the host is {}", state.as_str()))),
+            state => Err(Kind::NotAllowed.with_detail(format!("the host is {}", state.as_str()))),
         }
     }
 
@@ -320,13 +320,13 @@
         let state = self.hosts[host].row.state;
         if matches!(state, HostState::Free | HostState::Serving) {
             let detail = format!("the host is {}", state.as_str());
-            return Err(Kind::NotAllowed.because(detail));
+            return Err(Kind::NotAllowed.with_detail(detail));
         }
         // The reboot order may still be on its way, and must not reach a host that serves again.
         let rebooting = self.hosts[host].row.purpose == Purpose::Maintenance;
         if state == HostState::Out && rebooting {
             let detail = "its reboot is ordered; it returns by itself";
-            return Err(Kind::NotAllowed.because(detail));
+            return Err(Kind::NotAllowed.with_detail(detail));
         }
         let what = format!("returned by an operator while {}", state.as_str());
         let line = Decision::new(Code::HostReturned, Subject::Host, id, what.clone());
@@ -349,11 +349,11 @@
     ) -> Result<(), Refusal> {
         let host = self.find_changeable_host(id)?;
         if let Some(pool) = to.as_ref().filter(|p| !self.config.pools.contains_key(*p)) {
-            return Err(Kind::UnknownPool.because(pool.as_str()));
+            return Err(Kind::UnknownPool.with_detail(pool.as_str()));
         }
         self.check_at_rest(host)?;
         if self.hosts[host].row.pool == to {
-            return Err(Kind::NotAllowed.because("the host is already there"));
+            return Err(Kind::NotAllowed.with_detail("the host is already there"));
         }
         self.check_budget(host, out)?;
         let (purpose, why) = match to {
@@ -388,13 +388,13 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
         if pool != EVERY_POOL && !self.config.pools.contains_key(pool) {
-            return Err(Kind::UnknownPool.because(pool));
+            return Err(Kind::UnknownPool.with_detail(pool));
         }
         let mut spans = Vec::new();
         for text in windows {
             let span = Window::parse(text);
             let span = span.ok_or_else(|| {
-                Kind::BadRequest.because(format!("window {text:?}: must be HH:MM-HH:MM"))
+                Kind::BadRequest.with_detail(format!("window {text:?}: must be HH:MM-HH:MM"))
             })?;
             spans.push(span);
         }
@@ -427,10 +427,10 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
         let Some((version, row)) = self.waves.get(id).cloned() else {
-            return Err(Kind::UnknownWave.because(id));
+            return Err(Kind::UnknownWave.with_detail(id));
         };
         if row.state != WaveState::Running {
-            return Err(Kind::NotAllowed.because("the wave has ended"));
+            return Err(Kind::NotAllowed.with_detail("the wave has ended"));
         }
         let row = WaveRow {
             state: WaveState::Stopped,
@@ -460,10 +460,10 @@
             .get(name)
             .and_then(|m| m.row.clone().map(|r| (m.version, r)))
         else {
-            return Err(Kind::UnknownEntry.because(name));
+            return Err(Kind::UnknownEntry.with_detail(name));
         };
         if self.alive_entries().contains(&name) {
-            return Err(Kind::NotAllowed.because("the entry is alive"));
+            return Err(Kind::NotAllowed.with_detail("the entry is alive"));
         }
         let row = super::rows::EntryRow {
             state: EntryState::Left,
@@ -492,17 +492,17 @@
     ) -> Result<(), Refusal> {
         if spec.payload.len() > PAYLOAD_MAX_BYTES {
             return Err(
-                Kind::BodyTooLarge.because(format!("payload: at most {PAYLOAD_MAX_BYTES} bytes"))
+                Kind::BodyTooLarge.with_detail(format!("payload: at most {PAYLOAD_MAX_BYTES} bytes"))
             );
         }
         if let Some(known) = id.as_ref().and_then(|i| self.job_ids.get(i)) {
             return self.answer_repeated_submit(ticket, &account, &spec, *known, out);
         }
         if !self.config.pools.contains_key(&spec.pool) {
-            return Err(Kind::UnknownPool.because(spec.pool.as_str()));
+            return Err(Kind::UnknownPool.with_detail(spec.pool.as_str()));
         }
         if !self.hosts_known {
-            return Err(Kind::NotReady.because("the list of hosts has not been read yet"));
+            return Err(Kind::NotReady.with_detail("the list of hosts has not been read yet"));
         }
         if spec.cores == 0 || !self.can_ever_fit(&spec.pool, spec.cores, spec.memory_mb) {
             let detail = format!(
@@ -511,7 +511,7 @@
             );
             let line = Decision::new(Code::JobRefused, Subject::Job, "-", detail.clone());
             out.push(Effect::Log(line));
-            return Err(Kind::JobImpossible.because(detail));
+            return Err(Kind::JobImpossible.with_detail(detail));
         }
         let id = id.unwrap_or_else(|| format!("j-{:016x}", self.rng.u64(..)));
         let step = self.step(now, "accepted");
@@ -570,10 +570,10 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
         let key = self.job_ids.get(id).copied();
-        let key = key.ok_or_else(|| Kind::UnknownJob.because(id))?;
+        let key = key.ok_or_else(|| Kind::UnknownJob.with_detail(id))?;
         let job = &self.jobs[key];
         if account.as_ref().is_some_and(|a| *a != job.row.account) {
-            return Err(Kind::UnknownJob.because(id));
+            return Err(Kind::UnknownJob.with_detail(id));
         }
         if job.row.state.is_final() || job.row.cancel {
             let reply = Reply::Done(job.row.state.as_str().to_string());
@@ -584,7 +584,7 @@
             return Ok(());
         }
         if !self.is_unlocked(&job_key(id)) {
-            return Err(Kind::Conflict.because("the job is being changed; try again"));
+            return Err(Kind::Conflict.with_detail("the job is being changed; try again"));
         }
         let mut row = job.row.clone();
         let (reply, what) = match row.state {
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -250,7 +250,7 @@
             "another change took version {version} first, the version is now {}: {changed}",
             state.config_version
         );
-        let result = Err(Kind::Conflict.because(detail));
+        let result = Err(Kind::Conflict.with_detail(detail));
         out.push(Effect::Answer { ticket, result });
     }
 }
@@ -407,7 +407,7 @@
                     out.push(Effect::Log(line));
                     Ok(reply)
                 }
-                Some(kind) => Err(kind.because("read the current state, then try again")),
+                Some(kind) => Err(kind.with_detail("read the current state, then try again")),
             };
             out.push(Effect::Answer { ticket, result });
         }
@@ -430,7 +430,7 @@
             Some(Kind::Conflict) => state.lost_applies.push((ticket, base, version)),
             Some(kind) => {
                 let detail = format!("check whether the version is {version} now");
-                let result = Err(kind.because(detail));
+                let result = Err(kind.with_detail(detail));
                 out.push(Effect::Answer { ticket, result });
             }
         },
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -66,13 +66,13 @@
     check_token(control, incoming)?;
     if path == "/v1/edit" && incoming.head.method() == Method::Post {
         let edit: Edit = serde_json::from_slice(&incoming.body)
-            .map_err(|e| Kind::BadRequest.because(e.to_string()))?;
+            .map_err(|e| Kind::BadRequest.with_detail(e.to_string()))?;
         let reply = ask(shared, edit).await?;
         return Ok(server::json(200, &reply));
     }
     let rest = path
         .strip_prefix("/v1/")
-        .ok_or_else(|| Kind::UnknownPath.because(path))?;
+        .ok_or_else(|| Kind::UnknownPath.with_detail(path))?;
     let (what, id) = rest.split_once('/').unwrap_or((rest, ""));
     if what == "explain" {
         return explain(control, id).await;
@@ -110,7 +110,7 @@
         }
         ("pools", id) => {
             let key = state.pool_names.get(id);
-            let key = key.ok_or_else(|| Kind::UnknownPool.because(id))?;
+            let key = key.ok_or_else(|| Kind::UnknownPool.with_detail(id))?;
             server::json(200, &pool_view(state, *key))
         }
         ("hosts", "") => {
@@ -120,7 +120,7 @@
         }
         ("hosts", id) => {
             let key = state.host_ids.get(id);
-            let key = key.ok_or_else(|| Kind::UnknownHost.because(id))?;
+            let key = key.ok_or_else(|| Kind::UnknownHost.with_detail(id))?;
             server::json(200, &host_view(state, *key))
         }
         ("waves", "") => {
@@ -130,7 +130,7 @@
         }
         ("waves", id) => {
             let wave = wave_view(state, id);
-            server::json(200, &wave.ok_or_else(|| Kind::UnknownWave.because(id))?)
+            server::json(200, &wave.ok_or_else(|| Kind::UnknownWave.with_detail(id))?)
         }
         ("jobs", "") => {
             let jobs: Vec<JobView> = state.jobs.values().map(job_view).collect();
@@ -138,10 +138,10 @@
         }
         ("jobs", id) => {
             let key = state.job_ids.get(id);
-            let key = key.ok_or_else(|| Kind::UnknownJob.because(id))?;
+            let key = key.ok_or_else(|| Kind::UnknownJob.with_detail(id))?;
             server::json(200, &job_view(&state.jobs[*key]))
         }
-        _ => return Err(Kind::UnknownPath.because(what)),
+        _ => return Err(Kind::UnknownPath.with_detail(what)),
     };
     Ok(res)
 }
@@ -282,7 +282,7 @@
 /// The chain of what happened to one thing: its row's own history, and what entries logged about it.
 async fn explain(control: &Rc<Control>, rest: &str) -> Result<Response, Failure> {
     let (kind, id) = rest.split_once('/').unwrap_or((rest, ""));
-    let subject = Subject::parse(kind).ok_or_else(|| Kind::UnknownPath.because(kind))?;
+    let subject = Subject::parse(kind).ok_or_else(|| Kind::UnknownPath.with_detail(kind))?;
     let mut lines = history(&control.state.borrow(), subject, id);
     let me = control.shared.settings.name.clone();
     let own = control.shared.log.about(subject, id);
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -80,7 +80,7 @@
             Outcome::NotSent => return Err(Kind::StoreDown.into()),
             Outcome::Unknown => {
                 disown(shared, name, row);
-                return Err(Kind::StoreDown.because("the claim is unsettled; it was not sent"));
+                return Err(Kind::StoreDown.with_detail("the claim is unsettled; it was not sent"));
             }
             Outcome::Conflict => {}
         }
@@ -91,13 +91,13 @@
         };
         version = known.version;
         let Some(found) = decode::<RunRow>(&known).ok().flatten() else {
-            return Err(Kind::KeyUnknown.because("the record can't be read"));
+            return Err(Kind::KeyUnknown.with_detail("the record can't be read"));
         };
         if let Some(res) = told(shared, &row, found).await? {
             return Ok(Claimed::Known(res));
         }
     }
-    Err(Kind::KeyRunning.because("others are claiming the same key"))
+    Err(Kind::KeyRunning.with_detail("others are claiming the same key"))
 }
 
 /// The answer for a key that was claimed before; nothing where it may be claimed again.
@@ -109,12 +109,12 @@
     match found.state {
         RunState::NotRun => Ok(None),
         RunState::Claimed if ours.at_ms < found.at_ms + RUNNING_MAX_MS => {
-            Err(Kind::KeyRunning.because(whose))
+            Err(Kind::KeyRunning.with_detail(whose))
         }
         RunState::Claimed | RunState::Lost => {
             let detail =
                 format!("{whose}; an operator can look at the backend server's own record");
-            Err(Kind::KeyUnknown.because(detail))
+            Err(Kind::KeyUnknown.with_detail(detail))
         }
         RunState::Done {
             status,
@@ -140,8 +140,8 @@
     Metrics::add(&shared.metrics.platform_calls);
     match shared.platform.fetch(name).await {
         Ok(Some(bytes)) => Ok(bytes),
-        Ok(None) => Err(Kind::KeyUnknown.because("it was run; its answer is no longer kept")),
-        Err(_) => Err(Kind::KeyRunning.because("it was run; the answer can't be fetched now")),
+        Ok(None) => Err(Kind::KeyUnknown.with_detail("it was run; its answer is no longer kept")),
+        Err(_) => Err(Kind::KeyRunning.with_detail("it was run; the answer can't be fetched now")),
     }
 }
 
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -86,14 +86,14 @@
         take_quota(shared, caller)?;
         return jobs(shared, caller, incoming, path).await;
     }
-    Err(Kind::UnknownPath.because(path))
+    Err(Kind::UnknownPath.with_detail(path))
 }
 
 fn take_quota(shared: &Shared, caller: &Caller) -> Result<(), Failure> {
     let now_ms = shared.clock.now_ms();
     lock(&caller.bucket).take(now_ms).map_err(|wait_ms| {
         let detail = format!("account {}: come back in {wait_ms} ms", caller.name);
-        Kind::QuotaSpent.because(detail)
+        Kind::QuotaSpent.with_detail(detail)
     })
 }
 
@@ -107,10 +107,10 @@
 ) -> Result<Response, Failure> {
     let (service, tail) = rest.split_once('/').unwrap_or((rest, ""));
     let route = routes.services.get(service);
-    let route = route.ok_or_else(|| Kind::UnknownService.because(service))?;
+    let route = route.ok_or_else(|| Kind::UnknownService.with_detail(service))?;
     let method = incoming.head.method();
     if matches!(method, Method::Connect | Method::Trace) {
-        return Err(Kind::BadRequest.because(format!("method {method}")));
+        return Err(Kind::BadRequest.with_detail(format!("method {method}")));
     }
     let path = match incoming.head.url().query() {
         Some(query) => format!("/{tail}?{query}"),
@@ -148,7 +148,7 @@
 ) -> Result<Response, Failure> {
     if key.is_empty() || key.len() > KEY_MAX_BYTES {
         return Err(
-            Kind::BadRequest.because(format!("Idempotency-Key: 1 to {KEY_MAX_BYTES} bytes"))
+            Kind::BadRequest.with_detail(format!("Idempotency-Key: 1 to {KEY_MAX_BYTES} bytes"))
         );
     }
     if forward.route.backends.is_empty() {
@@ -186,7 +186,7 @@
         None => Ok(Class::Normal),
         Some(text) => Class::parse(text).ok_or_else(|| {
             let detail = format!("Rockwick-Class {text:?}: urgent, normal or batch");
-            Kind::BadRequest.because(detail)
+            Kind::BadRequest.with_detail(detail)
         }),
     }
 }
@@ -199,7 +199,7 @@
         Ok(ms) if ms <= DEADLINE_MAX_MS => Ok(Some(ms)),
         _ => {
             let detail = format!("Rockwick-Deadline-Ms {text:?}: 0 to {DEADLINE_MAX_MS}");
-            Err(Kind::BadRequest.because(detail))
+            Err(Kind::BadRequest.with_detail(detail))
         }
     }
 }
@@ -221,7 +221,7 @@
             Ok(server::with_run(server::json(200, &job), Run::Yes))
         }
         (Method::Delete, id) if !id.is_empty() => cancel(shared, caller, id).await,
-        (method, _) => Err(Kind::BadRequest.because(format!("{method} {path}"))),
+        (method, _) => Err(Kind::BadRequest.with_detail(format!("{method} {path}"))),
     }
 }
 
@@ -231,7 +231,7 @@
     incoming: &Incoming,
 ) -> Result<Response, Failure> {
     let spec: JobSpec = serde_json::from_slice(&incoming.body)
-        .map_err(|e| Kind::BadRequest.because(format!("job: {e}")))?;
+        .map_err(|e| Kind::BadRequest.with_detail(format!("job: {e}")))?;
     let id = incoming.header("idempotency-key").map(|key| {
         let hash = auth::sha256_hex(&[caller.name.as_bytes(), key.as_bytes()]);
         format!("j-{}", &hash[..24])
@@ -247,7 +247,7 @@
             res.insert_header("location", format!("/jobs/{id}"));
             Ok(res)
         }
-        other => Err(Kind::Internal.because(format!("{other:?}"))),
+        other => Err(Kind::Internal.with_detail(format!("{other:?}"))),
     }
 }
 
@@ -265,7 +265,7 @@
     }
     found
         .filter(|job: &JobRow| job.account == caller.name)
-        .ok_or_else(|| Kind::UnknownJob.because(id))
+        .ok_or_else(|| Kind::UnknownJob.with_detail(id))
 }
 
 /// Asks for the job to be stopped, and tells what truly happened if that is known soon.
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -80,7 +80,7 @@
                 (Ok(place), _) => place,
                 (Err(kind), 1) => return Err(kind.into()),
                 // What those who were asked said is the answer.
-                (Err(_), _) => return Err(Kind::Refused.because("no other backend server is free")),
+                (Err(_), _) => return Err(Kind::Refused.with_detail("no other backend server is free")),
             };
             let addr = place.backend.address();
             let miss = match self.attempt(place, attempt).await {
@@ -89,7 +89,7 @@
             };
             if let Miss::Lost(kind) = miss {
                 if !self.repeatable {
-                    return Err(kind.because("the request may have been run"));
+                    return Err(kind.with_detail("the request may have been run"));
                 }
             }
             if attempt == 1 {
@@ -142,7 +142,7 @@
     fn give_up(&self, miss: &Miss) -> Failure {
         match miss {
             Miss::Refused => Kind::Refused.into(),
-            Miss::Unreached => Kind::NoBackend.because("no connection to a backend server"),
+            Miss::Unreached => Kind::NoBackend.with_detail("no connection to a backend server"),
             Miss::Lost(kind) => (*kind).into(),
         }
     }
--- a/src/error.rs
+++ b/src/error.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns a failure of this kind with details for people.
-    pub fn because(self, detail: impl Into<String>) -> Failure {
+    pub fn with_detail(self, detail: impl Into<String>) -> Failure {
         Failure {
             kind: self,
             detail: detail.into(),
@@ -139,7 +139,7 @@
 
 impl From<Kind> for Failure {
     fn from(kind: Kind) -> Self {
-        kind.because("")
+        kind.with_detail("")
     }
 }
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -148,11 +148,11 @@
     match wire.fault() {
         Some(Fault::CutHead | Fault::CutBody) => Arrival::Nothing,
         Some(Fault::HeadTooLarge) => {
-            Arrival::Bad(Kind::HeadTooLarge.because(Fault::HeadTooLarge.reason()))
+            Arrival::Bad(Kind::HeadTooLarge.with_detail(Fault::HeadTooLarge.reason()))
         }
-        Some(fault) => Arrival::Bad(Kind::BadRequest.because(fault.reason())),
+        Some(fault) => Arrival::Bad(Kind::BadRequest.with_detail(fault.reason())),
         None if err.downcast_ref::<std::io::Error>().is_some() => Arrival::Nothing,
-        None => Arrival::Bad(Kind::BadRequest.because(err.to_string())),
+        None => Arrival::Bad(Kind::BadRequest.with_detail(err.to_string())),
     }
 }
 
@@ -160,7 +160,7 @@
     let arrived = Instant::now();
     let most = limits.body_bytes;
     if head.len().is_some_and(|n| n > most) {
-        return Arrival::Bad(Kind::BodyTooLarge.because(format!("at most {most} bytes")));
+        return Arrival::Bad(Kind::BodyTooLarge.with_detail(format!("at most {most} bytes")));
     }
     let mut body = Vec::new();
     let mut reader = head.take_body().take(most as u64 + 1);
@@ -170,12 +170,12 @@
         None
     };
     match work.or(late).await {
-        None => return Arrival::Bad(Kind::SlowRequest.because("the body did not arrive in time")),
+        None => return Arrival::Bad(Kind::SlowRequest.with_detail("the body did not arrive in time")),
         Some(Some(Err(_))) if wire.fault() == Some(Fault::CutBody) => return Arrival::Nothing,
-        Some(Some(Err(e))) => return Arrival::Bad(Kind::BadRequest.because(e.to_string())),
-        Some(None) => return Arrival::Bad(Kind::BadRequest.because("malformed trailer")),
+        Some(Some(Err(e))) => return Arrival::Bad(Kind::BadRequest.with_detail(e.to_string())),
+        Some(None) => return Arrival::Bad(Kind::BadRequest.with_detail("malformed trailer")),
         Some(Some(Ok(_))) if body.len() > most => {
-            return Arrival::Bad(Kind::BodyTooLarge.because(format!("at most {most} bytes")));
+            return Arrival::Bad(Kind::BodyTooLarge.with_detail(format!("at most {most} bytes")));
         }
         Some(Some(Ok(_))) => {}
     }
