--- a/src/event.rs
+++ b/src/event.rs
@@ -14,7 +14,7 @@
 
 /// One event of the catalogue.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct EventInfo {
     /// Code of the event.
     pub code: Code,
     /// Number in the log; never reused.
@@ -34,8 +34,8 @@
         }
 
         /// All events, in order of [`Code`] and of number.
-        pub const CATALOGUE: &[Entry] = &[
-            $(Entry { code: Code::$code, number: $number, name: $name, meaning: $meaning },)*
+        pub const CATALOGUE: &[EventInfo] = &[
+            $(EventInfo { code: Code::$code, number: $number, name: $name, meaning: $meaning },)*
         ];
     };
 }
@@ -134,7 +134,7 @@
 
 impl Code {
     /// Returns the event's entry in the catalogue.
-    pub fn entry(self) -> &'static Entry {
+    pub fn entry(self) -> &'static EventInfo {
         &CATALOGUE[self as usize]
     }
 }
