--- a/src/event.rs
+++ b/src/event.rs
@@ -134,7 +134,7 @@
 
 impl Code {
     /// Returns the event's entry in the catalogue.
-    pub fn entry(self) -> &'static EventInfo {
+    pub fn info(self) -> &'static EventInfo {
         &CATALOGUE[self as usize]
     }
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -136,7 +136,7 @@
 
 /// Formats a decision as its line of JSON.
 pub fn line(d: &Decision) -> String {
-    let entry = d.code.entry();
+    let entry = d.code.info();
     let mut map = Map::new();
     map.insert("at_ms".into(), Value::from(d.at_ms));
     map.insert("event".into(), Value::from(entry.number));
--- a/src/report.rs
+++ b/src/report.rs
@@ -118,7 +118,7 @@
     }
 
     fn add_line(&mut self, line: &Line, loads: &mut BTreeMap<String, Load>) {
-        let is = |code: Code| line.event == code.entry().number;
+        let is = |code: Code| line.event == code.info().number;
         if is(Code::PoolLoad) {
             self.add_load(line, loads);
         } else if is(Code::HostClosing) {
--- a/src/view.rs
+++ b/src/view.rs
@@ -139,7 +139,7 @@
         let names = d.names.iter().map(|(n, v)| format!("{n}={v}"));
         let figures = d.figures.iter().map(|(n, v)| format!("{n}={v}"));
         let figures: Vec<String> = names.chain(figures).collect();
-        let code = d.code.entry();
+        let code = d.code.info();
         let what = match figures.is_empty() {
             true => format!("{}: {}", code.name, d.why),
             false => format!("{}: {} ({})", code.name, d.why, figures.join(" ")),
--- a/tests/test_catalogue.rs
+++ b/tests/test_catalogue.rs
@@ -47,7 +47,7 @@
             e.name
         );
         last = e.number;
-        assert_eq!(e.code.entry().number, e.number);
+        assert_eq!(e.code.info().number, e.number);
         let line = format!("| {} | `{}` | {} |", e.number, e.name, e.meaning);
         assert!(page.contains(&line), "docs/EVENTS.md lacks: {line}");
     }
