--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -276,7 +276,7 @@
         let decision = Decision::new(Code::LostRace, Subject::Pool, &part, why);
         ctx.log(
             decision
-                .naming("row", unexpected_key)
+                .with_name("row", unexpected_key)
                 .with("epoch", ownership.epoch),
         );
     }
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -312,7 +312,7 @@
             &pool_state.jobs[key.job].id,
             &*w.fact.id,
         )
-        .naming("on", &*w.fact.host)
+        .with_name("on", &*w.fact.host)
         .with("round", u64::from(key.round))
         .with("step", u64::from(key.step))
         .with("task", u64::from(key.index))
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -247,8 +247,8 @@
             .with("idle_core_ms", self.idle / 1_000);
         if let Some(worker) = pool_state.workers.get(self.worker) {
             decision = decision
-                .naming("worker", &*worker.fact.id)
-                .naming("on", &*worker.fact.host)
+                .with_name("worker", &*worker.fact.id)
+                .with_name("on", &*worker.fact.host)
                 .with("used_cpu_milli", worker.used.cpu_milli);
         }
         ctx.log(decision);
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -174,10 +174,10 @@
         let w = &pool_state.workers[self.worker];
         let why = "listed in its report";
         let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.fact.id, why)
-            .naming("on", &*w.fact.host)
-            .naming(RUNS, self.list.take());
+            .with_name("on", &*w.fact.host)
+            .with_name(RUNS, self.list.take());
         if self.again_list.count > 0 {
-            decision = decision.naming("again_runs", self.again_list.take());
+            decision = decision.with_name("again_runs", self.again_list.take());
         }
         ctx.log(
             decision
@@ -250,7 +250,7 @@
     }
     let why = "answers of workers to starts";
     let decision = Decision::new(Code::StartsAnswered, Subject::Pool, &pool_state.name, why);
-    ctx.log(decision.naming(RUNS, list.take()));
+    ctx.log(decision.with_name(RUNS, list.take()));
 }
 
 /// Logs all answers of a pool's state that is about to be dropped.
@@ -284,7 +284,7 @@
     let part = &batch.tx.part;
     ctx.log(
         Decision::new(Code::BatchRecorded, Subject::Pool, part, why)
-            .naming(RUNS, list.text)
+            .with_name(RUNS, list.text)
             .with("epoch", epoch)
             .with("revision", revision)
             .with("starts", batch.starts.len() as u64)
@@ -315,7 +315,7 @@
     };
     ctx.log(
         Decision::new(Code::PoolLoaded, Subject::Pool, name, why)
-            .naming("started_on", on.text)
+            .with_name("started_on", on.text)
             .with("epoch", ownership.epoch)
             .with("reads", u64::from(ownership.readings))
             .with("jobs", pool_state.jobs.len() as u64)
@@ -339,7 +339,7 @@
     by: &'static str,
 ) -> Decision {
     Decision::new(Code::WorkerRestarted, Subject::Host, &w.fact.id, by)
-        .naming("on", &*w.fact.host)
+        .with_name("on", &*w.fact.host)
         .with("born_wall_ms", born_or_zero(reported_wall_ms))
         .with("known_born_wall_ms", born_or_zero(w.fact.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
@@ -352,13 +352,13 @@
     let decision = Decision::new(Code::WorkerOver, Subject::Host, &w.fact.id, why);
     let decision = match evidence {
         Evidence::Lapse => decision,
-        Evidence::Answer(order) => decision.naming("to", *order),
+        Evidence::Answer(order) => decision.with_name("to", *order),
         Evidence::Report { instance, asked_ms } => decision
-            .naming("by", instance)
+            .with_name("by", instance)
             .with("asked_ago_ms", now_ms.saturating_sub(*asked_ms)),
     };
     decision
-        .naming("on", &*w.fact.host)
+        .with_name("on", &*w.fact.host)
         .with("born_wall_ms", born_or_zero(w.fact.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
         .with("unheard_ms", now_ms.saturating_sub(w.answered_ms))
@@ -387,11 +387,11 @@
         .with("run", u64::from(task.run))
         .with("answered", u64::from(task.begun_ms.is_some()))
         .with("since_ms", now_ms.saturating_sub(task.since_ms))
-        .naming("phase", phase_name(task.phase));
+        .with_name("phase", phase_name(task.phase));
     if let Some(w) = task.phase.worker().and_then(|w| pool_state.workers.get(w)) {
         decision = decision
-            .naming("worker", &*w.fact.id)
-            .naming("on", &*w.fact.host);
+            .with_name("worker", &*w.fact.id)
+            .with_name("on", &*w.fact.host);
     }
     if let Some(at) = asked_ms {
         decision = decision.with("asked_ago_ms", now_ms.saturating_sub(at));
--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -94,7 +94,7 @@
     };
     let decision = Decision::new(Code::WaveWaits, Subject::Wave, &number.to_string(), *why);
     let decision = decision.with("waited_ms", waited_ms);
-    ctx.log(decision.with("left", due.len() as u64).naming("on", *first));
+    ctx.log(decision.with("left", due.len() as u64).with_name("on", *first));
     for (host, why) in logged_hosts {
         let decision = Decision::new(Code::HostWaits, Subject::Host, host, why);
         ctx.log(decision.with("wave", number).with("waited_ms", waited_ms));
--- a/src/event.rs
+++ b/src/event.rs
@@ -235,7 +235,7 @@
     }
 
     /// Adds the name of another thing that is involved, under the key `what`.
-    pub fn naming(mut self, what: &'static str, name: impl Into<String>) -> Self {
+    pub fn with_name(mut self, what: &'static str, name: impl Into<String>) -> Self {
         self.names.push((what, name.into()));
         self
     }
