--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -13,7 +13,7 @@
 use super::tasks::Phase;
 use super::worker::Worker;
 use crate::clock::Millis;
-use crate::event::{Code, Decision, Subject, RUNS};
+use crate::event::{Code, Decision, Subject, RUNS_KEY};
 use crate::port::fleet::{OrderReply, Revision, RunEnd, TaskName};
 
 /// Most entries in a list. Further ones go on another line.
@@ -175,7 +175,7 @@
         let why = "listed in its report";
         let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.fact.id, why)
             .with_name("on", &*w.fact.host)
-            .with_name(RUNS, self.list.take());
+            .with_name(RUNS_KEY, self.list.take());
         if self.again_list.count > 0 {
             decision = decision.with_name("again_runs", self.again_list.take());
         }
@@ -250,7 +250,7 @@
     }
     let why = "answers of workers to starts";
     let decision = Decision::new(Code::StartsAnswered, Subject::Pool, &pool_state.name, why);
-    ctx.log(decision.with_name(RUNS, list.take()));
+    ctx.log(decision.with_name(RUNS_KEY, list.take()));
 }
 
 /// Logs all answers of a pool's state that is about to be dropped.
@@ -284,7 +284,7 @@
     let part = &batch.tx.part;
     ctx.log(
         Decision::new(Code::BatchRecorded, Subject::Pool, part, why)
-            .with_name(RUNS, list.text)
+            .with_name(RUNS_KEY, list.text)
             .with("epoch", epoch)
             .with("revision", revision)
             .with("starts", batch.starts.len() as u64)
--- a/src/event.rs
+++ b/src/event.rs
@@ -10,7 +10,7 @@
 use crate::clock::Millis;
 
 /// Key in [`Decision::names`] for a list of runs.
-pub const RUNS: &str = "runs";
+pub const RUNS_KEY: &str = "runs";
 
 /// One event of the catalogue.
 #[derive(Clone, Copy, Debug)]
@@ -245,7 +245,7 @@
         if self.subject == subject && self.id == id {
             return true;
         }
-        let mut lists = self.names.iter().filter(|(what, _)| *what == RUNS);
+        let mut lists = self.names.iter().filter(|(what, _)| *what == RUNS_KEY);
         subject == Subject::Job && lists.any(|(_, list)| list_names_job(list, id))
     }
 }
