--- a/src/entry/shared.rs
+++ b/src/entry/shared.rs
@@ -139,7 +139,7 @@
     }
 
     pub(super) fn tell(&self, d: Decision) {
-        self.log.decision(d);
+        self.log.record(d);
     }
 
     pub(super) fn tell_control(&self, message: Message) {
--- a/src/log.rs
+++ b/src/log.rs
@@ -88,7 +88,7 @@
     }
 
     /// Logs a decision with the current time and keeps it in memory, dropping the oldest one if its ring is full.
-    pub fn decision(&self, mut d: Decision) {
+    pub fn record(&self, mut d: Decision) {
         d.at_ms = wall_ms();
         if let Some(logger) = self.logger.load().as_ref() {
             spdlog::log!(logger: logger, Level::Info, "{}", line(&d));
--- a/src/serve/shared.rs
+++ b/src/serve/shared.rs
@@ -125,7 +125,7 @@
 
     /// Writes a decision to the log.
     pub(super) fn log_decision(&self, decision: Decision) {
-        self.log.decision(decision);
+        self.log.record(decision);
     }
 
     /// Returns how long ago the process received the signal to stop, or nothing before that.
