--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -285,7 +285,7 @@
     let subject = Subject::parse(kind).ok_or_else(|| Kind::UnknownPath.with_detail(kind))?;
     let mut lines = history(&control.state.borrow(), subject, id);
     let me = control.shared.settings.name.clone();
-    let own = control.shared.log.about(subject, id);
+    let own = control.shared.log.decisions_about(subject, id);
     lines.extend(own.into_iter().map(|d| Line::of(&me, &d)));
     let shared = Arc::clone(&control.shared);
     let asked = id.to_string();
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -70,7 +70,7 @@
             Some(PeerRequest::Poll { digest, since }) => poll_answer(shared, digest, since),
             Some(PeerRequest::Explain { subject, id }) => Some(PeerReply::Decisions {
                 entry: shared.settings.name.clone(),
-                list: shared.log.about(subject, &id),
+                list: shared.log.decisions_about(subject, &id),
             }),
             None => None,
         };
--- a/src/log.rs
+++ b/src/log.rs
@@ -107,7 +107,7 @@
     }
 
     /// Returns the decisions in memory about one thing: those of the control thread first, each group oldest first.
-    pub fn about(&self, subject: Subject, id: &str) -> Vec<Decision> {
+    pub fn decisions_about(&self, subject: Subject, id: &str) -> Vec<Decision> {
         let matching = |ring: &Mutex<VecDeque<Decision>>| {
             lock(ring)
                 .iter()
--- a/src/serve/status.rs
+++ b/src/serve/status.rs
@@ -42,7 +42,7 @@
     let Some(subject) = Subject::parse(kind) else {
         return answer(404, "text/plain", Vec::new());
     };
-    let decisions = shared.log.about(subject, id);
+    let decisions = shared.log.decisions_about(subject, id);
     let lines: Vec<Line> = decisions
         .iter()
         .map(|d| Line::of(&shared.settings.name, d))
