--- a/src/log.rs
+++ b/src/log.rs
@@ -91,7 +91,7 @@
     pub fn record(&self, mut d: Decision) {
         d.at_ms = wall_ms();
         if let Some(logger) = self.logger.load().as_ref() {
-            spdlog::log!(logger: logger, Level::Info, "{}", line(&d));
+            spdlog::log!(logger: logger, Level::Info, "{}", to_json_line(&d));
         }
         let is_traffic = matches!(d.subject, Subject::Request | Subject::Backend);
         let (ring, ring_max) = if is_traffic {
@@ -135,7 +135,7 @@
 }
 
 /// Formats a decision as its line of JSON.
-pub fn line(d: &Decision) -> String {
+pub fn to_json_line(d: &Decision) -> String {
     let entry = d.code.info();
     let mut map = Map::new();
     map.insert("at_ms".into(), Value::from(d.at_ms));
