--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -164,7 +164,7 @@
         loop {
             let busy = self.busy_hosts();
             let published_seq = *self.published_seq.borrow();
-            Metrics::add(&self.shared.metrics.ticks);
+            Metrics::increment(&self.shared.metrics.ticks);
             self.handle(Event::Tick {
                 published_seq,
                 busy,
@@ -295,7 +295,7 @@
 
     /// Effects that ask the platform: carried out beside, their answers come back as events.
     fn ask_platform(self: &Rc<Self>, effect: Effect) {
-        Metrics::add(&self.shared.metrics.platform_calls);
+        Metrics::increment(&self.shared.metrics.platform_calls);
         let this = Rc::clone(self);
         self.spawn(async move {
             let shared = Arc::clone(&this.shared);
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -84,7 +84,7 @@
             }
             Outcome::Conflict => {}
         }
-        Metrics::add(&shared.metrics.platform_calls);
+        Metrics::increment(&shared.metrics.platform_calls);
         let known = shared.platform.get(&name).await;
         let Some(known) = known.map_err(|_| Failure::from(Kind::StoreDown))? else {
             continue;
@@ -137,7 +137,7 @@
 }
 
 async fn stored(shared: &Shared, name: &str) -> Result<Vec<u8>, Failure> {
-    Metrics::add(&shared.metrics.platform_calls);
+    Metrics::increment(&shared.metrics.platform_calls);
     match shared.platform.fetch(name).await {
         Ok(Some(bytes)) => Ok(bytes),
         Ok(None) => Err(Kind::KeyUnknown.with_detail("it was run; its answer is no longer kept")),
@@ -196,7 +196,7 @@
     let mut object = None;
     if inline.is_none() {
         let name = claim.key.replacen("run/", "answers/", 1);
-        Metrics::add(&shared.metrics.platform_calls);
+        Metrics::increment(&shared.metrics.platform_calls);
         if shared
             .platform
             .put(&name, answer.body.clone())
@@ -249,7 +249,7 @@
 }
 
 async fn try_disown(shared: &Arc<Shared>, key: &str, row: &RunRow) -> bool {
-    Metrics::add(&shared.metrics.platform_calls);
+    Metrics::increment(&shared.metrics.platform_calls);
     let Ok(known) = shared.platform.get(key).await else {
         return false;
     };
@@ -278,7 +278,7 @@
     row: &RunRow,
     patience: RetryPolicy,
 ) -> Outcome {
-    Metrics::add(&shared.metrics.platform_calls);
+    Metrics::increment(&shared.metrics.platform_calls);
     let txn = Transaction {
         token: format!("{:x}-{:x}", shared.incarnation, fastrand::u64(..)),
         checks: Vec::new(),
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -38,14 +38,14 @@
 
 /// Answers one request of a caller.
 pub(super) async fn handle(shared: &Arc<Shared>, incoming: Incoming) -> Response {
-    Metrics::add(&shared.metrics.requests);
+    Metrics::increment(&shared.metrics.requests);
     let request = shared.request_id();
     let result = answer(shared, &incoming, &request).await;
     let mut res = match result {
         Ok(res) => {
             let took = incoming.arrived.elapsed();
             shared.metrics.request_took(took.as_micros() as u64);
-            Metrics::add(&shared.metrics.answered);
+            Metrics::increment(&shared.metrics.answered);
             res
         }
         Err(failure) => {
@@ -258,7 +258,7 @@
     shared.tell_control(Message::Job { id: id_here, reply });
     let mut found = answer.recv().await.ok().flatten();
     if found.is_none() {
-        Metrics::add(&shared.metrics.platform_calls);
+        Metrics::increment(&shared.metrics.platform_calls);
         let row = shared.platform.get(&job_key(id)).await;
         let row = row.map_err(|_| Failure::from(Kind::StoreDown))?;
         found = row.and_then(|r| decode(&r).ok().flatten());
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -103,7 +103,7 @@
             if barred.len() >= self.route.backends.len() {
                 barred.clear();
             }
-            Metrics::add(&self.shared.metrics.retries);
+            Metrics::increment(&self.shared.metrics.retries);
             self.tell_retry(&miss, attempt);
         }
         Err(Kind::Refused.into())
@@ -167,7 +167,7 @@
             self.route.lane.note_exchange(took_ms);
         }
         if let Err(Miss::Refused) = &outcome {
-            Metrics::add(&self.shared.metrics.refused_by_backend);
+            Metrics::increment(&self.shared.metrics.refused_by_backend);
         }
         self.tell(&place, attempt, took_ms, &outcome);
         outcome
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -59,7 +59,7 @@
     }
 
     /// Increments a counter by one.
-    pub fn add(counter: &AtomicU64) {
+    pub fn increment(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
