--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -49,7 +49,7 @@
             res
         }
         Err(failure) => {
-            shared.metrics.failed(failure.kind);
+            shared.metrics.count_failure(failure.kind);
             tell_refused(shared, &request, &failure);
             server::problem(&failure)
         }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -64,7 +64,7 @@
     }
 
     /// Counts a failure by its kind.
-    pub fn failed(&self, kind: Kind) {
+    pub fn count_failure(&self, kind: Kind) {
         *lock(&self.failures).entry(kind.row().name).or_default() += 1;
     }
 
