--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -44,7 +44,7 @@
     let mut res = match result {
         Ok(res) => {
             let took = incoming.arrived.elapsed();
-            shared.metrics.request_took(took.as_micros() as u64);
+            shared.metrics.record_request_us(took.as_micros() as u64);
             Metrics::increment(&shared.metrics.answered);
             res
         }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -69,7 +69,7 @@
     }
 
     /// Records how long a request took here, including queueing and the exchange with the backend server.
-    pub fn request_took(&self, us: u64) {
+    pub fn record_request_us(&self, us: u64) {
         lock(&self.request_us).saturating_record(us);
     }
 
--- a/src/serve/traffic.rs
+++ b/src/serve/traffic.rs
@@ -134,7 +134,7 @@
     };
     shared
         .metrics
-        .request_took(began.elapsed().as_micros() as u64);
+        .record_request_us(began.elapsed().as_micros() as u64);
     edge::encode(&outcome)
 }
 
