--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -223,7 +223,7 @@
         self.share();
         self.shared
             .metrics
-            .control_took(began.elapsed().as_micros() as u64);
+            .record_control_us(began.elapsed().as_micros() as u64);
     }
 
     /// Tells the other threads what they may rely on.
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -74,7 +74,7 @@
     }
 
     /// Records how long the control thread worked on one event.
-    pub fn control_took(&self, us: u64) {
+    pub fn record_control_us(&self, us: u64) {
         lock(&self.control_us).saturating_record(us);
     }
 
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -100,7 +100,7 @@
         }
         shared
             .metrics
-            .control_took(began.elapsed().as_micros() as u64);
+            .record_control_us(began.elapsed().as_micros() as u64);
     }
 }
 
