--- a/src/report.rs
+++ b/src/report.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the time from the first to the last line.
-    pub fn took_ms(&self) -> Millis {
+    pub fn duration_ms(&self) -> Millis {
         self.last_ms - self.first_ms
     }
 }
@@ -204,12 +204,12 @@
         }
         for (wave, span) in &self.waves {
             let is_done = self.waves_done.contains(wave);
-            let took = format!("{} ms", span.took_ms());
+            let took = format!("{} ms", span.duration_ms());
             let state = if is_done { "done" } else { "not done" };
             line(["roll-out", &format!("wave {wave}"), &took, state]);
         }
         for (version, span) in &self.configs {
-            let took = format!("{} ms", span.took_ms());
+            let took = format!("{} ms", span.duration_ms());
             line(["roll-out", &format!("configuration {version}"), &took, ""]);
         }
         for (pool, count) in &self.host_moves {
--- a/tests/test_report.rs
+++ b/tests/test_report.rs
@@ -34,9 +34,9 @@
         (buffer.idle_s - 6.0).abs() < 1e-9,
         "one of them was at work"
     );
-    assert_eq!(report.waves["7"].took_ms(), 3_000);
+    assert_eq!(report.waves["7"].duration_ms(), 3_000);
     assert!(report.waves_done.contains("7"));
-    assert_eq!(report.configs[&5].took_ms(), 300);
+    assert_eq!(report.configs[&5].duration_ms(), 300);
     assert_eq!(report.host_moves["a"], 1);
     assert_eq!(report.task_moves["run failed"], 1);
     assert_eq!(report.unread, 1);
