--- a/src/report.rs
+++ b/src/report.rs
@@ -178,7 +178,7 @@
     }
 
     /// Returns the buffer cost of all pools together.
-    pub fn buffer(&self) -> Buffer {
+    pub fn total_buffer(&self) -> Buffer {
         let mut sum = Buffer::default();
         for buffer in self.buffers.values() {
             sum.held_s += buffer.held_s;
@@ -195,7 +195,7 @@
             let _ = writeln!(text, "{a:<12} {b:<24} {c:>10} {d:>10}");
         };
         line(["MEASURE", "OF", "AMOUNT", "SHARE"]);
-        let all = self.buffer();
+        let all = self.total_buffer();
         let pools = self.buffers.iter().map(|(pool, b)| (pool.as_str(), *b));
         for (pool, buffer) in pools.chain([("all pools", all)]) {
             let share = 100.0 * buffer.idle_s / buffer.held_s.max(1.0);
--- a/tests/test_report.rs
+++ b/tests/test_report.rs
@@ -25,7 +25,7 @@
 #[test]
 fn report_measures() {
     let report = Report::new(LINES.lines());
-    let buffer = report.buffer();
+    let buffer = report.total_buffer();
     assert!(
         (buffer.held_s - 8.0).abs() < 1e-9,
         "four hosts, two seconds"
