--- a/src/report.rs
+++ b/src/report.rs
@@ -88,7 +88,7 @@
     /// Number of task runs that ended unfinished and were requeued, by reason.
     pub task_moves: BTreeMap<String, u64>,
     /// Number of lines that are not log lines.
-    pub unread: u64,
+    pub unread_lines: u64,
 }
 
 /// Values of a pool's latest pool-load line, in hosts.
@@ -106,7 +106,7 @@
         for text in lines {
             match serde_json::from_str::<Line>(text) {
                 Ok(line) if line.event > 0 => read.push(line),
-                _ => report.unread += 1,
+                _ => report.unread_lines += 1,
             }
         }
         read.sort_by_key(|line| line.at_ms);
@@ -219,8 +219,8 @@
         for (why, count) in &self.task_moves {
             line(["moves", why, &count.to_string(), ""]);
         }
-        if self.unread > 0 {
-            line(["unread", "lines", &self.unread.to_string(), ""]);
+        if self.unread_lines > 0 {
+            line(["unread", "lines", &self.unread_lines.to_string(), ""]);
         }
         text
     }
--- a/tests/test_report.rs
+++ b/tests/test_report.rs
@@ -39,7 +39,7 @@
     assert_eq!(report.configs[&5].duration_ms(), 300);
     assert_eq!(report.host_moves["a"], 1);
     assert_eq!(report.task_moves["run failed"], 1);
-    assert_eq!(report.unread, 1);
+    assert_eq!(report.unread_lines, 1);
 }
 
 #[test]
