--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -173,7 +173,7 @@
             );
             let kept = Arc::clone(shared);
             let runtime = shared.runtime;
-            runtime.run(async move { keep_recording(&kept, key, version, row).await });
+            runtime.spawn_detached(async move { keep_recording(&kept, key, version, row).await });
         }
     }
 }
@@ -237,7 +237,7 @@
 fn disown(shared: &Arc<Shared>, key: String, row: RunRow) {
     let kept = Arc::clone(shared);
     let runtime = shared.runtime;
-    runtime.run(async move {
+    runtime.spawn_detached(async move {
         let until_ms = kept.clock.now_ms() + RECORD_MS;
         while kept.clock.now_ms() < until_ms {
             Timer::after(Duration::from_millis(500 + fastrand::u64(0..=1_000))).await;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -129,7 +129,7 @@
     shared.connections.fetch_add(1, Ordering::SeqCst);
     let shared = Arc::clone(shared);
     let runtime = shared.runtime;
-    runtime.run(async move {
+    runtime.spawn_detached(async move {
         let _connected = Counted(&shared.connections);
         let limits = Limits {
             body_bytes: shared.settings.body_bytes,
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -25,7 +25,7 @@
     }
 
     /// Runs a future on one of the threads. If it panics, the thread goes on with the other futures.
-    pub fn run(&self, future: impl Future<Output = ()> + Send + 'static) {
+    pub fn spawn_detached(&self, future: impl Future<Output = ()> + Send + 'static) {
         let guarded = AssertUnwindSafe(future).catch_unwind();
         self.executor.spawn(guarded).detach();
     }
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -328,10 +328,10 @@
     /// Serves the store, or one host's worker.
     fn listen(&self, listener: Async<TcpListener>, host: Option<usize>) {
         let fleet = self.clone();
-        self.runtime.run(async move {
+        self.runtime.spawn_detached(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let served = fleet.clone();
-                fleet.runtime.run(async move {
+                fleet.runtime.spawn_detached(async move {
                     let handle = |incoming: Incoming| {
                         let fleet = served.clone();
                         async move {
--- a/standin/src/fleet/restarts.rs
+++ b/standin/src/fleet/restarts.rs
@@ -47,7 +47,7 @@
 
     pub(super) fn start_again(&self, n: usize, life: String, after_ms: u64) {
         let fleet = self.clone();
-        self.runtime.run(async move {
+        self.runtime.spawn_detached(async move {
             Timer::after(Duration::from_millis(after_ms)).await;
             fleet.begin_life(n, life);
         });
--- a/standin/src/fleet/workers.rs
+++ b/standin/src/fleet/workers.rs
@@ -176,7 +176,7 @@
             return;
         }
         let fleet = self.clone();
-        self.runtime.run(async move {
+        self.runtime.spawn_detached(async move {
             Timer::after(Duration::from_millis(after_ms)).await;
             fleet.new_life(n);
             Timer::after(Duration::from_millis(listed_ms)).await;
--- a/standin/src/soak/proxy.rs
+++ b/standin/src/soak/proxy.rs
@@ -80,13 +80,13 @@
             open: Arc::default(),
         };
         let relay = proxy.clone();
-        runtime.run(async move {
+        runtime.spawn_detached(async move {
             while let Ok((from, _)) = listener.accept().await {
                 if relay.trouble() == Trouble::Reset {
                     continue;
                 }
                 let relay = relay.clone();
-                runtime.run(async move {
+                runtime.spawn_detached(async move {
                     // Whoever connects to a dead port sees its connection closed.
                     if let Ok(to) = Async::<TcpStream>::connect(target).await {
                         relay.join(from, to).await;
