--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -286,11 +286,11 @@
     let mut lines = history(&control.state.borrow(), subject, id);
     let me = control.shared.settings.name.clone();
     let own = control.shared.log.decisions_about(subject, id);
-    lines.extend(own.into_iter().map(|d| Line::of(&me, &d)));
+    lines.extend(own.into_iter().map(|d| Line::from_decision(&me, &d)));
     let shared = Arc::clone(&control.shared);
     let asked = id.to_string();
     let told = smol::unblock(move || peer::explain(&shared, subject, &asked)).await;
-    lines.extend(told.into_iter().map(|(entry, d)| Line::of(&entry, &d)));
+    lines.extend(told.into_iter().map(|(entry, d)| Line::from_decision(&entry, &d)));
     lines.sort_by_key(|l| l.at_ms);
     Ok(server::json(200, &lines))
 }
--- a/src/serve/status.rs
+++ b/src/serve/status.rs
@@ -45,7 +45,7 @@
     let decisions = shared.log.decisions_about(subject, id);
     let lines: Vec<Line> = decisions
         .iter()
-        .map(|d| Line::of(&shared.settings.name, d))
+        .map(|d| Line::from_decision(&shared.settings.name, d))
         .collect();
     json(200, &lines)
 }
--- a/src/view.rs
+++ b/src/view.rs
@@ -135,7 +135,7 @@
 
 impl Line {
     /// Formats a decision that `entry` logged, with its names and figures in parentheses.
-    pub fn of(entry: &str, d: &Decision) -> Self {
+    pub fn from_decision(entry: &str, d: &Decision) -> Self {
         let names = d.names.iter().map(|(n, v)| format!("{n}={v}"));
         let figures = d.figures.iter().map(|(n, v)| format!("{n}={v}"));
         let figures: Vec<String> = names.chain(figures).collect();
