--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -9,7 +9,7 @@
 use http_types::{Method, Response};
 use smol::{Async, Timer};
 
-use super::control::{ask, Control};
+use super::control::{submit_edit, Control};
 use super::peer;
 use crate::auth;
 use crate::core::operate::Edit;
@@ -67,7 +67,7 @@
     if path == "/v1/edit" && incoming.head.method() == Method::Post {
         let edit: Edit = serde_json::from_slice(&incoming.body)
             .map_err(|e| Kind::BadRequest.because(e.to_string()))?;
-        let reply = ask(shared, edit).await?;
+        let reply = submit_edit(shared, edit).await?;
         return Ok(server::json(200, &reply));
     }
     let rest = path
@@ -96,8 +96,10 @@
         return Ok(());
     };
     let token = auth::bearer(incoming.header("authorization"));
-    let good = token.is_some_and(|t| auth::same_hash(&auth::token_hash(t), hash));
-    good.then_some(()).ok_or_else(|| Kind::Unauthorized.into())
+    let is_valid = token.is_some_and(|t| auth::same_hash(&auth::token_hash(t), hash));
+    is_valid
+        .then_some(())
+        .ok_or_else(|| Kind::Unauthorized.into())
 }
 
 fn show(state: &State, control: &Control, what: &str, id: &str) -> Result<Response, Failure> {
@@ -152,7 +154,7 @@
     for (name, m) in &state.members {
         let ended = state.ended_entries.contains(name);
         let left = m.row.as_ref().is_some_and(|r| r.state == EntryState::Left);
-        let standing = match () {
+        let member_state = match () {
             () if *name == state.me.name => "self",
             () if ended => "ended",
             () if left => "left",
@@ -166,7 +168,7 @@
         };
         entries.push(EntryView {
             name: name.clone(),
-            state: standing.to_string(),
+            state: member_state.to_string(),
             config_version: digest.map_or(0, |d| d.config_version),
             view_seq: digest.map_or(0, |d| d.view_seq),
             silent_ms: m.heard_ms.map(|t| state.tick_ms.saturating_sub(t)),
@@ -181,19 +183,19 @@
         config_version: state.config_version,
         seq: state.seq,
         entries,
-        hosts: counted(state.hosts.values().map(|h| life_or_state(h))),
-        jobs: counted(state.jobs.values().map(|j| j.row.state.as_str())),
+        hosts: count_names(state.hosts.values().map(|h| state_or_lost(h))),
+        jobs: count_names(state.jobs.values().map(|j| j.row.state.as_str())),
     }
 }
 
-fn life_or_state(host: &Host) -> &'static str {
+fn state_or_lost(host: &Host) -> &'static str {
     match host.row.state {
         HostState::Serving | HostState::Free if !host.is_live() => "lost",
         state => state.as_str(),
     }
 }
 
-fn counted(names: impl Iterator<Item = &'static str>) -> Vec<(String, usize)> {
+fn count_names(names: impl Iterator<Item = &'static str>) -> Vec<(String, usize)> {
     let mut counts = std::collections::BTreeMap::new();
     for name in names {
         *counts.entry(name.to_string()).or_default() += 1;
@@ -289,8 +291,12 @@
     lines.extend(own.into_iter().map(|d| Line::of(&me, &d)));
     let shared = Arc::clone(&control.shared);
     let asked = id.to_string();
-    let told = smol::unblock(move || peer::explain(&shared, subject, &asked)).await;
-    lines.extend(told.into_iter().map(|(entry, d)| Line::of(&entry, &d)));
+    let peer_decisions = smol::unblock(move || peer::explain(&shared, subject, &asked)).await;
+    lines.extend(
+        peer_decisions
+            .into_iter()
+            .map(|(entry, d)| Line::of(&entry, &d)),
+    );
     lines.sort_by_key(|l| l.at_ms);
     Ok(server::json(200, &lines))
 }
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -1,4 +1,8 @@
-//! Places at backend servers: taken before a request is sent, given back when its exchange ended.
+//! Load balancing over the backend servers of a service.
+//!
+//! Owns the window and the health of each backend server, and the queue in front of each service. A request takes
+//! a [`Permit`] before it is sent and releases it when its exchange has ended. `upstream` acquires the permits;
+//! `control` creates the backend servers and marks them closed.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -22,10 +26,11 @@
 use crate::http::Client;
 use crate::util::lock;
 
-/// A waiter looks again after so long even if nobody calls it: windows grow and ejections end silently.
-const LOOK_AGAIN_MS: Millis = 50;
+/// Interval at which a waiting request looks for a permit without a signal: no signal is sent when a window grows
+/// or an ejection ends.
+const RECHECK_MS: Millis = 50;
 
-/// A backend server, kept over changes of the routes.
+/// A backend server of one service. It is kept when the routes change, and with it its window and its health.
 pub(super) struct Backend {
     /// `HOST/SERVICE`.
     pub(super) id: String,
@@ -33,17 +38,17 @@
     pub(super) near: bool,
     pub(super) slots: u32,
     pub(super) client: Client,
-    /// Requests of this entry that hold a place here.
+    /// Requests of this entry that hold a permit for this backend server.
     pub(super) in_flight: AtomicU32,
-    /// Set when the routes no longer name it: no new place is given.
+    /// Set when the routes no longer name this backend server; it grants no further permits.
     pub(super) closed: AtomicBool,
     window_size: AtomicU32,
     ejected_until_ms: AtomicU64,
     barred_until_ms: AtomicU64,
-    judged: Mutex<Judged>,
+    measured: Mutex<Measured>,
 }
 
-struct Judged {
+struct Measured {
     window: Window,
     health: Health,
 }
@@ -57,7 +62,7 @@
         answer_bytes: usize,
     ) -> Self {
         let window = Window::new(spec.slots, entries);
-        // Connections are shared by all entries without a word between them, so each keeps to its part.
+        // All entries share the connections of the backend server and don't coordinate, so each uses an equal part.
         let part = (spec.connections as usize / entries.max(1)).max(1);
         let client = Client::new(spec.address)
             .with_idle_max(part)
@@ -73,7 +78,7 @@
             window_size: AtomicU32::new(window.size()),
             ejected_until_ms: AtomicU64::new(0),
             barred_until_ms: AtomicU64::new(0),
-            judged: Mutex::new(Judged {
+            measured: Mutex::new(Measured {
                 window,
                 health: Health::default(),
             }),
@@ -84,7 +89,7 @@
         self.client.addr()
     }
 
-    /// How many requests this entry may have here now.
+    /// Returns how many requests of this entry may be in flight here now. The number is reduced after an ejection.
     pub(super) fn window(&self, now_ms: Millis) -> u32 {
         let size = self.window_size.load(Ordering::Relaxed);
         let until_ms = self.ejected_until_ms.load(Ordering::Relaxed);
@@ -111,52 +116,57 @@
         }
     }
 
-    /// Takes a place, or finds that there is none any more.
+    /// Takes a permit, or returns `None` if the window is full or the backend server is closed.
     ///
-    /// The count goes up before `closed` is looked at, and the control thread sets `closed` before it
-    /// looks at the count. So either it sees this request, or the request sees the mark.
-    fn try_take(self: &Arc<Self>, lane: &Arc<Lane>, class: Class, now_ms: Millis) -> Option<Place> {
+    /// The count is incremented before `closed` is read, and the control thread sets `closed` before it
+    /// reads the count. So either the control thread counts this request, or the request sees `closed`.
+    fn try_acquire(
+        self: &Arc<Self>,
+        admission: &Arc<Admission>,
+        class: Class,
+        now_ms: Millis,
+    ) -> Option<Permit> {
         let before = self.in_flight.fetch_add(1, Ordering::SeqCst);
         if before >= self.window(now_ms) || self.closed.load(Ordering::SeqCst) {
             self.in_flight.fetch_sub(1, Ordering::SeqCst);
             return None;
         }
         if class == Class::Batch {
-            lane.batch_in_flight.fetch_add(1, Ordering::Relaxed);
+            admission.batch_in_flight.fetch_add(1, Ordering::Relaxed);
         }
-        Some(Place {
+        Some(Permit {
             backend: Arc::clone(self),
-            lane: Arc::clone(lane),
+            admission: Arc::clone(admission),
             class,
-            at_window: before + 1 >= self.window(now_ms),
+            fills_window: before + 1 >= self.window(now_ms),
         })
     }
 }
 
-/// What all requests of a service share at this entry.
-pub(super) struct Lane {
+/// The state that all requests of a service share at this entry: queue, retry budgets and the count of batch work.
+pub(super) struct Admission {
     queue: Mutex<Queue<Waiter>>,
-    /// By class, so that batch can't spend what urgent work needs.
+    /// One budget for each class, so that batch requests can't spend the retries of urgent ones.
     budgets: [RetryBudget; 3],
     batch_in_flight: AtomicU32,
     next_waiter: AtomicU64,
 }
 
-/// Somebody who waits for a place.
+/// A queued request that waits for a permit.
 struct Waiter {
     id: u64,
-    call: Sender<Call>,
+    signal: Sender<Signal>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Call {
-    /// A place may be free.
-    Look,
-    /// A more urgent one took the place in the queue.
+enum Signal {
+    /// A permit may be free.
+    Recheck,
+    /// A more urgent request took the waiter's position in the queue.
     PushedOut,
 }
 
-impl Lane {
+impl Admission {
     pub(super) fn new() -> Self {
         Self {
             queue: Mutex::new(Queue::new()),
@@ -166,62 +176,64 @@
         }
     }
 
-    /// The retry budget of a class.
+    /// Returns the retry budget of a class.
     pub(super) fn budget(&self, class: Class) -> &RetryBudget {
         &self.budgets[class as usize]
     }
 
-    /// The time that one exchange takes with fair certainty.
+    /// Returns the time that one exchange very likely takes at most: the smoothed time and twice its deviation.
     pub(super) fn likely_exchange_ms(&self) -> Millis {
         lock(&self.queue).likely_exchange_ms()
     }
 
-    /// Calls the next one who waits.
-    fn call_next(&self) {
+    /// Signals the first waiter in the queue whose request still exists.
+    fn wake_next(&self) {
         loop {
             let Some(waiter) = lock(&self.queue).dequeue() else {
                 return;
             };
-            if waiter.call.try_send(Call::Look).is_ok() {
+            if waiter.signal.try_send(Signal::Recheck).is_ok() {
                 return;
             }
         }
     }
 
-    /// Takes the length of an exchange in, for the next expected waits.
+    /// Adds the length of an exchange to the smoothed time, from which the queue computes expected waits.
     pub(super) fn note_exchange(&self, ms: Millis) {
         lock(&self.queue).note_exchange(ms);
     }
 
-    /// How many wait.
+    /// Returns the number of queued requests.
     pub(super) fn waiting(&self) -> usize {
         lock(&self.queue).len()
     }
 }
 
-/// A place at a backend server, held for one exchange.
-pub(super) struct Place {
+/// A permit for one exchange with a backend server. Dropping it signals the next waiter.
+pub(super) struct Permit {
     pub(super) backend: Arc<Backend>,
-    lane: Arc<Lane>,
+    admission: Arc<Admission>,
     class: Class,
-    at_window: bool,
+    fills_window: bool,
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.backend.in_flight.fetch_sub(1, Ordering::SeqCst);
         if self.class == Class::Batch {
-            self.lane.batch_in_flight.fetch_sub(1, Ordering::Relaxed);
+            self.admission
+                .batch_in_flight
+                .fetch_sub(1, Ordering::Relaxed);
         }
-        self.lane.call_next();
+        self.admission.wake_next();
     }
 }
 
-impl Place {
-    /// Takes in what the exchange says about the backend server.
-    pub(super) fn note(&self, sign: Sign, route: &Route, shared: &Shared) {
+impl Permit {
+    /// Updates the window and the health of the backend server with the outcome of the exchange.
+    pub(super) fn note_outcome(&self, sign: Sign, route: &Route, shared: &Shared) {
         let now_ms = shared.clock.now_ms();
-        // Only a bad sign can eject, so only then the others are looked at.
+        // Only a bad sign can eject a backend server, so the ejected ones are counted only then.
         let ejected = match sign {
             Sign::Bad => route
                 .backends
@@ -232,20 +244,20 @@
         };
         let may_eject = health::may_eject(ejected, route.backends.len());
         let change = {
-            let mut judged = lock(&self.backend.judged);
+            let mut measured = lock(&self.backend.measured);
             match sign {
-                Sign::Full => judged.window.shrink(),
-                Sign::Good if self.at_window => judged.window.grow(),
+                Sign::Full => measured.window.shrink(),
+                Sign::Good if self.fills_window => measured.window.grow(),
                 _ => {}
             }
-            let size = judged.window.size();
+            let size = measured.window.size();
             self.backend.window_size.store(size, Ordering::Relaxed);
-            let change = judged.health.note(sign, may_eject, now_ms);
-            let until_ms = judged.health.ejected_until_ms();
+            let change = measured.health.note(sign, may_eject, now_ms);
+            let until_ms = measured.health.ejected_until_ms();
             self.backend
                 .ejected_until_ms
                 .store(until_ms, Ordering::Relaxed);
-            let barred_ms = judged.health.barred_until_ms();
+            let barred_ms = measured.health.barred_until_ms();
             self.backend
                 .barred_until_ms
                 .store(barred_ms, Ordering::Relaxed);
@@ -254,8 +266,8 @@
         match change {
             Change::None => {}
             Change::Ejected(until_ms) => {
-                self.backend.client.forget_idle();
-                let why = "failed too often in a row";
+                self.backend.client.close_idle();
+                let why = "too many failed exchanges in a row";
                 let d = Decision::new(
                     Code::BackendEjected,
                     Subject::Backend,
@@ -265,12 +277,12 @@
                 .with("for_ms", until_ms.saturating_sub(now_ms))
                 .with("ejected_before", ejected as u64)
                 .with("of", route.backends.len() as u64);
-                shared.tell(d);
+                shared.log_decision(d);
             }
             Change::Readmitted => {
-                let why = "answered well after its ejection";
+                let why = "a request succeeded after the ejection";
                 let id = &self.backend.id;
-                shared.tell(Decision::new(
+                shared.log_decision(Decision::new(
                     Code::BackendReadmitted,
                     Subject::Backend,
                     id,
@@ -281,50 +293,51 @@
     }
 }
 
-/// One request's search for a place.
+/// One request's search for a permit.
 pub(super) struct Search<'a> {
     pub(super) shared: &'a Shared,
     pub(super) route: &'a Route,
     pub(super) class: Class,
     pub(super) entries: usize,
-    /// Until when it is worth having a place.
+    /// The request's deadline; a permit that comes later is of no use.
     pub(super) deadline_ms: Millis,
 }
 
 impl Search<'_> {
-    /// Takes a place at a backend server not in `barred`, waiting for one if need be.
-    pub(super) async fn place(&self, barred: &[SocketAddr]) -> Result<Place, Kind> {
+    /// Takes a permit at a backend server that is not in `barred`; waits in the queue if none is free.
+    pub(super) async fn acquire(&self, barred: &[SocketAddr]) -> Result<Permit, Kind> {
         if self.route.backends.is_empty() {
             return Err(Kind::NoBackend);
         }
         self.shared.may_send()?;
-        if self.route.lane.waiting() == 0 {
-            if let Some(place) = self.try_place(barred) {
-                return Ok(place);
+        if self.route.admission.waiting() == 0 {
+            if let Some(permit) = self.try_acquire(barred) {
+                return Ok(permit);
             }
         }
-        let (call, calls) = smol::channel::bounded(2);
-        let id = self.enter(call.clone())?;
-        let _leaves = Leaves {
-            lane: &self.route.lane,
+        let (signal, signals) = smol::channel::bounded(2);
+        let id = self.enqueue(signal.clone())?;
+        let _queue_entry = QueueEntry {
+            admission: &self.route.admission,
             id,
         };
-        self.wait(call, &calls, id, barred).await
+        self.wait_for_permit(signal, &signals, id, barred).await
     }
 
-    fn enter(&self, call: Sender<Call>) -> Result<u64, Kind> {
-        let lane = &self.route.lane;
-        let id = lane.next_waiter.fetch_add(1, Ordering::Relaxed);
-        let waiter = Waiter { id, call };
+    fn enqueue(&self, signal: Sender<Signal>) -> Result<u64, Kind> {
+        let admission = &self.route.admission;
+        let id = admission.next_waiter.fetch_add(1, Ordering::Relaxed);
+        let waiter = Waiter { id, signal };
         let now_ms = self.shared.clock.now_ms();
         let places: u32 = self.route.backends.iter().map(|b| b.window(now_ms)).sum();
         let left_ms = self.deadline_ms.saturating_sub(now_ms);
-        let most = self.route.service.queue_max;
-        let entered = lock(&lane.queue).enqueue(self.class, waiter, most, places as usize, left_ms);
-        match entered {
+        let queue_max = self.route.service.queue_max;
+        let queued =
+            lock(&admission.queue).enqueue(self.class, waiter, queue_max, places as usize, left_ms);
+        match queued {
             Ok(pushed_out) => {
                 if let Some(w) = pushed_out {
-                    let _ = w.call.try_send(Call::PushedOut);
+                    let _ = w.signal.try_send(Signal::PushedOut);
                 }
                 Ok(id)
             }
@@ -333,72 +346,72 @@
         }
     }
 
-    async fn wait(
+    async fn wait_for_permit(
         &self,
-        call: Sender<Call>,
-        calls: &Receiver<Call>,
+        signal: Sender<Signal>,
+        signals: &Receiver<Signal>,
         id: u64,
         barred: &[SocketAddr],
-    ) -> Result<Place, Kind> {
+    ) -> Result<Permit, Kind> {
         loop {
-            let called = async { calls.recv().await.ok() };
+            let signalled = async { signals.recv().await.ok() };
             let look = async {
-                Timer::after(Duration::from_millis(LOOK_AGAIN_MS)).await;
+                Timer::after(Duration::from_millis(RECHECK_MS)).await;
                 None
             };
-            let heard = called.or(look).await;
-            if heard == Some(Call::PushedOut) {
+            let received = signalled.or(look).await;
+            if received == Some(Signal::PushedOut) {
                 return Err(Kind::QueueFull);
             }
             self.shared.may_send()?;
-            // With too little time left the answer would come late: better certainly not run.
-            let needed_ms = self.route.lane.likely_exchange_ms();
+            // With too little time left the answer would come too late, so the request is refused before it is sent.
+            let needed_ms = self.route.admission.likely_exchange_ms();
             if self.shared.clock.now_ms() + needed_ms >= self.deadline_ms {
                 return Err(Kind::DeadlineUnmeetable);
             }
-            if let Some(place) = self.try_place(barred) {
-                return Ok(place);
+            if let Some(permit) = self.try_acquire(barred) {
+                return Ok(permit);
             }
-            if heard == Some(Call::Look) {
-                let call = call.clone();
-                lock(&self.route.lane.queue).put_back_first(self.class, Waiter { id, call });
+            if received == Some(Signal::Recheck) {
+                let signal = signal.clone();
+                lock(&self.route.admission.queue).put_back_first(self.class, Waiter { id, signal });
             }
         }
     }
 
-    fn try_place(&self, barred: &[SocketAddr]) -> Option<Place> {
+    fn try_acquire(&self, barred: &[SocketAddr]) -> Option<Permit> {
         let now_ms = self.shared.clock.now_ms();
         let backends = &self.route.backends;
-        let all_slots = backends.iter().map(|b| b.slots).sum();
-        let batch = self.route.lane.batch_in_flight.load(Ordering::Relaxed);
-        if !route::class_may_enter(self.class, batch, all_slots, self.entries) {
+        let total_slots = backends.iter().map(|b| b.slots).sum();
+        let batch = self.route.admission.batch_in_flight.load(Ordering::Relaxed);
+        if !route::class_may_enter(self.class, batch, total_slots, self.entries) {
             return None;
         }
-        const TRIES: usize = 3;
-        for _ in 0..TRIES {
+        const TRIES_MAX: usize = 3;
+        for _ in 0..TRIES_MAX {
             let look = |i: usize| {
                 let b: &Arc<Backend> = &backends[i];
                 b.candidate(barred.contains(&b.address()), now_ms)
             };
             let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
-            let at = route::pick(backends.len(), look, &mut rng)?;
-            let taken = backends[at].try_take(&self.route.lane, self.class, now_ms);
-            if taken.is_some() {
-                return taken;
+            let index = route::pick(backends.len(), look, &mut rng)?;
+            let permit = backends[index].try_acquire(&self.route.admission, self.class, now_ms);
+            if permit.is_some() {
+                return permit;
             }
         }
         None
     }
 }
 
-/// Takes a waiter out of the queue however its wait ends.
-struct Leaves<'a> {
-    lane: &'a Lane,
+/// Removes a waiter from the queue when it is dropped, however the wait ends.
+struct QueueEntry<'a> {
+    admission: &'a Admission,
     id: u64,
 }
 
-impl Drop for Leaves<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
-        lock(&self.lane.queue).remove_where(|w| w.id == self.id);
+        lock(&self.admission.queue).remove_where(|w| w.id == self.id);
     }
 }
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -1,4 +1,7 @@
-//! The control thread: feeds events to the reducer and carries out its effects.
+//! The control thread: passes events to the reducer and carries out the effects that it returns.
+//!
+//! Owns the entry's state, the backend servers and the queues of services. Other threads send it a [`Message`], and
+//! it publishes what they may use, such as the routes in force, in [`Shared`]. `entry::run` starts it.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -13,7 +16,7 @@
 use smol::{Async, LocalExecutor, Timer};
 
 use super::admin;
-use super::balance::{Backend, Lane};
+use super::balance::{Admission, Backend};
 use super::shared::{Caller, PeerView, Route, Routes, Shared};
 use crate::auth;
 use crate::clock::{wall_ms, Millis, Now};
@@ -30,63 +33,67 @@
 use crate::port::{commit, HostList, HostOrders, OrderAnswer, Patience, Table, Tasks};
 use crate::wire::Told;
 
-/// Bound on the wait for an operator's or a caller's edit; a commit gives up before.
-const ASK_MS: Millis = 20_000;
+/// Longest wait for the reply to an operator's or a caller's edit. Must exceed the time after which a commit gives up.
+const EDIT_WAIT_MAX_MS: Millis = 20_000;
 
-/// Bound on leaving the table in order.
-const LEAVE_MS: Millis = 3_000;
+/// Longest wait, when the entry stops, for its commits to the table.
+const LEAVE_MAX_MS: Millis = 3_000;
 
-/// What other threads tell the control thread.
+/// A message from another thread to the control thread.
 pub(super) enum Message {
     /// An event for the reducer.
     Event(Event),
-    /// Somebody asks for a change.
+    /// An operator or a caller requests a change.
     Ask {
         edit: Edit,
         reply: Sender<std::result::Result<Reply, Failure>>,
     },
-    /// A peer polls us.
+    /// A peer polls this entry.
     Poll {
         digest: crate::core::members::Digest,
         since: u64,
         reply: Sender<Told>,
     },
-    /// A caller asks for a job.
+    /// A caller requests the row of a job.
     Job {
         id: String,
         reply: Sender<Option<JobRow>>,
     },
-    /// The last request has ended: leave the table and end.
+    /// The last request has ended: the control thread writes to the table that the entry has left, and ends.
     Leave,
 }
 
-/// Asks the control thread for a change and waits for what becomes of it.
-pub(super) async fn ask(shared: &Shared, edit: Edit) -> std::result::Result<Reply, Failure> {
+/// Sends an edit to the control thread and waits for its result.
+pub(super) async fn submit_edit(
+    shared: &Shared,
+    edit: Edit,
+) -> std::result::Result<Reply, Failure> {
     let (reply, answer) = smol::channel::bounded(1);
-    shared.tell_control(Message::Ask { edit, reply });
+    shared.send_to_control(Message::Ask { edit, reply });
     let wait = async { answer.recv().await.ok() };
-    let late = async {
-        Timer::after(Duration::from_millis(ASK_MS)).await;
+    let timeout = async {
+        Timer::after(Duration::from_millis(EDIT_WAIT_MAX_MS)).await;
         None
     };
-    let answer = futures_lite::FutureExt::or(wait, late).await;
+    let answer = futures_lite::FutureExt::or(wait, timeout).await;
     answer.unwrap_or_else(|| Err(Kind::StoreUnknown.into()))
 }
 
-enum Waiting {
+/// Where the answer to an event with a ticket goes.
+enum Pending {
     Edit(Sender<std::result::Result<Reply, Failure>>),
     Peer(Sender<Told>),
 }
 
-/// What the control thread owns.
+/// The state that the control thread owns.
 pub(super) struct Control {
     pub(super) shared: Arc<Shared>,
     pub(super) state: RefCell<State>,
     executor: LocalExecutor<'static>,
-    waiting: RefCell<HashMap<Ticket, Waiting>>,
+    pending_replies: RefCell<HashMap<Ticket, Pending>>,
     next_ticket: RefCell<u64>,
     backends: RefCell<HashMap<(SocketAddr, String), Arc<Backend>>>,
-    lanes: RefCell<HashMap<String, Arc<Lane>>>,
+    admissions: RefCell<HashMap<String, Arc<Admission>>>,
     host_etag: RefCell<Option<String>>,
     published_seq: RefCell<u64>,
 }
@@ -127,10 +134,10 @@
             shared,
             state: RefCell::new(state),
             executor: LocalExecutor::new(),
-            waiting: RefCell::new(HashMap::new()),
+            pending_replies: RefCell::new(HashMap::new()),
             next_ticket: RefCell::new(0),
             backends: RefCell::new(HashMap::new()),
-            lanes: RefCell::new(HashMap::new()),
+            admissions: RefCell::new(HashMap::new()),
             host_etag: RefCell::new(None),
             published_seq: RefCell::new(0),
         }
@@ -148,7 +155,7 @@
         while let Ok(message) = inbox.recv().await {
             match message {
                 Message::Leave => break,
-                other => self.take(other),
+                other => self.dispatch(other),
             }
         }
         self.leave().await;
@@ -173,11 +180,11 @@
         }
     }
 
-    fn take(self: &Rc<Self>, message: Message) {
+    fn dispatch(self: &Rc<Self>, message: Message) {
         match message {
             Message::Event(event) => self.handle(event),
             Message::Ask { edit, reply } => {
-                let ticket = self.wait_for(Waiting::Edit(reply));
+                let ticket = self.register_reply(Pending::Edit(reply));
                 self.handle(Event::Asked { ticket, edit });
             }
             Message::Poll {
@@ -185,7 +192,7 @@
                 since,
                 reply,
             } => {
-                let ticket = self.wait_for(Waiting::Peer(reply));
+                let ticket = self.register_reply(Pending::Peer(reply));
                 self.handle(Event::PeerPolled {
                     ticket,
                     digest,
@@ -201,15 +208,15 @@
         }
     }
 
-    fn wait_for(&self, waiting: Waiting) -> Ticket {
+    fn register_reply(&self, pending: Pending) -> Ticket {
         let mut next = self.next_ticket.borrow_mut();
         *next += 1;
         let ticket = Ticket(*next);
-        self.waiting.borrow_mut().insert(ticket, waiting);
+        self.pending_replies.borrow_mut().insert(ticket, pending);
         ticket
     }
 
-    /// Reduces one event, carries out what follows, and tells the other threads.
+    /// Reduces one event, carries out its effects and updates what the other threads read.
     pub(super) fn handle(self: &Rc<Self>, event: Event) {
         let began = Instant::now();
         let now = Now {
@@ -218,18 +225,18 @@
         };
         let effects = reduce(&mut self.state.borrow_mut(), event, now);
         for effect in effects {
-            self.carry_out(effect);
+            self.carry_out_effect(effect);
         }
-        self.share();
+        self.share_status();
         self.shared
             .metrics
             .control_took(began.elapsed().as_micros() as u64);
     }
 
-    /// Tells the other threads what they may rely on.
-    fn share(&self) {
+    /// Publishes the parts of the state that other threads read, and marks the entry ready when it is.
+    fn share_status(&self) {
         let state = self.state.borrow();
-        // The effects are done, so the routes in force have taken in all that the state has.
+        // The effects have been carried out, so the routes in force reflect the whole state.
         if state.has_view() {
             *self.published_seq.borrow_mut() = state.seq;
         }
@@ -240,18 +247,18 @@
         shared
             .store_down
             .store(state.reads.failing, Ordering::SeqCst);
-        // Whoever sends must be waited for by drains: registered, or spoken for by a peer.
-        let awaited = state.is_registered() || state.spoken_for;
-        let ready = state.has_view() && awaited && state.hosts_known;
+        // Drains must wait for each entry that sends requests, so it must be registered, or a peer must speak for it.
+        let is_covered = state.is_registered() || state.spoken_for;
+        let ready = state.has_view() && is_covered && state.hosts_known;
         if ready && !shared.ready.swap(true, Ordering::SeqCst) {
             use crate::event::{Code, Decision, Subject};
             let why = if state.is_registered() {
-                "registered, with a whole view"
+                "the entry is registered and has a complete view"
             } else {
-                "the table is out of reach; peers gave the view and speak for us"
+                "the table is unreachable; peers provided the view and speak for this entry"
             };
             let d = Decision::new(Code::EntryReady, Subject::Entry, &state.me.name, why);
-            shared.tell(
+            shared.log_decision(
                 d.with("config_version", state.config_version)
                     .with("seq", state.seq),
             );
@@ -264,12 +271,14 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn carry_out_effect(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::Log(d) => self.shared.tell(d),
-            Effect::Publish(table) => self.publish(*table),
+            Effect::Log(d) => self.shared.log_decision(d),
+            Effect::Publish(table) => self.publish_routes(*table),
             Effect::Answer { ticket, result } => {
-                if let Some(Waiting::Edit(reply)) = self.waiting.borrow_mut().remove(&ticket) {
+                if let Some(Pending::Edit(reply)) =
+                    self.pending_replies.borrow_mut().remove(&ticket)
+                {
                     let _ = reply.try_send(result);
                 }
             }
@@ -280,7 +289,9 @@
                 complete,
                 hosts,
             } => {
-                if let Some(Waiting::Peer(reply)) = self.waiting.borrow_mut().remove(&ticket) {
+                if let Some(Pending::Peer(reply)) =
+                    self.pending_replies.borrow_mut().remove(&ticket)
+                {
                     let _ = reply.try_send(Told::View {
                         digest,
                         changes,
@@ -289,12 +300,12 @@
                     });
                 }
             }
-            asking => self.ask_platform(asking),
+            platform_effect => self.call_platform(platform_effect),
         }
     }
 
-    /// Effects that ask the platform: carried out beside, their answers come back as events.
-    fn ask_platform(self: &Rc<Self>, effect: Effect) {
+    /// Carries out an effect that calls the platform, in a task of its own. The answer comes back as an event.
+    fn call_platform(self: &Rc<Self>, effect: Effect) {
         Metrics::add(&self.shared.metrics.platform_calls);
         let this = Rc::clone(self);
         self.spawn(async move {
@@ -349,33 +360,35 @@
         });
     }
 
-    /// Puts routes in force. Marks go up before anybody counts what is in flight.
-    fn publish(&self, table: RouteTable) {
+    /// Puts routes in force. Backend servers without a route are marked closed before requests in flight are counted.
+    fn publish_routes(&self, table: RouteTable) {
         let mut services = HashMap::new();
-        let mut open: BTreeSet<(SocketAddr, String)> = BTreeSet::new();
+        let mut open_backends: BTreeSet<(SocketAddr, String)> = BTreeSet::new();
         for s in &table.services {
-            let route = self.route(s, table.entries, &mut open);
+            let route = self.build_route(s, table.entries, &mut open_backends);
             services.insert(s.service.name.clone(), Arc::new(route));
         }
         for (key, backend) in self.backends.borrow().iter() {
-            backend.closed.store(!open.contains(key), Ordering::SeqCst);
+            backend
+                .closed
+                .store(!open_backends.contains(key), Ordering::SeqCst);
         }
         let routes = Routes {
             services,
-            callers: self.callers(&table),
+            callers: self.build_callers(&table),
             entries: table.entries,
         };
         self.shared.routes.store(Arc::new(routes));
         self.backends
             .borrow_mut()
-            .retain(|key, b| open.contains(key) || b.in_flight.load(Ordering::SeqCst) > 0);
+            .retain(|key, b| open_backends.contains(key) || b.in_flight.load(Ordering::SeqCst) > 0);
     }
 
-    fn route(
+    fn build_route(
         &self,
         s: &RouteService,
         entries: usize,
-        open: &mut BTreeSet<(SocketAddr, String)>,
+        open_backends: &mut BTreeSet<(SocketAddr, String)>,
     ) -> Route {
         let name = &s.service.name;
         let settings = &self.shared.settings;
@@ -385,27 +398,28 @@
             .iter()
             .map(|spec| {
                 let key = (spec.address, name.clone());
-                open.insert(key.clone());
-                let fresh = || {
+                open_backends.insert(key.clone());
+                let create = || {
                     let bytes = settings.answer_bytes;
                     Arc::new(Backend::new(spec, name, &settings.hall, entries, bytes))
                 };
-                Arc::clone(known.entry(key).or_insert_with(fresh))
+                Arc::clone(known.entry(key).or_insert_with(create))
             })
             .collect();
-        let mut lanes = self.lanes.borrow_mut();
-        let lane = lanes
+        let mut admissions = self.admissions.borrow_mut();
+        let admission = admissions
             .entry(name.clone())
-            .or_insert_with(|| Arc::new(Lane::new()));
+            .or_insert_with(|| Arc::new(Admission::new()));
         Route {
             service: s.service.clone(),
-            lane: Arc::clone(lane),
+            admission: Arc::clone(admission),
             backends,
         }
     }
 
-    /// Accounts with their quota's part; what an account has saved stays with it while nothing changes.
-    fn callers(&self, table: &RouteTable) -> HashMap<String, Arc<Caller>> {
+    /// Returns the accounts with this entry's part of their quotas. An account keeps its saved quota while neither the
+    /// account nor the number of entries changes.
+    fn build_callers(&self, table: &RouteTable) -> HashMap<String, Arc<Caller>> {
         let old = self.shared.routes.load();
         let mut accounts = table.accounts.clone();
         if accounts.is_empty() {
@@ -437,7 +451,7 @@
         callers
     }
 
-    /// Hosts that get no new work and still have requests of this entry in flight.
+    /// Returns the hosts of closed backend servers that still have requests of this entry in flight.
     fn busy_hosts(&self) -> Vec<String> {
         let busy: BTreeSet<String> = self
             .backends
@@ -450,10 +464,10 @@
         busy.into_iter().collect()
     }
 
-    /// Tells the table that this entry holds nothing any more, if the table answers soon.
+    /// Records in the table that this entry has left, if the table answers within [`LEAVE_MAX_MS`].
     async fn leave(self: &Rc<Self>) {
         self.handle(Event::Stop);
-        let until_ms = self.shared.clock.now_ms() + LEAVE_MS;
+        let until_ms = self.shared.clock.now_ms() + LEAVE_MAX_MS;
         while !self.state.borrow().pending.is_empty() && self.shared.clock.now_ms() < until_ms {
             Timer::after(Duration::from_millis(20)).await;
         }
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -1,4 +1,8 @@
-//! Runs under a caller's key: claimed in the table before they are sent, recorded after.
+//! Requests with an `Idempotency-Key`: each key is claimed in the table before its request is sent, and the
+//! outcome is recorded under it afterwards.
+//!
+//! A request with the same key gets the recorded answer, so that a request runs at most once. `traffic` calls
+//! [`claim`] and [`record`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,31 +22,32 @@
 use crate::metrics::Metrics;
 use crate::port::{commit, Objects, Outcome, Patience, Put, Table, Transaction};
 
-/// Larger bodies, and those that are no text, are kept as objects.
+/// Largest body that is kept in the table. Larger bodies and those that are not UTF-8 are stored as objects.
 const INLINE_MAX_BYTES: usize = 16 << 10;
 
-/// A claim older than this is told as lost sight of, not as running.
+/// Age from which a claim without an outcome is answered as unknown instead of running.
 const RUNNING_MAX_MS: Millis = 3_600_000;
 
-/// How long the outcome of a run is offered to a table that does not answer.
-const RECORD_MS: Millis = 120_000;
+/// Longest time over which an outcome, or the release of a claim, is retried while the table does not answer.
+const RECORD_RETRY_MAX_MS: Millis = 120_000;
 
-/// A claim that is ours.
+/// A key that this request has claimed.
 pub(super) struct Claim {
     key: String,
     version: u64,
     row: RunRow,
 }
 
-/// What a key leads to.
+/// The result of [`claim`].
 pub(super) enum Claimed {
-    /// Ours to send.
+    /// This request holds the key and may be sent.
     Ours(Claim),
-    /// Answered before, or running, or lost.
+    /// The recorded answer of the earlier request with this key.
     Known(Response),
 }
 
-/// Claims the key, or finds what became of it.
+/// Claims the key, or returns the answer that is recorded under it. Fails if an earlier request with the key differs,
+/// is still running or has an unknown outcome.
 pub(super) async fn claim(
     shared: &Arc<Shared>,
     account: &str,
@@ -67,19 +72,19 @@
     };
     let name = run_key(account, &sha256_hex(&[key.as_bytes()]));
     let mut version = 0;
-    const ROUNDS: usize = 3;
-    for _ in 0..ROUNDS {
+    const ROUNDS_MAX: usize = 3;
+    for _ in 0..ROUNDS_MAX {
         match put(shared, &name, version, &row, Patience::default()).await {
             Outcome::Committed(version) => {
-                let why = format!("{account} claims a key");
+                let why = format!("account {account} claimed an idempotency key");
                 let d = Decision::new(Code::RunClaimed, Subject::Request, request, why);
-                shared.tell(d.with("version", version));
+                shared.log_decision(d.with("version", version));
                 let key = name;
                 return Ok(Claimed::Ours(Claim { key, version, row }));
             }
             Outcome::NotSent => return Err(Kind::StoreDown.into()),
             Outcome::Unknown => {
-                disown(shared, name, row);
+                release_claim(shared, name, row);
                 return Err(Kind::StoreDown.because("the claim is unsettled; it was not sent"));
             }
             Outcome::Conflict => {}
@@ -93,27 +98,31 @@
         let Some(found) = decode::<RunRow>(&known).ok().flatten() else {
             return Err(Kind::KeyUnknown.because("the record can't be read"));
         };
-        if let Some(res) = told(shared, &row, found).await? {
+        if let Some(res) = answer_from_record(shared, &row, found).await? {
             return Ok(Claimed::Known(res));
         }
     }
     Err(Kind::KeyRunning.because("others are claiming the same key"))
 }
 
-/// The answer for a key that was claimed before; nothing where it may be claimed again.
-async fn told(shared: &Shared, ours: &RunRow, found: RunRow) -> Result<Option<Response>, Failure> {
+/// Returns the recorded answer of a key that was claimed before, or `None` if the key may be claimed again.
+async fn answer_from_record(
+    shared: &Shared,
+    ours: &RunRow,
+    found: RunRow,
+) -> Result<Option<Response>, Failure> {
     if found.digest != ours.digest {
         return Err(Kind::KeyMismatch.into());
     }
-    let whose = format!("request {} at entry {}", found.request, found.entry);
+    let holder = format!("request {} at entry {}", found.request, found.entry);
     match found.state {
         RunState::NotRun => Ok(None),
         RunState::Claimed if ours.at_ms < found.at_ms + RUNNING_MAX_MS => {
-            Err(Kind::KeyRunning.because(whose))
+            Err(Kind::KeyRunning.because(holder))
         }
         RunState::Claimed | RunState::Lost => {
             let detail =
-                format!("{whose}; an operator can look at the backend server's own record");
+                format!("{holder}; an operator can look at the backend server's own record");
             Err(Kind::KeyUnknown.because(detail))
         }
         RunState::Done {
@@ -124,11 +133,11 @@
         } => {
             let bytes = match (body, object) {
                 (Some(text), _) => text.into_bytes(),
-                (None, Some(name)) => stored(shared, &name).await?,
+                (None, Some(name)) => fetch_body(shared, &name).await?,
                 (None, None) => Vec::new(),
             };
-            let d = Decision::new(Code::RunReplayed, Subject::Request, &ours.request, whose);
-            shared.tell(d.with("status", u64::from(status)));
+            let d = Decision::new(Code::RunReplayed, Subject::Request, &ours.request, holder);
+            shared.log_decision(d.with("status", u64::from(status)));
             let mut res = server::answer(status, &media, bytes);
             res.insert_header("rockwick-replayed", "true");
             Ok(Some(server::with_run(res, Run::Yes)))
@@ -136,7 +145,7 @@
     }
 }
 
-async fn stored(shared: &Shared, name: &str) -> Result<Vec<u8>, Failure> {
+async fn fetch_body(shared: &Shared, name: &str) -> Result<Vec<u8>, Failure> {
     Metrics::add(&shared.metrics.platform_calls);
     match shared.platform.fetch(name).await {
         Ok(Some(bytes)) => Ok(bytes),
@@ -145,10 +154,10 @@
     }
 }
 
-/// Records what became of a claimed run: at once if the table answers, in the background if not.
+/// Records the outcome of a claimed request: at once if the table answers, otherwise in the background.
 pub(super) async fn record(shared: &Arc<Shared>, claim: Claim, result: &Result<Answer, Failure>) {
     let state = match result {
-        Ok(answer) => done(shared, &claim, answer).await,
+        Ok(answer) => done_state(shared, &claim, answer).await,
         Err(failure) if failure.kind.row().run == Run::No => RunState::NotRun,
         Err(_) => RunState::Lost,
     };
@@ -163,23 +172,25 @@
     let request = claim.row.request.clone();
     let (key, version) = (claim.key, claim.version);
     match put(shared, &key, version, &row, once).await {
-        Outcome::Committed(_) => tell_recorded(shared, &request, "recorded"),
-        Outcome::Conflict => tell_recorded(shared, &request, "somebody else wrote the record"),
+        Outcome::Committed(_) => log_recorded(shared, &request, "recorded"),
+        Outcome::Conflict => {
+            log_recorded(shared, &request, "another writer changed the record first")
+        }
         Outcome::NotSent | Outcome::Unknown => {
-            tell_recorded(
+            log_recorded(
                 shared,
                 &request,
-                "the table does not answer; goes on trying",
+                "the table does not answer; the entry retries in the background",
             );
-            let kept = Arc::clone(shared);
+            let task_shared = Arc::clone(shared);
             let runtime = shared.runtime;
-            runtime.run(async move { keep_recording(&kept, key, version, row).await });
+            runtime.run(async move { keep_recording(&task_shared, key, version, row).await });
         }
     }
 }
 
-fn tell_recorded(shared: &Shared, request: &str, why: &str) {
-    shared.tell(Decision::new(
+fn log_recorded(shared: &Shared, request: &str, why: &str) {
+    shared.log_decision(Decision::new(
         Code::RunRecorded,
         Subject::Request,
         request,
@@ -187,7 +198,7 @@
     ));
 }
 
-async fn done(shared: &Shared, claim: &Claim, answer: &Answer) -> RunState {
+async fn done_state(shared: &Shared, claim: &Claim, answer: &Answer) -> RunState {
     let media = answer
         .header("content-type")
         .unwrap_or("application/octet-stream");
@@ -215,7 +226,7 @@
 }
 
 async fn keep_recording(shared: &Arc<Shared>, key: String, version: u64, row: RunRow) {
-    let until_ms = shared.clock.now_ms() + RECORD_MS;
+    let until_ms = shared.clock.now_ms() + RECORD_RETRY_MAX_MS;
     let mut pause_ms = 500;
     while shared.clock.now_ms() < until_ms {
         Timer::after(Duration::from_millis(
@@ -225,30 +236,39 @@
         pause_ms = (pause_ms * 2).min(8_000);
         let outcome = put(shared, &key, version, &row, Patience::default()).await;
         if matches!(outcome, Outcome::Committed(_) | Outcome::Conflict) {
-            tell_recorded(shared, &row.request, "recorded late");
+            log_recorded(
+                shared,
+                &row.request,
+                "a retry in the background wrote the record",
+            );
             return;
         }
     }
-    tell_recorded(shared, &row.request, "given up; the key stays claimed");
+    log_recorded(
+        shared,
+        &row.request,
+        "the entry gave up; the key stays claimed",
+    );
 }
 
-/// Gives an unsettled claim back, so that the caller can come again: whether it took effect or not, a
-/// row that says "not run" under its successor's version fences it off.
-fn disown(shared: &Arc<Shared>, key: String, row: RunRow) {
-    let kept = Arc::clone(shared);
+/// Releases a claim whose commit has an unknown outcome, in the background, so that the caller can retry.
+///
+/// Whether the claim took effect or not, a `NotRun` row at the next version fences it off.
+fn release_claim(shared: &Arc<Shared>, key: String, row: RunRow) {
+    let task_shared = Arc::clone(shared);
     let runtime = shared.runtime;
     runtime.run(async move {
-        let until_ms = kept.clock.now_ms() + RECORD_MS;
-        while kept.clock.now_ms() < until_ms {
+        let until_ms = task_shared.clock.now_ms() + RECORD_RETRY_MAX_MS;
+        while task_shared.clock.now_ms() < until_ms {
             Timer::after(Duration::from_millis(500 + fastrand::u64(0..=1_000))).await;
-            if try_disown(&kept, &key, &row).await {
+            if try_release_claim(&task_shared, &key, &row).await {
                 return;
             }
         }
     });
 }
 
-async fn try_disown(shared: &Arc<Shared>, key: &str, row: &RunRow) -> bool {
+async fn try_release_claim(shared: &Arc<Shared>, key: &str, row: &RunRow) -> bool {
     Metrics::add(&shared.metrics.platform_calls);
     let Ok(known) = shared.platform.get(key).await else {
         return false;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -25,7 +25,7 @@
 use crate::http::{server, Limits, Wire};
 use crate::log::Log;
 use crate::runtime::Runtime;
-use shared::{Counted, Shared};
+use shared::{CountGuard, Shared};
 
 /// Runs an entry until it is told to stop; comes back when the last request has ended.
 pub fn run(settings: Settings) -> Result<()> {
@@ -37,13 +37,13 @@
     let incarnation = fastrand::u64(1..);
     let (shared, inbox) = Shared::new(settings, log, runtime, incarnation);
     let shared = Arc::new(shared);
-    tell_panics(&shared);
-    tell_start(&shared);
+    log_panics(&shared);
+    log_start(&shared);
     peer::start(&shared)?;
     let control = control::start(Arc::clone(&shared), inbox, operators)?;
     runtime.spawn(accept(Arc::clone(&shared), callers)).detach();
-    smol::block_on(until_stopped(&shared))?;
-    shared.tell_control(control::Message::Leave);
+    smol::block_on(wait_until_stopped(&shared))?;
+    shared.send_to_control(control::Message::Leave);
     let _ = control.join();
     shared.log.close();
     Ok(())
@@ -56,11 +56,11 @@
 }
 
 /// A panic is a fault of ours: told as one event, and the thread goes on with its other work.
-fn tell_panics(shared: &Arc<Shared>) {
+fn log_panics(shared: &Arc<Shared>) {
     let shared = Arc::clone(shared);
     std::panic::set_hook(Box::new(move |info| {
         let name = &shared.settings.name;
-        shared.tell(Decision::new(
+        shared.log_decision(Decision::new(
             Code::Fault,
             Subject::Entry,
             name,
@@ -69,13 +69,13 @@
     }));
 }
 
-fn tell_start(shared: &Shared) {
+fn log_start(shared: &Shared) {
     let s = &shared.settings;
     let why = format!(
         "hall {}, callers {}, operators {}, peers {} at {:?}, platform {}",
         s.hall, s.listen, s.admin, s.peer_listen, s.peers, s.platform
     );
-    shared.tell(
+    shared.log_decision(
         Decision::new(Code::EntryStarted, Subject::Entry, &s.name, why)
             .with("incarnation", shared.incarnation)
             .with("threads", s.threads as u64)
@@ -83,7 +83,7 @@
     );
     for variable in config::unknown_variables() {
         let why = format!("{variable} is no setting");
-        shared.tell(Decision::new(
+        shared.log_decision(Decision::new(
             Code::UnknownSetting,
             Subject::Entry,
             &s.name,
@@ -91,7 +91,7 @@
         ));
     }
     let why = format!("without accounts the token {:?} is accepted", auth::DEMO);
-    shared.tell(Decision::new(
+    shared.log_decision(Decision::new(
         Code::DemoAccount,
         Subject::Entry,
         &s.name,
@@ -100,14 +100,14 @@
 }
 
 async fn accept(shared: Arc<Shared>, listener: Async<TcpListener>) {
-    const LOOK_MS: u64 = 50;
-    while !shared.refusing.load(Ordering::SeqCst) {
+    const CHECK_MS: u64 = 50;
+    while !shared.accept_stopped.load(Ordering::SeqCst) {
         let next = async { Some(listener.accept().await) };
-        let look = async {
-            Timer::after(Duration::from_millis(LOOK_MS)).await;
+        let timeout = async {
+            Timer::after(Duration::from_millis(CHECK_MS)).await;
             None
         };
-        match next.or(look).await {
+        match next.or(timeout).await {
             Some(Ok((stream, _))) => serve(&shared, stream),
             // Out of descriptors, most likely: give some time to be closed.
             Some(Err(_)) => {
@@ -122,7 +122,7 @@
             serve(&shared, stream);
         }
     }
-    shared.closed.store(true, Ordering::SeqCst);
+    shared.listener_closed.store(true, Ordering::SeqCst);
 }
 
 fn serve(shared: &Arc<Shared>, stream: Async<TcpStream>) {
@@ -130,7 +130,7 @@
     let shared = Arc::clone(shared);
     let runtime = shared.runtime;
     runtime.run(async move {
-        let _connected = Counted(&shared.connections);
+        let _connected = CountGuard(&shared.connections);
         let limits = Limits {
             body_bytes: shared.settings.body_bytes,
             ..Limits::default()
@@ -143,33 +143,33 @@
 
 /// SIGTERM: not ready at once; for a grace new requests are still served, so that the balancer can see
 /// it; then what is in flight is waited for, and no longer than the bound.
-async fn until_stopped(shared: &Arc<Shared>) -> Result<()> {
+async fn wait_until_stopped(shared: &Arc<Shared>) -> Result<()> {
     let flag = Arc::new(std::sync::atomic::AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, Arc::clone(&flag))
             .map_err(|e| Error::Io("signal".to_string(), e))?;
     }
-    const LOOK_MS: u64 = 50;
+    const CHECK_MS: u64 = 50;
     while !flag.load(Ordering::SeqCst) {
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+        Timer::after(Duration::from_millis(CHECK_MS)).await;
     }
     let name = shared.settings.name.clone();
     shared.stopping.store(true, Ordering::SeqCst);
-    shared.tell(Decision::new(
+    shared.log_decision(Decision::new(
         Code::EntryStopping,
         Subject::Entry,
         &name,
         "signal",
     ));
     Timer::after(Duration::from_millis(shared.settings.grace_ms)).await;
-    shared.refusing.store(true, Ordering::SeqCst);
+    shared.accept_stopped.store(true, Ordering::SeqCst);
     let began_ms = shared.clock.now_ms();
-    let waiting = || !shared.closed.load(Ordering::SeqCst) || connections(shared) > 0;
-    while waiting() {
+    let is_serving = || !shared.listener_closed.load(Ordering::SeqCst) || connections(shared) > 0;
+    while is_serving() {
         if shared.clock.now_ms() - began_ms > shared.settings.stop_ms {
             break;
         }
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+        Timer::after(Duration::from_millis(CHECK_MS)).await;
     }
     let left = connections(shared) as u64;
     let why = if left == 0 {
@@ -177,7 +177,7 @@
     } else {
         "the bound on waiting passed"
     };
-    shared.tell(
+    shared.log_decision(
         Decision::new(Code::EntryStopped, Subject::Entry, &name, why).with("connections", left),
     );
     Ok(())
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -20,32 +20,32 @@
 use crate::wire::{decode, encode, Ask, Told, MESSAGE_MAX_BYTES};
 
 /// Between two polls of the same peer.
-const POLL_MS: Millis = 1_000;
+const POLL_INTERVAL_MS: Millis = 1_000;
 
 /// A peer that takes longer is not heard.
-const ANSWER_MS: Millis = 1_000;
+const ANSWER_MAX_MS: Millis = 1_000;
 
 /// Bound on a wait for the control thread.
-const CONTROL_MS: Millis = 800;
+const CONTROL_MAX_MS: Millis = 800;
 
 /// Starts the thread that answers, and one for each peer that asks.
 pub(super) fn start(shared: &Arc<Shared>) -> Result<()> {
     let socket = Socket::new(Protocol::Rep0)?;
     socket.set_opt::<RecvMaxSize>(MESSAGE_MAX_BYTES)?;
-    socket.set_opt::<SendTimeout>(Some(Duration::from_millis(ANSWER_MS)))?;
+    socket.set_opt::<SendTimeout>(Some(Duration::from_millis(ANSWER_MAX_MS)))?;
     let addr = shared.settings.peer_listen;
     socket
         .listen(&format!("tcp://{addr}"))
         .map_err(|e| Error::Usage(format!("--peer-listen {addr}: {e}")))?;
     let answering = Arc::clone(shared);
-    spawn("peer-answer", move || answer(&answering, &socket))?;
+    spawn("peer-answer", move || answer_polls(&answering, &socket))?;
     for peer in &shared.settings.peers {
         if *peer == addr {
             continue;
         }
         let asking = Arc::clone(shared);
         let peer = *peer;
-        spawn("peer-ask", move || poll(&asking, peer))?;
+        spawn("peer-ask", move || poll_forever(&asking, peer))?;
     }
     Ok(())
 }
@@ -59,15 +59,15 @@
         .map_err(|e| Error::Io("peer thread".to_string(), e))
 }
 
-fn answer(shared: &Shared, socket: &Socket) {
+fn answer_polls(shared: &Shared, socket: &Socket) {
     loop {
         let Ok(message) = socket.recv() else {
             std::thread::sleep(Duration::from_millis(10));
             continue;
         };
-        count(shared, message.len());
-        let told = match decode(&message) {
-            Some(Ask::Poll { digest, since }) => poll_answer(shared, digest, since),
+        count_bytes(shared, message.len());
+        let answer = match decode(&message) {
+            Some(Ask::Poll { digest, since }) => answer_poll(shared, digest, since),
             Some(Ask::Explain { subject, id }) => Some(Told::Decisions {
                 entry: shared.settings.name.clone(),
                 list: shared.log.about(subject, &id),
@@ -75,29 +75,29 @@
             None => None,
         };
         // Whoever gets no answer asks again; an nng REP socket is free for the next question at once.
-        if let Some(bytes) = told.as_ref().and_then(encode) {
-            count(shared, bytes.len());
+        if let Some(bytes) = answer.as_ref().and_then(encode) {
+            count_bytes(shared, bytes.len());
             let _ = socket.send(bytes.as_slice());
         }
     }
 }
 
-fn poll_answer(shared: &Shared, digest: crate::core::members::Digest, since: u64) -> Option<Told> {
+fn answer_poll(shared: &Shared, digest: crate::core::members::Digest, since: u64) -> Option<Told> {
     let (reply, answer) = smol::channel::bounded(1);
-    shared.tell_control(Message::Poll {
+    shared.send_to_control(Message::Poll {
         digest,
         since,
         reply,
     });
     let wait = async { answer.recv().await.ok() };
-    let late = async {
-        smol::Timer::after(Duration::from_millis(CONTROL_MS)).await;
+    let timeout = async {
+        smol::Timer::after(Duration::from_millis(CONTROL_MAX_MS)).await;
         None
     };
-    smol::block_on(futures_lite::FutureExt::or(wait, late))
+    smol::block_on(futures_lite::FutureExt::or(wait, timeout))
 }
 
-fn poll(shared: &Shared, peer: SocketAddr) {
+fn poll_forever(shared: &Shared, peer: SocketAddr) {
     let mut socket = None;
     loop {
         if socket.is_none() {
@@ -108,7 +108,7 @@
             None => false,
         };
         if !more {
-            std::thread::sleep(Duration::from_millis(POLL_MS));
+            std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
         }
     }
 }
@@ -116,8 +116,8 @@
 fn dial(peer: SocketAddr) -> Result<Socket> {
     let socket = Socket::new(Protocol::Req0)?;
     socket.set_opt::<RecvMaxSize>(MESSAGE_MAX_BYTES)?;
-    socket.set_opt::<SendTimeout>(Some(Duration::from_millis(ANSWER_MS)))?;
-    socket.set_opt::<RecvTimeout>(Some(Duration::from_millis(ANSWER_MS)))?;
+    socket.set_opt::<SendTimeout>(Some(Duration::from_millis(ANSWER_MAX_MS)))?;
+    socket.set_opt::<RecvTimeout>(Some(Duration::from_millis(ANSWER_MAX_MS)))?;
     socket.dial_async(&format!("tcp://{peer}"))?;
     Ok(socket)
 }
@@ -140,7 +140,7 @@
         return false;
     };
     let more = changes.more && complete;
-    shared.tell_control(Message::Event(Event::PeerAnswered {
+    shared.send_to_control(Message::Event(Event::PeerAnswered {
         begun_ms,
         digest,
         changes,
@@ -156,14 +156,14 @@
 
 fn exchange(shared: &Shared, socket: &Socket, ask: &Ask) -> Option<Told> {
     let bytes = encode(ask)?;
-    count(shared, bytes.len());
+    count_bytes(shared, bytes.len());
     socket.send(bytes.as_slice()).ok()?;
     let message = socket.recv().ok()?;
-    count(shared, message.len());
+    count_bytes(shared, message.len());
     decode(&message)
 }
 
-fn count(shared: &Shared, bytes: usize) {
+fn count_bytes(shared: &Shared, bytes: usize) {
     shared
         .metrics
         .peer_bytes
@@ -181,8 +181,8 @@
             subject,
             id: id.to_string(),
         };
-        let told = dial(*peer).ok().and_then(|s| exchange(shared, &s, &ask));
-        if let Some(Told::Decisions { entry, list }) = told {
+        let answer = dial(*peer).ok().and_then(|s| exchange(shared, &s, &ask));
+        if let Some(Told::Decisions { entry, list }) = answer {
             found.extend(list.into_iter().map(|d| (entry.clone(), d)));
         }
     }
--- a/src/entry/shared.rs
+++ b/src/entry/shared.rs
@@ -7,7 +7,7 @@
 use arc_swap::ArcSwap;
 use smol::channel::{Receiver, Sender};
 
-use super::balance::{Backend, Lane};
+use super::balance::{Admission, Backend};
 use super::control::Message;
 use crate::auth;
 use crate::clock::{Clock, Millis};
@@ -25,7 +25,7 @@
 /// A service as traffic sees it.
 pub(super) struct Route {
     pub(super) service: Service,
-    pub(super) lane: Arc<Lane>,
+    pub(super) admission: Arc<Admission>,
     pub(super) backends: Vec<Arc<Backend>>,
 }
 
@@ -84,12 +84,12 @@
     /// Told to stop.
     pub(super) stopping: AtomicBool,
     /// No new connections.
-    pub(super) refusing: AtomicBool,
+    pub(super) accept_stopped: AtomicBool,
     /// The listener is closed, and all that came before is being served.
-    pub(super) closed: AtomicBool,
+    pub(super) listener_closed: AtomicBool,
     /// Callers' connections.
     pub(super) connections: AtomicUsize,
-    next_request: AtomicU64,
+    next_request_number: AtomicU64,
     control: Sender<Message>,
 }
 
@@ -129,27 +129,27 @@
             ready: AtomicBool::new(false),
             store_down: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            refusing: AtomicBool::new(false),
-            closed: AtomicBool::new(false),
+            accept_stopped: AtomicBool::new(false),
+            listener_closed: AtomicBool::new(false),
             connections: AtomicUsize::new(0),
-            next_request: AtomicU64::new(1),
+            next_request_number: AtomicU64::new(1),
             control,
         };
         (shared, inbox)
     }
 
-    pub(super) fn tell(&self, d: Decision) {
+    pub(super) fn log_decision(&self, d: Decision) {
         self.log.decision(d);
     }
 
-    pub(super) fn tell_control(&self, message: Message) {
+    pub(super) fn send_to_control(&self, message: Message) {
         // The control thread ends last; after it nobody is left to be told.
         let _ = self.control.try_send(message);
     }
 
     /// A new request id: the entry, its start and a number.
     pub(super) fn request_id(&self) -> String {
-        let n = self.next_request.fetch_add(1, Ordering::Relaxed);
+        let n = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         format!(
             "{}-{:06x}-{n}",
             self.settings.name,
@@ -175,9 +175,9 @@
 }
 
 /// Takes one off a count when it is dropped.
-pub(super) struct Counted<'a>(pub(super) &'a AtomicUsize);
+pub(super) struct CountGuard<'a>(pub(super) &'a AtomicUsize);
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -1,4 +1,7 @@
-//! Callers' requests: who asks, for what, under which bounds, and the answer.
+//! Handles the requests of callers.
+//!
+//! Checks the account's token and quota, then forwards a request to a service, or submits, shows or cancels a job.
+//! The server of the entry's traffic port calls [`handle`] for each request.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -7,7 +10,7 @@
 use http_types::{Method, Response};
 use smol::Timer;
 
-use super::control::{ask, Message};
+use super::control::{submit_edit, Message};
 use super::keyed::{self, Claimed};
 use super::shared::{Caller, Routes, Shared};
 use super::upstream::{is_safe, relay, Forward};
@@ -24,19 +27,19 @@
 use crate::port::Table;
 use crate::util::lock;
 
-/// Bound on a key's length.
+/// Longest `Idempotency-Key` that is accepted.
 const KEY_MAX_BYTES: usize = 256;
 
-/// Bound on a deadline, in milliseconds.
+/// Largest value of `Rockwick-Deadline-Ms`.
 const DEADLINE_MAX_MS: Millis = 3_600_000;
 
-/// How long a request waits for a fresh view after a pause of the process.
-const FRESH_MS: Millis = 1_000;
+/// Longest time that a request waits for a confirmed view after a pause of the process.
+const FRESH_VIEW_MAX_MS: Millis = 1_000;
 
-/// How long a cancel waits to tell what truly happened.
-const CANCEL_MS: Millis = 5_000;
+/// Longest time that a cancel repeats a commit after conflicts and waits for the job's final state.
+const CANCEL_WAIT_MAX_MS: Millis = 5_000;
 
-/// Answers one request of a caller.
+/// Answers one request of a caller, counts it in the metrics and logs a refusal.
 pub(super) async fn handle(shared: &Arc<Shared>, incoming: Incoming) -> Response {
     Metrics::add(&shared.metrics.requests);
     let request = shared.request_id();
@@ -50,7 +53,7 @@
         }
         Err(failure) => {
             shared.metrics.failed(failure.kind);
-            tell_refused(shared, &request, &failure);
+            log_refused(shared, &request, &failure);
             server::problem(&failure)
         }
     };
@@ -58,11 +61,11 @@
     res
 }
 
-fn tell_refused(shared: &Shared, request: &str, failure: &Failure) {
+fn log_refused(shared: &Shared, request: &str, failure: &Failure) {
     let row = failure.kind.row();
     let why = format!("{}: {}", row.name, failure.detail);
     let d = Decision::new(Code::RouteRefused, Subject::Request, request, why);
-    shared.tell(d.with("status", u64::from(row.status)));
+    shared.log_decision(d.with("status", u64::from(row.status)));
 }
 
 async fn answer(
@@ -84,7 +87,7 @@
     }
     if path == "/jobs" || path.starts_with("/jobs/") {
         take_quota(shared, caller)?;
-        return jobs(shared, caller, incoming, path).await;
+        return handle_jobs(shared, caller, incoming, path).await;
     }
     Err(Kind::UnknownPath.because(path))
 }
@@ -116,7 +119,7 @@
         Some(query) => format!("/{tail}?{query}"),
         None => format!("/{tail}"),
     };
-    let timeout_ms = deadline_ms(incoming)?.unwrap_or(route.service.timeout_ms);
+    let timeout_ms = parse_deadline_ms(incoming)?.unwrap_or(route.service.timeout_ms);
     let timeout_ms = timeout_ms.min(route.service.timeout_ms);
     let forward = Forward {
         shared,
@@ -124,12 +127,12 @@
         incoming,
         request,
         path,
-        class: class(incoming)?,
+        class: parse_class(incoming)?,
         entries: routes.entries,
         deadline_ms: shared.clock.now_ms() + timeout_ms,
         repeatable: is_safe(method) || route.service.repeatable,
     };
-    fresh_view(shared).await?;
+    wait_for_fresh_view(shared).await?;
     let key = incoming
         .header("idempotency-key")
         .filter(|_| !is_safe(method));
@@ -157,7 +160,7 @@
     if shared.store_down.load(Ordering::SeqCst) {
         return Err(Kind::StoreDown.into());
     }
-    // Whatever the service declares: under a key it runs at most once.
+    // A request with a key runs at most once, even if the service declares that it is repeatable.
     forward.repeatable = false;
     let claim = keyed::claim(shared, &caller.name, key, forward.request, forward.incoming).await?;
     let claim = match claim {
@@ -169,9 +172,9 @@
     result.map(relay)
 }
 
-/// After a pause of the process the view is refreshed before anything is sent.
-async fn fresh_view(shared: &Shared) -> Result<(), Failure> {
-    let until_ms = shared.clock.now_ms() + FRESH_MS;
+/// Waits until the view is confirmed again after a pause of the process, before anything is sent.
+async fn wait_for_fresh_view(shared: &Shared) -> Result<(), Failure> {
+    let until_ms = shared.clock.now_ms() + FRESH_VIEW_MAX_MS;
     loop {
         match shared.may_send() {
             Ok(()) => return Ok(()),
@@ -181,7 +184,7 @@
     }
 }
 
-fn class(incoming: &Incoming) -> Result<Class, Failure> {
+fn parse_class(incoming: &Incoming) -> Result<Class, Failure> {
     match incoming.header("rockwick-class") {
         None => Ok(Class::Normal),
         Some(text) => Class::parse(text).ok_or_else(|| {
@@ -191,7 +194,7 @@
     }
 }
 
-fn deadline_ms(incoming: &Incoming) -> Result<Option<Millis>, Failure> {
+fn parse_deadline_ms(incoming: &Incoming) -> Result<Option<Millis>, Failure> {
     let Some(text) = incoming.header("rockwick-deadline-ms") else {
         return Ok(None);
     };
@@ -204,7 +207,7 @@
     }
 }
 
-async fn jobs(
+async fn handle_jobs(
     shared: &Arc<Shared>,
     caller: &Caller,
     incoming: &Incoming,
@@ -241,7 +244,7 @@
         id,
         spec,
     };
-    match ask(shared, edit).await? {
+    match submit_edit(shared, edit).await? {
         Reply::Job(id) => {
             let mut res = server::json(202, &serde_json::json!({ "job": id }));
             res.insert_header("location", format!("/jobs/{id}"));
@@ -251,11 +254,14 @@
     }
 }
 
-/// The job as this entry knows it, or as the table has it where another entry took it just now.
+/// Finds a job of the account in this entry's state, or in the table if another entry has just accepted it.
 async fn find_job(shared: &Arc<Shared>, caller: &Caller, id: &str) -> Result<JobRow, Failure> {
     let (reply, answer) = smol::channel::bounded(1);
-    let id_here = id.to_string();
-    shared.tell_control(Message::Job { id: id_here, reply });
+    let asked_id = id.to_string();
+    shared.send_to_control(Message::Job {
+        id: asked_id,
+        reply,
+    });
     let mut found = answer.recv().await.ok().flatten();
     if found.is_none() {
         Metrics::add(&shared.metrics.platform_calls);
@@ -268,16 +274,16 @@
         .ok_or_else(|| Kind::UnknownJob.because(id))
 }
 
-/// Asks for the job to be stopped, and tells what truly happened if that is known soon.
+/// Cancels the job. Answers 200 with its final state if it ends in time, else 202 with its present state.
 async fn cancel(shared: &Arc<Shared>, caller: &Caller, id: &str) -> Result<Response, Failure> {
     find_job(shared, caller, id).await?;
     let edit = Edit::Cancel {
         account: Some(caller.name.clone()),
         job: id.to_string(),
     };
-    let until_ms = shared.clock.now_ms() + CANCEL_MS;
-    // A conflict means that the job is just being placed.
-    while let Err(failure) = ask(shared, edit.clone()).await {
+    let until_ms = shared.clock.now_ms() + CANCEL_WAIT_MAX_MS;
+    // A conflict means that the job is being placed at this moment.
+    while let Err(failure) = submit_edit(shared, edit.clone()).await {
         if failure.kind != Kind::Conflict || shared.clock.now_ms() >= until_ms {
             return Err(failure);
         }
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -1,4 +1,7 @@
-//! One request to backend servers: attempts, retries, and what may truly be said about the run.
+//! Forwards one request to backend servers: attempts, retries and the answer to the caller.
+//!
+//! A request that may have run is sent again only if it is repeatable, and its failure says that it may have run.
+//! `traffic` builds a [`Forward`] for each request and runs it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,7 +9,7 @@
 use http_types::{Method, Request, Response, StatusCode};
 use smol::Timer;
 
-use super::balance::{Place, Search};
+use super::balance::{Permit, Search};
 use super::shared::{Route, Shared};
 use crate::clock::Millis;
 use crate::core::config::Class;
@@ -14,19 +17,19 @@
 use crate::core::retry::{Cost, RetryBudget};
 use crate::error::{Failure, Kind, Run};
 use crate::event::{Code, Decision, Subject};
-use crate::http::{connection_names, end_to_end, Answer, Incoming, Sent, Trouble};
+use crate::http::{connection_names, is_end_to_end, Answer, Incoming, Sent, Trouble};
 use crate::metrics::Metrics;
 
-/// Attempts at most, whatever budget and deadline allow.
+/// Largest number of attempts for one request, even if the retry budget and the deadline allow more.
 const ATTEMPTS_MAX: usize = 16;
 
-/// A request that goes on being refused or lost is given up after so long, whatever its deadline.
-const TRY_MS: Millis = 2_000;
+/// Time after the first failed attempt in which retries may start, even if the deadline is later.
+const RETRY_MAX_MS: Millis = 2_000;
 
-/// Pause between two looks at a spent budget.
-const PAUSE_MS: Millis = 20;
+/// Pause between two checks of a spent retry budget, before jitter.
+const BUDGET_POLL_MS: Millis = 20;
 
-/// Headers that stay between the caller and us.
+/// Headers of the caller that are not forwarded to the backend server.
 const NOT_FORWARDED: [&str; 5] = [
     "authorization",
     "host",
@@ -35,7 +38,7 @@
     "rockwick-request",
 ];
 
-/// A request on its way.
+/// A request to forward, with its route and its bounds.
 pub(super) struct Forward<'a> {
     pub(super) shared: &'a Shared,
     pub(super) route: &'a Route,
@@ -46,90 +49,91 @@
     pub(super) class: Class,
     pub(super) entries: usize,
     pub(super) deadline_ms: Millis,
-    /// Whether it may be sent again after bytes of it went out.
+    /// Whether the request may be sent again after some of its bytes were sent.
     pub(super) repeatable: bool,
 }
 
-/// What an attempt came to, beyond a whole answer.
-enum Miss {
-    /// Certainly not run, the backend server is full.
+/// Why an attempt got no complete answer.
+enum AttemptError {
+    /// The backend server is full and did not run the request.
     Refused,
-    /// Certainly not run, no connection.
-    Unreached,
-    /// It may have run.
+    /// Nothing was sent, so the request did not run.
+    NotConnected,
+    /// The request may have run.
     Lost(Kind),
 }
 
-impl Miss {
+impl AttemptError {
     fn cost(&self) -> Cost {
         match self {
-            Miss::Refused | Miss::Unreached => Cost::Refused,
-            Miss::Lost(_) => Cost::Lost,
+            AttemptError::Refused | AttemptError::NotConnected => Cost::Refused,
+            AttemptError::Lost(_) => Cost::Lost,
         }
     }
 }
 
 impl Forward<'_> {
-    /// Gives the backend server's whole answer, or why there is none.
+    /// Sends the request, with retries. Returns the backend server's complete answer, or why there is none.
     pub(super) async fn run(&self) -> Result<Answer, Failure> {
-        let mut barred: Vec<SocketAddr> = Vec::new();
+        let mut excluded: Vec<SocketAddr> = Vec::new();
         let mut give_up_ms = self.deadline_ms;
-        self.budget().earn();
+        self.retry_budget().earn();
         for attempt in 1..=ATTEMPTS_MAX {
-            let place = match (self.search().place(&barred).await, attempt) {
-                (Ok(place), _) => place,
+            let permit = match (self.permit_search().acquire(&excluded).await, attempt) {
+                (Ok(permit), _) => permit,
                 (Err(kind), 1) => return Err(kind.into()),
-                // What those who were asked said is the answer.
+                // The caller gets what the backend servers that were asked said, not why no further one is free.
                 (Err(_), _) => return Err(Kind::Refused.because("no other backend server is free")),
             };
-            let addr = place.backend.address();
-            let miss = match self.attempt(place, attempt).await {
+            let addr = permit.backend.address();
+            let err = match self.send_attempt(permit, attempt).await {
                 Ok(answer) => return Ok(answer),
-                Err(miss) => miss,
+                Err(err) => err,
             };
-            if let Miss::Lost(kind) = miss {
+            if let AttemptError::Lost(kind) = err {
                 if !self.repeatable {
                     return Err(kind.because("the request may have been run"));
                 }
             }
             if attempt == 1 {
-                give_up_ms = give_up_ms.min(self.shared.clock.now_ms() + TRY_MS);
+                give_up_ms = give_up_ms.min(self.shared.clock.now_ms() + RETRY_MAX_MS);
             }
             let may_retry = attempt < ATTEMPTS_MAX;
-            if !may_retry || !self.wait_for_budget(miss.cost(), give_up_ms).await {
-                return Err(self.give_up(&miss));
+            if !may_retry || !self.wait_for_budget(err.cost(), give_up_ms).await {
+                return Err(self.attempt_failure(&err));
             }
-            barred.push(addr);
-            if barred.len() >= self.route.backends.len() {
-                barred.clear();
+            excluded.push(addr);
+            if excluded.len() >= self.route.backends.len() {
+                excluded.clear();
             }
             Metrics::add(&self.shared.metrics.retries);
-            self.tell_retry(&miss, attempt);
+            self.log_retry(&err, attempt);
         }
         Err(Kind::Refused.into())
     }
 
-    fn budget(&self) -> &RetryBudget {
-        self.route.lane.budget(self.class)
+    fn retry_budget(&self) -> &RetryBudget {
+        self.route.admission.budget(self.class)
     }
 
-    /// Waits until the budget has a retry to give, for as long as it is worth it and in time.
+    /// Waits until the retry budget allows a retry. Returns false if `give_up_ms` comes first, or if too little time
+    /// is left for another exchange.
     async fn wait_for_budget(&self, cost: Cost, give_up_ms: Millis) -> bool {
         loop {
             let now_ms = self.shared.clock.now_ms();
-            if now_ms < give_up_ms && self.budget().spend(cost, now_ms) {
+            if now_ms < give_up_ms && self.retry_budget().spend(cost, now_ms) {
                 return true;
             }
-            let needed_ms = self.route.lane.likely_exchange_ms() + PAUSE_MS;
+            let needed_ms = self.route.admission.likely_exchange_ms() + BUDGET_POLL_MS;
             if now_ms >= give_up_ms || now_ms + needed_ms >= self.deadline_ms {
                 return false;
             }
-            let jitter_ms = fastrand::u64(0..=PAUSE_MS);
-            Timer::after(Duration::from_millis(PAUSE_MS / 2 + jitter_ms)).await;
+            let jitter_ms = fastrand::u64(0..=BUDGET_POLL_MS);
+            Timer::after(Duration::from_millis(BUDGET_POLL_MS / 2 + jitter_ms)).await;
         }
     }
 
-    fn search(&self) -> Search<'_> {
+    fn permit_search(&self) -> Search<'_> {
         Search {
             shared: self.shared,
             route: self.route,
@@ -139,48 +143,51 @@
         }
     }
 
-    fn give_up(&self, miss: &Miss) -> Failure {
-        match miss {
-            Miss::Refused => Kind::Refused.into(),
-            Miss::Unreached => Kind::NoBackend.because("no connection to a backend server"),
-            Miss::Lost(kind) => (*kind).into(),
+    fn attempt_failure(&self, err: &AttemptError) -> Failure {
+        match err {
+            AttemptError::Refused => Kind::Refused.into(),
+            AttemptError::NotConnected => {
+                Kind::NoBackend.because("no connection to a backend server")
+            }
+            AttemptError::Lost(kind) => (*kind).into(),
         }
     }
 
-    async fn attempt(&self, place: Place, attempt: usize) -> Result<Answer, Miss> {
+    async fn send_attempt(&self, permit: Permit, attempt: usize) -> Result<Answer, AttemptError> {
         let began_ms = self.shared.clock.now_ms();
         let left_ms = self.deadline_ms.saturating_sub(began_ms);
-        // A first attempt that may be repeated leaves time for a second.
-        let most_ms = match self.repeatable && attempt == 1 {
+        // The first attempt of a repeatable request uses at most half the time, so that a second one is possible.
+        let timeout_ms = match self.repeatable && attempt == 1 {
             true => left_ms.div_ceil(2),
             false => left_ms,
         };
-        let Some(req) = self.outgoing(&place, left_ms) else {
-            return Err(Miss::Unreached);
+        let Some(req) = self.build_request(&permit, left_ms) else {
+            return Err(AttemptError::NotConnected);
         };
-        let deadline = self.shared.clock.instant(began_ms + most_ms);
-        let result = place.backend.client.exchange(req, deadline).await;
+        let deadline = self.shared.clock.instant(began_ms + timeout_ms);
+        let result = permit.backend.client.exchange(req, deadline).await;
         let took_ms = self.shared.clock.now_ms() - began_ms;
-        let (sign, outcome) = judge(result);
-        place.note(sign, self.route, self.shared);
+        let (sign, outcome) = classify(result);
+        permit.note_outcome(sign, self.route, self.shared);
         if sign == Sign::Good {
-            self.route.lane.note_exchange(took_ms);
+            self.route.admission.note_exchange(took_ms);
         }
-        if let Err(Miss::Refused) = &outcome {
+        if let Err(AttemptError::Refused) = &outcome {
             Metrics::add(&self.shared.metrics.refused_by_backend);
         }
-        self.tell(&place, attempt, took_ms, &outcome);
+        self.log_attempt(&permit, attempt, took_ms, &outcome);
         outcome
     }
 
-    fn outgoing(&self, place: &Place, left_ms: Millis) -> Option<Request> {
+    fn build_request(&self, permit: &Permit, left_ms: Millis) -> Option<Request> {
         let method = self.incoming.head.method();
-        let mut req = place.backend.client.request(method, &self.path)?;
+        let mut req = permit.backend.client.request(method, &self.path)?;
         let headers = self.incoming.head.as_ref();
-        let listed = connection_names(headers);
+        let connection_headers = connection_names(headers);
         for (name, values) in headers.iter() {
-            let plain = name.as_str();
-            if !end_to_end(plain, &listed) || NOT_FORWARDED.contains(&plain) {
+            let name_text = name.as_str();
+            if !is_end_to_end(name_text, &connection_headers) || NOT_FORWARDED.contains(&name_text)
+            {
                 continue;
             }
             for value in values.iter() {
@@ -191,7 +198,7 @@
         req.insert_header("rockwick-deadline-ms", left_ms.to_string());
         req.insert_header("rockwick-class", self.class.as_str());
         if !self.incoming.body.is_empty() {
-            // The codec's own idea of the media type goes; the caller's stays.
+            // `set_body` sets a media type of its own; the caller's replaces it.
             req.set_body(self.incoming.body.clone());
             req.remove_header("content-type");
             if let Some(media) = headers.get("content-type") {
@@ -201,74 +208,96 @@
         Some(req)
     }
 
-    fn tell(&self, place: &Place, attempt: usize, took_ms: Millis, outcome: &Result<Answer, Miss>) {
+    fn log_attempt(
+        &self,
+        permit: &Permit,
+        attempt: usize,
+        took_ms: Millis,
+        outcome: &Result<Answer, AttemptError>,
+    ) {
         let now_ms = self.shared.clock.now_ms();
         let (code, why) = match outcome {
             Ok(answer) => (
                 Code::Routed,
-                format!("{} status {}", place.backend.id, answer.status),
+                format!(
+                    "{} answered with status {}",
+                    permit.backend.id, answer.status
+                ),
+            ),
+            Err(AttemptError::Refused) => (
+                Code::RouteFailed,
+                format!("{} refused the request", permit.backend.id),
             ),
-            Err(Miss::Refused) => (Code::RouteFailed, format!("{} refused", place.backend.id)),
-            Err(Miss::Unreached) => (Code::RouteFailed, format!("{} unreached", place.backend.id)),
-            Err(Miss::Lost(kind)) => (
+            Err(AttemptError::NotConnected) => (
                 Code::RouteFailed,
-                format!("{} {}", place.backend.id, kind.row().name),
+                format!("{} could not be reached", permit.backend.id),
+            ),
+            Err(AttemptError::Lost(kind)) => (
+                Code::RouteFailed,
+                format!(
+                    "{} gave no complete answer: {}",
+                    permit.backend.id,
+                    kind.row().name
+                ),
             ),
         };
         let d = Decision::new(code, Subject::Request, self.request, why)
             .with("attempt", attempt as u64)
             .with(
                 "in_flight",
-                place
+                permit
                     .backend
                     .in_flight
                     .load(std::sync::atomic::Ordering::Relaxed)
                     .into(),
             )
-            .with("window", place.backend.window(now_ms).into())
+            .with("window", permit.backend.window(now_ms).into())
             .with("took_ms", took_ms)
             .with("left_ms", self.deadline_ms.saturating_sub(now_ms));
-        self.shared.tell(d);
+        self.shared.log_decision(d);
     }
 
-    fn tell_retry(&self, miss: &Miss, attempt: usize) {
-        let why = match miss {
-            Miss::Refused => "refused before running",
-            Miss::Unreached => "no connection",
-            Miss::Lost(_) => "lost, and may be repeated",
+    fn log_retry(&self, err: &AttemptError, attempt: usize) {
+        let why = match err {
+            AttemptError::Refused => "the backend server refused the request before running it",
+            AttemptError::NotConnected => "no connection to the backend server",
+            AttemptError::Lost(_) => "no complete answer, and the request may be repeated",
         };
         let d = Decision::new(Code::RouteRetried, Subject::Request, self.request, why);
-        self.shared.tell(d.with("after_attempt", attempt as u64));
+        self.shared
+            .log_decision(d.with("after_attempt", attempt as u64));
     }
 }
 
-/// What an exchange says about the backend server, and about the run.
-fn judge(result: Result<Answer, Trouble>) -> (Sign, Result<Answer, Miss>) {
+/// Returns what an exchange says about the backend server's health, and the outcome of the attempt.
+fn classify(result: Result<Answer, Trouble>) -> (Sign, Result<Answer, AttemptError>) {
     match result {
         // The refusal convention: 503 together with `Rockwick-Run: no`.
         Ok(a) if a.status == 503 && a.header("rockwick-run") == Some("no") => {
-            (Sign::Full, Err(Miss::Refused))
+            (Sign::Full, Err(AttemptError::Refused))
         }
         Ok(a) if a.status >= 500 => (Sign::Bad, Ok(a)),
         Ok(a) => (Sign::Good, Ok(a)),
-        Err(trouble) if trouble.sent() == Sent::Nothing => (Sign::Bad, Err(Miss::Unreached)),
-        Err(Trouble::Timeout(_)) => (Sign::Bad, Err(Miss::Lost(Kind::BackendTimeout))),
-        // It answered, and too much: that says nothing about its health.
-        Err(Trouble::TooLarge) => (Sign::Good, Err(Miss::Lost(Kind::AnswerTooLarge))),
-        Err(_) => (Sign::Bad, Err(Miss::Lost(Kind::BackendBroken))),
+        Err(trouble) if trouble.sent() == Sent::Nothing => {
+            (Sign::Bad, Err(AttemptError::NotConnected))
+        }
+        Err(Trouble::Timeout(_)) => (Sign::Bad, Err(AttemptError::Lost(Kind::BackendTimeout))),
+        // The backend server answered; an answer that is too large says nothing against its health.
+        Err(Trouble::TooLarge) => (Sign::Good, Err(AttemptError::Lost(Kind::AnswerTooLarge))),
+        Err(_) => (Sign::Bad, Err(AttemptError::Lost(Kind::BackendBroken))),
     }
 }
 
-/// The caller's answer made from a backend server's.
+/// Builds the caller's answer from a backend server's, without headers of the connection and `rockwick-` headers.
 pub(super) fn relay(answer: Answer) -> Response {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::BadGateway);
     let mut res = Response::new(status);
     res.set_body(answer.body);
     res.remove_header("content-type");
-    let listed = connection_names(&answer.headers);
+    let connection_headers = connection_names(&answer.headers);
     for (name, values) in answer.headers.iter() {
-        let plain = name.as_str();
-        if !end_to_end(plain, &listed) || plain.starts_with("rockwick-") {
+        let name_text = name.as_str();
+        if !is_end_to_end(name_text, &connection_headers) || name_text.starts_with("rockwick-") {
             continue;
         }
         for value in values.iter() {
@@ -279,7 +308,7 @@
     res
 }
 
-/// Whether HTTP itself says that a method may be repeated (RFC 9110, section 9.2.2) and changes nothing.
+/// Whether the method changes nothing and may be repeated according to HTTP (RFC 9110, section 9.2.2).
 pub(super) fn is_safe(method: Method) -> bool {
     matches!(method, Method::Get | Method::Head | Method::Options)
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -12,7 +12,7 @@
 
 use crate::util::lock;
 
-use super::{codec, connection_names, Wire};
+use super::{connection_names, drive_codec, Wire};
 
 /// Whether bytes of a request were handed to a connection when the exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -121,67 +121,76 @@
     /// A connection goes back to the pool only after a complete answer and nothing behind it;
     /// any other is closed, so that a late answer has nowhere to go.
     pub async fn exchange(&self, req: Request, deadline: Instant) -> Result<Answer, Trouble> {
-        let (wire, reused) = match self.take() {
+        let (wire, reused) = match self.take_idle() {
             Some(wire) => (wire, true),
             None => (self.connect(deadline).await?, false),
         };
-        let first = req.clone_head();
-        let result = self.carry(&wire, req, deadline).await;
+        let retry = req.clone_if_bodiless();
+        let result = self.exchange_on(&wire, req, deadline).await;
         match result {
             // The peer closed the idle connection between our look and our first byte.
             Err(Trouble::Broken(Sent::Nothing)) if reused => {
-                let Some(again) = first else { return result };
+                let Some(again) = retry else { return result };
                 let wire = self.connect(deadline).await?;
-                self.carry(&wire, again, deadline).await
+                self.exchange_on(&wire, again, deadline).await
             }
             // A path may drop what is sent on its open connections while new ones work: the others of this
             // pool would each cost a caller one more timeout.
             Err(Trouble::Timeout(_)) if reused => {
-                self.forget_idle();
+                self.close_idle();
                 result
             }
             other => other,
         }
     }
 
-    async fn carry(&self, wire: &Wire, req: Request, deadline: Instant) -> Result<Answer, Trouble> {
+    async fn exchange_on(
+        &self,
+        wire: &Wire,
+        req: Request,
+        deadline: Instant,
+    ) -> Result<Answer, Trouble> {
         let to_head = req.method() == Method::Head;
-        wire.next_response(to_head);
-        let work = async {
-            let answer = self.talk(wire, req).await;
+        wire.begin_response(to_head);
+        let receive = async {
+            let answer = self.send_and_receive(wire, req).await;
             Some(answer)
         };
-        let late = async {
+        let timeout = async {
             Timer::at(deadline).await;
             None
         };
-        match work.or(late).await {
+        match receive.or(timeout).await {
             Some(Ok((answer, reusable))) => {
                 if reusable {
-                    self.put(wire.clone());
+                    self.put_idle(wire.clone());
                 }
                 Ok(answer)
             }
-            Some(Err(Gone::TooLarge)) => Err(Trouble::TooLarge),
-            Some(Err(Gone::Broken)) => Err(Trouble::Broken(sent(wire))),
+            Some(Err(ReceiveError::TooLarge)) => Err(Trouble::TooLarge),
+            Some(Err(ReceiveError::Broken)) => Err(Trouble::Broken(sent(wire))),
             None => Err(Trouble::Timeout(sent(wire))),
         }
     }
 
-    async fn talk(&self, wire: &Wire, req: Request) -> Result<(Answer, bool), Gone> {
+    async fn send_and_receive(
+        &self,
+        wire: &Wire,
+        req: Request,
+    ) -> Result<(Answer, bool), ReceiveError> {
         let mut head_and_body = Vec::with_capacity(512);
         async_h1::client::Encoder::new(req)
             .read_to_end(&mut head_and_body)
             .await
-            .map_err(|_| Gone::Broken)?;
+            .map_err(|_| ReceiveError::Broken)?;
         let mut out = wire.clone();
         out.write_all(&head_and_body)
             .await
-            .map_err(|_| Gone::Broken)?;
+            .map_err(|_| ReceiveError::Broken)?;
         let mut res = async_h1::client::decode(wire.clone())
             .await
-            .map_err(|_| Gone::Broken)?;
-        let body = self.body(&mut res).await?;
+            .map_err(|_| ReceiveError::Broken)?;
+        let body = self.read_body(&mut res).await?;
         let headers: &Headers = res.as_ref();
         let closing = connection_names(headers).iter().any(|n| n == "close");
         let reusable = !closing && wire.at_end() && wire.is_quiet();
@@ -193,34 +202,34 @@
         Ok((answer, reusable))
     }
 
-    async fn body(&self, res: &mut Response) -> Result<Vec<u8>, Gone> {
+    async fn read_body(&self, res: &mut Response) -> Result<Vec<u8>, ReceiveError> {
         let mut body = Vec::new();
-        let most = self.answer_max_bytes as u64;
-        let mut reader = res.take_body().take(most + 1);
-        let read = codec(reader.read_to_end(&mut body)).await;
+        let max_bytes = self.answer_max_bytes as u64;
+        let mut reader = res.take_body().take(max_bytes + 1);
+        let read = drive_codec(reader.read_to_end(&mut body)).await;
         if !matches!(read, Some(Ok(_))) {
-            return Err(Gone::Broken);
+            return Err(ReceiveError::Broken);
         }
-        if body.len() as u64 > most {
-            return Err(Gone::TooLarge);
+        if body.len() as u64 > max_bytes {
+            return Err(ReceiveError::TooLarge);
         }
         Ok(body)
     }
 
     async fn connect(&self, deadline: Instant) -> Result<Wire, Trouble> {
-        let work = async { Some(Async::<TcpStream>::connect(self.addr).await) };
-        let late = async {
+        let connect = async { Some(Async::<TcpStream>::connect(self.addr).await) };
+        let timeout = async {
             Timer::at(deadline).await;
             None
         };
-        match work.or(late).await {
+        match connect.or(timeout).await {
             Some(Ok(stream)) => Ok(Wire::for_responses(stream)),
             Some(Err(_)) => Err(Trouble::Connect(Sent::Nothing)),
             None => Err(Trouble::Timeout(Sent::Nothing)),
         }
     }
 
-    fn take(&self) -> Option<Wire> {
+    fn take_idle(&self) -> Option<Wire> {
         let mut idle = lock(&self.idle);
         while let Some(wire) = idle.pop() {
             if wire.is_quiet() {
@@ -230,7 +239,7 @@
         None
     }
 
-    fn put(&self, wire: Wire) {
+    fn put_idle(&self, wire: Wire) {
         let mut idle = lock(&self.idle);
         if idle.len() < self.idle_max {
             idle.push(wire);
@@ -238,12 +247,12 @@
     }
 
     /// Closes the connections that nobody uses.
-    pub fn forget_idle(&self) {
+    pub fn close_idle(&self) {
         lock(&self.idle).clear();
     }
 }
 
-enum Gone {
+enum ReceiveError {
     Broken,
     TooLarge,
 }
@@ -257,12 +266,12 @@
 }
 
 /// Lets a request without a body be sent a second time.
-trait CloneHead {
-    fn clone_head(&self) -> Option<Request>;
+trait CloneBodiless {
+    fn clone_if_bodiless(&self) -> Option<Request>;
 }
 
-impl CloneHead for Request {
-    fn clone_head(&self) -> Option<Request> {
+impl CloneBodiless for Request {
+    fn clone_if_bodiless(&self) -> Option<Request> {
         (self.is_empty() == Some(true)).then(|| self.clone())
     }
 }
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -85,7 +85,7 @@
     side: Side,
     phase: Phase,
     /// Read from the socket but not handed out yet.
-    ahead: Vec<u8>,
+    buffered: Vec<u8>,
     fault: Option<Fault>,
     written_bytes: u64,
 }
@@ -116,7 +116,7 @@
             state: Arc::new(Mutex::new(State {
                 side,
                 phase: Phase::Head,
-                ahead: Vec::new(),
+                buffered: Vec::new(),
                 fault: None,
                 written_bytes: 0,
             })),
@@ -129,14 +129,14 @@
     }
 
     /// Makes ready for the next message on the same connection.
-    pub fn next_request(&self) {
+    pub fn begin_request(&self) {
         let mut s = self.state();
         s.phase = Phase::Head;
         s.written_bytes = 0;
     }
 
     /// Makes ready for the answer to a request; `to_head` says that it has no body.
-    pub fn next_response(&self, to_head: bool) {
+    pub fn begin_response(&self, to_head: bool) {
         let mut s = self.state();
         s.side = Side::Response { to_head };
         s.phase = Phase::Head;
@@ -154,8 +154,8 @@
     }
 
     /// Whether bytes of a message have been read that nobody asked for yet.
-    pub fn has_ahead(&self) -> bool {
-        !self.state().ahead.is_empty()
+    pub fn has_buffered(&self) -> bool {
+        !self.state().buffered.is_empty()
     }
 
     /// Whether the message was handed out to its last byte, and its end is certain.
@@ -165,7 +165,7 @@
 
     /// Whether an idle connection is still open and silent, so that it may carry another exchange.
     pub fn is_quiet(&self) -> bool {
-        if self.has_ahead() {
+        if self.has_buffered() {
             return false;
         }
         let mut byte = [0u8; 1];
@@ -176,7 +176,7 @@
     }
 
     /// Closes our sending side, so that the peer sees the end after the last answer.
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
@@ -184,7 +184,7 @@
         Pin::new(&mut &*self.stream).poll_read(cx, out)
     }
 
-    fn fail(state: &mut State, fault: Fault) -> Poll<io::Result<usize>> {
+    fn fail_with(state: &mut State, fault: Fault) -> Poll<io::Result<usize>> {
         state.fault = Some(fault);
         Poll::Ready(Err(io::Error::new(
             io::ErrorKind::InvalidData,
@@ -202,14 +202,14 @@
         let mut s = self.state();
         loop {
             match s.phase {
-                Phase::Head => match head_end(&s.ahead) {
-                    Some(end) => match body_of(s.side, &s.ahead[..end]) {
-                        Ok(Body::Counted(n)) => s.phase = Phase::Counted(end as u64 + n),
-                        Ok(Body::Chunked) => s.phase = Phase::Chunked,
-                        Err(fault) => return Self::fail(&mut s, fault),
+                Phase::Head => match head_end(&s.buffered) {
+                    Some(end) => match body_framing(s.side, &s.buffered[..end]) {
+                        Ok(BodyFraming::Counted(n)) => s.phase = Phase::Counted(end as u64 + n),
+                        Ok(BodyFraming::Chunked) => s.phase = Phase::Chunked,
+                        Err(fault) => return Self::fail_with(&mut s, fault),
                     },
-                    None if s.ahead.len() >= HEAD_MAX_BYTES => {
-                        return Self::fail(&mut s, Fault::HeadTooLarge);
+                    None if s.buffered.len() >= HEAD_MAX_BYTES => {
+                        return Self::fail_with(&mut s, Fault::HeadTooLarge);
                     }
                     None => {
                         let mut buf = [0u8; READ_BYTES];
@@ -217,37 +217,37 @@
                             Poll::Ready(Ok(n)) => n,
                             other => return other,
                         };
-                        if n == 0 && s.ahead.is_empty() {
+                        if n == 0 && s.buffered.is_empty() {
                             return Poll::Ready(Ok(0));
                         }
                         if n == 0 {
-                            return Self::fail(&mut s, Fault::CutHead);
+                            return Self::fail_with(&mut s, Fault::CutHead);
                         }
-                        s.ahead.extend_from_slice(&buf[..n]);
+                        s.buffered.extend_from_slice(&buf[..n]);
                     }
                 },
                 Phase::Counted(0) => return Poll::Ready(Ok(0)),
                 Phase::Counted(left) => {
-                    let most = out.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    let n = if s.ahead.is_empty() {
-                        match self.poll_socket(cx, &mut out[..most]) {
-                            Poll::Ready(Ok(0)) if most > 0 => {
-                                return Self::fail(&mut s, Fault::CutBody);
+                    let read_max = out.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+                    let n = if s.buffered.is_empty() {
+                        match self.poll_socket(cx, &mut out[..read_max]) {
+                            Poll::Ready(Ok(0)) if read_max > 0 => {
+                                return Self::fail_with(&mut s, Fault::CutBody);
                             }
                             Poll::Ready(Ok(n)) => n,
                             other => return other,
                         }
                     } else {
-                        hand_out(&mut s.ahead, &mut out[..most])
+                        take_buffered(&mut s.buffered, &mut out[..read_max])
                     };
                     s.phase = Phase::Counted(left - n as u64);
                     return Poll::Ready(Ok(n));
                 }
                 Phase::Chunked => {
-                    if s.ahead.is_empty() {
+                    if s.buffered.is_empty() {
                         return self.poll_socket(cx, out);
                     }
-                    let n = hand_out(&mut s.ahead, out);
+                    let n = take_buffered(&mut s.buffered, out);
                     return Poll::Ready(Ok(n));
                 }
             }
@@ -277,10 +277,10 @@
     }
 }
 
-fn hand_out(ahead: &mut Vec<u8>, out: &mut [u8]) -> usize {
-    let n = ahead.len().min(out.len());
-    out[..n].copy_from_slice(&ahead[..n]);
-    ahead.drain(..n);
+fn take_buffered(buffered: &mut Vec<u8>, out: &mut [u8]) -> usize {
+    let n = buffered.len().min(out.len());
+    out[..n].copy_from_slice(&buffered[..n]);
+    buffered.drain(..n);
     n
 }
 
@@ -292,12 +292,12 @@
         .filter(|&end| end <= HEAD_MAX_BYTES)
 }
 
-enum Body {
+enum BodyFraming {
     Counted(u64),
     Chunked,
 }
 
-fn body_of(side: Side, head: &[u8]) -> Result<Body, Fault> {
+fn body_framing(side: Side, head: &[u8]) -> Result<BodyFraming, Fault> {
     // http-types panics on a header value beyond ASCII.
     if !head.is_ascii() {
         return Err(Fault::NotAscii);
@@ -313,7 +313,7 @@
             if count(req.headers, "host") != 1 {
                 return Err(Fault::Host);
             }
-            Ok(length(req.headers)?.unwrap_or(Body::Counted(0)))
+            Ok(declared_length(req.headers)?.unwrap_or(BodyFraming::Counted(0)))
         }
         Side::Response { to_head } => {
             let mut res = httparse::Response::new(&mut headers);
@@ -325,11 +325,11 @@
             if code < 200 {
                 return Err(Fault::Interim);
             }
-            let told = length(res.headers)?;
+            let declared = declared_length(res.headers)?;
             if to_head || code == 204 || code == 304 {
-                return Ok(Body::Counted(0));
+                return Ok(BodyFraming::Counted(0));
             }
-            told.ok_or(Fault::CloseDelimited)
+            declared.ok_or(Fault::CloseDelimited)
         }
     }
 }
@@ -349,7 +349,7 @@
         .count()
 }
 
-fn length(headers: &[httparse::Header<'_>]) -> Result<Option<Body>, Fault> {
+fn declared_length(headers: &[httparse::Header<'_>]) -> Result<Option<BodyFraming>, Fault> {
     let lengths = count(headers, "content-length");
     let codings = count(headers, "transfer-encoding");
     if lengths > 0 && codings > 0 {
@@ -369,7 +369,7 @@
         let chunked = codings == 1
             && find("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
         return if chunked {
-            Ok(Some(Body::Chunked))
+            Ok(Some(BodyFraming::Chunked))
         } else {
             Err(Fault::Coding)
         };
@@ -378,7 +378,7 @@
         None => Ok(None),
         Some(v) if !v.is_empty() && v.len() < 19 && v.bytes().all(|b| b.is_ascii_digit()) => v
             .parse()
-            .map(|n| Some(Body::Counted(n)))
+            .map(|n| Some(BodyFraming::Counted(n)))
             .map_err(|_| Fault::Length),
         Some(_) => Err(Fault::Length),
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -33,7 +33,7 @@
 ];
 
 /// Whether `name` (lower case) may be passed on, given the names that `Connection` lists.
-pub fn end_to_end(name: &str, listed: &[String]) -> bool {
+pub fn is_end_to_end(name: &str, listed: &[String]) -> bool {
     !HOP_BY_HOP.contains(&name) && !listed.iter().any(|l| l == name)
 }
 
@@ -61,7 +61,7 @@
 
 /// Drives a future of the codec past two faults of its chunked decoder: it forgets to ask to be woken
 /// when a trailer arrives in pieces, and it panics on a trailer beyond ASCII. A panic gives nothing.
-async fn codec<T>(work: impl Future<Output = T>) -> Option<T> {
+async fn drive_codec<T>(work: impl Future<Output = T>) -> Option<T> {
     let repoll = async {
         loop {
             Timer::after(Duration::from_millis(REPOLL_MS)).await;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -8,7 +8,7 @@
 use http_types::{Method, Request, Response, StatusCode};
 use smol::Timer;
 
-use super::{codec, connection_names, Fault, Wire};
+use super::{connection_names, drive_codec, Fault, Wire};
 use crate::error::{Failure, Kind, Run};
 
 /// Bounds on what a connection may ask of us.
@@ -34,10 +34,10 @@
 
 /// For handing an answer to the connection: a peer that reads nothing for so long gets no more of it. As long
 /// as a request's head may take by default.
-const ANSWER_MS: u64 = 10_000;
+const WRITE_MAX_MS: u64 = 10_000;
 
 /// How often a connection that waits is looked at.
-const LOOK_MS: u64 = 500;
+const CHECK_MS: u64 = 500;
 
 /// A whole request.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
     }
 
     /// Whether the caller asked to close after this exchange.
-    fn closes(&self) -> bool {
+    fn wants_close(&self) -> bool {
         connection_names(self.head.as_ref())
             .iter()
             .any(|n| n == "close")
@@ -92,10 +92,10 @@
             }
             Arrival::Request(incoming) => {
                 let method = incoming.head.method();
-                let closes = incoming.closes();
-                let certain_end = wire.at_end();
+                let wants_close = incoming.wants_close();
+                let is_end_known = wire.at_end();
                 let res = handler(*incoming).await;
-                let close = closes || stopping() || !certain_end;
+                let close = wants_close || stopping() || !is_end_known;
                 if write(&wire, res, method, close).await.is_err() {
                     return;
                 }
@@ -110,30 +110,30 @@
 
 /// Reads one whole request; a connection that is idle when `stopping` says so is given up.
 pub async fn read(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) -> Arrival {
-    wire.next_request();
+    wire.begin_request();
     let head = async { Some(async_h1::server::decode(wire.clone()).await) };
-    let late = async {
-        arrival_deadline(wire, limits, &stopping).await;
+    let timeout = async {
+        wait_for_head_deadline(wire, limits, &stopping).await;
         None
     };
-    let decoded = match head.or(late).await {
-        None if wire.has_ahead() => return Arrival::Bad(Kind::SlowRequest.into()),
+    let decoded = match head.or(timeout).await {
+        None if wire.has_buffered() => return Arrival::Bad(Kind::SlowRequest.into()),
         None | Some(Ok(None)) => return Arrival::Nothing,
-        Some(Err(e)) => return bad_head(wire, &e),
+        Some(Err(e)) => return arrival_of_bad_head(wire, &e),
         Some(Ok(Some((req, _)))) => req,
     };
     read_body(wire, decoded, limits).await
 }
 
-async fn arrival_deadline(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) {
+async fn wait_for_head_deadline(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) {
     let idle = Duration::from_millis(limits.idle_ms);
     let arrive = Duration::from_millis(limits.arrive_ms);
-    let step = Duration::from_millis(limits.arrive_ms.min(LOOK_MS));
+    let step = Duration::from_millis(limits.arrive_ms.min(CHECK_MS));
     let began = Instant::now();
     let mut first_seen = None;
     loop {
         Timer::after(step).await;
-        if wire.has_ahead() {
+        if wire.has_buffered() {
             let first = *first_seen.get_or_insert_with(Instant::now);
             if first.elapsed() + step >= arrive {
                 return;
@@ -144,7 +144,7 @@
     }
 }
 
-fn bad_head(wire: &Wire, err: &http_types::Error) -> Arrival {
+fn arrival_of_bad_head(wire: &Wire, err: &http_types::Error) -> Arrival {
     match wire.fault() {
         Some(Fault::CutHead | Fault::CutBody) => Arrival::Nothing,
         Some(Fault::HeadTooLarge) => {
@@ -158,24 +158,24 @@
 
 async fn read_body(wire: &Wire, mut head: Request, limits: Limits) -> Arrival {
     let arrived = Instant::now();
-    let most = limits.body_bytes;
-    if head.len().is_some_and(|n| n > most) {
-        return Arrival::Bad(Kind::BodyTooLarge.because(format!("at most {most} bytes")));
+    let max_bytes = limits.body_bytes;
+    if head.len().is_some_and(|n| n > max_bytes) {
+        return Arrival::Bad(Kind::BodyTooLarge.because(format!("at most {max_bytes} bytes")));
     }
     let mut body = Vec::new();
-    let mut reader = head.take_body().take(most as u64 + 1);
-    let work = async { Some(codec(reader.read_to_end(&mut body)).await) };
-    let late = async {
+    let mut reader = head.take_body().take(max_bytes as u64 + 1);
+    let work = async { Some(drive_codec(reader.read_to_end(&mut body)).await) };
+    let timeout = async {
         Timer::after(Duration::from_millis(limits.arrive_ms)).await;
         None
     };
-    match work.or(late).await {
+    match work.or(timeout).await {
         None => return Arrival::Bad(Kind::SlowRequest.because("the body did not arrive in time")),
         Some(Some(Err(_))) if wire.fault() == Some(Fault::CutBody) => return Arrival::Nothing,
         Some(Some(Err(e))) => return Arrival::Bad(Kind::BadRequest.because(e.to_string())),
         Some(None) => return Arrival::Bad(Kind::BadRequest.because("malformed trailer")),
-        Some(Some(Ok(_))) if body.len() > most => {
-            return Arrival::Bad(Kind::BodyTooLarge.because(format!("at most {most} bytes")));
+        Some(Some(Ok(_))) if body.len() > max_bytes => {
+            return Arrival::Bad(Kind::BodyTooLarge.because(format!("at most {max_bytes} bytes")));
         }
         Some(Some(Ok(_))) => {}
     }
@@ -201,11 +201,11 @@
         .read_to_end(&mut bytes)
         .await?;
     let mut out = wire.clone();
-    let late = async {
-        Timer::after(Duration::from_millis(ANSWER_MS)).await;
+    let timeout = async {
+        Timer::after(Duration::from_millis(WRITE_MAX_MS)).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
-    out.write_all(&bytes).or(late).await
+    out.write_all(&bytes).or(timeout).await
 }
 
 /// Reads on for a moment after the last answer: closing at once over unread bytes would reset the
@@ -213,17 +213,17 @@
 async fn linger(wire: &Wire) {
     const LINGER_MS: u64 = 500;
     const LINGER_BYTES: u64 = 1 << 20;
-    wire.finish();
-    wire.next_request();
+    wire.shutdown_write();
+    wire.begin_request();
     let drain = async {
         let mut rdr = wire.clone().take(LINGER_BYTES);
         let mut buf = [0u8; 4096];
         while matches!(rdr.read(&mut buf).await, Ok(n) if n > 0) {}
     };
-    let late = async {
+    let timeout = async {
         Timer::after(Duration::from_millis(LINGER_MS)).await;
     };
-    drain.or(late).await;
+    drain.or(timeout).await;
 }
 
 /// The answer for a failure: problem details, `Rockwick-Run`, and `Retry-After` where it helps.
