--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -1,4 +1,6 @@
-//! The operators' interface: health, metrics, what is known, and edits.
+//! The operators' HTTP interface: health, metrics, views of the state, `explain` and edits.
+//!
+//! Runs on the control thread, which starts [`accept`], and reads the state directly.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -22,7 +24,7 @@
 use crate::port::Life;
 use crate::view::{EntryView, HostView, JobView, Line, PoolView, Status, TemplateView, WaveView};
 
-/// Takes operators' connections, on the control thread.
+/// Accepts operators' connections and serves each in a task on the control thread.
 pub(super) async fn accept(control: Rc<Control>, listener: Async<TcpListener>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -281,7 +283,7 @@
     }
 }
 
-/// The chain of what happened to one thing: its row's own history, and what entries logged about it.
+/// Answers with the history of one subject, by time: the history in its row and what the entries logged about it.
 async fn explain(control: &Rc<Control>, rest: &str) -> Result<Response, Failure> {
     let (kind, id) = rest.split_once('/').unwrap_or((rest, ""));
     let subject = Subject::parse(kind).ok_or_else(|| Kind::UnknownPath.because(kind))?;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,7 @@
-//! The daemon: traffic on its threads, control on one, peers on theirs.
+//! The entry daemon: starts its threads, accepts callers' connections and stops in order.
+//!
+//! Callers' requests run on the traffic threads, decisions on one control thread, and each peer is polled from a
+//! thread of its own. The `entry` command calls [`run`].
 
 mod admin;
 mod balance;
@@ -27,7 +30,7 @@
 use crate::runtime::Runtime;
 use shared::{CountGuard, Shared};
 
-/// Runs an entry until it is told to stop; comes back when the last request has ended.
+/// Runs an entry until SIGTERM or SIGINT; returns when the last connection has ended or the stop bound has passed.
 pub fn run(settings: Settings) -> Result<()> {
     let callers = bind("listen", settings.listen)?;
     let operators = bind("admin", settings.admin)?;
@@ -55,7 +58,7 @@
     Async::new(listener).map_err(io)
 }
 
-/// A panic is a fault of ours: told as one event, and the thread goes on with its other work.
+/// Logs each panic as one event. A panic is a fault of the entry; the thread continues with its other work.
 fn log_panics(shared: &Arc<Shared>) {
     let shared = Arc::clone(shared);
     std::panic::set_hook(Box::new(move |info| {
@@ -82,7 +85,7 @@
             .with("wall_ms", wall_ms()),
     );
     for variable in config::unknown_variables() {
-        let why = format!("{variable} is no setting");
+        let why = format!("environment variable {variable} is not a known setting");
         shared.log_decision(Decision::new(
             Code::UnknownSetting,
             Subject::Entry,
@@ -90,7 +93,10 @@
             why,
         ));
     }
-    let why = format!("without accounts the token {:?} is accepted", auth::DEMO);
+    let why = format!(
+        "the token {:?} is accepted while no accounts are configured",
+        auth::DEMO
+    );
     shared.log_decision(Decision::new(
         Code::DemoAccount,
         Subject::Entry,
@@ -109,14 +115,14 @@
         };
         match next.or(timeout).await {
             Some(Ok((stream, _))) => serve(&shared, stream),
-            // Out of descriptors, most likely: give some time to be closed.
+            // The process is most likely out of file descriptors, so wait until some are closed.
             Some(Err(_)) => {
                 Timer::after(Duration::from_millis(10)).await;
             }
             None => {}
         }
     }
-    // Whoever connected before the listener closes is still served.
+    // Connections that were made before the listener closes are still served.
     while let Ok((stream, _)) = listener.get_ref().accept() {
         if let Ok(stream) = Async::new(stream) {
             serve(&shared, stream);
@@ -141,8 +147,10 @@
     });
 }
 
-/// SIGTERM: not ready at once; for a grace new requests are still served, so that the balancer can see
-/// it; then what is in flight is waited for, and no longer than the bound.
+/// Waits for SIGTERM or SIGINT and then stops in order.
+///
+/// The entry is not ready at once, but serves new requests for `grace_ms`, so that the load balancer notices. Then
+/// it accepts no connections and waits up to `stop_ms` for the open ones.
 async fn wait_until_stopped(shared: &Arc<Shared>) -> Result<()> {
     let flag = Arc::new(std::sync::atomic::AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
@@ -173,9 +181,9 @@
     }
     let left = connections(shared) as u64;
     let why = if left == 0 {
-        "no connection is left"
+        "all connections have ended"
     } else {
-        "the bound on waiting passed"
+        "the longest wait for open connections has passed"
     };
     shared.log_decision(
         Decision::new(Code::EntryStopped, Subject::Entry, &name, why).with("connections", left),
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -1,7 +1,8 @@
-//! Peers over nng: each entry polls the others, and answers their polls.
+//! Exchange between entries over nng: each entry polls its peers and answers their polls.
 //!
-//! A poll is a question asked after a known moment, so its answer proves that the view was fresh then;
-//! a message that was merely sent to us would prove nothing after a pause of this process.
+//! A poll is sent at a known time, so its answer proves that the view was fresh at that time. A message that a peer
+//! sends on its own proves nothing after a pause of this process. `entry::run` starts the threads; the operators'
+//! interface calls [`explain`].
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -19,16 +20,16 @@
 use crate::event::{Decision, Subject};
 use crate::wire::{decode, encode, Ask, Told, MESSAGE_MAX_BYTES};
 
-/// Between two polls of the same peer.
+/// Pause between two polls of the same peer.
 const POLL_INTERVAL_MS: Millis = 1_000;
 
-/// A peer that takes longer is not heard.
+/// Longest time to send a message to a peer, and to wait for its answer.
 const ANSWER_MAX_MS: Millis = 1_000;
 
-/// Bound on a wait for the control thread.
+/// Longest wait for the control thread's answer to a poll.
 const CONTROL_MAX_MS: Millis = 800;
 
-/// Starts the thread that answers, and one for each peer that asks.
+/// Starts one thread that answers polls, and one thread for each peer that polls it.
 pub(super) fn start(shared: &Arc<Shared>) -> Result<()> {
     let socket = Socket::new(Protocol::Rep0)?;
     socket.set_opt::<RecvMaxSize>(MESSAGE_MAX_BYTES)?;
@@ -74,7 +75,7 @@
             }),
             None => None,
         };
-        // Whoever gets no answer asks again; an nng REP socket is free for the next question at once.
+        // A peer that gets no answer asks again. An nng REP socket can receive the next request at once.
         if let Some(bytes) = answer.as_ref().and_then(encode) {
             count_bytes(shared, bytes.len());
             let _ = socket.send(bytes.as_slice());
@@ -122,7 +123,7 @@
     Ok(socket)
 }
 
-/// Polls once; says whether the peer has more for us right away.
+/// Polls a peer once. Returns whether the peer has more changes that can be read at once.
 fn poll_once(shared: &Shared, socket: &Socket) -> bool {
     let view = shared.peer_view.load_full();
     let begun_ms = shared.clock.now_ms();
@@ -148,7 +149,7 @@
         hosts,
     }));
     if more {
-        // Let the control thread take the rows in before the next question names what is known.
+        // The control thread must apply the rows before the next poll states what this entry knows.
         std::thread::sleep(Duration::from_millis(20));
     }
     more
@@ -170,7 +171,8 @@
         .fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
-/// What the peers logged about one thing, by entry. Blocks; for a thread that may.
+/// Returns what the peers logged about one subject, each with the name of the entry. Blocks, so it must not be
+/// called on the control thread or a traffic thread.
 pub(super) fn explain(shared: &Shared, subject: Subject, id: &str) -> Vec<(String, Decision)> {
     let mut found = Vec::new();
     for peer in &shared.settings.peers {
--- a/src/entry/shared.rs
+++ b/src/entry/shared.rs
@@ -1,4 +1,7 @@
-//! What the threads of an entry share: the routes in force, counters, and a way to the control thread.
+//! The state that the threads of an entry share: settings, routes in force, counters and the channel to the control
+//! thread.
+//!
+//! The control thread publishes into it; traffic, peer and admin code read it.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -22,14 +25,14 @@
 use crate::port::Http;
 use crate::runtime::Runtime;
 
-/// A service as traffic sees it.
+/// A service with its admission state and its backend servers.
 pub(super) struct Route {
     pub(super) service: Service,
     pub(super) admission: Arc<Admission>,
     pub(super) backends: Vec<Arc<Backend>>,
 }
 
-/// An account as traffic sees it.
+/// An account with the rest of its quota at this entry.
 pub(super) struct Caller {
     pub(super) name: String,
     pub(super) token_sha256: String,
@@ -37,17 +40,17 @@
     pub(super) account: Account,
 }
 
-/// The routes in force; replaced whole.
+/// The routes in force. They are replaced as a whole.
 #[derive(Default)]
 pub(super) struct Routes {
     pub(super) services: HashMap<String, Arc<Route>>,
-    /// By the hash of their token.
+    /// Accounts by the SHA-256 hash of their token.
     pub(super) callers: HashMap<String, Arc<Caller>>,
     pub(super) entries: usize,
 }
 
 impl Routes {
-    /// The account that a token belongs to.
+    /// Returns the account that a token belongs to.
     pub(super) fn caller(&self, token: Option<&str>) -> Option<&Arc<Caller>> {
         let hash = auth::token_hash(token?);
         self.callers
@@ -56,13 +59,13 @@
     }
 }
 
-/// What a poll of a peer says of us.
+/// What this entry tells a peer about itself when it polls.
 pub(super) struct PeerView {
     pub(super) digest: Digest,
     pub(super) since: u64,
 }
 
-/// Everything that threads share.
+/// The state that all threads of an entry share.
 pub(super) struct Shared {
     pub(super) settings: Settings,
     pub(super) incarnation: u64,
@@ -73,21 +76,21 @@
     pub(super) platform: Http,
     pub(super) routes: ArcSwap<Routes>,
     pub(super) peer_view: ArcSwap<PeerView>,
-    /// When the view was last confirmed.
+    /// When the table or a peer last confirmed the view.
     pub(super) confirmed_ms: AtomicU64,
-    /// How old a confirmation may be, 0 where peers are not configured.
+    /// The age of the confirmation beyond which nothing is sent; 0, without a bound, if no peers are configured.
     pub(super) isolation_ms: Millis,
-    /// Whether there is a whole view, and we are registered or spoken for.
+    /// Whether the view is complete and this entry is registered, or a peer speaks for it.
     pub(super) ready: AtomicBool,
     /// Whether the last read of the table failed.
     pub(super) store_down: AtomicBool,
-    /// Told to stop.
+    /// Whether a signal has asked this entry to stop.
     pub(super) stopping: AtomicBool,
-    /// No new connections.
+    /// Whether new connections are no longer accepted.
     pub(super) accept_stopped: AtomicBool,
-    /// The listener is closed, and all that came before is being served.
+    /// Whether the last connection has been accepted, so that `connections` can only fall.
     pub(super) listener_closed: AtomicBool,
-    /// Callers' connections.
+    /// Number of callers' open connections.
     pub(super) connections: AtomicUsize,
     next_request_number: AtomicU64,
     control: Sender<Message>,
@@ -143,11 +146,11 @@
     }
 
     pub(super) fn send_to_control(&self, message: Message) {
-        // The control thread ends last; after it nobody is left to be told.
+        // The control thread ends last, so a message that can't be sent concerns nobody.
         let _ = self.control.try_send(message);
     }
 
-    /// A new request id: the entry, its start and a number.
+    /// Returns a new request id, made of the entry's name, its incarnation and a number.
     pub(super) fn request_id(&self) -> String {
         let n = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         format!(
@@ -157,10 +160,10 @@
         )
     }
 
-    /// Whether new work may be sent on the view in hand.
+    /// Checks that the present view is fresh enough to send new work by it.
     ///
-    /// A view that neither the table nor any peer confirmed for long may lack marks of leaving hosts.
-    /// So it is after a pause of the process, until the first answer to a question asked after it.
+    /// A view that neither the table nor a peer has confirmed for longer than `isolation_ms` may lack the marks of
+    /// leaving hosts. The same holds after a pause of the process, until a request sent after the pause is answered.
     pub(super) fn may_send(&self) -> Result<(), Kind> {
         if !self.ready.load(Ordering::SeqCst) {
             return Err(Kind::NotReady);
@@ -174,7 +177,7 @@
     }
 }
 
-/// Takes one off a count when it is dropped.
+/// Decrements a counter when it is dropped.
 pub(super) struct CountGuard<'a>(pub(super) &'a AtomicUsize);
 
 impl Drop for CountGuard<'_> {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,6 @@
-//! The client's side: pooled connections, one exchange at a time on each, whole answers only.
+//! HTTP client: a pool of connections to one address, with one exchange at a time on each.
+//!
+//! An exchange returns a complete answer or an error that says whether bytes of the request were sent.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Mutex;
@@ -14,30 +16,30 @@
 
 use super::{connection_names, drive_codec, Wire};
 
-/// Whether bytes of a request were handed to a connection when the exchange failed.
+/// Whether bytes of a request were written to a connection before the exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sent {
-    /// Not one byte: the request was certainly not run.
+    /// No byte was written, so the request was not run.
     Nothing,
-    /// Some or all: nobody knows whether the request was run.
+    /// Some or all bytes were written, so the request may have been run.
     Some,
 }
 
-/// Why an exchange gave no whole answer.
+/// Why an exchange returned no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     /// No connection could be made.
     Connect(Sent),
-    /// Broken off, or not a well-formed answer.
+    /// The connection broke, or the answer was not well-formed.
     Broken(Sent),
     /// The deadline passed.
     Timeout(Sent),
-    /// The answer's body is over the bound.
+    /// The body of the answer exceeds the client's bound.
     TooLarge,
 }
 
 impl Trouble {
-    /// Whether bytes of the request may have reached the other side.
+    /// Returns whether bytes of the request may have reached the server.
     pub fn sent(self) -> Sent {
         match self {
             Trouble::Connect(sent) | Trouble::Broken(sent) | Trouble::Timeout(sent) => sent,
@@ -46,24 +48,24 @@
     }
 }
 
-/// A whole answer, its length checked.
+/// A complete answer whose length has been checked.
 #[derive(Debug)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers as they came.
+    /// Headers as received.
     pub headers: Headers,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// The last value of a header.
+    /// Returns the last value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         super::text(&self.headers, name)
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON; `None` if it is not a valid `T`.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_slice(&self.body).ok()
     }
@@ -77,13 +79,13 @@
     answer_max_bytes: usize,
 }
 
-/// Bound on the body of an answer unless another is set.
+/// Default bound on the body of an answer.
 pub const ANSWER_MAX_BYTES: usize = 16 << 20;
 
 const IDLE_MAX: usize = 8;
 
 impl Client {
-    /// A pool for `addr` with no connection yet.
+    /// Returns a pool for `addr` without connections.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Keeps at most `n` connections that nobody uses.
+    /// Sets how many idle connections the pool keeps.
     pub fn with_idle_max(mut self, n: usize) -> Self {
         self.idle_max = n;
         self
@@ -105,21 +107,21 @@
         self
     }
 
-    /// The address that this pool talks to.
+    /// Returns the address that the pool connects to.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// A request to this address for `path_and_query`.
+    /// Returns a request to this address for `path_and_query`, or `None` if that is no valid URL.
     pub fn request(&self, method: Method, path_and_query: &str) -> Option<Request> {
         let url = Url::parse(&format!("http://{}{path_and_query}", self.addr)).ok()?;
         Some(Request::new(method, url))
     }
 
-    /// Carries one exchange and gives the whole answer, or says why there is none.
+    /// Sends a request and returns the complete answer, or why there is none.
     ///
-    /// A connection goes back to the pool only after a complete answer and nothing behind it;
-    /// any other is closed, so that a late answer has nowhere to go.
+    /// A connection returns to the pool only after a complete answer with no further bytes. Any other is closed, so
+    /// that a late answer can't be taken for the answer to the next request.
     pub async fn exchange(&self, req: Request, deadline: Instant) -> Result<Answer, Trouble> {
         let (wire, reused) = match self.take_idle() {
             Some(wire) => (wire, true),
@@ -128,14 +130,14 @@
         let retry = req.clone_if_bodiless();
         let result = self.exchange_on(&wire, req, deadline).await;
         match result {
-            // The peer closed the idle connection between our look and our first byte.
+            // The server closed the idle connection after the pool checked it and before the first byte was written.
             Err(Trouble::Broken(Sent::Nothing)) if reused => {
                 let Some(again) = retry else { return result };
                 let wire = self.connect(deadline).await?;
                 self.exchange_on(&wire, again, deadline).await
             }
-            // A path may drop what is sent on its open connections while new ones work: the others of this
-            // pool would each cost a caller one more timeout.
+            // The network may drop what is sent on open connections while new ones work. Each other idle connection
+            // of this pool would then cost a caller one more timeout, so all are closed.
             Err(Trouble::Timeout(_)) if reused => {
                 self.close_idle();
                 result
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Closes the connections that nobody uses.
+    /// Closes the idle connections.
     pub fn close_idle(&self) {
         lock(&self.idle).clear();
     }
@@ -265,7 +267,7 @@
     }
 }
 
-/// Lets a request without a body be sent a second time.
+/// Copies a request without a body, so that it can be sent a second time.
 trait CloneBodiless {
     fn clone_if_bodiless(&self) -> Option<Request>;
 }
@@ -276,7 +278,7 @@
     }
 }
 
-/// A deadline `ms` milliseconds from now.
+/// Returns the instant `ms` milliseconds from now, for use as a deadline.
 pub fn within_ms(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -1,8 +1,9 @@
-//! A stream that gives async-h1 the bytes of exactly one exchange.
+//! A stream that gives async-h1 the bytes of exactly one message.
 //!
-//! The codec reads through a buffer of its own and drops what it read too far, takes the last of two
-//! lengths, and passes a body that was cut short. So the head is looked at here first (by httparse),
-//! and the stream ends where the message ends. What lies behind stays for the next exchange.
+//! The codec reads into a buffer of its own and drops what it read beyond the message, takes the last of two
+//! lengths, and accepts a body that was cut short. So the head is checked here first, with httparse, and the
+//! stream ends where the message ends. The bytes after it stay buffered for the next message. `client` and
+//! `server` read and write through it.
 
 use std::io;
 use std::net::TcpStream;
@@ -13,7 +14,7 @@
 use futures_lite::io::{AsyncRead, AsyncWrite};
 use smol::Async;
 
-/// The codec's own bounds on a head; ours are no wider.
+/// Bounds on a message's head. They must not exceed the codec's own.
 const HEAD_MAX_BYTES: usize = 8_000;
 const HEADERS_MAX: usize = 100;
 const READ_BYTES: usize = 8_192;
@@ -23,30 +24,30 @@
 pub enum Fault {
     /// Not HTTP/1.1.
     Malformed,
-    /// Over the bound on bytes or on the number of headers.
+    /// The head exceeds the bound on bytes or on the number of headers.
     HeadTooLarge,
     /// A request without exactly one `Host`.
     Host,
-    /// More than one `Content-Length`, or one that is no number.
+    /// More than one `Content-Length`, or one that is not a number.
     Length,
-    /// Both a length and a transfer coding.
+    /// Both `Content-Length` and `Transfer-Encoding`.
     LengthAndCoding,
     /// A transfer coding other than `chunked`.
     Coding,
-    /// Bytes beyond ASCII in the head.
+    /// The head has bytes that are not ASCII.
     NotAscii,
     /// The stream ended inside the head.
     CutHead,
     /// The stream ended inside a body of known length.
     CutBody,
-    /// An answer whose end is told only by the close of the connection.
+    /// An answer that ends only when the connection closes.
     CloseDelimited,
-    /// An interim or protocol-switching answer.
+    /// An answer with a 1xx status: interim, or switching protocols.
     Interim,
 }
 
 impl Fault {
-    /// A short reason for people.
+    /// Returns a short description for error messages.
     pub fn reason(self) -> &'static str {
         match self {
             Fault::Malformed => "not an HTTP/1.1 message",
@@ -64,7 +65,7 @@
     }
 }
 
-/// Which message is read from the stream.
+/// Which kind of message is read from the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Side {
     Request,
@@ -73,24 +74,24 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Looking for the end of the head.
+    /// The end of the head has not been found yet.
     Head,
-    /// So many bytes (head included) are left to hand out.
+    /// Number of bytes, including the head, that the codec has still to read.
     Counted(u64),
-    /// Passed through; the codec finds the end.
+    /// The body is passed through; the codec finds its end.
     Chunked,
 }
 
 struct State {
     side: Side,
     phase: Phase,
-    /// Read from the socket but not handed out yet.
+    /// Bytes that were read from the socket but not by the codec yet.
     buffered: Vec<u8>,
     fault: Option<Fault>,
     written_bytes: u64,
 }
 
-/// One connection, cheap to clone, as async-h1 wants it.
+/// One connection. Clones share it and are cheap, as async-h1 requires.
 #[derive(Clone)]
 pub struct Wire {
     stream: Arc<Async<TcpStream>>,
@@ -98,18 +99,18 @@
 }
 
 impl Wire {
-    /// Wraps the server's end of a connection.
+    /// Wraps the server's end of a connection, which reads requests.
     pub fn for_requests(stream: Async<TcpStream>) -> Self {
         Self::new(stream, Side::Request)
     }
 
-    /// Wraps the client's end of a connection.
+    /// Wraps the client's end of a connection, which reads responses.
     pub fn for_responses(stream: Async<TcpStream>) -> Self {
         Self::new(stream, Side::Response { to_head: false })
     }
 
     fn new(stream: Async<TcpStream>, side: Side) -> Self {
-        // Small messages, answered one by one: waiting to fill a segment only adds time.
+        // Messages are small and answered one by one, so waiting to fill a TCP segment would only add latency.
         let _ = stream.get_ref().set_nodelay(true);
         Self {
             stream: Arc::new(stream),
@@ -124,18 +125,18 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // A panic while holding this lock can't leave the few plain fields torn.
+        // A panic while the lock is held can't leave these plain fields inconsistent.
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Makes ready for the next message on the same connection.
+    /// Prepares to read the next request on the connection.
     pub fn begin_request(&self) {
         let mut s = self.state();
         s.phase = Phase::Head;
         s.written_bytes = 0;
     }
 
-    /// Makes ready for the answer to a request; `to_head` says that it has no body.
+    /// Prepares to read the response to a request. `to_head` is set after a HEAD request, whose response has no body.
     pub fn begin_response(&self, to_head: bool) {
         let mut s = self.state();
         s.side = Side::Response { to_head };
@@ -143,27 +144,28 @@
         s.written_bytes = 0;
     }
 
-    /// What was wrong with the framing, if something was.
+    /// Returns the fault that was found in the framing, if any.
     pub fn fault(&self) -> Option<Fault> {
         self.state().fault
     }
 
-    /// Bytes handed to the socket since the last `next_…`.
+    /// Returns the number of bytes written to the socket since the last [`begin_request`](Self::begin_request) or
+    /// [`begin_response`](Self::begin_response).
     pub fn written_bytes(&self) -> u64 {
         self.state().written_bytes
     }
 
-    /// Whether bytes of a message have been read that nobody asked for yet.
+    /// Whether bytes were read from the socket that the codec has not read yet.
     pub fn has_buffered(&self) -> bool {
         !self.state().buffered.is_empty()
     }
 
-    /// Whether the message was handed out to its last byte, and its end is certain.
+    /// Whether the codec has read the message to its last byte. False after a chunked body, whose end the codec finds.
     pub fn at_end(&self) -> bool {
         self.state().phase == Phase::Counted(0)
     }
 
-    /// Whether an idle connection is still open and silent, so that it may carry another exchange.
+    /// Whether an idle connection is still open and has no unread bytes, so that it can carry another exchange.
     pub fn is_quiet(&self) -> bool {
         if self.has_buffered() {
             return false;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Closes our sending side, so that the peer sees the end after the last answer.
+    /// Shuts down the sending side, so that the peer sees the end after the last answer.
     pub fn shutdown_write(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
@@ -298,7 +300,7 @@
 }
 
 fn body_framing(side: Side, head: &[u8]) -> Result<BodyFraming, Fault> {
-    // http-types panics on a header value beyond ASCII.
+    // http-types panics on a header value that is not ASCII.
     if !head.is_ascii() {
         return Err(Fault::NotAscii);
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,7 @@
-//! HTTP/1.1 by async-h1, with the checks that the library leaves to its user.
+//! HTTP/1.1 client and server on async-h1, with the checks that the library leaves to its users.
+//!
+//! `framing` checks where each message ends, `client` pools connections, and `server` reads and answers requests.
+//! The entry, the daemon of `serve` and the commands use them.
 
 pub mod client;
 pub mod framing;
@@ -16,7 +19,7 @@
 use http_types::headers::Headers;
 use smol::Timer;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1) or that the codec writes itself.
+/// Headers that apply to one connection only (RFC 9110, section 7.6.1) or that the codec writes itself.
 const HOP_BY_HOP: [&str; 12] = [
     "connection",
     "content-length",
@@ -32,12 +35,12 @@
     "upgrade",
 ];
 
-/// Whether `name` (lower case) may be passed on, given the names that `Connection` lists.
+/// Whether the header `name` (lower case) may be forwarded; `listed` holds the names that `Connection` lists.
 pub fn is_end_to_end(name: &str, listed: &[String]) -> bool {
     !HOP_BY_HOP.contains(&name) && !listed.iter().any(|l| l == name)
 }
 
-/// The lower-case names that the `Connection` headers list.
+/// Returns the names that the `Connection` headers list, in lower case.
 pub fn connection_names(headers: &Headers) -> Vec<String> {
     headers
         .get("connection")
@@ -51,16 +54,16 @@
         .unwrap_or_default()
 }
 
-/// The last value of a header as text.
+/// Returns the last value of a header as text.
 pub fn text<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     headers.get(name).map(|values| values.last().as_str())
 }
 
-/// How often a codec's future is looked at without having been woken.
+/// Interval at which a codec's future is polled without having been woken.
 const REPOLL_MS: u64 = 20;
 
-/// Drives a future of the codec past two faults of its chunked decoder: it forgets to ask to be woken
-/// when a trailer arrives in pieces, and it panics on a trailer beyond ASCII. A panic gives nothing.
+/// Runs a future of the codec and works around two faults of its chunked decoder: it doesn't register a waker
+/// when a trailer arrives in pieces, and it panics on a trailer that is not ASCII. Returns `None` after a panic.
 async fn drive_codec<T>(work: impl Future<Output = T>) -> Option<T> {
     let repoll = async {
         loop {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,6 @@
-//! The server's side: one request at a time off a connection, everything bounded, every refusal told.
+//! HTTP server for one connection: reads one request at a time within [`Limits`] and answers it.
+//!
+//! A request that is malformed or exceeds a bound is answered with its problem, and the connection is closed.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -11,14 +13,14 @@
 use super::{connection_names, drive_codec, Fault, Wire};
 use crate::error::{Failure, Kind, Run};
 
-/// Bounds on what a connection may ask of us.
+/// Bounds on the time and the size that a client's requests may take.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How long a connection may wait for its next request.
+    /// Longest time that a connection may be idle before its next request, in milliseconds.
     pub idle_ms: u64,
-    /// How long a head may take once its first byte is there, and a body after it.
+    /// Longest time for a head after its first byte, and again for the body after the head, in milliseconds.
     pub arrive_ms: u64,
-    /// Bound on a request's body.
+    /// Largest body of a request, in bytes.
     pub body_bytes: usize,
 }
 
@@ -32,31 +34,31 @@
     }
 }
 
-/// For handing an answer to the connection: a peer that reads nothing for so long gets no more of it. As long
-/// as a request's head may take by default.
+/// Longest time to write an answer to the connection. After it, a client that doesn't read gets no more of the answer.
+/// Equals the default of [`Limits::arrive_ms`].
 const WRITE_MAX_MS: u64 = 10_000;
 
-/// How often a connection that waits is looked at.
+/// Interval at which a waiting connection is checked.
 const CHECK_MS: u64 = 500;
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Its head, as async-h1 parsed it.
+    /// The head, as async-h1 parsed it.
     pub head: Request,
-    /// Its whole body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// When its head was complete.
+    /// When the head was complete.
     pub arrived: Instant,
 }
 
 impl Incoming {
-    /// The last value of a header.
+    /// Returns the last value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         super::text(self.head.as_ref(), name)
     }
 
-    /// Whether the caller asked to close after this exchange.
+    /// Whether the client asked to close the connection after this exchange.
     fn wants_close(&self) -> bool {
         connection_names(self.head.as_ref())
             .iter()
@@ -64,17 +66,17 @@
     }
 }
 
-/// What reading one request came to.
+/// The result of reading one request.
 pub enum Arrival {
-    /// A whole request.
+    /// A complete request.
     Request(Box<Incoming>),
-    /// Nothing that can be answered: closed, or idle for too long.
+    /// Nothing to answer: the connection was closed, or was idle for too long.
     Nothing,
-    /// Not acceptable; tell why, then close.
+    /// A request that is refused: the failure is answered, then the connection is closed.
     Bad(Failure),
 }
 
-/// Serves the connection until it closes, an error ends it, or `stopping` says so between requests.
+/// Serves the connection until it closes, an error ends it, or `stopping` returns true between two requests.
 pub async fn serve<H, F, S>(wire: Wire, limits: Limits, stopping: S, handler: H)
 where
     H: Fn(Incoming) -> F,
@@ -108,7 +110,7 @@
     }
 }
 
-/// Reads one whole request; a connection that is idle when `stopping` says so is given up.
+/// Reads one complete request. Returns [`Arrival::Nothing`] if the connection is idle and `stopping` returns true.
 pub async fn read(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) -> Arrival {
     wire.begin_request();
     let head = async { Some(async_h1::server::decode(wire.clone()).await) };
@@ -186,7 +188,7 @@
     }))
 }
 
-/// Writes one answer in one piece.
+/// Writes an answer in one piece; `close` adds `Connection: close`.
 pub async fn write(
     wire: &Wire,
     mut res: Response,
@@ -208,8 +210,8 @@
     out.write_all(&bytes).or(timeout).await
 }
 
-/// Reads on for a moment after the last answer: closing at once over unread bytes would reset the
-/// connection and could take the answer with it.
+/// Reads and drops bytes for a short time after the last answer: closing a connection with unread bytes resets it,
+/// and the client could lose the answer.
 async fn linger(wire: &Wire) {
     const LINGER_MS: u64 = 500;
     const LINGER_BYTES: u64 = 1 << 20;
@@ -226,7 +228,7 @@
     drain.or(timeout).await;
 }
 
-/// The answer for a failure: problem details, `Rockwick-Run`, and `Retry-After` where it helps.
+/// Returns the answer for a failure: problem details, `Rockwick-Run`, and `Retry-After` if the kind has one.
 pub fn problem(failure: &Failure) -> Response {
     let row = failure.kind.row();
     let body = serde_json::to_vec(&failure.problem()).unwrap_or_default();
@@ -241,7 +243,7 @@
     res
 }
 
-/// An answer with a status, a media type and a body.
+/// Returns an answer with a status, a media type and a body.
 pub fn answer(status: u16, media: &str, body: Vec<u8>) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut res = Response::new(status);
@@ -250,13 +252,13 @@
     res
 }
 
-/// A JSON answer.
+/// Returns an answer with a JSON body.
 pub fn json<T: serde::Serialize>(status: u16, value: &T) -> Response {
     let body = serde_json::to_vec(value).unwrap_or_default();
     answer(status, "application/json", body)
 }
 
-/// Marks an answer with whether its request was run.
+/// Sets the `Rockwick-Run` header, which says whether the request was run.
 pub fn with_run(mut res: Response, run: Run) -> Response {
     res.insert_header("rockwick-run", run.as_str());
     res
