--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -106,8 +106,8 @@
 
 fn show(state: &State, control: &Control, what: &str, id: &str) -> Result<Response, Failure> {
     let res = match (what, id) {
-        ("status", "") => server::json(200, &status(state, control)),
-        ("template", "") => server::json(200, &template(state)),
+        ("status", "") => server::json(200, &status_view(state, control)),
+        ("template", "") => server::json(200, &template_view(state)),
         ("pools", "") => {
             let pools: Vec<PoolView> = state.pools.keys().map(|k| pool_view(state, k)).collect();
             server::json(200, &pools)
@@ -150,7 +150,7 @@
     Ok(res)
 }
 
-fn status(state: &State, control: &Control) -> Status {
+fn status_view(state: &State, control: &Control) -> Status {
     let mut entries: Vec<EntryView> = Vec::new();
     let alive = state.alive_entries();
     for (name, m) in &state.members {
@@ -205,7 +205,7 @@
     counts.into_iter().collect()
 }
 
-fn template(state: &State) -> TemplateView {
+fn template_view(state: &State) -> TemplateView {
     let head = state
         .raw
         .get(HEAD_KEY)
@@ -287,7 +287,7 @@
 async fn explain(control: &Rc<Control>, rest: &str) -> Result<Response, Failure> {
     let (kind, id) = rest.split_once('/').unwrap_or((rest, ""));
     let subject = Subject::parse(kind).ok_or_else(|| Kind::UnknownPath.because(kind))?;
-    let mut lines = history(&control.state.borrow(), subject, id);
+    let mut lines = history_lines(&control.state.borrow(), subject, id);
     let me = control.shared.settings.name.clone();
     let own = control.shared.log.about(subject, id);
     lines.extend(own.into_iter().map(|d| Line::of(&me, &d)));
@@ -303,7 +303,7 @@
     Ok(server::json(200, &lines))
 }
 
-fn history(state: &State, subject: Subject, id: &str) -> Vec<Line> {
+fn history_lines(state: &State, subject: Subject, id: &str) -> Vec<Line> {
     let steps: Vec<Step> = match subject {
         Subject::Host => {
             let host = state.host_ids.get(id).map(|k| &state.hosts[*k]);
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -35,6 +35,7 @@
     /// `HOST/SERVICE`.
     pub(super) id: String,
     pub(super) host: String,
+    /// Whether the backend server is in the entry's own data hall.
     pub(super) near: bool,
     pub(super) slots: u32,
     pub(super) client: Client,
@@ -45,10 +46,11 @@
     window_size: AtomicU32,
     ejected_until_ms: AtomicU64,
     barred_until_ms: AtomicU64,
-    measured: Mutex<Measured>,
+    state: Mutex<BackendState>,
 }
 
-struct Measured {
+/// What the outcomes of exchanges have changed, under one lock.
+struct BackendState {
     window: Window,
     health: Health,
 }
@@ -78,7 +80,7 @@
             window_size: AtomicU32::new(window.size()),
             ejected_until_ms: AtomicU64::new(0),
             barred_until_ms: AtomicU64::new(0),
-            measured: Mutex::new(Measured {
+            state: Mutex::new(BackendState {
                 window,
                 health: Health::default(),
             }),
@@ -89,7 +91,8 @@
         self.client.addr()
     }
 
-    /// Returns how many requests of this entry may be in flight here now. The number is reduced after an ejection.
+    /// Returns how many requests of this entry may be in flight here now. The number is reduced for a while after an
+    /// ejection.
     pub(super) fn window(&self, now_ms: Millis) -> u32 {
         let size = self.window_size.load(Ordering::Relaxed);
         let until_ms = self.ejected_until_ms.load(Ordering::Relaxed);
@@ -214,6 +217,7 @@
     pub(super) backend: Arc<Backend>,
     admission: Arc<Admission>,
     class: Class,
+    /// Whether this permit fills the window; only then a success lets the window grow.
     fills_window: bool,
 }
 
@@ -244,20 +248,20 @@
         };
         let may_eject = health::may_eject(ejected, route.backends.len());
         let change = {
-            let mut measured = lock(&self.backend.measured);
+            let mut state = lock(&self.backend.state);
             match sign {
-                Sign::Full => measured.window.shrink(),
-                Sign::Good if self.fills_window => measured.window.grow(),
+                Sign::Full => state.window.shrink(),
+                Sign::Good if self.fills_window => state.window.grow(),
                 _ => {}
             }
-            let size = measured.window.size();
+            let size = state.window.size();
             self.backend.window_size.store(size, Ordering::Relaxed);
-            let change = measured.health.note(sign, may_eject, now_ms);
-            let until_ms = measured.health.ejected_until_ms();
+            let change = state.health.note(sign, may_eject, now_ms);
+            let until_ms = state.health.ejected_until_ms();
             self.backend
                 .ejected_until_ms
                 .store(until_ms, Ordering::Relaxed);
-            let barred_ms = measured.health.barred_until_ms();
+            let barred_ms = state.health.barred_until_ms();
             self.backend
                 .barred_until_ms
                 .store(barred_ms, Ordering::Relaxed);
@@ -317,7 +321,7 @@
         }
         let (signal, signals) = smol::channel::bounded(2);
         let id = self.enqueue(signal.clone())?;
-        let _queue_entry = QueueEntry {
+        let _guard = QueueGuard {
             admission: &self.route.admission,
             id,
         };
@@ -405,12 +409,12 @@
 }
 
 /// Removes a waiter from the queue when it is dropped, however the wait ends.
-struct QueueEntry<'a> {
+struct QueueGuard<'a> {
     admission: &'a Admission,
     id: u64,
 }
 
-impl Drop for QueueEntry<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         lock(&self.admission.queue).remove_where(|w| w.id == self.id);
     }
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -44,7 +44,7 @@
     /// An event for the reducer.
     Event(Event),
     /// An operator or a caller requests a change.
-    Ask {
+    Edit {
         edit: Edit,
         reply: Sender<std::result::Result<Reply, Failure>>,
     },
@@ -69,7 +69,7 @@
     edit: Edit,
 ) -> std::result::Result<Reply, Failure> {
     let (reply, answer) = smol::channel::bounded(1);
-    shared.send_to_control(Message::Ask { edit, reply });
+    shared.send_to_control(Message::Edit { edit, reply });
     let wait = async { answer.recv().await.ok() };
     let timeout = async {
         Timer::after(Duration::from_millis(EDIT_WAIT_MAX_MS)).await;
@@ -183,7 +183,7 @@
     fn dispatch(self: &Rc<Self>, message: Message) {
         match message {
             Message::Event(event) => self.handle(event),
-            Message::Ask { edit, reply } => {
+            Message::Edit { edit, reply } => {
                 let ticket = self.register_reply(Pending::Edit(reply));
                 self.handle(Event::Asked { ticket, edit });
             }
@@ -247,7 +247,7 @@
         shared
             .store_down
             .store(state.reads.failing, Ordering::SeqCst);
-        // Drains must wait for each entry that sends requests, so it must be registered, or a peer must speak for it.
+        // Drains must wait for each entry that sends requests, so it must be registered or sponsored by a peer.
         let is_covered = state.is_registered() || state.spoken_for;
         let ready = state.has_view() && is_covered && state.hosts_known;
         if ready && !shared.ready.swap(true, Ordering::SeqCst) {
@@ -255,7 +255,7 @@
             let why = if state.is_registered() {
                 "the entry is registered and has a complete view"
             } else {
-                "the table is unreachable; peers provided the view and speak for this entry"
+                "the table is unreachable; peers provided the view and sponsor this entry"
             };
             let d = Decision::new(Code::EntryReady, Subject::Entry, &state.me.name, why);
             shared.log_decision(
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -74,7 +74,7 @@
     let mut version = 0;
     const ROUNDS_MAX: usize = 3;
     for _ in 0..ROUNDS_MAX {
-        match put(shared, &name, version, &row, Patience::default()).await {
+        match put_run(shared, &name, version, &row, Patience::default()).await {
             Outcome::Committed(version) => {
                 let why = format!("account {account} claimed an idempotency key");
                 let d = Decision::new(Code::RunClaimed, Subject::Request, request, why);
@@ -171,7 +171,7 @@
     };
     let request = claim.row.request.clone();
     let (key, version) = (claim.key, claim.version);
-    match put(shared, &key, version, &row, once).await {
+    match put_run(shared, &key, version, &row, once).await {
         Outcome::Committed(_) => log_recorded(shared, &request, "recorded"),
         Outcome::Conflict => {
             log_recorded(shared, &request, "another writer changed the record first")
@@ -234,7 +234,7 @@
         ))
         .await;
         pause_ms = (pause_ms * 2).min(8_000);
-        let outcome = put(shared, &key, version, &row, Patience::default()).await;
+        let outcome = put_run(shared, &key, version, &row, Patience::default()).await;
         if matches!(outcome, Outcome::Committed(_) | Outcome::Conflict) {
             log_recorded(
                 shared,
@@ -287,11 +287,11 @@
         ..row.clone()
     };
     let version = known.map_or(0, |k| k.version);
-    let outcome = put(shared, key, version, &not_run, Patience::default()).await;
+    let outcome = put_run(shared, key, version, &not_run, Patience::default()).await;
     matches!(outcome, Outcome::Committed(_))
 }
 
-async fn put(
+async fn put_run(
     shared: &Shared,
     key: &str,
     version: u64,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -172,14 +172,15 @@
     Timer::after(Duration::from_millis(shared.settings.grace_ms)).await;
     shared.accept_stopped.store(true, Ordering::SeqCst);
     let began_ms = shared.clock.now_ms();
-    let is_serving = || !shared.listener_closed.load(Ordering::SeqCst) || connections(shared) > 0;
+    let is_serving =
+        || !shared.listener_closed.load(Ordering::SeqCst) || count_connections(shared) > 0;
     while is_serving() {
         if shared.clock.now_ms() - began_ms > shared.settings.stop_ms {
             break;
         }
         Timer::after(Duration::from_millis(CHECK_MS)).await;
     }
-    let left = connections(shared) as u64;
+    let left = count_connections(shared) as u64;
     let why = if left == 0 {
         "all connections have ended"
     } else {
@@ -191,6 +192,6 @@
     Ok(())
 }
 
-fn connections(shared: &Shared) -> usize {
+fn count_connections(shared: &Shared) -> usize {
     shared.connections.load(Ordering::SeqCst)
 }
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -23,7 +23,8 @@
 /// Pause between two polls of the same peer.
 const POLL_INTERVAL_MS: Millis = 1_000;
 
-/// Longest time to send a message to a peer, and to wait for its answer.
+/// Longest time to send a message to a peer, and to wait for its answer. A poll that takes longer
+/// counts as unanswered.
 const ANSWER_MAX_MS: Millis = 1_000;
 
 /// Longest wait for the control thread's answer to a poll.
--- a/src/entry/shared.rs
+++ b/src/entry/shared.rs
@@ -80,13 +80,13 @@
     pub(super) confirmed_ms: AtomicU64,
     /// The age of the confirmation beyond which nothing is sent; 0, without a bound, if no peers are configured.
     pub(super) isolation_ms: Millis,
-    /// Whether the view is complete and this entry is registered, or a peer speaks for it.
+    /// Whether the view is complete and this entry is registered or sponsored by a peer.
     pub(super) ready: AtomicBool,
     /// Whether the last read of the table failed.
     pub(super) store_down: AtomicBool,
     /// Whether a signal has asked this entry to stop.
     pub(super) stopping: AtomicBool,
-    /// Whether new connections are no longer accepted.
+    /// Whether the listener must accept no further connections.
     pub(super) accept_stopped: AtomicBool,
     /// Whether the last connection has been accepted, so that `connections` can only fall.
     pub(super) listener_closed: AtomicBool,
@@ -160,7 +160,7 @@
         )
     }
 
-    /// Checks that the present view is fresh enough to send new work by it.
+    /// Checks that the entry is ready and its view is fresh enough to send new work.
     ///
     /// A view that neither the table nor a peer has confirmed for longer than `isolation_ms` may lack the marks of
     /// leaving hosts. The same holds after a pause of the process, until a request sent after the pause is answered.
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -218,17 +218,17 @@
         .unwrap_or_default()
         .trim_start_matches('/');
     match (incoming.head.method(), id) {
-        (Method::Post, "") => submit(shared, caller, incoming).await,
+        (Method::Post, "") => submit_job(shared, caller, incoming).await,
         (Method::Get, id) if !id.is_empty() => {
             let job = find_job(shared, caller, id).await?;
             Ok(server::with_run(server::json(200, &job), Run::Yes))
         }
-        (Method::Delete, id) if !id.is_empty() => cancel(shared, caller, id).await,
+        (Method::Delete, id) if !id.is_empty() => cancel_job(shared, caller, id).await,
         (method, _) => Err(Kind::BadRequest.because(format!("{method} {path}"))),
     }
 }
 
-async fn submit(
+async fn submit_job(
     shared: &Arc<Shared>,
     caller: &Caller,
     incoming: &Incoming,
@@ -275,7 +275,7 @@
 }
 
 /// Cancels the job. Answers 200 with its final state if it ends in time, else 202 with its present state.
-async fn cancel(shared: &Arc<Shared>, caller: &Caller, id: &str) -> Result<Response, Failure> {
+async fn cancel_job(shared: &Arc<Shared>, caller: &Caller, id: &str) -> Result<Response, Failure> {
     find_job(shared, caller, id).await?;
     let edit = Edit::Cancel {
         account: Some(caller.name.clone()),
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -1,6 +1,7 @@
 //! Forwards one request to backend servers: attempts, retries and the answer to the caller.
 //!
-//! A request that may have run is sent again only if it is repeatable, and its failure says that it may have run.
+//! A request that may have run is sent again only if it is repeatable. If it is not, its failure says that it may
+//! have run.
 //! `traffic` builds a [`Forward`] for each request and runs it.
 
 use std::net::SocketAddr;
@@ -82,7 +83,7 @@
             let permit = match (self.permit_search().acquire(&excluded).await, attempt) {
                 (Ok(permit), _) => permit,
                 (Err(kind), 1) => return Err(kind.into()),
-                // The caller gets what the backend servers that were asked said, not why no further one is free.
+                // The earlier attempts decide the answer: a refusal, whatever the reason that no permit was granted.
                 (Err(_), _) => return Err(Kind::Refused.because("no other backend server is free")),
             };
             let addr = permit.backend.address();
@@ -278,9 +279,7 @@
         }
         Ok(a) if a.status >= 500 => (Sign::Bad, Ok(a)),
         Ok(a) => (Sign::Good, Ok(a)),
-        Err(trouble) if trouble.sent() == Sent::Nothing => {
-            (Sign::Bad, Err(AttemptError::NotConnected))
-        }
+        Err(err) if err.sent() == Sent::Nothing => (Sign::Bad, Err(AttemptError::NotConnected)),
         Err(Trouble::Timeout(_)) => (Sign::Bad, Err(AttemptError::Lost(Kind::BackendTimeout))),
         // The backend server answered; an answer that is too large says nothing against its health.
         Err(Trouble::TooLarge) => (Sign::Good, Err(AttemptError::Lost(Kind::AnswerTooLarge))),
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -62,7 +62,7 @@
 impl Answer {
     /// Returns the last value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        super::text(&self.headers, name)
+        super::header_text(&self.headers, name)
     }
 
     /// Parses the body as JSON; `None` if it is not a valid `T`.
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -21,7 +21,7 @@
 
 /// What is wrong with a message's framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FramingError {
     /// Not HTTP/1.1.
     Malformed,
     /// The head exceeds the bound on bytes or on the number of headers.
@@ -46,21 +46,21 @@
     Interim,
 }
 
-impl Fault {
+impl FramingError {
     /// Returns a short description for error messages.
     pub fn reason(self) -> &'static str {
         match self {
-            Fault::Malformed => "not an HTTP/1.1 message",
-            Fault::HeadTooLarge => "head too large",
-            Fault::Host => "exactly one Host header is needed",
-            Fault::Length => "Content-Length must be one number, given once",
-            Fault::LengthAndCoding => "Content-Length and Transfer-Encoding together",
-            Fault::Coding => "only the chunked transfer coding is accepted",
-            Fault::NotAscii => "bytes beyond ASCII in the head",
-            Fault::CutHead => "connection closed inside the head",
-            Fault::CutBody => "connection closed inside the body",
-            Fault::CloseDelimited => "an answer needs a length or chunking",
-            Fault::Interim => "interim answers are not accepted",
+            FramingError::Malformed => "not an HTTP/1.1 message",
+            FramingError::HeadTooLarge => "head too large",
+            FramingError::Host => "exactly one Host header is needed",
+            FramingError::Length => "Content-Length must be one number, given once",
+            FramingError::LengthAndCoding => "Content-Length and Transfer-Encoding together",
+            FramingError::Coding => "only the chunked transfer coding is accepted",
+            FramingError::NotAscii => "bytes beyond ASCII in the head",
+            FramingError::CutHead => "connection closed inside the head",
+            FramingError::CutBody => "connection closed inside the body",
+            FramingError::CloseDelimited => "an answer needs a length or chunking",
+            FramingError::Interim => "interim answers are not accepted",
         }
     }
 }
@@ -87,7 +87,7 @@
     phase: Phase,
     /// Bytes that were read from the socket but not by the codec yet.
     buffered: Vec<u8>,
-    fault: Option<Fault>,
+    framing_error: Option<FramingError>,
     written_bytes: u64,
 }
 
@@ -118,7 +118,7 @@
                 side,
                 phase: Phase::Head,
                 buffered: Vec::new(),
-                fault: None,
+                framing_error: None,
                 written_bytes: 0,
             })),
         }
@@ -145,8 +145,8 @@
     }
 
     /// Returns the fault that was found in the framing, if any.
-    pub fn fault(&self) -> Option<Fault> {
-        self.state().fault
+    pub fn framing_error(&self) -> Option<FramingError> {
+        self.state().framing_error
     }
 
     /// Returns the number of bytes written to the socket since the last [`begin_request`](Self::begin_request) or
@@ -186,11 +186,11 @@
         Pin::new(&mut &*self.stream).poll_read(cx, out)
     }
 
-    fn fail_with(state: &mut State, fault: Fault) -> Poll<io::Result<usize>> {
-        state.fault = Some(fault);
+    fn fail_with(state: &mut State, framing_error: FramingError) -> Poll<io::Result<usize>> {
+        state.framing_error = Some(framing_error);
         Poll::Ready(Err(io::Error::new(
             io::ErrorKind::InvalidData,
-            fault.reason(),
+            framing_error.reason(),
         )))
     }
 }
@@ -208,10 +208,10 @@
                     Some(end) => match body_framing(s.side, &s.buffered[..end]) {
                         Ok(BodyFraming::Counted(n)) => s.phase = Phase::Counted(end as u64 + n),
                         Ok(BodyFraming::Chunked) => s.phase = Phase::Chunked,
-                        Err(fault) => return Self::fail_with(&mut s, fault),
+                        Err(framing_error) => return Self::fail_with(&mut s, framing_error),
                     },
                     None if s.buffered.len() >= HEAD_MAX_BYTES => {
-                        return Self::fail_with(&mut s, Fault::HeadTooLarge);
+                        return Self::fail_with(&mut s, FramingError::HeadTooLarge);
                     }
                     None => {
                         let mut buf = [0u8; READ_BYTES];
@@ -223,7 +223,7 @@
                             return Poll::Ready(Ok(0));
                         }
                         if n == 0 {
-                            return Self::fail_with(&mut s, Fault::CutHead);
+                            return Self::fail_with(&mut s, FramingError::CutHead);
                         }
                         s.buffered.extend_from_slice(&buf[..n]);
                     }
@@ -234,7 +234,7 @@
                     let n = if s.buffered.is_empty() {
                         match self.poll_socket(cx, &mut out[..read_max]) {
                             Poll::Ready(Ok(0)) if read_max > 0 => {
-                                return Self::fail_with(&mut s, Fault::CutBody);
+                                return Self::fail_with(&mut s, FramingError::CutBody);
                             }
                             Poll::Ready(Ok(n)) => n,
                             other => return other,
@@ -299,10 +299,10 @@
     Chunked,
 }
 
-fn body_framing(side: Side, head: &[u8]) -> Result<BodyFraming, Fault> {
+fn body_framing(side: Side, head: &[u8]) -> Result<BodyFraming, FramingError> {
     // http-types panics on a header value that is not ASCII.
     if !head.is_ascii() {
-        return Err(Fault::NotAscii);
+        return Err(FramingError::NotAscii);
     }
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     match side {
@@ -310,10 +310,10 @@
             let mut req = httparse::Request::new(&mut headers);
             check_parse(req.parse(head))?;
             if req.version != Some(1) {
-                return Err(Fault::Malformed);
+                return Err(FramingError::Malformed);
             }
-            if count(req.headers, "host") != 1 {
-                return Err(Fault::Host);
+            if count_headers(req.headers, "host") != 1 {
+                return Err(FramingError::Host);
             }
             Ok(declared_length(req.headers)?.unwrap_or(BodyFraming::Counted(0)))
         }
@@ -322,43 +322,43 @@
             check_parse(res.parse(head))?;
             let code = res.code.unwrap_or(0);
             if res.version != Some(1) {
-                return Err(Fault::Malformed);
+                return Err(FramingError::Malformed);
             }
             if code < 200 {
-                return Err(Fault::Interim);
+                return Err(FramingError::Interim);
             }
             let declared = declared_length(res.headers)?;
             if to_head || code == 204 || code == 304 {
                 return Ok(BodyFraming::Counted(0));
             }
-            declared.ok_or(Fault::CloseDelimited)
+            declared.ok_or(FramingError::CloseDelimited)
         }
     }
 }
 
-fn check_parse(parsed: httparse::Result<usize>) -> Result<(), Fault> {
+fn check_parse(parsed: httparse::Result<usize>) -> Result<(), FramingError> {
     match parsed {
         Ok(status) if status.is_complete() => Ok(()),
-        Err(httparse::Error::TooManyHeaders) => Err(Fault::HeadTooLarge),
-        _ => Err(Fault::Malformed),
+        Err(httparse::Error::TooManyHeaders) => Err(FramingError::HeadTooLarge),
+        _ => Err(FramingError::Malformed),
     }
 }
 
-fn count(headers: &[httparse::Header<'_>], name: &str) -> usize {
+fn count_headers(headers: &[httparse::Header<'_>], name: &str) -> usize {
     headers
         .iter()
         .filter(|h| h.name.eq_ignore_ascii_case(name))
         .count()
 }
 
-fn declared_length(headers: &[httparse::Header<'_>]) -> Result<Option<BodyFraming>, Fault> {
-    let lengths = count(headers, "content-length");
-    let codings = count(headers, "transfer-encoding");
+fn declared_length(headers: &[httparse::Header<'_>]) -> Result<Option<BodyFraming>, FramingError> {
+    let lengths = count_headers(headers, "content-length");
+    let codings = count_headers(headers, "transfer-encoding");
     if lengths > 0 && codings > 0 {
-        return Err(Fault::LengthAndCoding);
+        return Err(FramingError::LengthAndCoding);
     }
     if lengths > 1 {
-        return Err(Fault::Length);
+        return Err(FramingError::Length);
     }
     let find = |name: &str| {
         headers
@@ -373,7 +373,7 @@
         return if chunked {
             Ok(Some(BodyFraming::Chunked))
         } else {
-            Err(Fault::Coding)
+            Err(FramingError::Coding)
         };
     }
     match find("content-length") {
@@ -381,7 +381,7 @@
         Some(v) if !v.is_empty() && v.len() < 19 && v.bytes().all(|b| b.is_ascii_digit()) => v
             .parse()
             .map(|n| Some(BodyFraming::Counted(n)))
-            .map_err(|_| Fault::Length),
-        Some(_) => Err(Fault::Length),
+            .map_err(|_| FramingError::Length),
+        Some(_) => Err(FramingError::Length),
     }
 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -8,7 +8,7 @@
 pub mod server;
 
 pub use client::{Answer, Client, Sent, Trouble};
-pub use framing::{Fault, Wire};
+pub use framing::{FramingError, Wire};
 pub use server::{Incoming, Limits};
 
 use std::future::Future;
@@ -55,7 +55,7 @@
 }
 
 /// Returns the last value of a header as text.
-pub fn text<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     headers.get(name).map(|values| values.last().as_str())
 }
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -10,7 +10,7 @@
 use http_types::{Method, Request, Response, StatusCode};
 use smol::Timer;
 
-use super::{connection_names, drive_codec, Fault, Wire};
+use super::{connection_names, drive_codec, FramingError, Wire};
 use crate::error::{Failure, Kind, Run};
 
 /// Bounds on the time and the size that a client's requests may take.
@@ -35,7 +35,7 @@
 }
 
 /// Longest time to write an answer to the connection. After it, a client that doesn't read gets no more of the answer.
-/// Equals the default of [`Limits::arrive_ms`].
+/// Equals the default bound on receiving a request's head.
 const WRITE_MAX_MS: u64 = 10_000;
 
 /// Interval at which a waiting connection is checked.
@@ -55,7 +55,7 @@
 impl Incoming {
     /// Returns the last value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        super::text(self.head.as_ref(), name)
+        super::header_text(self.head.as_ref(), name)
     }
 
     /// Whether the client asked to close the connection after this exchange.
@@ -147,12 +147,12 @@
 }
 
 fn arrival_of_bad_head(wire: &Wire, err: &http_types::Error) -> Arrival {
-    match wire.fault() {
-        Some(Fault::CutHead | Fault::CutBody) => Arrival::Nothing,
-        Some(Fault::HeadTooLarge) => {
-            Arrival::Bad(Kind::HeadTooLarge.because(Fault::HeadTooLarge.reason()))
+    match wire.framing_error() {
+        Some(FramingError::CutHead | FramingError::CutBody) => Arrival::Nothing,
+        Some(FramingError::HeadTooLarge) => {
+            Arrival::Bad(Kind::HeadTooLarge.because(FramingError::HeadTooLarge.reason()))
         }
-        Some(fault) => Arrival::Bad(Kind::BadRequest.because(fault.reason())),
+        Some(framing_error) => Arrival::Bad(Kind::BadRequest.because(framing_error.reason())),
         None if err.downcast_ref::<std::io::Error>().is_some() => Arrival::Nothing,
         None => Arrival::Bad(Kind::BadRequest.because(err.to_string())),
     }
@@ -173,7 +173,9 @@
     };
     match work.or(timeout).await {
         None => return Arrival::Bad(Kind::SlowRequest.because("the body did not arrive in time")),
-        Some(Some(Err(_))) if wire.fault() == Some(Fault::CutBody) => return Arrival::Nothing,
+        Some(Some(Err(_))) if wire.framing_error() == Some(FramingError::CutBody) => {
+            return Arrival::Nothing
+        }
         Some(Some(Err(e))) => return Arrival::Bad(Kind::BadRequest.because(e.to_string())),
         Some(None) => return Arrival::Bad(Kind::BadRequest.because("malformed trailer")),
         Some(Some(Ok(_))) if body.len() > max_bytes => {
