--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -491,9 +491,8 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
         if spec.payload.len() > PAYLOAD_MAX_BYTES {
-            return Err(
-                Kind::BodyTooLarge.with_detail(format!("payload: at most {PAYLOAD_MAX_BYTES} bytes"))
-            );
+            return Err(Kind::BodyTooLarge
+                .with_detail(format!("payload: at most {PAYLOAD_MAX_BYTES} bytes")));
         }
         if let Some(known) = id.as_ref().and_then(|i| self.job_ids.get(i)) {
             return self.answer_repeated_submit(ticket, &account, &spec, *known, out);
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -1,4 +1,6 @@
-//! The operators' interface: health, metrics, what is known, and edits.
+//! The operators' HTTP interface: health, metrics, views of the state, `explain` and edits.
+//!
+//! Runs on the control thread, which starts [`accept`], and reads the state directly.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -9,7 +11,7 @@
 use http_types::{Method, Response};
 use smol::{Async, Timer};
 
-use super::control::{ask, Control};
+use super::control::{submit_edit, Control};
 use super::peer;
 use crate::auth;
 use crate::core::operate::Edit;
@@ -22,7 +24,7 @@
 use crate::port::HostStatus;
 use crate::view::{EntryView, HostView, JobView, Line, PoolView, Status, TemplateView, WaveView};
 
-/// Takes operators' connections, on the control thread.
+/// Accepts operators' connections and serves each in a task on the control thread.
 pub(super) async fn accept(control: Rc<Control>, listener: Async<TcpListener>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -67,7 +69,7 @@
     if path == "/v1/edit" && incoming.head.method() == Method::Post {
         let edit: Edit = serde_json::from_slice(&incoming.body)
             .map_err(|e| Kind::BadRequest.with_detail(e.to_string()))?;
-        let reply = ask(shared, edit).await?;
+        let reply = submit_edit(shared, edit).await?;
         return Ok(server::json(200, &reply));
     }
     let rest = path
@@ -96,14 +98,16 @@
         return Ok(());
     };
     let token = auth::bearer(incoming.header("authorization"));
-    let good = token.is_some_and(|t| auth::hashes_match(&auth::token_hash(t), hash));
-    good.then_some(()).ok_or_else(|| Kind::Unauthorized.into())
+    let is_valid = token.is_some_and(|t| auth::hashes_match(&auth::token_hash(t), hash));
+    is_valid
+        .then_some(())
+        .ok_or_else(|| Kind::Unauthorized.into())
 }
 
 fn show(state: &State, control: &Control, what: &str, id: &str) -> Result<Response, Failure> {
     let res = match (what, id) {
-        ("status", "") => server::json(200, &status(state, control)),
-        ("template", "") => server::json(200, &template(state)),
+        ("status", "") => server::json(200, &status_view(state, control)),
+        ("template", "") => server::json(200, &template_view(state)),
         ("pools", "") => {
             let pools: Vec<PoolView> = state.pools.keys().map(|k| pool_view(state, k)).collect();
             server::json(200, &pools)
@@ -146,13 +150,13 @@
     Ok(res)
 }
 
-fn status(state: &State, control: &Control) -> Status {
+fn status_view(state: &State, control: &Control) -> Status {
     let mut entries: Vec<EntryView> = Vec::new();
     let alive = state.alive_entries();
     for (name, m) in &state.members {
         let ended = state.ended_entries.contains(name);
         let left = m.row.as_ref().is_some_and(|r| r.state == EntryState::Left);
-        let standing = match () {
+        let member_state = match () {
             () if *name == state.me.name => "self",
             () if ended => "ended",
             () if left => "left",
@@ -166,7 +170,7 @@
         };
         entries.push(EntryView {
             name: name.clone(),
-            state: standing.to_string(),
+            state: member_state.to_string(),
             config_version: digest.map_or(0, |d| d.config_version),
             view_seq: digest.map_or(0, |d| d.view_seq),
             silent_ms: m.heard_ms.map(|t| state.tick_ms.saturating_sub(t)),
@@ -181,19 +185,19 @@
         config_version: state.config_version,
         seq: state.seq,
         entries,
-        hosts: counted(state.hosts.values().map(|h| life_or_state(h))),
-        jobs: counted(state.jobs.values().map(|j| j.row.state.as_str())),
+        hosts: count_names(state.hosts.values().map(|h| state_or_lost(h))),
+        jobs: count_names(state.jobs.values().map(|j| j.row.state.as_str())),
     }
 }
 
-fn life_or_state(host: &Host) -> &'static str {
+fn state_or_lost(host: &Host) -> &'static str {
     match host.row.state {
         HostState::Serving | HostState::Free if !host.is_live() => "lost",
         state => state.as_str(),
     }
 }
 
-fn counted(names: impl Iterator<Item = &'static str>) -> Vec<(String, usize)> {
+fn count_names(names: impl Iterator<Item = &'static str>) -> Vec<(String, usize)> {
     let mut counts = std::collections::BTreeMap::new();
     for name in names {
         *counts.entry(name.to_string()).or_default() += 1;
@@ -201,7 +205,7 @@
     counts.into_iter().collect()
 }
 
-fn template(state: &State) -> TemplateView {
+fn template_view(state: &State) -> TemplateView {
     let head = state
         .raw
         .get(HEAD_KEY)
@@ -279,23 +283,27 @@
     }
 }
 
-/// The chain of what happened to one thing: its row's own history, and what entries logged about it.
+/// Answers with the history of one subject, by time: the history in its row and what the entries logged about it.
 async fn explain(control: &Rc<Control>, rest: &str) -> Result<Response, Failure> {
     let (kind, id) = rest.split_once('/').unwrap_or((rest, ""));
     let subject = Subject::parse(kind).ok_or_else(|| Kind::UnknownPath.with_detail(kind))?;
-    let mut lines = history(&control.state.borrow(), subject, id);
+    let mut lines = history_lines(&control.state.borrow(), subject, id);
     let me = control.shared.settings.name.clone();
     let own = control.shared.log.decisions_about(subject, id);
     lines.extend(own.into_iter().map(|d| Line::from_decision(&me, &d)));
     let shared = Arc::clone(&control.shared);
     let asked = id.to_string();
-    let told = smol::unblock(move || peer::explain(&shared, subject, &asked)).await;
-    lines.extend(told.into_iter().map(|(entry, d)| Line::from_decision(&entry, &d)));
+    let peer_decisions = smol::unblock(move || peer::explain(&shared, subject, &asked)).await;
+    lines.extend(
+        peer_decisions
+            .into_iter()
+            .map(|(entry, d)| Line::from_decision(&entry, &d)),
+    );
     lines.sort_by_key(|l| l.at_ms);
     Ok(server::json(200, &lines))
 }
 
-fn history(state: &State, subject: Subject, id: &str) -> Vec<Line> {
+fn history_lines(state: &State, subject: Subject, id: &str) -> Vec<Line> {
     let steps: Vec<Step> = match subject {
         Subject::Host => {
             let host = state.host_ids.get(id).map(|k| &state.hosts[*k]);
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -1,7 +1,8 @@
-//! Peers over nng: each entry polls the others, and answers their polls.
+//! Exchange between entries over nng: each entry polls its peers and answers their polls.
 //!
-//! A poll is a question asked after a known moment, so its answer proves that the view was fresh then;
-//! a message that was merely sent to us would prove nothing after a pause of this process.
+//! A poll is sent at a known time, so its answer proves that the view was fresh at that time. A message that a peer
+//! sends on its own proves nothing after a pause of this process. `entry::run` starts the threads; the operators'
+//! interface calls [`explain`].
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -17,35 +18,36 @@
 use crate::core::Event;
 use crate::error::{Error, Result};
 use crate::event::{Decision, Subject};
-use crate::wire::{decode, encode, PeerRequest, PeerReply, MESSAGE_MAX_BYTES};
+use crate::wire::{decode, encode, PeerReply, PeerRequest, MESSAGE_MAX_BYTES};
 
-/// Between two polls of the same peer.
-const POLL_MS: Millis = 1_000;
+/// Pause between two polls of the same peer.
+const POLL_INTERVAL_MS: Millis = 1_000;
 
-/// A peer that takes longer is not heard.
-const ANSWER_MS: Millis = 1_000;
+/// Longest time to send a message to a peer, and to wait for its answer. A poll that takes longer
+/// counts as unanswered.
+const ANSWER_MAX_MS: Millis = 1_000;
 
-/// Bound on a wait for the control thread.
-const CONTROL_MS: Millis = 800;
+/// Longest wait for the control thread's answer to a poll.
+const CONTROL_MAX_MS: Millis = 800;
 
-/// Starts the thread that answers, and one for each peer that asks.
+/// Starts one thread that answers polls, and one thread for each peer that polls it.
 pub(super) fn start(shared: &Arc<Shared>) -> Result<()> {
     let socket = Socket::new(Protocol::Rep0)?;
     socket.set_opt::<RecvMaxSize>(MESSAGE_MAX_BYTES)?;
-    socket.set_opt::<SendTimeout>(Some(Duration::from_millis(ANSWER_MS)))?;
+    socket.set_opt::<SendTimeout>(Some(Duration::from_millis(ANSWER_MAX_MS)))?;
     let addr = shared.settings.peer_listen;
     socket
         .listen(&format!("tcp://{addr}"))
         .map_err(|e| Error::Usage(format!("--peer-listen {addr}: {e}")))?;
     let answering = Arc::clone(shared);
-    spawn("peer-answer", move || answer(&answering, &socket))?;
+    spawn("peer-answer", move || answer_polls(&answering, &socket))?;
     for peer in &shared.settings.peers {
         if *peer == addr {
             continue;
         }
         let asking = Arc::clone(shared);
         let peer = *peer;
-        spawn("peer-ask", move || poll(&asking, peer))?;
+        spawn("peer-ask", move || poll_forever(&asking, peer))?;
     }
     Ok(())
 }
@@ -59,45 +61,49 @@
         .map_err(|e| Error::Io("peer thread".to_string(), e))
 }
 
-fn answer(shared: &Shared, socket: &Socket) {
+fn answer_polls(shared: &Shared, socket: &Socket) {
     loop {
         let Ok(message) = socket.recv() else {
             std::thread::sleep(Duration::from_millis(10));
             continue;
         };
-        count(shared, message.len());
-        let told = match decode(&message) {
-            Some(PeerRequest::Poll { digest, since }) => poll_answer(shared, digest, since),
+        count_bytes(shared, message.len());
+        let answer = match decode(&message) {
+            Some(PeerRequest::Poll { digest, since }) => answer_poll(shared, digest, since),
             Some(PeerRequest::Explain { subject, id }) => Some(PeerReply::Decisions {
                 entry: shared.settings.name.clone(),
                 list: shared.log.decisions_about(subject, &id),
             }),
             None => None,
         };
-        // Whoever gets no answer asks again; an nng REP socket is free for the next question at once.
-        if let Some(bytes) = told.as_ref().and_then(encode) {
-            count(shared, bytes.len());
+        // A peer that gets no answer asks again. An nng REP socket can receive the next request at once.
+        if let Some(bytes) = answer.as_ref().and_then(encode) {
+            count_bytes(shared, bytes.len());
             let _ = socket.send(bytes.as_slice());
         }
     }
 }
 
-fn poll_answer(shared: &Shared, digest: crate::core::members::Digest, since: u64) -> Option<PeerReply> {
+fn answer_poll(
+    shared: &Shared,
+    digest: crate::core::members::Digest,
+    since: u64,
+) -> Option<PeerReply> {
     let (reply, answer) = smol::channel::bounded(1);
-    shared.tell_control(Message::Poll {
+    shared.send_to_control(Message::Poll {
         digest,
         since,
         reply,
     });
     let wait = async { answer.recv().await.ok() };
-    let late = async {
-        smol::Timer::after(Duration::from_millis(CONTROL_MS)).await;
+    let timeout = async {
+        smol::Timer::after(Duration::from_millis(CONTROL_MAX_MS)).await;
         None
     };
-    smol::block_on(futures_lite::FutureExt::or(wait, late))
+    smol::block_on(futures_lite::FutureExt::or(wait, timeout))
 }
 
-fn poll(shared: &Shared, peer: SocketAddr) {
+fn poll_forever(shared: &Shared, peer: SocketAddr) {
     let mut socket = None;
     loop {
         if socket.is_none() {
@@ -108,7 +114,7 @@
             None => false,
         };
         if !more {
-            std::thread::sleep(Duration::from_millis(POLL_MS));
+            std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
         }
     }
 }
@@ -116,13 +122,13 @@
 fn dial(peer: SocketAddr) -> Result<Socket> {
     let socket = Socket::new(Protocol::Req0)?;
     socket.set_opt::<RecvMaxSize>(MESSAGE_MAX_BYTES)?;
-    socket.set_opt::<SendTimeout>(Some(Duration::from_millis(ANSWER_MS)))?;
-    socket.set_opt::<RecvTimeout>(Some(Duration::from_millis(ANSWER_MS)))?;
+    socket.set_opt::<SendTimeout>(Some(Duration::from_millis(ANSWER_MAX_MS)))?;
+    socket.set_opt::<RecvTimeout>(Some(Duration::from_millis(ANSWER_MAX_MS)))?;
     socket.dial_async(&format!("tcp://{peer}"))?;
     Ok(socket)
 }
 
-/// Polls once; says whether the peer has more for us right away.
+/// Polls a peer once. Returns whether the peer has more changes that can be read at once.
 fn poll_once(shared: &Shared, socket: &Socket) -> bool {
     let view = shared.peer_view.load_full();
     let begun_ms = shared.clock.now_ms();
@@ -140,7 +146,7 @@
         return false;
     };
     let more = changes.more && complete;
-    shared.tell_control(Message::Event(Event::PeerAnswered {
+    shared.send_to_control(Message::Event(Event::PeerAnswered {
         begun_ms,
         digest,
         changes,
@@ -148,7 +154,7 @@
         hosts,
     }));
     if more {
-        // Let the control thread take the rows in before the next question names what is known.
+        // The control thread must apply the rows before the next poll states what this entry knows.
         std::thread::sleep(Duration::from_millis(20));
     }
     more
@@ -156,21 +162,22 @@
 
 fn exchange(shared: &Shared, socket: &Socket, ask: &PeerRequest) -> Option<PeerReply> {
     let bytes = encode(ask)?;
-    count(shared, bytes.len());
+    count_bytes(shared, bytes.len());
     socket.send(bytes.as_slice()).ok()?;
     let message = socket.recv().ok()?;
-    count(shared, message.len());
+    count_bytes(shared, message.len());
     decode(&message)
 }
 
-fn count(shared: &Shared, bytes: usize) {
+fn count_bytes(shared: &Shared, bytes: usize) {
     shared
         .metrics
         .peer_bytes
         .fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
-/// What the peers logged about one thing, by entry. Blocks; for a thread that may.
+/// Returns what the peers logged about one subject, each with the name of the entry. Blocks, so it must not be
+/// called on the control thread or a traffic thread.
 pub(super) fn explain(shared: &Shared, subject: Subject, id: &str) -> Vec<(String, Decision)> {
     let mut found = Vec::new();
     for peer in &shared.settings.peers {
@@ -181,8 +188,8 @@
             subject,
             id: id.to_string(),
         };
-        let told = dial(*peer).ok().and_then(|s| exchange(shared, &s, &ask));
-        if let Some(PeerReply::Decisions { entry, list }) = told {
+        let answer = dial(*peer).ok().and_then(|s| exchange(shared, &s, &ask));
+        if let Some(PeerReply::Decisions { entry, list }) = answer {
             found.extend(list.into_iter().map(|d| (entry.clone(), d)));
         }
     }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,6 @@
-//! The client's side: pooled connections, one exchange at a time on each, whole answers only.
+//! HTTP client: a pool of connections to one address, with one exchange at a time on each.
+//!
+//! An exchange returns a complete answer or an error that says whether bytes of the request were sent.
 
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Mutex;
@@ -12,32 +14,32 @@
 
 use crate::util::lock;
 
-use super::{codec, connection_names, Wire};
+use super::{connection_names, drive_codec, Wire};
 
-/// Whether bytes of a request were handed to a connection when the exchange failed.
+/// Whether bytes of a request were written to a connection before the exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sent {
-    /// Not one byte: the request was certainly not run.
+    /// No byte was written, so the request was not run.
     Nothing,
-    /// Some or all: nobody knows whether the request was run.
+    /// Some or all bytes were written, so the request may have been run.
     Some,
 }
 
-/// Why an exchange gave no whole answer.
+/// Why an exchange returned no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     /// No connection could be made.
     Connect(Sent),
-    /// Broken off, or not a well-formed answer.
+    /// The connection broke, or the answer was not well-formed.
     Broken(Sent),
     /// The deadline passed.
     Timeout(Sent),
-    /// The answer's body is over the bound.
+    /// The body of the answer exceeds the client's bound.
     TooLarge,
 }
 
 impl Trouble {
-    /// Whether bytes of the request may have reached the other side.
+    /// Returns whether bytes of the request may have reached the server.
     pub fn sent(self) -> Sent {
         match self {
             Trouble::Connect(sent) | Trouble::Broken(sent) | Trouble::Timeout(sent) => sent,
@@ -46,24 +48,24 @@
     }
 }
 
-/// A whole answer, its length checked.
+/// A complete answer whose length has been checked.
 #[derive(Debug)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers as they came.
+    /// Headers as received.
     pub headers: Headers,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// The last value of a header.
+    /// Returns the last value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        super::text(&self.headers, name)
+        super::header_text(&self.headers, name)
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON; `None` if it is not a valid `T`.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_slice(&self.body).ok()
     }
@@ -77,13 +79,13 @@
     answer_max_bytes: usize,
 }
 
-/// Bound on the body of an answer unless another is set.
+/// Default bound on the body of an answer.
 pub const ANSWER_MAX_BYTES: usize = 16 << 20;
 
 const IDLE_MAX: usize = 8;
 
 impl Client {
-    /// A pool for `addr` with no connection yet.
+    /// Returns a pool for `addr` without connections.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Keeps at most `n` connections that nobody uses.
+    /// Sets how many idle connections the pool keeps.
     pub fn with_idle_max(mut self, n: usize) -> Self {
         self.idle_max = n;
         self
@@ -105,83 +107,92 @@
         self
     }
 
-    /// The address that this pool talks to.
+    /// Returns the address that the pool connects to.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// A request to this address for `path_and_query`.
+    /// Returns a request to this address for `path_and_query`, or `None` if that is no valid URL.
     pub fn request(&self, method: Method, path_and_query: &str) -> Option<Request> {
         let url = Url::parse(&format!("http://{}{path_and_query}", self.addr)).ok()?;
         Some(Request::new(method, url))
     }
 
-    /// Carries one exchange and gives the whole answer, or says why there is none.
+    /// Sends a request and returns the complete answer, or why there is none.
     ///
-    /// A connection goes back to the pool only after a complete answer and nothing behind it;
-    /// any other is closed, so that a late answer has nowhere to go.
+    /// A connection returns to the pool only after a complete answer with no further bytes. Any other is closed, so
+    /// that a late answer can't be taken for the answer to the next request.
     pub async fn exchange(&self, req: Request, deadline: Instant) -> Result<Answer, Trouble> {
-        let (wire, reused) = match self.take() {
+        let (wire, reused) = match self.take_idle() {
             Some(wire) => (wire, true),
             None => (self.connect(deadline).await?, false),
         };
-        let first = req.clone_head();
-        let result = self.carry(&wire, req, deadline).await;
+        let retry = req.clone_if_bodiless();
+        let result = self.exchange_on(&wire, req, deadline).await;
         match result {
-            // The peer closed the idle connection between our look and our first byte.
+            // The server closed the idle connection after the pool checked it and before the first byte was written.
             Err(Trouble::Broken(Sent::Nothing)) if reused => {
-                let Some(again) = first else { return result };
+                let Some(again) = retry else { return result };
                 let wire = self.connect(deadline).await?;
-                self.carry(&wire, again, deadline).await
+                self.exchange_on(&wire, again, deadline).await
             }
-            // A path may drop what is sent on its open connections while new ones work: the others of this
-            // pool would each cost a caller one more timeout.
+            // The network may drop what is sent on open connections while new ones work. Each other idle connection
+            // of this pool would then cost a caller one more timeout, so all are closed.
             Err(Trouble::Timeout(_)) if reused => {
-                self.forget_idle();
+                self.close_idle();
                 result
             }
             other => other,
         }
     }
 
-    async fn carry(&self, wire: &Wire, req: Request, deadline: Instant) -> Result<Answer, Trouble> {
+    async fn exchange_on(
+        &self,
+        wire: &Wire,
+        req: Request,
+        deadline: Instant,
+    ) -> Result<Answer, Trouble> {
         let to_head = req.method() == Method::Head;
-        wire.next_response(to_head);
-        let work = async {
-            let answer = self.talk(wire, req).await;
+        wire.begin_response(to_head);
+        let receive = async {
+            let answer = self.send_and_receive(wire, req).await;
             Some(answer)
         };
-        let late = async {
+        let timeout = async {
             Timer::at(deadline).await;
             None
         };
-        match work.or(late).await {
+        match receive.or(timeout).await {
             Some(Ok((answer, reusable))) => {
                 if reusable {
-                    self.put(wire.clone());
+                    self.put_idle(wire.clone());
                 }
                 Ok(answer)
             }
-            Some(Err(Gone::TooLarge)) => Err(Trouble::TooLarge),
-            Some(Err(Gone::Broken)) => Err(Trouble::Broken(sent(wire))),
+            Some(Err(ReceiveError::TooLarge)) => Err(Trouble::TooLarge),
+            Some(Err(ReceiveError::Broken)) => Err(Trouble::Broken(sent(wire))),
             None => Err(Trouble::Timeout(sent(wire))),
         }
     }
 
-    async fn talk(&self, wire: &Wire, req: Request) -> Result<(Answer, bool), Gone> {
+    async fn send_and_receive(
+        &self,
+        wire: &Wire,
+        req: Request,
+    ) -> Result<(Answer, bool), ReceiveError> {
         let mut head_and_body = Vec::with_capacity(512);
         async_h1::client::Encoder::new(req)
             .read_to_end(&mut head_and_body)
             .await
-            .map_err(|_| Gone::Broken)?;
+            .map_err(|_| ReceiveError::Broken)?;
         let mut out = wire.clone();
         out.write_all(&head_and_body)
             .await
-            .map_err(|_| Gone::Broken)?;
+            .map_err(|_| ReceiveError::Broken)?;
         let mut res = async_h1::client::decode(wire.clone())
             .await
-            .map_err(|_| Gone::Broken)?;
-        let body = self.body(&mut res).await?;
+            .map_err(|_| ReceiveError::Broken)?;
+        let body = self.read_body(&mut res).await?;
         let headers: &Headers = res.as_ref();
         let closing = connection_names(headers).iter().any(|n| n == "close");
         let reusable = !closing && wire.at_end() && wire.is_quiet();
@@ -193,34 +204,34 @@
         Ok((answer, reusable))
     }
 
-    async fn body(&self, res: &mut Response) -> Result<Vec<u8>, Gone> {
+    async fn read_body(&self, res: &mut Response) -> Result<Vec<u8>, ReceiveError> {
         let mut body = Vec::new();
-        let most = self.answer_max_bytes as u64;
-        let mut reader = res.take_body().take(most + 1);
-        let read = codec(reader.read_to_end(&mut body)).await;
+        let max_bytes = self.answer_max_bytes as u64;
+        let mut reader = res.take_body().take(max_bytes + 1);
+        let read = drive_codec(reader.read_to_end(&mut body)).await;
         if !matches!(read, Some(Ok(_))) {
-            return Err(Gone::Broken);
+            return Err(ReceiveError::Broken);
         }
-        if body.len() as u64 > most {
-            return Err(Gone::TooLarge);
+        if body.len() as u64 > max_bytes {
+            return Err(ReceiveError::TooLarge);
         }
         Ok(body)
     }
 
     async fn connect(&self, deadline: Instant) -> Result<Wire, Trouble> {
-        let work = async { Some(Async::<TcpStream>::connect(self.addr).await) };
-        let late = async {
+        let connect = async { Some(Async::<TcpStream>::connect(self.addr).await) };
+        let timeout = async {
             Timer::at(deadline).await;
             None
         };
-        match work.or(late).await {
+        match connect.or(timeout).await {
             Some(Ok(stream)) => Ok(Wire::for_responses(stream)),
             Some(Err(_)) => Err(Trouble::Connect(Sent::Nothing)),
             None => Err(Trouble::Timeout(Sent::Nothing)),
         }
     }
 
-    fn take(&self) -> Option<Wire> {
+    fn take_idle(&self) -> Option<Wire> {
         let mut idle = lock(&self.idle);
         while let Some(wire) = idle.pop() {
             if wire.is_quiet() {
@@ -230,20 +241,20 @@
         None
     }
 
-    fn put(&self, wire: Wire) {
+    fn put_idle(&self, wire: Wire) {
         let mut idle = lock(&self.idle);
         if idle.len() < self.idle_max {
             idle.push(wire);
         }
     }
 
-    /// Closes the connections that nobody uses.
-    pub fn forget_idle(&self) {
+    /// Closes the idle connections.
+    pub fn close_idle(&self) {
         lock(&self.idle).clear();
     }
 }
 
-enum Gone {
+enum ReceiveError {
     Broken,
     TooLarge,
 }
@@ -256,18 +267,18 @@
     }
 }
 
-/// Lets a request without a body be sent a second time.
-trait CloneHead {
-    fn clone_head(&self) -> Option<Request>;
+/// Copies a request without a body, so that it can be sent a second time.
+trait CloneBodiless {
+    fn clone_if_bodiless(&self) -> Option<Request>;
 }
 
-impl CloneHead for Request {
-    fn clone_head(&self) -> Option<Request> {
+impl CloneBodiless for Request {
+    fn clone_if_bodiless(&self) -> Option<Request> {
         (self.is_empty() == Some(true)).then(|| self.clone())
     }
 }
 
-/// A deadline `ms` milliseconds from now.
+/// Returns the instant `ms` milliseconds from now, for use as a deadline.
 pub fn within_ms(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -1,8 +1,9 @@
-//! A stream that gives async-h1 the bytes of exactly one exchange.
+//! A stream that gives async-h1 the bytes of exactly one message.
 //!
-//! The codec reads through a buffer of its own and drops what it read too far, takes the last of two
-//! lengths, and passes a body that was cut short. So the head is looked at here first (by httparse),
-//! and the stream ends where the message ends. What lies behind stays for the next exchange.
+//! The codec reads into a buffer of its own and drops what it read beyond the message, takes the last of two
+//! lengths, and accepts a body that was cut short. So the head is checked here first, with httparse, and the
+//! stream ends where the message ends. The bytes after it stay buffered for the next message. `client` and
+//! `server` read and write through it.
 
 use std::io;
 use std::net::TcpStream;
@@ -13,58 +14,58 @@
 use futures_lite::io::{AsyncRead, AsyncWrite};
 use smol::Async;
 
-/// The codec's own bounds on a head; ours are no wider.
+/// Bounds on a message's head. They must not exceed the codec's own.
 const HEAD_MAX_BYTES: usize = 8_000;
 const HEADERS_MAX: usize = 100;
 const READ_BYTES: usize = 8_192;
 
 /// What is wrong with a message's framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FramingError {
     /// Not HTTP/1.1.
     Malformed,
-    /// Over the bound on bytes or on the number of headers.
+    /// The head exceeds the bound on bytes or on the number of headers.
     HeadTooLarge,
     /// A request without exactly one `Host`.
     Host,
-    /// More than one `Content-Length`, or one that is no number.
+    /// More than one `Content-Length`, or one that is not a number.
     Length,
-    /// Both a length and a transfer coding.
+    /// Both `Content-Length` and `Transfer-Encoding`.
     LengthAndCoding,
     /// A transfer coding other than `chunked`.
     Coding,
-    /// Bytes beyond ASCII in the head.
+    /// The head has bytes that are not ASCII.
     NotAscii,
     /// The stream ended inside the head.
     CutHead,
     /// The stream ended inside a body of known length.
     CutBody,
-    /// An answer whose end is told only by the close of the connection.
+    /// An answer that ends only when the connection closes.
     CloseDelimited,
-    /// An interim or protocol-switching answer.
+    /// An answer with a 1xx status: interim, or switching protocols.
     Interim,
 }
 
-impl Fault {
-    /// A short reason for people.
+impl FramingError {
+    /// Returns a short description for error messages.
     pub fn reason(self) -> &'static str {
         match self {
-            Fault::Malformed => "not an HTTP/1.1 message",
-            Fault::HeadTooLarge => "head too large",
-            Fault::Host => "exactly one Host header is needed",
-            Fault::Length => "Content-Length must be one number, given once",
-            Fault::LengthAndCoding => "Content-Length and Transfer-Encoding together",
-            Fault::Coding => "only the chunked transfer coding is accepted",
-            Fault::NotAscii => "bytes beyond ASCII in the head",
-            Fault::CutHead => "connection closed inside the head",
-            Fault::CutBody => "connection closed inside the body",
-            Fault::CloseDelimited => "an answer needs a length or chunking",
-            Fault::Interim => "interim answers are not accepted",
+            FramingError::Malformed => "not an HTTP/1.1 message",
+            FramingError::HeadTooLarge => "head too large",
+            FramingError::Host => "exactly one Host header is needed",
+            FramingError::Length => "Content-Length must be one number, given once",
+            FramingError::LengthAndCoding => "Content-Length and Transfer-Encoding together",
+            FramingError::Coding => "only the chunked transfer coding is accepted",
+            FramingError::NotAscii => "bytes beyond ASCII in the head",
+            FramingError::CutHead => "connection closed inside the head",
+            FramingError::CutBody => "connection closed inside the body",
+            FramingError::CloseDelimited => "an answer needs a length or chunking",
+            FramingError::Interim => "interim answers are not accepted",
         }
     }
 }
 
-/// Which message is read from the stream.
+/// Which kind of message is read from the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Side {
     Request,
@@ -73,24 +74,24 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Looking for the end of the head.
+    /// The end of the head has not been found yet.
     Head,
-    /// So many bytes (head included) are left to hand out.
+    /// Number of bytes, including the head, that the codec has still to read.
     Counted(u64),
-    /// Passed through; the codec finds the end.
+    /// The body is passed through; the codec finds its end.
     Chunked,
 }
 
 struct State {
     side: Side,
     phase: Phase,
-    /// Read from the socket but not handed out yet.
-    ahead: Vec<u8>,
-    fault: Option<Fault>,
+    /// Bytes that were read from the socket but not by the codec yet.
+    buffered: Vec<u8>,
+    framing_error: Option<FramingError>,
     written_bytes: u64,
 }
 
-/// One connection, cheap to clone, as async-h1 wants it.
+/// One connection. Clones share it and are cheap, as async-h1 requires.
 #[derive(Clone)]
 pub struct Wire {
     stream: Arc<Async<TcpStream>>,
@@ -98,74 +99,75 @@
 }
 
 impl Wire {
-    /// Wraps the server's end of a connection.
+    /// Wraps the server's end of a connection, which reads requests.
     pub fn for_requests(stream: Async<TcpStream>) -> Self {
         Self::new(stream, Side::Request)
     }
 
-    /// Wraps the client's end of a connection.
+    /// Wraps the client's end of a connection, which reads responses.
     pub fn for_responses(stream: Async<TcpStream>) -> Self {
         Self::new(stream, Side::Response { to_head: false })
     }
 
     fn new(stream: Async<TcpStream>, side: Side) -> Self {
-        // Small messages, answered one by one: waiting to fill a segment only adds time.
+        // Messages are small and answered one by one, so waiting to fill a TCP segment would only add latency.
         let _ = stream.get_ref().set_nodelay(true);
         Self {
             stream: Arc::new(stream),
             state: Arc::new(Mutex::new(State {
                 side,
                 phase: Phase::Head,
-                ahead: Vec::new(),
-                fault: None,
+                buffered: Vec::new(),
+                framing_error: None,
                 written_bytes: 0,
             })),
         }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // A panic while holding this lock can't leave the few plain fields torn.
+        // A panic while the lock is held can't leave these plain fields inconsistent.
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Makes ready for the next message on the same connection.
-    pub fn next_request(&self) {
+    /// Prepares to read the next request on the connection.
+    pub fn begin_request(&self) {
         let mut s = self.state();
         s.phase = Phase::Head;
         s.written_bytes = 0;
     }
 
-    /// Makes ready for the answer to a request; `to_head` says that it has no body.
-    pub fn next_response(&self, to_head: bool) {
+    /// Prepares to read the response to a request. `to_head` is set after a HEAD request, whose response has no body.
+    pub fn begin_response(&self, to_head: bool) {
         let mut s = self.state();
         s.side = Side::Response { to_head };
         s.phase = Phase::Head;
         s.written_bytes = 0;
     }
 
-    /// What was wrong with the framing, if something was.
-    pub fn fault(&self) -> Option<Fault> {
-        self.state().fault
+    /// Returns the fault that was found in the framing, if any.
+    pub fn framing_error(&self) -> Option<FramingError> {
+        self.state().framing_error
     }
 
-    /// Bytes handed to the socket since the last `next_…`.
+    /// Returns the number of bytes written to the socket since the last [`begin_request`](Self::begin_request) or
+    /// [`begin_response`](Self::begin_response).
     pub fn written_bytes(&self) -> u64 {
         self.state().written_bytes
     }
 
-    /// Whether bytes of a message have been read that nobody asked for yet.
-    pub fn has_ahead(&self) -> bool {
-        !self.state().ahead.is_empty()
+    /// Whether bytes were read from the socket that the codec has not read yet.
+    pub fn has_buffered(&self) -> bool {
+        !self.state().buffered.is_empty()
     }
 
-    /// Whether the message was handed out to its last byte, and its end is certain.
+    /// Whether the codec has read the message to its last byte. False after a chunked body, whose end the codec finds.
     pub fn at_end(&self) -> bool {
         self.state().phase == Phase::Counted(0)
     }
 
-    /// Whether an idle connection is still open and silent, so that it may carry another exchange.
+    /// Whether an idle connection is still open and has no unread bytes, so that it can carry another exchange.
     pub fn is_quiet(&self) -> bool {
-        if self.has_ahead() {
+        if self.has_buffered() {
             return false;
         }
         let mut byte = [0u8; 1];
@@ -175,8 +177,8 @@
         }
     }
 
-    /// Closes our sending side, so that the peer sees the end after the last answer.
-    pub fn finish(&self) {
+    /// Shuts down the sending side, so that the peer sees the end after the last answer.
+    pub fn shutdown_write(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
 
@@ -184,11 +186,11 @@
         Pin::new(&mut &*self.stream).poll_read(cx, out)
     }
 
-    fn fail(state: &mut State, fault: Fault) -> Poll<io::Result<usize>> {
-        state.fault = Some(fault);
+    fn fail_with(state: &mut State, framing_error: FramingError) -> Poll<io::Result<usize>> {
+        state.framing_error = Some(framing_error);
         Poll::Ready(Err(io::Error::new(
             io::ErrorKind::InvalidData,
-            fault.reason(),
+            framing_error.reason(),
         )))
     }
 }
@@ -202,14 +204,14 @@
         let mut s = self.state();
         loop {
             match s.phase {
-                Phase::Head => match head_end(&s.ahead) {
-                    Some(end) => match body_of(s.side, &s.ahead[..end]) {
-                        Ok(Body::Counted(n)) => s.phase = Phase::Counted(end as u64 + n),
-                        Ok(Body::Chunked) => s.phase = Phase::Chunked,
-                        Err(fault) => return Self::fail(&mut s, fault),
+                Phase::Head => match head_end(&s.buffered) {
+                    Some(end) => match body_framing(s.side, &s.buffered[..end]) {
+                        Ok(BodyFraming::Counted(n)) => s.phase = Phase::Counted(end as u64 + n),
+                        Ok(BodyFraming::Chunked) => s.phase = Phase::Chunked,
+                        Err(framing_error) => return Self::fail_with(&mut s, framing_error),
                     },
-                    None if s.ahead.len() >= HEAD_MAX_BYTES => {
-                        return Self::fail(&mut s, Fault::HeadTooLarge);
+                    None if s.buffered.len() >= HEAD_MAX_BYTES => {
+                        return Self::fail_with(&mut s, FramingError::HeadTooLarge);
                     }
                     None => {
                         let mut buf = [0u8; READ_BYTES];
@@ -217,37 +219,37 @@
                             Poll::Ready(Ok(n)) => n,
                             other => return other,
                         };
-                        if n == 0 && s.ahead.is_empty() {
+                        if n == 0 && s.buffered.is_empty() {
                             return Poll::Ready(Ok(0));
                         }
                         if n == 0 {
-                            return Self::fail(&mut s, Fault::CutHead);
+                            return Self::fail_with(&mut s, FramingError::CutHead);
                         }
-                        s.ahead.extend_from_slice(&buf[..n]);
+                        s.buffered.extend_from_slice(&buf[..n]);
                     }
                 },
                 Phase::Counted(0) => return Poll::Ready(Ok(0)),
                 Phase::Counted(left) => {
-                    let most = out.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    let n = if s.ahead.is_empty() {
-                        match self.poll_socket(cx, &mut out[..most]) {
-                            Poll::Ready(Ok(0)) if most > 0 => {
-                                return Self::fail(&mut s, Fault::CutBody);
+                    let read_max = out.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+                    let n = if s.buffered.is_empty() {
+                        match self.poll_socket(cx, &mut out[..read_max]) {
+                            Poll::Ready(Ok(0)) if read_max > 0 => {
+                                return Self::fail_with(&mut s, FramingError::CutBody);
                             }
                             Poll::Ready(Ok(n)) => n,
                             other => return other,
                         }
                     } else {
-                        hand_out(&mut s.ahead, &mut out[..most])
+                        take_buffered(&mut s.buffered, &mut out[..read_max])
                     };
                     s.phase = Phase::Counted(left - n as u64);
                     return Poll::Ready(Ok(n));
                 }
                 Phase::Chunked => {
-                    if s.ahead.is_empty() {
+                    if s.buffered.is_empty() {
                         return self.poll_socket(cx, out);
                     }
-                    let n = hand_out(&mut s.ahead, out);
+                    let n = take_buffered(&mut s.buffered, out);
                     return Poll::Ready(Ok(n));
                 }
             }
@@ -277,10 +279,10 @@
     }
 }
 
-fn hand_out(ahead: &mut Vec<u8>, out: &mut [u8]) -> usize {
-    let n = ahead.len().min(out.len());
-    out[..n].copy_from_slice(&ahead[..n]);
-    ahead.drain(..n);
+fn take_buffered(buffered: &mut Vec<u8>, out: &mut [u8]) -> usize {
+    let n = buffered.len().min(out.len());
+    out[..n].copy_from_slice(&buffered[..n]);
+    buffered.drain(..n);
     n
 }
 
@@ -292,15 +294,15 @@
         .filter(|&end| end <= HEAD_MAX_BYTES)
 }
 
-enum Body {
+enum BodyFraming {
     Counted(u64),
     Chunked,
 }
 
-fn body_of(side: Side, head: &[u8]) -> Result<Body, Fault> {
-    // http-types panics on a header value beyond ASCII.
+fn body_framing(side: Side, head: &[u8]) -> Result<BodyFraming, FramingError> {
+    // http-types panics on a header value that is not ASCII.
     if !head.is_ascii() {
-        return Err(Fault::NotAscii);
+        return Err(FramingError::NotAscii);
     }
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     match side {
@@ -308,55 +310,55 @@
             let mut req = httparse::Request::new(&mut headers);
             check_parse(req.parse(head))?;
             if req.version != Some(1) {
-                return Err(Fault::Malformed);
+                return Err(FramingError::Malformed);
             }
-            if count(req.headers, "host") != 1 {
-                return Err(Fault::Host);
+            if count_headers(req.headers, "host") != 1 {
+                return Err(FramingError::Host);
             }
-            Ok(length(req.headers)?.unwrap_or(Body::Counted(0)))
+            Ok(declared_length(req.headers)?.unwrap_or(BodyFraming::Counted(0)))
         }
         Side::Response { to_head } => {
             let mut res = httparse::Response::new(&mut headers);
             check_parse(res.parse(head))?;
             let code = res.code.unwrap_or(0);
             if res.version != Some(1) {
-                return Err(Fault::Malformed);
+                return Err(FramingError::Malformed);
             }
             if code < 200 {
-                return Err(Fault::Interim);
+                return Err(FramingError::Interim);
             }
-            let told = length(res.headers)?;
+            let declared = declared_length(res.headers)?;
             if to_head || code == 204 || code == 304 {
-                return Ok(Body::Counted(0));
+                return Ok(BodyFraming::Counted(0));
             }
-            told.ok_or(Fault::CloseDelimited)
+            declared.ok_or(FramingError::CloseDelimited)
         }
     }
 }
 
-fn check_parse(parsed: httparse::Result<usize>) -> Result<(), Fault> {
+fn check_parse(parsed: httparse::Result<usize>) -> Result<(), FramingError> {
     match parsed {
         Ok(status) if status.is_complete() => Ok(()),
-        Err(httparse::Error::TooManyHeaders) => Err(Fault::HeadTooLarge),
-        _ => Err(Fault::Malformed),
+        Err(httparse::Error::TooManyHeaders) => Err(FramingError::HeadTooLarge),
+        _ => Err(FramingError::Malformed),
     }
 }
 
-fn count(headers: &[httparse::Header<'_>], name: &str) -> usize {
+fn count_headers(headers: &[httparse::Header<'_>], name: &str) -> usize {
     headers
         .iter()
         .filter(|h| h.name.eq_ignore_ascii_case(name))
         .count()
 }
 
-fn length(headers: &[httparse::Header<'_>]) -> Result<Option<Body>, Fault> {
-    let lengths = count(headers, "content-length");
-    let codings = count(headers, "transfer-encoding");
+fn declared_length(headers: &[httparse::Header<'_>]) -> Result<Option<BodyFraming>, FramingError> {
+    let lengths = count_headers(headers, "content-length");
+    let codings = count_headers(headers, "transfer-encoding");
     if lengths > 0 && codings > 0 {
-        return Err(Fault::LengthAndCoding);
+        return Err(FramingError::LengthAndCoding);
     }
     if lengths > 1 {
-        return Err(Fault::Length);
+        return Err(FramingError::Length);
     }
     let find = |name: &str| {
         headers
@@ -369,17 +371,17 @@
         let chunked = codings == 1
             && find("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
         return if chunked {
-            Ok(Some(Body::Chunked))
+            Ok(Some(BodyFraming::Chunked))
         } else {
-            Err(Fault::Coding)
+            Err(FramingError::Coding)
         };
     }
     match find("content-length") {
         None => Ok(None),
         Some(v) if !v.is_empty() && v.len() < 19 && v.bytes().all(|b| b.is_ascii_digit()) => v
             .parse()
-            .map(|n| Some(Body::Counted(n)))
-            .map_err(|_| Fault::Length),
-        Some(_) => Err(Fault::Length),
+            .map(|n| Some(BodyFraming::Counted(n)))
+            .map_err(|_| FramingError::Length),
+        Some(_) => Err(FramingError::Length),
     }
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,6 @@
-//! The server's side: one request at a time off a connection, everything bounded, every refusal told.
+//! HTTP server for one connection: reads one request at a time within [`Limits`] and answers it.
+//!
+//! A request that is malformed or exceeds a bound is answered with its problem, and the connection is closed.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -8,17 +10,17 @@
 use http_types::{Method, Request, Response, StatusCode};
 use smol::Timer;
 
-use super::{codec, connection_names, Fault, Wire};
+use super::{connection_names, drive_codec, FramingError, Wire};
 use crate::error::{Failure, Kind, Run};
 
-/// Bounds on what a connection may ask of us.
+/// Bounds on the time and the size that a client's requests may take.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How long a connection may wait for its next request.
+    /// Longest time that a connection may be idle before its next request, in milliseconds.
     pub idle_ms: u64,
-    /// How long a head may take once its first byte is there, and a body after it.
+    /// Longest time for a head after its first byte, and again for the body after the head, in milliseconds.
     pub arrive_ms: u64,
-    /// Bound on a request's body.
+    /// Largest body of a request, in bytes.
     pub body_bytes: usize,
 }
 
@@ -32,49 +34,49 @@
     }
 }
 
-/// For handing an answer to the connection: a peer that reads nothing for so long gets no more of it. As long
-/// as a request's head may take by default.
-const ANSWER_MS: u64 = 10_000;
+/// Longest time to write an answer to the connection. After it, a client that doesn't read gets no more of the answer.
+/// Equals the default bound on receiving a request's head.
+const WRITE_MAX_MS: u64 = 10_000;
 
-/// How often a connection that waits is looked at.
-const LOOK_MS: u64 = 500;
+/// Interval at which a waiting connection is checked.
+const CHECK_MS: u64 = 500;
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Its head, as async-h1 parsed it.
+    /// The head, as async-h1 parsed it.
     pub head: Request,
-    /// Its whole body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// When its head was complete.
+    /// When the head was complete.
     pub arrived: Instant,
 }
 
 impl Incoming {
-    /// The last value of a header.
+    /// Returns the last value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        super::text(self.head.as_ref(), name)
+        super::header_text(self.head.as_ref(), name)
     }
 
-    /// Whether the caller asked to close after this exchange.
-    fn closes(&self) -> bool {
+    /// Whether the client asked to close the connection after this exchange.
+    fn wants_close(&self) -> bool {
         connection_names(self.head.as_ref())
             .iter()
             .any(|n| n == "close")
     }
 }
 
-/// What reading one request came to.
+/// The result of reading one request.
 pub enum Arrival {
-    /// A whole request.
+    /// A complete request.
     Request(Box<Incoming>),
-    /// Nothing that can be answered: closed, or idle for too long.
+    /// Nothing to answer: the connection was closed, or was idle for too long.
     Nothing,
-    /// Not acceptable; tell why, then close.
+    /// A request that is refused: the failure is answered, then the connection is closed.
     Bad(Failure),
 }
 
-/// Serves the connection until it closes, an error ends it, or `stopping` says so between requests.
+/// Serves the connection until it closes, an error ends it, or `stopping` returns true between two requests.
 pub async fn serve<H, F, S>(wire: Wire, limits: Limits, stopping: S, handler: H)
 where
     H: Fn(Incoming) -> F,
@@ -92,10 +94,10 @@
             }
             Arrival::Request(incoming) => {
                 let method = incoming.head.method();
-                let closes = incoming.closes();
-                let certain_end = wire.at_end();
+                let wants_close = incoming.wants_close();
+                let is_end_known = wire.at_end();
                 let res = handler(*incoming).await;
-                let close = closes || stopping() || !certain_end;
+                let close = wants_close || stopping() || !is_end_known;
                 if write(&wire, res, method, close).await.is_err() {
                     return;
                 }
@@ -108,32 +110,32 @@
     }
 }
 
-/// Reads one whole request; a connection that is idle when `stopping` says so is given up.
+/// Reads one complete request. Returns [`Arrival::Nothing`] if the connection is idle and `stopping` returns true.
 pub async fn read(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) -> Arrival {
-    wire.next_request();
+    wire.begin_request();
     let head = async { Some(async_h1::server::decode(wire.clone()).await) };
-    let late = async {
-        arrival_deadline(wire, limits, &stopping).await;
+    let timeout = async {
+        wait_for_head_deadline(wire, limits, &stopping).await;
         None
     };
-    let decoded = match head.or(late).await {
-        None if wire.has_ahead() => return Arrival::Bad(Kind::SlowRequest.into()),
+    let decoded = match head.or(timeout).await {
+        None if wire.has_buffered() => return Arrival::Bad(Kind::SlowRequest.into()),
         None | Some(Ok(None)) => return Arrival::Nothing,
-        Some(Err(e)) => return bad_head(wire, &e),
+        Some(Err(e)) => return arrival_of_bad_head(wire, &e),
         Some(Ok(Some((req, _)))) => req,
     };
     read_body(wire, decoded, limits).await
 }
 
-async fn arrival_deadline(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) {
+async fn wait_for_head_deadline(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) {
     let idle = Duration::from_millis(limits.idle_ms);
     let arrive = Duration::from_millis(limits.arrive_ms);
-    let step = Duration::from_millis(limits.arrive_ms.min(LOOK_MS));
+    let step = Duration::from_millis(limits.arrive_ms.min(CHECK_MS));
     let began = Instant::now();
     let mut first_seen = None;
     loop {
         Timer::after(step).await;
-        if wire.has_ahead() {
+        if wire.has_buffered() {
             let first = *first_seen.get_or_insert_with(Instant::now);
             if first.elapsed() + step >= arrive {
                 return;
@@ -144,13 +146,13 @@
     }
 }
 
-fn bad_head(wire: &Wire, err: &http_types::Error) -> Arrival {
-    match wire.fault() {
-        Some(Fault::CutHead | Fault::CutBody) => Arrival::Nothing,
-        Some(Fault::HeadTooLarge) => {
-            Arrival::Bad(Kind::HeadTooLarge.with_detail(Fault::HeadTooLarge.reason()))
+fn arrival_of_bad_head(wire: &Wire, err: &http_types::Error) -> Arrival {
+    match wire.framing_error() {
+        Some(FramingError::CutHead | FramingError::CutBody) => Arrival::Nothing,
+        Some(FramingError::HeadTooLarge) => {
+            Arrival::Bad(Kind::HeadTooLarge.with_detail(FramingError::HeadTooLarge.reason()))
         }
-        Some(fault) => Arrival::Bad(Kind::BadRequest.with_detail(fault.reason())),
+        Some(framing_error) => Arrival::Bad(Kind::BadRequest.with_detail(framing_error.reason())),
         None if err.downcast_ref::<std::io::Error>().is_some() => Arrival::Nothing,
         None => Arrival::Bad(Kind::BadRequest.with_detail(err.to_string())),
     }
@@ -158,24 +160,30 @@
 
 async fn read_body(wire: &Wire, mut head: Request, limits: Limits) -> Arrival {
     let arrived = Instant::now();
-    let most = limits.body_bytes;
-    if head.len().is_some_and(|n| n > most) {
-        return Arrival::Bad(Kind::BodyTooLarge.with_detail(format!("at most {most} bytes")));
+    let max_bytes = limits.body_bytes;
+    if head.len().is_some_and(|n| n > max_bytes) {
+        return Arrival::Bad(Kind::BodyTooLarge.with_detail(format!("at most {max_bytes} bytes")));
     }
     let mut body = Vec::new();
-    let mut reader = head.take_body().take(most as u64 + 1);
-    let work = async { Some(codec(reader.read_to_end(&mut body)).await) };
-    let late = async {
+    let mut reader = head.take_body().take(max_bytes as u64 + 1);
+    let work = async { Some(drive_codec(reader.read_to_end(&mut body)).await) };
+    let timeout = async {
         Timer::after(Duration::from_millis(limits.arrive_ms)).await;
         None
     };
-    match work.or(late).await {
-        None => return Arrival::Bad(Kind::SlowRequest.with_detail("the body did not arrive in time")),
-        Some(Some(Err(_))) if wire.fault() == Some(Fault::CutBody) => return Arrival::Nothing,
+    match work.or(timeout).await {
+        None => {
+            return Arrival::Bad(Kind::SlowRequest.with_detail("the body did not arrive in time"))
+        }
+        Some(Some(Err(_))) if wire.framing_error() == Some(FramingError::CutBody) => {
+            return Arrival::Nothing
+        }
         Some(Some(Err(e))) => return Arrival::Bad(Kind::BadRequest.with_detail(e.to_string())),
         Some(None) => return Arrival::Bad(Kind::BadRequest.with_detail("malformed trailer")),
-        Some(Some(Ok(_))) if body.len() > most => {
-            return Arrival::Bad(Kind::BodyTooLarge.with_detail(format!("at most {most} bytes")));
+        Some(Some(Ok(_))) if body.len() > max_bytes => {
+            return Arrival::Bad(
+                Kind::BodyTooLarge.with_detail(format!("at most {max_bytes} bytes")),
+            );
         }
         Some(Some(Ok(_))) => {}
     }
@@ -186,7 +194,7 @@
     }))
 }
 
-/// Writes one answer in one piece.
+/// Writes an answer in one piece; `close` adds `Connection: close`.
 pub async fn write(
     wire: &Wire,
     mut res: Response,
@@ -201,32 +209,32 @@
         .read_to_end(&mut bytes)
         .await?;
     let mut out = wire.clone();
-    let late = async {
-        Timer::after(Duration::from_millis(ANSWER_MS)).await;
+    let timeout = async {
+        Timer::after(Duration::from_millis(WRITE_MAX_MS)).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
-    out.write_all(&bytes).or(late).await
+    out.write_all(&bytes).or(timeout).await
 }
 
-/// Reads on for a moment after the last answer: closing at once over unread bytes would reset the
-/// connection and could take the answer with it.
+/// Reads and drops bytes for a short time after the last answer: closing a connection with unread bytes resets it,
+/// and the client could lose the answer.
 async fn linger(wire: &Wire) {
     const LINGER_MS: u64 = 500;
     const LINGER_BYTES: u64 = 1 << 20;
-    wire.finish();
-    wire.next_request();
+    wire.shutdown_write();
+    wire.begin_request();
     let drain = async {
         let mut rdr = wire.clone().take(LINGER_BYTES);
         let mut buf = [0u8; 4096];
         while matches!(rdr.read(&mut buf).await, Ok(n) if n > 0) {}
     };
-    let late = async {
+    let timeout = async {
         Timer::after(Duration::from_millis(LINGER_MS)).await;
     };
-    drain.or(late).await;
+    drain.or(timeout).await;
 }
 
-/// The answer for a failure: problem details, `Rockwick-Run`, and `Retry-After` where it helps.
+/// Returns the answer for a failure: problem details, `Rockwick-Run`, and `Retry-After` if the kind has one.
 pub fn problem(failure: &Failure) -> Response {
     let row = failure.kind.row();
     let body = serde_json::to_vec(&failure.problem()).unwrap_or_default();
@@ -241,7 +249,7 @@
     res
 }
 
-/// An answer with a status, a media type and a body.
+/// Returns an answer with a status, a media type and a body.
 pub fn answer(status: u16, media: &str, body: Vec<u8>) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut res = Response::new(status);
@@ -250,13 +258,13 @@
     res
 }
 
-/// A JSON answer.
+/// Returns an answer with a JSON body.
 pub fn json<T: serde::Serialize>(status: u16, value: &T) -> Response {
     let body = serde_json::to_vec(value).unwrap_or_default();
     answer(status, "application/json", body)
 }
 
-/// Marks an answer with whether its request was run.
+/// Sets the `Rockwick-Run` header, which says whether the request was run.
 pub fn with_run(mut res: Response, run: Run) -> Response {
     res.insert_header("rockwick-run", run.as_str());
     res
--- a/src/serve/settings.rs
+++ b/src/serve/settings.rs
@@ -8,7 +8,7 @@
 use bpaf::{construct, long, Parser};
 
 use crate::clock::Millis;
-use crate::config::{parse_address, usage_error, check_name};
+use crate::config::{check_name, parse_address, usage_error};
 use crate::error::Result;
 
 /// The default of `config-within-ms`: the shortest that the users' deployments state.
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -15,7 +15,7 @@
 use rockwick::port::{
     BackendInfo, Changes, Expect, HostInfo, HostStatus, Listing, Put, Transaction,
 };
-use rockwick::wire::{encode, PeerRequest, PeerReply};
+use rockwick::wire::{encode, PeerReply, PeerRequest};
 use serde::Serialize;
 use standin::rows::Rows;
 
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -12,7 +12,7 @@
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Client, Limits, Wire};
 use rockwick::port::{Changes, Down, Http, Table};
-use rockwick::wire::{decode, encode, PeerRequest, PeerReply};
+use rockwick::wire::{decode, encode, PeerReply, PeerRequest};
 use smol::Async;
 
 use crate::fleet::CONFIG;
