--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -27,7 +27,7 @@
 
 /// Why an exchange returned no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ExchangeError {
     /// No connection could be made.
     Connect(Sent),
     /// The connection broke, or the answer was not well-formed.
@@ -38,12 +38,12 @@
     TooLarge,
 }
 
-impl Trouble {
+impl ExchangeError {
     /// Returns whether bytes of the request may have reached the server.
     pub fn sent(self) -> Sent {
         match self {
-            Trouble::Connect(sent) | Trouble::Broken(sent) | Trouble::Timeout(sent) => sent,
-            Trouble::TooLarge => Sent::Some,
+            ExchangeError::Connect(sent) | ExchangeError::Broken(sent) | ExchangeError::Timeout(sent) => sent,
+            ExchangeError::TooLarge => Sent::Some,
         }
     }
 }
@@ -122,7 +122,7 @@
     ///
     /// A connection returns to the pool only after a complete answer with no further bytes. Any other is closed, so
     /// that a late answer can't be taken for the answer to the next request.
-    pub async fn exchange(&self, req: Request, deadline: Instant) -> Result<Answer, Trouble> {
+    pub async fn exchange(&self, req: Request, deadline: Instant) -> Result<Answer, ExchangeError> {
         let (wire, reused) = match self.take_idle() {
             Some(wire) => (wire, true),
             None => (self.connect(deadline).await?, false),
@@ -131,14 +131,14 @@
         let result = self.exchange_on(&wire, req, deadline).await;
         match result {
             // The server closed the idle connection after the pool checked it and before the first byte was written.
-            Err(Trouble::Broken(Sent::Nothing)) if reused => {
+            Err(ExchangeError::Broken(Sent::Nothing)) if reused => {
                 let Some(again) = retry else { return result };
                 let wire = self.connect(deadline).await?;
                 self.exchange_on(&wire, again, deadline).await
             }
             // The network may drop what is sent on open connections while new ones work. Each other idle connection
             // of this pool would then cost a caller one more timeout, so all are closed.
-            Err(Trouble::Timeout(_)) if reused => {
+            Err(ExchangeError::Timeout(_)) if reused => {
                 self.close_idle();
                 result
             }
@@ -151,7 +151,7 @@
         wire: &Wire,
         req: Request,
         deadline: Instant,
-    ) -> Result<Answer, Trouble> {
+    ) -> Result<Answer, ExchangeError> {
         let to_head = req.method() == Method::Head;
         wire.begin_response(to_head);
         let receive = async {
@@ -169,9 +169,9 @@
                 }
                 Ok(answer)
             }
-            Some(Err(ReceiveError::TooLarge)) => Err(Trouble::TooLarge),
-            Some(Err(ReceiveError::Broken)) => Err(Trouble::Broken(sent(wire))),
-            None => Err(Trouble::Timeout(sent(wire))),
+            Some(Err(ReceiveError::TooLarge)) => Err(ExchangeError::TooLarge),
+            Some(Err(ReceiveError::Broken)) => Err(ExchangeError::Broken(sent(wire))),
+            None => Err(ExchangeError::Timeout(sent(wire))),
         }
     }
 
@@ -218,7 +218,7 @@
         Ok(body)
     }
 
-    async fn connect(&self, deadline: Instant) -> Result<Wire, Trouble> {
+    async fn connect(&self, deadline: Instant) -> Result<Wire, ExchangeError> {
         let connect = async { Some(Async::<TcpStream>::connect(self.addr).await) };
         let timeout = async {
             Timer::at(deadline).await;
@@ -226,8 +226,8 @@
         };
         match connect.or(timeout).await {
             Some(Ok(stream)) => Ok(Wire::for_responses(stream)),
-            Some(Err(_)) => Err(Trouble::Connect(Sent::Nothing)),
-            None => Err(Trouble::Timeout(Sent::Nothing)),
+            Some(Err(_)) => Err(ExchangeError::Connect(Sent::Nothing)),
+            None => Err(ExchangeError::Timeout(Sent::Nothing)),
         }
     }
 
--- a/src/port/http.rs
+++ b/src/port/http.rs
@@ -14,7 +14,7 @@
 };
 use crate::clock::Millis;
 use crate::http::client::within_ms;
-use crate::http::{Answer, Client, Sent, Trouble};
+use crate::http::{Answer, Client, Sent, ExchangeError};
 use crate::util::escape;
 
 /// The timeout of one call; an outage must not block the control thread for longer.
@@ -62,11 +62,11 @@
         path: &str,
         body: Option<Vec<u8>>,
         etag: Option<&str>,
-    ) -> Result<Answer, Trouble> {
+    ) -> Result<Answer, ExchangeError> {
         let mut req = self
             .client
             .request(method, path)
-            .ok_or(Trouble::Connect(Sent::Nothing))?;
+            .ok_or(ExchangeError::Connect(Sent::Nothing))?;
         req.insert_header("user-agent", self.agent.as_str());
         if let Some(tag) = etag {
             req.insert_header("if-none-match", tag);
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -9,7 +9,7 @@
 use fastrand::Rng;
 use http_types::Method;
 use rockwick::http::client::within_ms;
-use rockwick::http::{Answer, Client, Trouble};
+use rockwick::http::{Answer, Client, ExchangeError};
 use serde_json::Value;
 
 use super::calm::Calm;
@@ -129,7 +129,7 @@
     }
 
     /// An entry that was only told to stop, or left alone, answers what it has read.
-    fn check_cut(&self, entry: usize, began: Instant, trouble: Trouble, path: &str) {
+    fn check_cut(&self, entry: usize, began: Instant, trouble: ExchangeError, path: &str) {
         let is_sent = trouble.sent() == rockwick::http::Sent::Some;
         // An idle connection may close just as a request is sent on it.
         let is_read = began.elapsed() > Duration::from_millis(200);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,7 +12,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use rockwick::http::client::within_ms;
-use rockwick::http::{Answer, Client, Trouble};
+use rockwick::http::{Answer, Client, ExchangeError};
 use serde_json::{json, Value};
 
 /// Longest wait for anything; far beyond what it takes even on a busy machine.
@@ -172,7 +172,7 @@
         self
     }
 
-    pub(crate) async fn send(self, client: &Client) -> Result<Answer, Trouble> {
+    pub(crate) async fn send(self, client: &Client) -> Result<Answer, ExchangeError> {
         let mut req = client.request(self.method, self.path).expect("a good path");
         for (name, value) in &self.headers {
             req.insert_header(*name, value.as_str());
@@ -188,7 +188,7 @@
         self.try_to(addr).expect("an answer")
     }
 
-    pub(crate) fn try_to(self, addr: SocketAddr) -> Result<Answer, Trouble> {
+    pub(crate) fn try_to(self, addr: SocketAddr) -> Result<Answer, ExchangeError> {
         smol::block_on(self.send(&Client::new(addr)))
     }
 }
--- a/tests/test_chaos.rs
+++ b/tests/test_chaos.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use nix::sys::signal::Signal;
-use rockwick::http::{Client, Trouble};
+use rockwick::http::{Client, ExchangeError};
 use serde_json::{json, Value};
 
 use crate::fleet::{free_addr, post, text, value, wait_for, Fleet, Plan};
@@ -46,7 +46,7 @@
                     .unwrap_or("unknown")
                     .to_string()
             }
-            Err(Trouble::Connect(_)) => "no".to_string(),
+            Err(ExchangeError::Connect(_)) => "no".to_string(),
             Err(_) => "unknown".to_string(),
         };
         told.push(Told { mark, run });
--- a/tests/test_links.rs
+++ b/tests/test_links.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use http_types::Method;
-use rockwick::http::client::{within_ms, Trouble};
+use rockwick::http::client::{within_ms, ExchangeError};
 use rockwick::http::{Client, Sent};
 
 /// For one call: long beside an answer on loopback.
@@ -68,7 +68,7 @@
     }
 }
 
-async fn call(client: &Client) -> Result<u16, Trouble> {
+async fn call(client: &Client) -> Result<u16, ExchangeError> {
     let req = client.request(Method::Get, "/").expect("a request");
     let answer = client.exchange(req, within_ms(TIMEOUT_MS)).await;
     answer.map(|a| a.status)
@@ -85,7 +85,7 @@
         let all = futures_lite::future::zip(a, futures_lite::future::zip(b, c)).await;
         assert_eq!(all, (Ok(200), (Ok(200), Ok(200))));
         peer.is_silent.store(true, Ordering::SeqCst);
-        assert_eq!(call(&client).await, Err(Trouble::Timeout(Sent::Some)));
+        assert_eq!(call(&client).await, Err(ExchangeError::Timeout(Sent::Some)));
         assert_eq!(call(&client).await, Ok(200), "a new connection works");
     });
 }
