--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::core::operate::{Edit, Reply};
 use crate::error::{Error, Problem, Result};
-use crate::http::client::within_ms;
+use crate::http::client::deadline_after_ms;
 use crate::http::{Answer, Client};
 
 /// Timeout of one call to an entry; longer than any commit takes.
@@ -76,7 +76,7 @@
         if let Some(bytes) = body {
             req.set_body(bytes);
         }
-        let answer = smol::block_on(client.exchange(req, within_ms(CALL_TIMEOUT_MS)));
+        let answer = smol::block_on(client.exchange(req, deadline_after_ms(CALL_TIMEOUT_MS)));
         let answer = answer
             .map_err(|t| Error::Refused(format!("entry {}: no answer ({t:?})", self.entry)))?;
         if answer.status < 400 {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -279,6 +279,6 @@
 }
 
 /// Returns the instant `ms` milliseconds from now, for use as a deadline.
-pub fn within_ms(ms: u64) -> Instant {
+pub fn deadline_after_ms(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
--- a/src/port/http.rs
+++ b/src/port/http.rs
@@ -13,7 +13,7 @@
     Table, TaskRef, TaskStart, Tasks, Transaction,
 };
 use crate::clock::Millis;
-use crate::http::client::within_ms;
+use crate::http::client::deadline_after_ms;
 use crate::http::{Answer, Client, Sent, ExchangeError};
 use crate::util::escape;
 
@@ -75,7 +75,7 @@
             req.set_body(bytes);
             req.insert_header("content-type", "application/json");
         }
-        self.client.exchange(req, within_ms(CALL_MS)).await
+        self.client.exchange(req, deadline_after_ms(CALL_MS)).await
     }
 
     async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, Down> {
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -9,7 +9,7 @@
 use bpaf::{construct, long, Parser};
 use hdrhistogram::Histogram;
 use http_types::Method;
-use rockwick::http::client::within_ms;
+use rockwick::http::client::deadline_after_ms;
 use rockwick::http::Client;
 use rockwick::runtime::Runtime;
 use serde::Serialize;
@@ -257,7 +257,7 @@
     if let Some(class) = &args.class {
         req.insert_header("rockwick-class", class.as_str());
     }
-    match client.exchange(req, within_ms(args.timeout_ms)).await {
+    match client.exchange(req, deadline_after_ms(args.timeout_ms)).await {
         Ok(answer) => answer.status.to_string(),
         Err(trouble) => format!("{trouble:?}"),
     }
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use http_types::Method;
-use rockwick::http::client::within_ms;
+use rockwick::http::client::deadline_after_ms;
 use rockwick::http::{Answer, Client, ExchangeError};
 use serde_json::Value;
 
@@ -117,7 +117,7 @@
             req.set_body(body.to_string().into_bytes());
         }
         let began = Instant::now();
-        let result = smol::block_on(client.exchange(req, within_ms(DEADLINE_MS + 500)));
+        let result = smol::block_on(client.exchange(req, deadline_after_ms(DEADLINE_MS + 500)));
         match result {
             Ok(answer) => Some(answer),
             Err(trouble) => {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,7 +11,7 @@
 use http_types::Method;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use rockwick::http::client::within_ms;
+use rockwick::http::client::deadline_after_ms;
 use rockwick::http::{Answer, Client, ExchangeError};
 use serde_json::{json, Value};
 
@@ -180,7 +180,7 @@
         if !self.body.is_empty() {
             req.set_body(self.body);
         }
-        client.exchange(req, within_ms(self.timeout_ms)).await
+        client.exchange(req, deadline_after_ms(self.timeout_ms)).await
     }
 
     /// Sends on a connection of its own.
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use rockwick::core::config;
 use rockwick::core::members::Digest;
-use rockwick::http::client::within_ms;
+use rockwick::http::client::deadline_after_ms;
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Client, Limits, Wire};
 use rockwick::port::{Changes, Down, Http, Table};
@@ -85,7 +85,7 @@
                 let _ = stream.write_all(&bytes);
             });
             let req = client.request(http_types::Method::Get, "/").expect("a request");
-            let _ = smol::block_on(client.exchange(req, within_ms(200)));
+            let _ = smol::block_on(client.exchange(req, deadline_after_ms(200)));
         });
     }
 
--- a/tests/test_links.rs
+++ b/tests/test_links.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use http_types::Method;
-use rockwick::http::client::{within_ms, ExchangeError};
+use rockwick::http::client::{deadline_after_ms, ExchangeError};
 use rockwick::http::{Client, Sent};
 
 /// For one call: long beside an answer on loopback.
@@ -70,7 +70,7 @@
 
 async fn call(client: &Client) -> Result<u16, ExchangeError> {
     let req = client.request(Method::Get, "/").expect("a request");
-    let answer = client.exchange(req, within_ms(TIMEOUT_MS)).await;
+    let answer = client.exchange(req, deadline_after_ms(TIMEOUT_MS)).await;
     answer.map(|a| a.status)
 }
 
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -7,7 +7,7 @@
 use http_types::Method;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use rockwick::http::client::within_ms;
+use rockwick::http::client::deadline_after_ms;
 use rockwick::http::{Answer, Client};
 use serde_json::{json, Value};
 use standin::fleet::{Fleet, StoreFault};
@@ -100,7 +100,7 @@
     if method == Method::Post {
         req.set_body(body.to_string().into_bytes());
     }
-    smol::block_on(client.exchange(req, within_ms(10_000))).ok()
+    smol::block_on(client.exchange(req, deadline_after_ms(10_000))).ok()
 }
 
 pub(crate) fn status(to: SocketAddr, path: &str) -> Option<u16> {
