--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -19,7 +19,7 @@
     /// Longest time that a connection may be idle before its next request, in milliseconds.
     pub idle_ms: u64,
     /// Longest time for a head after its first byte, and again for the body after the head, in milliseconds.
-    pub arrive_ms: u64,
+    pub receive_ms: u64,
     /// Largest body of a request, in bytes.
     pub body_bytes: usize,
 }
@@ -28,7 +28,7 @@
     fn default() -> Self {
         Self {
             idle_ms: 60_000,
-            arrive_ms: 10_000,
+            receive_ms: 10_000,
             body_bytes: 8 << 20,
         }
     }
@@ -129,8 +129,8 @@
 
 async fn wait_for_head_deadline(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) {
     let idle = Duration::from_millis(limits.idle_ms);
-    let arrive = Duration::from_millis(limits.arrive_ms);
-    let step = Duration::from_millis(limits.arrive_ms.min(CHECK_MS));
+    let arrive = Duration::from_millis(limits.receive_ms);
+    let step = Duration::from_millis(limits.receive_ms.min(CHECK_MS));
     let began = Instant::now();
     let mut first_seen = None;
     loop {
@@ -168,7 +168,7 @@
     let mut reader = head.take_body().take(max_bytes as u64 + 1);
     let work = async { Some(drive_codec(reader.read_to_end(&mut body)).await) };
     let timeout = async {
-        Timer::after(Duration::from_millis(limits.arrive_ms)).await;
+        Timer::after(Duration::from_millis(limits.receive_ms)).await;
         None
     };
     match work.or(timeout).await {
--- a/src/serve/traffic.rs
+++ b/src/serve/traffic.rs
@@ -25,7 +25,7 @@
 /// Limits on callers' connections and requests: the users' configuration names 256 KB and 15 s.
 const CALLER_LIMITS: Limits = Limits {
     idle_ms: 15_000,
-    arrive_ms: 3_000,
+    receive_ms: 3_000,
     body_bytes: 256 << 10,
 };
 
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -62,7 +62,7 @@
 
     #[test]
     fn fuzz_requests(bytes in message()) {
-        let limits = Limits { idle_ms: 200, arrive_ms: 200, body_bytes: 1_000 };
+        let limits = Limits { idle_ms: 200, receive_ms: 200, body_bytes: 1_000 };
         let wire = Wire::for_requests(connection(&bytes));
         smol::block_on(async {
             for _ in 0..3 {
