--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -84,7 +84,7 @@
     S: Fn() -> bool,
 {
     loop {
-        match read(&wire, limits, &stopping).await {
+        match read_request(&wire, limits, &stopping).await {
             Arrival::Nothing => return,
             Arrival::Bad(failure) => {
                 let res = problem(&failure);
@@ -111,7 +111,7 @@
 }
 
 /// Reads one complete request. Returns [`Arrival::Nothing`] if the connection is idle and `stopping` returns true.
-pub async fn read(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) -> Arrival {
+pub async fn read_request(wire: &Wire, limits: Limits, stopping: impl Fn() -> bool) -> Arrival {
     wire.begin_request();
     let head = async { Some(async_h1::server::decode(wire.clone()).await) };
     let timeout = async {
--- a/standin/src/backend.rs
+++ b/standin/src/backend.rs
@@ -216,7 +216,7 @@
     async fn serve(&self, stream: Async<TcpStream>) {
         let wire = Wire::for_requests(stream);
         loop {
-            let incoming = match server::read(&wire, Limits::default(), || false).await {
+            let incoming = match server::read_request(&wire, Limits::default(), || false).await {
                 Arrival::Request(incoming) => *incoming,
                 _ => return,
             };
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -213,7 +213,7 @@
     async fn serve(&self, stream: Async<TcpStream>) {
         let wire = Wire::for_requests(stream);
         loop {
-            let incoming = match server::read(&wire, Limits::default(), || false).await {
+            let incoming = match server::read_request(&wire, Limits::default(), || false).await {
                 Arrival::Request(incoming) => *incoming,
                 Arrival::Nothing => return,
                 Arrival::Bad(failure) => {
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -66,7 +66,7 @@
         let wire = Wire::for_requests(connection(&bytes));
         smol::block_on(async {
             for _ in 0..3 {
-                if !matches!(server::read(&wire, limits, || false).await, Arrival::Request(_)) {
+                if !matches!(server::read_request(&wire, limits, || false).await, Arrival::Request(_)) {
                     break;
                 }
             }
