--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -88,7 +88,7 @@
             Arrival::Nothing => return,
             Arrival::Bad(failure) => {
                 let res = problem(&failure);
-                let _ = write(&wire, res, Method::Get, true).await;
+                let _ = write_answer(&wire, res, Method::Get, true).await;
                 linger(&wire).await;
                 return;
             }
@@ -98,7 +98,7 @@
                 let is_end_known = wire.at_end();
                 let res = handler(*incoming).await;
                 let close = wants_close || stopping() || !is_end_known;
-                if write(&wire, res, method, close).await.is_err() {
+                if write_answer(&wire, res, method, close).await.is_err() {
                     return;
                 }
                 if close {
@@ -195,7 +195,7 @@
 }
 
 /// Writes an answer in one piece; `close` adds `Connection: close`.
-pub async fn write(
+pub async fn write_answer(
     wire: &Wire,
     mut res: Response,
     method: Method,
--- a/standin/src/backend.rs
+++ b/standin/src/backend.rs
@@ -223,7 +223,7 @@
             let path = incoming.head.url().path().to_string();
             if path.starts_with("/control/") {
                 let res = self.control(&path, &incoming);
-                if server::write(&wire, res, incoming.head.method(), false)
+                if server::write_answer(&wire, res, incoming.head.method(), false)
                     .await
                     .is_err()
                 {
@@ -269,7 +269,7 @@
         let method = incoming.head.method();
         if fault == Fault::Refuse || !self.take_slot() {
             self.refused.fetch_add(1, Ordering::SeqCst);
-            return server::write(wire, refusal(), method, false).await.ok();
+            return server::write_answer(wire, refusal(), method, false).await.ok();
         }
         self.begin(incoming);
         let work_ms = incoming.header("x-work-ms").and_then(|v| v.parse().ok());
@@ -322,13 +322,13 @@
                 if let Some(mark) = incoming.header("x-mark") {
                     res.insert_header("x-mark", mark);
                 }
-                return server::write(wire, res, incoming.head.method(), false)
+                return server::write_answer(wire, res, incoming.head.method(), false)
                     .await
                     .ok();
             }
             Fault::Fail => {
                 let res = server::answer(500, "text/plain", b"failed".to_vec());
-                return server::write(wire, res, incoming.head.method(), false)
+                return server::write_answer(wire, res, incoming.head.method(), false)
                     .await
                     .ok();
             }
--- a/tests/test_links.rs
+++ b/tests/test_links.rs
@@ -101,7 +101,7 @@
         let wire = rockwick::http::Wire::for_requests(smol::Async::new(stream).expect("async"));
         let large = vec![b'x'; 64 << 20];
         let res = rockwick::http::server::answer(200, "text/plain", large);
-        let written = rockwick::http::server::write(&wire, res, Method::Get, true).await;
+        let written = rockwick::http::server::write_answer(&wire, res, Method::Get, true).await;
         assert!(written.is_err(), "nobody reads it");
     });
     // Far beyond the bound: without one, the write would never end.
