--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -18,7 +18,7 @@
 use crate::core::retry::{Cost, RetryBudget};
 use crate::error::{Failure, Kind, Run};
 use crate::event::{Code, Decision, Subject};
-use crate::http::{connection_names, is_end_to_end, Answer, Incoming, Sent, ExchangeError};
+use crate::http::{connection_names, is_end_to_end, Answer, ExchangeError, Incoming, Sent};
 use crate::metrics::Metrics;
 
 /// Largest number of attempts for one request, even if the retry budget and the deadline allow more.
@@ -273,7 +273,9 @@
 }
 
 /// Returns what an exchange says about the backend server's health, and the outcome of the attempt.
-fn classify(result: Result<Answer, ExchangeError>) -> (ExchangeOutcome, Result<Answer, AttemptError>) {
+fn classify(
+    result: Result<Answer, ExchangeError>,
+) -> (ExchangeOutcome, Result<Answer, AttemptError>) {
     match result {
         // The refusal convention: 503 together with `Rockwick-Run: no`.
         Ok(a) if a.status == 503 && a.header("rockwick-run") == Some("no") => {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -42,7 +42,9 @@
     /// Returns whether bytes of the request may have reached the server.
     pub fn sent(self) -> Sent {
         match self {
-            ExchangeError::Connect(sent) | ExchangeError::Broken(sent) | ExchangeError::Timeout(sent) => sent,
+            ExchangeError::Connect(sent)
+            | ExchangeError::Broken(sent)
+            | ExchangeError::Timeout(sent) => sent,
             ExchangeError::TooLarge => Sent::Some,
         }
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -7,7 +7,7 @@
 pub mod framing;
 pub mod server;
 
-pub use client::{Answer, Client, Sent, ExchangeError};
+pub use client::{Answer, Client, ExchangeError, Sent};
 pub use framing::{FramingError, Wire};
 pub use server::{Incoming, Limits};
 
--- a/src/port/http.rs
+++ b/src/port/http.rs
@@ -14,7 +14,7 @@
 };
 use crate::clock::Millis;
 use crate::http::client::deadline_after_ms;
-use crate::http::{Answer, Client, Sent, ExchangeError};
+use crate::http::{Answer, Client, ExchangeError, Sent};
 use crate::util::escape;
 
 /// The timeout of one call; an outage must not block the control thread for longer.
--- a/standin/src/backend.rs
+++ b/standin/src/backend.rs
@@ -269,7 +269,9 @@
         let method = incoming.head.method();
         if fault == Fault::Refuse || !self.take_slot() {
             self.refused.fetch_add(1, Ordering::SeqCst);
-            return server::write_answer(wire, refusal(), method, false).await.ok();
+            return server::write_answer(wire, refusal(), method, false)
+                .await
+                .ok();
         }
         self.begin(incoming);
         let work_ms = incoming.header("x-work-ms").and_then(|v| v.parse().ok());
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -257,7 +257,10 @@
     if let Some(class) = &args.class {
         req.insert_header("rockwick-class", class.as_str());
     }
-    match client.exchange(req, deadline_after_ms(args.timeout_ms)).await {
+    match client
+        .exchange(req, deadline_after_ms(args.timeout_ms))
+        .await
+    {
         Ok(answer) => answer.status.to_string(),
         Err(trouble) => format!("{trouble:?}"),
     }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -218,7 +218,8 @@
                 Arrival::Nothing => return,
                 Arrival::Bad(failure) => {
                     let _ =
-                        server::write_answer(&wire, server::problem(&failure), Method::Get, true).await;
+                        server::write_answer(&wire, server::problem(&failure), Method::Get, true)
+                            .await;
                     return;
                 }
             };
@@ -229,7 +230,10 @@
             let method = incoming.head.method();
             match self.answer(&path, incoming) {
                 Some(res) => {
-                    if server::write_answer(&wire, res, method, false).await.is_err() {
+                    if server::write_answer(&wire, res, method, false)
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -180,7 +180,9 @@
         if !self.body.is_empty() {
             req.set_body(self.body);
         }
-        client.exchange(req, deadline_after_ms(self.timeout_ms)).await
+        client
+            .exchange(req, deadline_after_ms(self.timeout_ms))
+            .await
     }
 
     /// Sends on a connection of its own.
