--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,7 @@
-//! The daemon: traffic on its threads, control on one, peers on theirs.
+//! The entry daemon: starts its threads, accepts callers' connections and stops in order.
+//!
+//! Callers' requests run on the traffic threads, decisions on one control thread, and each peer is polled from a
+//! thread of its own. The `entry` command calls [`run`].
 
 mod admin;
 mod balance;
@@ -25,9 +28,9 @@
 use crate::http::{server, Limits, Wire};
 use crate::log::Log;
 use crate::runtime::Runtime;
-use shared::{Counted, Shared};
+use shared::{CountGuard, Shared};
 
-/// Runs an entry until it is told to stop; comes back when the last request has ended.
+/// Runs an entry until SIGTERM or SIGINT; returns when the last connection has ended or the stop bound has passed.
 pub fn run(settings: Settings) -> Result<()> {
     let callers = bind("listen", settings.listen)?;
     let operators = bind("admin", settings.admin)?;
@@ -37,13 +40,13 @@
     let incarnation = fastrand::u64(1..);
     let (shared, inbox) = Shared::new(settings, log, runtime, incarnation);
     let shared = Arc::new(shared);
-    tell_panics(&shared);
-    tell_start(&shared);
+    log_panics(&shared);
+    log_start(&shared);
     peer::start(&shared)?;
     let control = control::start(Arc::clone(&shared), inbox, operators)?;
     runtime.spawn(accept(Arc::clone(&shared), callers)).detach();
-    smol::block_on(until_stopped(&shared))?;
-    shared.tell_control(control::Message::Leave);
+    smol::block_on(wait_until_stopped(&shared))?;
+    shared.send_to_control(control::Message::Leave);
     let _ = control.join();
     shared.log.close();
     Ok(())
@@ -55,12 +58,12 @@
     Async::new(listener).map_err(io)
 }
 
-/// A panic is a fault of ours: told as one event, and the thread goes on with its other work.
-fn tell_panics(shared: &Arc<Shared>) {
+/// Logs each panic as one event. A panic is a fault of the entry; the thread continues with its other work.
+fn log_panics(shared: &Arc<Shared>) {
     let shared = Arc::clone(shared);
     std::panic::set_hook(Box::new(move |info| {
         let name = &shared.settings.name;
-        shared.tell(Decision::new(
+        shared.log_decision(Decision::new(
             Code::Fault,
             Subject::Entry,
             name,
@@ -69,29 +72,32 @@
     }));
 }
 
-fn tell_start(shared: &Shared) {
+fn log_start(shared: &Shared) {
     let s = &shared.settings;
     let why = format!(
         "hall {}, callers {}, operators {}, peers {} at {:?}, platform {}",
         s.hall, s.listen, s.admin, s.peer_listen, s.peers, s.platform
     );
-    shared.tell(
+    shared.log_decision(
         Decision::new(Code::EntryStarted, Subject::Entry, &s.name, why)
             .with("incarnation", shared.incarnation)
             .with("threads", s.threads as u64)
             .with("wall_ms", wall_ms()),
     );
     for variable in config::unknown_variables() {
-        let why = format!("{variable} is no setting");
-        shared.tell(Decision::new(
+        let why = format!("environment variable {variable} is not a known setting");
+        shared.log_decision(Decision::new(
             Code::UnknownSetting,
             Subject::Entry,
             &s.name,
             why,
         ));
     }
-    let why = format!("without accounts the token {:?} is accepted", auth::DEMO);
-    shared.tell(Decision::new(
+    let why = format!(
+        "the token {:?} is accepted while no accounts are configured",
+        auth::DEMO_ACCOUNT
+    );
+    shared.log_decision(Decision::new(
         Code::DemoAccount,
         Subject::Entry,
         &s.name,
@@ -100,37 +106,37 @@
 }
 
 async fn accept(shared: Arc<Shared>, listener: Async<TcpListener>) {
-    const LOOK_MS: u64 = 50;
-    while !shared.refusing.load(Ordering::SeqCst) {
+    const CHECK_MS: u64 = 50;
+    while !shared.accept_stopped.load(Ordering::SeqCst) {
         let next = async { Some(listener.accept().await) };
-        let look = async {
-            Timer::after(Duration::from_millis(LOOK_MS)).await;
+        let timeout = async {
+            Timer::after(Duration::from_millis(CHECK_MS)).await;
             None
         };
-        match next.or(look).await {
+        match next.or(timeout).await {
             Some(Ok((stream, _))) => serve(&shared, stream),
-            // Out of descriptors, most likely: give some time to be closed.
+            // The process is most likely out of file descriptors, so wait until some are closed.
             Some(Err(_)) => {
                 Timer::after(Duration::from_millis(10)).await;
             }
             None => {}
         }
     }
-    // Whoever connected before the listener closes is still served.
+    // Connections that were made before the listener closes are still served.
     while let Ok((stream, _)) = listener.get_ref().accept() {
         if let Ok(stream) = Async::new(stream) {
             serve(&shared, stream);
         }
     }
-    shared.closed.store(true, Ordering::SeqCst);
+    shared.listener_closed.store(true, Ordering::SeqCst);
 }
 
 fn serve(shared: &Arc<Shared>, stream: Async<TcpStream>) {
     shared.connections.fetch_add(1, Ordering::SeqCst);
     let shared = Arc::clone(shared);
     let runtime = shared.runtime;
-    runtime.run(async move {
-        let _connected = Counted(&shared.connections);
+    runtime.spawn_detached(async move {
+        let _connected = CountGuard(&shared.connections);
         let limits = Limits {
             body_bytes: shared.settings.body_bytes,
             ..Limits::default()
@@ -141,48 +147,51 @@
     });
 }
 
-/// SIGTERM: not ready at once; for a grace new requests are still served, so that the balancer can see
-/// it; then what is in flight is waited for, and no longer than the bound.
-async fn until_stopped(shared: &Arc<Shared>) -> Result<()> {
+/// Waits for SIGTERM or SIGINT and then stops in order.
+///
+/// The entry is not ready at once, but serves new requests for `grace_ms`, so that the load balancer notices. Then
+/// it accepts no connections and waits up to `stop_ms` for the open ones.
+async fn wait_until_stopped(shared: &Arc<Shared>) -> Result<()> {
     let flag = Arc::new(std::sync::atomic::AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, Arc::clone(&flag))
             .map_err(|e| Error::Io("signal".to_string(), e))?;
     }
-    const LOOK_MS: u64 = 50;
+    const CHECK_MS: u64 = 50;
     while !flag.load(Ordering::SeqCst) {
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+        Timer::after(Duration::from_millis(CHECK_MS)).await;
     }
     let name = shared.settings.name.clone();
     shared.stopping.store(true, Ordering::SeqCst);
-    shared.tell(Decision::new(
+    shared.log_decision(Decision::new(
         Code::EntryStopping,
         Subject::Entry,
         &name,
         "signal",
     ));
     Timer::after(Duration::from_millis(shared.settings.grace_ms)).await;
-    shared.refusing.store(true, Ordering::SeqCst);
+    shared.accept_stopped.store(true, Ordering::SeqCst);
     let began_ms = shared.clock.now_ms();
-    let waiting = || !shared.closed.load(Ordering::SeqCst) || connections(shared) > 0;
-    while waiting() {
+    let is_serving =
+        || !shared.listener_closed.load(Ordering::SeqCst) || count_connections(shared) > 0;
+    while is_serving() {
         if shared.clock.now_ms() - began_ms > shared.settings.stop_ms {
             break;
         }
-        Timer::after(Duration::from_millis(LOOK_MS)).await;
+        Timer::after(Duration::from_millis(CHECK_MS)).await;
     }
-    let left = connections(shared) as u64;
+    let left = count_connections(shared) as u64;
     let why = if left == 0 {
-        "no connection is left"
+        "all connections have ended"
     } else {
-        "the bound on waiting passed"
+        "the longest wait for open connections has passed"
     };
-    shared.tell(
+    shared.log_decision(
         Decision::new(Code::EntryStopped, Subject::Entry, &name, why).with("connections", left),
     );
     Ok(())
 }
 
-fn connections(shared: &Shared) -> usize {
+fn count_connections(shared: &Shared) -> usize {
     shared.connections.load(Ordering::SeqCst)
 }
--- a/src/serve/settings.rs
+++ b/src/serve/settings.rs
@@ -8,7 +8,7 @@
 use bpaf::{construct, long, Parser};
 
 use crate::clock::Millis;
-use crate::config::{address, bad, name};
+use crate::config::{check_name, parse_address, usage_error};
 use crate::error::Result;
 
 /// The default of `config-within-ms`: the shortest that the users' deployments state.
@@ -122,13 +122,13 @@
     /// Checks every flag and returns the settings, or an error that names the wrong flag.
     pub fn check(self) -> Result<ServeSettings> {
         Ok(ServeSettings {
-            name: name("name", self.name)?,
-            hall: name("hall", self.hall)?,
-            listen: address("listen", &self.listen)?,
-            ready: address("ready", &self.ready)?,
+            name: check_name("name", self.name)?,
+            hall: check_name("hall", self.hall)?,
+            listen: parse_address("listen", &self.listen)?,
+            ready: parse_address("ready", &self.ready)?,
             metrics: optional("metrics", &self.metrics)?,
             cpu_milli: cpu_milli(self.cpu_share)?,
-            store: address("store", &self.store)?,
+            store: parse_address("store", &self.store)?,
             hosts: optional("hosts", &self.hosts)?,
             config_within_ms: bound("config-within-ms", &self.config_within_ms, CONFIG_WITHIN_MS)?,
             config_outage_ms: bound("config-outage-ms", &self.config_outage_ms, CONFIG_OUTAGE_MS)?,
@@ -141,7 +141,7 @@
     if (1.0..=1_000_000.0).contains(&milli) {
         return Ok(milli as u64);
     }
-    bad("cpu-share", &share.to_string(), "0.001 to 1000 cores")
+    usage_error("cpu-share", &share.to_string(), "0.001 to 1000 cores")
 }
 
 /// Parses a bound in milliseconds, which must leave time for a few answers of a store; `fallback_ms` if it is empty.
@@ -151,7 +151,7 @@
     }
     match value.parse::<Millis>() {
         Ok(ms) if (200..=600_000).contains(&ms) => Ok(ms),
-        _ => bad(flag, value, "200 to 600000 milliseconds"),
+        _ => usage_error(flag, value, "200 to 600000 milliseconds"),
     }
 }
 
@@ -159,5 +159,5 @@
     if value.is_empty() {
         return Ok(None);
     }
-    address(flag, value).map(Some)
+    parse_address(flag, value).map(Some)
 }
--- a/standin/src/backend.rs
+++ b/standin/src/backend.rs
@@ -216,14 +216,14 @@
     async fn serve(&self, stream: Async<TcpStream>) {
         let wire = Wire::for_requests(stream);
         loop {
-            let incoming = match server::read(&wire, Limits::default(), || false).await {
+            let incoming = match server::read_request(&wire, Limits::default(), || false).await {
                 Arrival::Request(incoming) => *incoming,
                 _ => return,
             };
             let path = incoming.head.url().path().to_string();
             if path.starts_with("/control/") {
                 let res = self.control(&path, &incoming);
-                if server::write(&wire, res, incoming.head.method(), false)
+                if server::write_answer(&wire, res, incoming.head.method(), false)
                     .await
                     .is_err()
                 {
@@ -269,7 +269,9 @@
         let method = incoming.head.method();
         if fault == Fault::Refuse || !self.take_slot() {
             self.refused.fetch_add(1, Ordering::SeqCst);
-            return server::write(wire, refusal(), method, false).await.ok();
+            return server::write_answer(wire, refusal(), method, false)
+                .await
+                .ok();
         }
         self.begin(incoming);
         let work_ms = incoming.header("x-work-ms").and_then(|v| v.parse().ok());
@@ -322,13 +324,13 @@
                 if let Some(mark) = incoming.header("x-mark") {
                     res.insert_header("x-mark", mark);
                 }
-                return server::write(wire, res, incoming.head.method(), false)
+                return server::write_answer(wire, res, incoming.head.method(), false)
                     .await
                     .ok();
             }
             Fault::Fail => {
                 let res = server::answer(500, "text/plain", b"failed".to_vec());
-                return server::write(wire, res, incoming.head.method(), false)
+                return server::write_answer(wire, res, incoming.head.method(), false)
                     .await
                     .ok();
             }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -213,12 +213,13 @@
     async fn serve(&self, stream: Async<TcpStream>) {
         let wire = Wire::for_requests(stream);
         loop {
-            let incoming = match server::read(&wire, Limits::default(), || false).await {
+            let incoming = match server::read_request(&wire, Limits::default(), || false).await {
                 Arrival::Request(incoming) => *incoming,
                 Arrival::Nothing => return,
                 Arrival::Bad(failure) => {
                     let _ =
-                        server::write(&wire, server::problem(&failure), Method::Get, true).await;
+                        server::write_answer(&wire, server::problem(&failure), Method::Get, true)
+                            .await;
                     return;
                 }
             };
@@ -229,7 +230,10 @@
             let method = incoming.head.method();
             match self.answer(&path, incoming) {
                 Some(res) => {
-                    if server::write(&wire, res, method, false).await.is_err() {
+                    if server::write_answer(&wire, res, method, false)
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -8,11 +8,11 @@
 use proptest::prelude::*;
 use rockwick::core::config;
 use rockwick::core::members::Digest;
-use rockwick::http::client::within_ms;
+use rockwick::http::client::deadline_after_ms;
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Client, Limits, Wire};
 use rockwick::port::{Changes, Down, Http, Table};
-use rockwick::wire::{decode, encode, Ask, Told};
+use rockwick::wire::{decode, encode, PeerReply, PeerRequest};
 use smol::Async;
 
 use crate::fleet::CONFIG;
@@ -62,11 +62,11 @@
 
     #[test]
     fn fuzz_requests(bytes in message()) {
-        let limits = Limits { idle_ms: 200, arrive_ms: 200, body_bytes: 1_000 };
+        let limits = Limits { idle_ms: 200, receive_ms: 200, body_bytes: 1_000 };
         let wire = Wire::for_requests(connection(&bytes));
         smol::block_on(async {
             for _ in 0..3 {
-                if !matches!(server::read(&wire, limits, || false).await, Arrival::Request(_)) {
+                if !matches!(server::read_request(&wire, limits, || false).await, Arrival::Request(_)) {
                     break;
                 }
             }
@@ -85,7 +85,7 @@
                 let _ = stream.write_all(&bytes);
             });
             let req = client.request(http_types::Method::Get, "/").expect("a request");
-            let _ = smol::block_on(client.exchange(req, within_ms(200)));
+            let _ = smol::block_on(client.exchange(req, deadline_after_ms(200)));
         });
     }
 
@@ -118,18 +118,18 @@
 
     #[test]
     fn fuzz_peers(bytes in vec(any::<u8>(), 0..200)) {
-        let _: Option<Ask> = decode(&bytes);
-        let _: Option<Told> = decode(&bytes);
+        let _: Option<PeerRequest> = decode(&bytes);
+        let _: Option<PeerReply> = decode(&bytes);
     }
 
     #[test]
     fn fuzz_peers_cut(name in ".{0,20}", seq in any::<u64>(), cut in 0usize..60) {
         let digest = Digest { name, incarnation: 7, ..Digest::default() };
-        let ask = Ask::Poll { digest, since: seq };
+        let ask = PeerRequest::Poll { digest, since: seq };
         let bytes = encode(&ask).expect("encodes");
-        prop_assert_eq!(decode::<Ask>(&bytes), Some(ask));
+        prop_assert_eq!(decode::<PeerRequest>(&bytes), Some(ask));
         let cut = cut.min(bytes.len());
-        prop_assert_eq!(decode::<Ask>(&bytes[..bytes.len() - cut]).is_some(), cut == 0);
+        prop_assert_eq!(decode::<PeerRequest>(&bytes[..bytes.len() - cut]).is_some(), cut == 0);
     }
 
     #[test]
--- a/tests/test_report.rs
+++ b/tests/test_report.rs
@@ -25,7 +25,7 @@
 #[test]
 fn report_measures() {
     let report = Report::new(LINES.lines());
-    let buffer = report.buffer();
+    let buffer = report.total_buffer();
     assert!(
         (buffer.held_s - 8.0).abs() < 1e-9,
         "four hosts, two seconds"
@@ -34,12 +34,12 @@
         (buffer.idle_s - 6.0).abs() < 1e-9,
         "one of them was at work"
     );
-    assert_eq!(report.waves["7"].took_ms(), 3_000);
+    assert_eq!(report.waves["7"].duration_ms(), 3_000);
     assert!(report.waves_done.contains("7"));
-    assert_eq!(report.configs[&5].took_ms(), 300);
+    assert_eq!(report.configs[&5].duration_ms(), 300);
     assert_eq!(report.host_moves["a"], 1);
     assert_eq!(report.task_moves["run failed"], 1);
-    assert_eq!(report.unread, 1);
+    assert_eq!(report.unread_lines, 1);
 }
 
 #[test]
