--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -1,4 +1,4 @@
-//! A task that one worker is barred for, or that has no place at all, and what waits behind it.
+//! Placement of a task that must not run on one worker, or that fits nowhere, and of the tasks queued behind it.
 
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
@@ -11,25 +11,25 @@
 use crate::decide::{answering, decide};
 use crate::world::{config, job, lasting, worker_fact, Faults, World, POOL};
 
-/// Epoch of the owner.
+/// The owner's epoch.
 const EPOCH: u64 = 7;
 
-/// When the first run fails.
+/// Time at which the first run fails.
 const NOW_MS: u64 = 100_000;
 
-/// How long a task waits for another worker at the most.
+/// Longest time that a task waits for a worker other than the one it failed on.
 const WAIT_MAX_MS: u64 = 3_000;
 
-/// Owners look at what waits so often at the least.
+/// Longest time between two of an owner's placement passes.
 const RECONCILE_MS: u64 = 250;
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Worlds of their own.
+/// Number of seeds; each gives a world of its own.
 const SEEDS: u64 = 40;
 
-/// A worker with so many cores, a label and a rack.
+/// Returns the record of a worker with `cores` cores, a label and a rack.
 fn fact(name: &str, cores: u64, label: &str, rack: &str) -> WorkerInfo {
     let mut fact = worker_fact(name, name);
     fact.capacity.cpu_milli = cores * 1_000;
@@ -37,8 +37,8 @@
     fact
 }
 
-/// Books with these workers.
-fn pool_state(facts: &[WorkerInfo]) -> (PoolState, Vec<WorkerKey>) {
+/// Returns the state of a pool with these workers, and their keys.
+fn pool_with(facts: &[WorkerInfo]) -> (PoolState, Vec<WorkerKey>) {
     let mut pool_state = PoolState::default();
     let keys = facts
         .iter()
@@ -47,9 +47,9 @@
     (pool_state, keys)
 }
 
-/// Two workers of 16 cores, alike.
-fn pair() -> (PoolState, Vec<WorkerKey>) {
-    pool_state(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r1")])
+/// Returns a pool with two equal workers of 16 cores.
+fn two_workers() -> (PoolState, Vec<WorkerKey>) {
+    pool_with(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r1")])
 }
 
 fn submit(pool_state: &mut PoolState, id: &str, spec: &JobSpec) -> TaskKey {
@@ -70,19 +70,19 @@
     }
 }
 
-/// Where a task is after a look at what waits.
-fn placed(pool_state: &mut PoolState, task: TaskKey, now_ms: u64) -> Option<WorkerKey> {
+/// Runs one placement pass and returns the worker that the task is on then.
+fn place_task(pool_state: &mut PoolState, task: TaskKey, now_ms: u64) -> Option<WorkerKey> {
     decide(now_ms, |ctx| place::place(pool_state, ctx));
     pool_state.task(task).and_then(|t| t.phase.worker())
 }
 
-/// The task runs, and its run fails; gives the worker.
-fn fail(pool_state: &mut PoolState, task: TaskKey) -> WorkerKey {
-    let worker = placed(pool_state, task, NOW_MS).expect("there is room for it");
+/// Starts the task, lets its run fail and returns the worker that it ran on.
+fn fail_first_run(pool_state: &mut PoolState, task: TaskKey) -> WorkerKey {
+    let worker = place_task(pool_state, task, NOW_MS).expect("a worker has capacity for the task");
     let run = pool_state.task(task).map_or(0, |t| t.run);
     let end = RunEnd {
         number: 1,
-        task: pool_state.task_name(task).expect("its job is there"),
+        task: pool_state.task_name(task).expect("the job is known"),
         run,
         kind: EndKind::Failed,
         checkpoint: String::new(),
@@ -96,129 +96,128 @@
     worker
 }
 
-/// What others take of a worker.
-fn fill(pool_state: &mut PoolState, worker: WorkerKey, cores: u64) {
+/// Marks `cores` cores of a worker as used by others.
+fn use_cores(pool_state: &mut PoolState, worker: WorkerKey, cores: u64) {
     pool_state.workers[worker].used.cpu_milli += cores * 1_000;
     pool_state.update_free_index(worker);
 }
 
 #[test]
 fn barred_by_size() {
-    let (mut pool_state, _) = pool_state(&[fact("w1", 16, "a", "r1"), fact("w2", 4, "a", "r1")]);
+    let (mut pool_state, _) = pool_with(&[fact("w1", 16, "a", "r1"), fact("w2", 4, "a", "r1")]);
     let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
-    let worker = fail(&mut pool_state, task);
-    assert_eq!(placed(&mut pool_state, task, NOW_MS), Some(worker));
+    let worker = fail_first_run(&mut pool_state, task);
+    assert_eq!(place_task(&mut pool_state, task, NOW_MS), Some(worker));
 }
 
 #[test]
 fn barred_by_label() {
-    let (mut pool_state, _) = pool_state(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "b", "r1")]);
+    let (mut pool_state, _) = pool_with(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "b", "r1")]);
     let mut spec = job(1, 8_000, 500);
     spec.steps[0].label = Some("a".to_string());
     let task = submit(&mut pool_state, "a", &spec);
-    let worker = fail(&mut pool_state, task);
-    assert_eq!(placed(&mut pool_state, task, NOW_MS), Some(worker));
+    let worker = fail_first_run(&mut pool_state, task);
+    assert_eq!(place_task(&mut pool_state, task, NOW_MS), Some(worker));
 }
 
 #[test]
 fn barred_by_copies() {
-    let (mut pool_state, _) = pair();
+    let (mut pool_state, _) = two_workers();
     let task = submit(&mut pool_state, "a", &lasting(2, 1));
-    let worker = fail(&mut pool_state, task);
-    assert_eq!(placed(&mut pool_state, task, NOW_MS), Some(worker));
+    let worker = fail_first_run(&mut pool_state, task);
+    assert_eq!(place_task(&mut pool_state, task, NOW_MS), Some(worker));
 }
 
-/// A rack where the data lies is a preference: the other rack will do.
+/// The rack that holds the data is a preference, so the retry may go to the other rack.
 #[test]
 fn barred_not_by_rack() {
-    let (mut pool_state, keys) =
-        pool_state(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r2")]);
+    let (mut pool_state, keys) = pool_with(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r2")]);
     let mut spec = job(1, 8_000, 500);
     spec.steps[0].data_rack = Some("r1".to_string());
     let task = submit(&mut pool_state, "a", &spec);
-    assert_eq!(fail(&mut pool_state, task), keys[0]);
-    assert_eq!(placed(&mut pool_state, task, NOW_MS), Some(keys[1]));
+    assert_eq!(fail_first_run(&mut pool_state, task), keys[0]);
+    assert_eq!(place_task(&mut pool_state, task, NOW_MS), Some(keys[1]));
 }
 
-/// The other worker is full: the task waits for it, but not for good.
+/// The other worker is full. The task waits for it to come free, but not for longer than `WAIT_MAX_MS`.
 #[test]
 fn barred_while_full() {
-    let (mut pool_state, keys) = pair();
+    let (mut pool_state, keys) = two_workers();
     let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
-    let worker = fail(&mut pool_state, task);
+    let worker = fail_first_run(&mut pool_state, task);
     let other = keys.into_iter().find(|key| *key != worker);
-    fill(&mut pool_state, other.expect("there are two"), 16);
+    use_cores(&mut pool_state, other.expect("there are two workers"), 16);
     assert_eq!(
-        placed(&mut pool_state, task, NOW_MS),
+        place_task(&mut pool_state, task, NOW_MS),
         None,
-        "it may come free"
+        "the full worker may come free"
     );
     let late_ms = NOW_MS + WAIT_MAX_MS;
-    assert_eq!(placed(&mut pool_state, task, late_ms), Some(worker));
+    assert_eq!(place_task(&mut pool_state, task, late_ms), Some(worker));
 }
 
-/// The other worker is left alone for a moment, and opens again in time.
+/// The other worker is suspended for less than the longest wait, so the retry waits for it.
 #[test]
 fn barred_while_suspended() {
-    let (mut pool_state, keys) = pair();
+    let (mut pool_state, keys) = two_workers();
     let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
-    let worker = fail(&mut pool_state, task);
+    let worker = fail_first_run(&mut pool_state, task);
     let other = keys.into_iter().find(|key| *key != worker);
-    let other = other.expect("there are two");
+    let other = other.expect("there are two workers");
     pool_state.workers[other].suspended_until_ms = NOW_MS + 2 * RECONCILE_MS;
-    assert_eq!(placed(&mut pool_state, task, NOW_MS), None);
+    assert_eq!(place_task(&mut pool_state, task, NOW_MS), None);
     assert_eq!(
-        placed(&mut pool_state, task, NOW_MS + 2 * RECONCILE_MS),
+        place_task(&mut pool_state, task, NOW_MS + 2 * RECONCILE_MS),
         Some(other),
-        "it failed on the first one"
+        "the task failed on the first worker"
     );
 }
 
-/// What bars one task from a worker holds up no other one of its size.
+/// A task that must avoid a worker does not keep other tasks of its size from that worker.
 #[test]
 fn barred_alone() {
-    let (mut pool_state, keys) = pair();
+    let (mut pool_state, keys) = two_workers();
     let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
-    let worker = fail(&mut pool_state, task);
+    let worker = fail_first_run(&mut pool_state, task);
     let other = keys.into_iter().find(|key| *key != worker);
-    fill(&mut pool_state, other.expect("there are two"), 16);
+    use_cores(&mut pool_state, other.expect("there are two workers"), 16);
     let next = submit(&mut pool_state, "b", &job(1, 8_000, 500));
-    assert_eq!(placed(&mut pool_state, next, NOW_MS), Some(worker));
+    assert_eq!(place_task(&mut pool_state, next, NOW_MS), Some(worker));
     assert_eq!(pool_state.task(task).map(|t| t.phase), Some(Phase::Ready));
 }
 
-/// More tasks than a look takes in have no place; one behind them has.
+/// More tasks than one pass scans fit nowhere. The task queued behind them fits and must still be placed.
 #[test]
 fn barred_prefix() {
-    let (mut pool_state, _) = pair();
+    let (mut pool_state, _) = two_workers();
     let mut spec = lasting(PLACE_SCAN_MAX as u16 + 1, 1);
     spec.steps[0].cpu_milli = 17_000;
     submit(&mut pool_state, "a", &spec);
     let task = submit(&mut pool_state, "b", &job(1, 1_000, 500));
-    let looks = 0..WAIT_MAX_MS / RECONCILE_MS;
-    let mut looks = looks.map(|n| NOW_MS + n * RECONCILE_MS);
-    assert!(looks.any(|now_ms| placed(&mut pool_state, task, now_ms).is_some()));
+    let passes = 0..WAIT_MAX_MS / RECONCILE_MS;
+    let mut passes = passes.map(|n| NOW_MS + n * RECONCILE_MS);
+    assert!(passes.any(|now_ms| place_task(&mut pool_state, task, now_ms).is_some()));
 }
 
-/// The same with more tasks than two looks take in.
+/// The same with more tasks than two passes scan.
 #[test]
 fn barred_long_prefix() {
-    let (mut pool_state, _) = pair();
+    let (mut pool_state, _) = two_workers();
     let mut spec = lasting(4 * PLACE_SCAN_MAX as u16, 1);
     spec.steps[0].label = Some("none".to_string());
     submit(&mut pool_state, "a", &spec);
     let task = submit(&mut pool_state, "b", &job(1, 1_000, 500));
-    let looks = 0..WAIT_MAX_MS / RECONCILE_MS;
-    let mut looks = looks.map(|n| NOW_MS + n * RECONCILE_MS);
-    assert!(looks.any(|now_ms| placed(&mut pool_state, task, now_ms).is_some()));
+    let passes = 0..WAIT_MAX_MS / RECONCILE_MS;
+    let mut passes = passes.map(|n| NOW_MS + n * RECONCILE_MS);
+    assert!(passes.any(|now_ms| place_task(&mut pool_state, task, now_ms).is_some()));
 }
 
-/// Three of four workers are too small for a task whose first run fails on the fourth.
-fn play_shrunk(seed: u64) {
+/// Three of four workers are too small for a task whose first run fails on the fourth, so it must run there again.
+fn simulate_shrunk(seed: u64) {
     let mut world = World::new(seed, 2, 4);
     world.run(SETTLE_MS);
-    for life in &world.lives()[1..] {
-        world.resize(life, 4_000);
+    for worker_id in &world.lives()[1..] {
+        world.resize(worker_id, 4_000);
     }
     world.run(2_000);
     world.faults = Faults {
@@ -239,7 +238,7 @@
 
 #[test]
 fn barred_shrunk() {
-    let is_broken = |seed: &u64| std::panic::catch_unwind(|| play_shrunk(*seed)).is_err();
+    let is_broken = |seed: &u64| std::panic::catch_unwind(|| simulate_shrunk(*seed)).is_err();
     let broken: Vec<u64> = (0..SEEDS).filter(is_broken).collect();
     assert!(
         broken.is_empty(),
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -1,9 +1,11 @@
-//! Tasks whose runs had all ended as done on one worker were started again on others, and nobody stopped the second runs.
-//! An end is in its owner's books as soon as a worker lists it, and on record later. A worker whose tasks were all done by
-//! the books counted as empty in between: its host was ordered out for upkeep or put on offer, and the worker's list of ends
-//! went with it. When the owner was replaced before the record, nothing told the next one of these ends; it found every one of
-//! the tasks as started on a worker that was gone. In the first test below the job's partition is away for 6 s, the upkeep
-//! comes 2.4 s after the last end, and each of the six tasks is started twice (12 starts).
+//! Ends of runs that an owner has applied but not yet recorded must survive the worker that reported them. A worker
+//! whose tasks were all done in the owner's in-memory state counted as empty at once; its host was ordered out for
+//! maintenance or offered to other pools, and the worker's list of ends went with it. If the owner was replaced before
+//! it recorded the ends, the next owner found all those tasks as started on a worker that was gone, and started them
+//! again.
+//!
+//! In the first test below the job's partition is unavailable for 6 s and the maintenance order comes 2.4 s after the
+//! last end; with the fault each of the six tasks is started twice (12 starts).
 
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
@@ -16,21 +18,22 @@
 use crate::decide::{answering, decide};
 use crate::world::{config, job, worker_fact, World, POOL};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Tasks of the job.
+/// Number of tasks of the job.
 const TASKS: u16 = 6;
 
-/// The shard that has the job's progress: the first one does not answer as it comes. Orders to hosts are on record there.
+/// The shard that stores the job's progress, since the first one is unavailable when the job arrives. Orders to hosts
+/// are recorded in the first shard.
 const SHARD: usize = 1;
 
-/// A world whose only job has been started, all of it.
-fn started() -> World {
+/// Returns a world in which all tasks of the only job have been started.
+fn world_with_started_job() -> World {
     let mut world = World::new(1, 2, 2);
     world.run(SETTLE_MS);
     world.parts_away.insert(shard_part(POOL, 0));
-    // Until heartbeats there have failed.
+    // Runs until heartbeats in that shard have failed.
     world.run(1_000);
     world.submit("a", job(TASKS, 1_000, 1_500));
     world.run(300);
@@ -41,20 +44,22 @@
 
 #[test]
 fn ends_outlive_upkeep() {
-    let mut world = started();
+    let mut world = world_with_started_job();
     world.parts_away.insert(shard_part(POOL, SHARD));
     world.wave(1, 4_000, 1);
     world.run(9_000);
-    let owner = world.owner_entry().expect("it renews in other shards");
+    let owner = world
+        .owner_entry()
+        .expect("the owner renews in other shards");
     world.kill(owner);
     world.parts_away.clear();
     world.run(20_000);
     assert_eq!(world.starts, u64::from(TASKS), "no task starts twice");
 }
 
-/// Whether a look at the pool's size changes what is on offer.
-fn offers(pool_state: &mut PoolState) -> bool {
-    let with = Inputs {
+/// Runs one sizing pass and returns whether it changes the offered hosts.
+fn changes_offers(pool_state: &mut PoolState) -> bool {
+    let inputs = Inputs {
         pool: POOL,
         epoch: 1,
         can_park: true,
@@ -63,14 +68,21 @@
     };
     let effects = decide(100_000, |ctx| {
         let mut sizing = Sizing::default();
-        sizing::reconcile(pool_state, &mut sizing, &mut Offers::default(), &with, ctx);
+        sizing::reconcile(
+            pool_state,
+            &mut sizing,
+            &mut Offers::default(),
+            &inputs,
+            ctx,
+        );
     });
     effects
         .iter()
         .any(|e| matches!(e, Effect::SettleOffers(..)))
 }
 
-/// Four hosts, of which the pool's only job needs fewer; the first has told an end of that job, which is not on record.
+/// Four hosts, of which the pool's only job needs fewer. Each has reported an end of that job that is not recorded
+/// yet, so none may be offered until it is.
 #[test]
 fn ends_outlive_offer() {
     let mut pool_state = PoolState::default();
@@ -82,7 +94,7 @@
         value: Some(rows::encode(&job(1, 1_000, 60_000))),
         revision: 1,
     };
-    // Long ago enough to tell of no rate at which more will come.
+    // Long enough ago that the job does not count as a rate of arriving work.
     decide(90_000, |ctx| {
         load::apply_intake(&mut pool_state, &row, &config(1), 1, ctx)
     });
@@ -91,27 +103,30 @@
         pool_state.mark_dirty(key, 100_000);
         pool_state.note_applied_end(*worker, 1, Some(key));
     }
-    assert!(!offers(&mut pool_state), "no host's ends are on record");
+    assert!(
+        !changes_offers(&mut pool_state),
+        "no host's ends are recorded"
+    );
     pool_state.jobs[key].recorded_changes = pool_state.jobs[key].changes;
-    assert!(offers(&mut pool_state), "all are");
+    assert!(changes_offers(&mut pool_state), "all ends are recorded");
 }
 
-/// An owner that is told to stop hands its pool over; what it has just taken in is on record then, or a worker that is gone
-/// as the next owner looks takes it along.
+/// An owner that is asked to stop hands its pool over. It must first record the ends that it has just applied, since
+/// the worker that reported them may be gone before the next owner reads its list.
 #[test]
 fn ends_outlive_stop() {
     let mut world = World::new(1, 2, 2);
     world.run(SETTLE_MS);
     world.submit("a", job(TASKS, 1_000, 1_500));
     world.run(100);
-    let life = world.life_of("a", 0).expect("it runs");
+    let worker_id = world.life_of("a", 0).expect("the task runs");
     while !world.is_over_by_books("a") {
         world.run(1);
     }
-    let owner = world.owner_entry().expect("it has books");
+    let owner = world.owner_entry().expect("the pool has an owner");
     world.stop(owner);
     world.run(1);
-    world.crash(&life, 1_000);
+    world.crash(&worker_id, 1_000);
     world.run(20_000);
     assert_eq!(world.starts, u64::from(TASKS), "no task starts twice");
 }
--- a/tests/test_fairness.rs
+++ b/tests/test_fairness.rs
@@ -1,14 +1,14 @@
-//! A flood by one account: what others were promised comes first, and the flood takes what they leave.
+//! One account floods a pool: work within the other accounts' rates goes first, and the flood gets the rest.
 
 use rockwick::core::sched::fairness::Meter;
 use rockwick::core::sched::job::{JobSpec, JobState};
 
 use crate::world::{job, World};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// An account's job of two tasks of a core, 300 ms each.
+/// Returns an account's job of two tasks that take 2 cores for 300 ms each.
 fn of_account(account: &str) -> JobSpec {
     JobSpec {
         account: Some(account.to_string()),
@@ -20,21 +20,21 @@
 fn fairness_meter() {
     let mut meter = Meter::default();
     let within = (0..20).filter(|n| meter.try_take(10, 5_000 + n)).count();
-    assert_eq!(within, 10, "a second's worth at once");
+    assert_eq!(within, 10, "one second's rate is available at once");
     assert!(!meter.try_take(10, 5_050));
-    assert!(meter.try_take(10, 5_150), "and one each 100 ms");
+    assert!(meter.try_take(10, 5_150), "then one each 100 ms");
     assert!(!meter.try_take(10, 5_160));
     let mut small = Meter::default();
     assert!(
         small.try_take(1, 9_000) && small.try_take(1, 9_000),
-        "two at a time at the least"
+        "a burst is at least two"
     );
     assert!(!small.try_take(1, 9_000));
     assert!(small.try_take(1, 10_100));
 }
 
-/// One account floods a pool with three times what it holds, five others send what they were promised: jobs of theirs
-/// that are done soon after their objective (1,080 ms), of those sent.
+/// One account submits three times what the pool can run, and another one submits within its rate. Returns how many of
+/// the latter's jobs are done soon after their objective (1,080 ms), and how many were due.
 fn others_in_time(flood_weight: u64) -> (usize, usize) {
     let mut world = World::new(61, 1, 4);
     world.set_accounts(&[("flood", 0, flood_weight), ("dock", 0, 5)]);
@@ -56,20 +56,23 @@
             .filter(|(_, id)| world.recorded(id) == JobState::Completed)
             .count();
     }
-    let asked = sent
+    let due_count = sent
         .iter()
         .filter(|(at, _)| world.now_ms >= at + 1_225)
         .count();
-    (done, asked)
+    (done, due_count)
 }
 
 #[test]
 fn fairness_flood() {
-    let (done, asked) = others_in_time(20);
-    assert!(done * 100 >= asked * 95, "{done} of {asked}");
+    let (done, due_count) = others_in_time(20);
+    assert!(
+        done * 100 >= due_count * 95,
+        "{done} of {due_count} in time"
+    );
     let (unbounded, _) = others_in_time(0);
     assert!(
         unbounded * 2 < done,
-        "{unbounded} where the flood has no weight, {done} with it"
+        "{unbounded} in time without a weight for the flood, {done} with it"
     );
 }
--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -1,4 +1,5 @@
-//! Entries of another writer in the list of workers: such an entry names no worker to use, and all others hold.
+//! Unreadable entries that another writer left in the list of workers: none of them is used as a worker, and the
+//! readable ones keep working.
 
 use fastrand::Rng;
 use rockwick::core::sched::job::JobState;
@@ -10,10 +11,10 @@
 
 use crate::world::{job, World};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// An entry as a worker writes it.
+/// Returns an entry as a worker writes it.
 fn entry() -> Value {
     json!({
         "service": "pool", "address": "127.0.0.1:9", "zone": "hall", "version": "v1", "slots": 8,
@@ -22,10 +23,10 @@
     })
 }
 
-/// The entry with one field changed, or taken out.
-fn with(field: &str, value: Option<Value>) -> Vec<u8> {
+/// Returns the entry with one field replaced, or removed if `value` is absent.
+fn entry_with(field: &str, value: Option<Value>) -> Vec<u8> {
     let mut entry = entry();
-    let fields = entry.as_object_mut().expect("it is an object");
+    let fields = entry.as_object_mut().expect("the entry is an object");
     match value {
         Some(value) => fields.insert(field.to_string(), value),
         None => fields.remove(field),
@@ -34,82 +35,97 @@
 }
 
 fn bad_entries() -> Vec<Vec<u8>> {
-    let mut bad = vec![
+    let mut unreadable = vec![
         b"".to_vec(),
         b"\xff\xfe{".to_vec(),
         b"[]".to_vec(),
         b"7".to_vec(),
     ];
     for field in ["service", "address", "zone", "state", "capacity"] {
-        bad.push(with(field, None));
-        bad.push(with(field, Some(json!(7))));
-        bad.push(with(field, Some(Value::Null)));
+        unreadable.push(entry_with(field, None));
+        unreadable.push(entry_with(field, Some(json!(7))));
+        unreadable.push(entry_with(field, Some(Value::Null)));
     }
-    bad.push(with("state", Some(json!("asleep"))));
-    bad.push(with("address", Some(json!("nowhere"))));
-    bad.push(with("capacity", Some(json!({"cpu": "many", "mem_mb": 1}))));
-    bad.push(with("capacity", Some(json!({"cpu": -1, "mem_mb": 1}))));
-    bad.push(with("capacity", Some(json!({"mem_mb": 1}))));
-    bad.push(with("labels", Some(json!("a"))));
-    bad.push(with("machine", Some(json!({}))));
-    bad.push(with(
+    unreadable.push(entry_with("state", Some(json!("asleep"))));
+    unreadable.push(entry_with("address", Some(json!("nowhere"))));
+    unreadable.push(entry_with(
+        "capacity",
+        Some(json!({"cpu": "many", "mem_mb": 1})),
+    ));
+    unreadable.push(entry_with(
+        "capacity",
+        Some(json!({"cpu": -1, "mem_mb": 1})),
+    ));
+    unreadable.push(entry_with("capacity", Some(json!({"mem_mb": 1}))));
+    unreadable.push(entry_with("labels", Some(json!("a"))));
+    unreadable.push(entry_with("machine", Some(json!({}))));
+    unreadable.push(entry_with(
         "service",
         Some(json!("x".repeat(60_000).into_bytes())),
     ));
-    bad
+    unreadable
 }
 
 #[test]
 fn foreign_entries() {
     let fleet = Fleet::start("pool", 2, 50).expect("it starts");
     let platform = Platform::new(fleet.address, Some(fleet.address));
-    let bad = bad_entries();
-    for (n, value) in bad.iter().enumerate() {
+    let unreadable = bad_entries();
+    for (n, value) in unreadable.iter().enumerate() {
         fleet.put_bytes("servers", "", &format!("x-{n}"), value);
     }
     fleet.put("servers", "", "good", &entry());
     smol::block_on(async {
-        let words = platform.workers().await.expect("read").changes;
-        for (n, value) in bad.iter().enumerate() {
+        let events = platform.workers().await.expect("read").changes;
+        for (n, value) in unreadable.iter().enumerate() {
             let text = String::from_utf8_lossy(value);
             let id = format!("x-{n}");
-            let is_told = |w: &WorkerEvent| matches!(w, WorkerEvent::Unreadable(k, _) if *k == id);
+            let is_reported =
+                |w: &WorkerEvent| matches!(w, WorkerEvent::Unreadable(k, _) if *k == id);
             assert!(
-                words.iter().any(is_told),
+                events.iter().any(is_reported),
                 "{}",
                 text.get(..200).unwrap_or(&text)
             );
         }
-        let present = words
+        let present = events
             .iter()
             .filter(|w| matches!(w, WorkerEvent::Present(_)));
-        assert_eq!(present.count(), 3, "the good ones");
+        assert_eq!(present.count(), 3, "the readable entries");
     });
 }
 
-/// A worker's entry is overwritten with one that can't be read: what runs there goes on, nothing new comes, until the
-/// worker states itself again.
+/// A worker's entry is overwritten with an unreadable one. Its tasks go on, and it gets no new ones until the worker
+/// writes its entry again.
 #[test]
 fn foreign_overwrites() {
     let mut world = World::new(1, 1, 1);
     world.run(SETTLE_MS);
-    let life = world.lives()[0].clone();
+    let worker_id = world.lives()[0].clone();
     world.submit("first", job(2, 1_000, 3_000));
     world.run(500);
-    assert_eq!(world.running_on(&life), 2);
-    let bad = WorkerEvent::Unreadable(life.clone(), "not JSON".to_string());
-    world.tell(0, Event::Worker(bad));
+    assert_eq!(world.running_on(&worker_id), 2);
+    let unreadable = WorkerEvent::Unreadable(worker_id.clone(), "not JSON".to_string());
+    world.tell(0, Event::Worker(unreadable));
     world.submit("second", job(2, 1_000, 500));
     world.run(600);
-    assert_eq!(world.running("second"), 0, "it names no worker to use");
-    assert_eq!(world.running("first"), 2, "what runs there goes on");
-    let good = world.fact(&life);
+    assert_eq!(
+        world.running("second"),
+        0,
+        "an unreadable entry is no usable worker"
+    );
+    assert_eq!(
+        world.running("first"),
+        2,
+        "tasks that run on the worker go on"
+    );
+    let good = world.fact(&worker_id);
     world.tell(0, Event::Worker(WorkerEvent::Present(good)));
     world.run(300);
     assert_eq!(world.running("second"), 2);
 }
 
-/// A row of progress that can't be read costs its own job, not the pool: the next owner serves the others.
+/// An unreadable progress row affects only its own job: the next owner loads the pool and runs the other jobs.
 #[test]
 fn foreign_progress() {
     let mut world = World::new(2, 2, 2);
@@ -117,7 +133,7 @@
     world.submit("bad", job(2, 1_000, 20_000));
     world.run(500);
     world.spoil_progress("bad");
-    let owner = world.owner_entry().expect("it is owned");
+    let owner = world.owner_entry().expect("the pool has an owner");
     world.kill(owner);
     world.run(SETTLE_MS);
     let starts = world.starts;
@@ -127,12 +143,12 @@
     assert_eq!(
         world.starts,
         starts + 2,
-        "nothing of the other is started anew"
+        "no task of the unreadable job is started again"
     );
 }
 
-/// A good row with some of its bytes changed, taken out or doubled.
-fn mutated(rng: &mut Rng, good: &[u8]) -> Vec<u8> {
+/// Returns a copy of a good row with some bytes changed, removed or repeated.
+fn mutate(rng: &mut Rng, good: &[u8]) -> Vec<u8> {
     let mut bytes = good.to_vec();
     for _ in 0..rng.usize(1..6) {
         let at = rng
@@ -153,8 +169,8 @@
     bytes
 }
 
-/// Rows of any bytes in the list of workers and among the operator's: nothing panics, each row is told as something, and
-/// the good ones between them are all there.
+/// Random bytes in the rows of workers and of the operator: nothing panics, each row is reported in some form, and all
+/// good rows between them are read.
 #[test]
 fn foreign_fuzz() {
     let fleet = Fleet::start("pool", 2, 50).expect("it starts");
@@ -165,39 +181,41 @@
     let wave = wave.to_string().into_bytes();
     let mut rng = Rng::with_seed(29);
     for n in 0..600 {
-        fleet.put_bytes("servers", "", &format!("x-{n}"), &mutated(&mut rng, &good));
+        fleet.put_bytes("servers", "", &format!("x-{n}"), &mutate(&mut rng, &good));
         fleet.put_bytes(
             "op",
             "",
             &format!("wave/{}", n + 10),
-            &mutated(&mut rng, &wave),
+            &mutate(&mut rng, &wave),
         );
         if n % 100 == 0 {
             fleet.put("servers", "", &format!("good-{n}"), &entry());
         }
     }
     smol::block_on(async {
-        let words = platform.workers().await.expect("read").changes;
-        assert_eq!(words.len(), 600 + 6 + 2);
-        let is_responsive =
+        let events = platform.workers().await.expect("read").changes;
+        assert_eq!(events.len(), 600 + 6 + 2);
+        let is_good_entry =
             |w: &&WorkerEvent| matches!(w, WorkerEvent::Present(f) if f.id.starts_with("good"));
-        assert_eq!(words.iter().filter(is_responsive).count(), 6);
-        let said = platform.operator().await.expect("read").changes;
-        assert!(said.iter().any(|w| matches!(w, OperatorEvent::Config(_))));
-        assert!(said.len() > 600, "{}", said.len());
+        assert_eq!(events.iter().filter(is_good_entry).count(), 6);
+        let operator_events = platform.operator().await.expect("read").changes;
+        assert!(operator_events
+            .iter()
+            .any(|w| matches!(w, OperatorEvent::Config(_))));
+        assert!(operator_events.len() > 600, "{}", operator_events.len());
     });
 }
 
-/// With entries that can't be read between the others, what is decided is the same as without.
+/// Unreadable entries between the others change no decision.
 #[test]
 fn foreign_changes_nothing() {
-    let play = |is_foreign: bool| {
+    let simulate = |is_foreign: bool| {
         let mut world = World::new(5, 2, 4);
         world.run(SETTLE_MS);
         for n in 0..20 {
             if is_foreign {
-                let bad = WorkerEvent::Unreadable(format!("x-{n}"), "not JSON".to_string());
-                world.tell(n % 2, Event::Worker(bad));
+                let unreadable = WorkerEvent::Unreadable(format!("x-{n}"), "not JSON".to_string());
+                world.tell(n % 2, Event::Worker(unreadable));
             }
             world.submit(&format!("job-{n}"), job(3, 900, 700));
             world.run(400);
@@ -206,5 +224,5 @@
         let states = (0..20).map(|n| world.recorded(&format!("job-{n}")));
         (world.starts, states.collect::<Vec<_>>())
     };
-    assert_eq!(play(true), play(false));
+    assert_eq!(simulate(true), simulate(false));
 }
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -1,4 +1,5 @@
-//! Orders to hosts: on record and taken before they are sent, and no two holders in turn.
+//! Orders to hosts are sent only once they are recorded and the hosts are taken from their pool, and two successive
+//! entries don't order the same host in quick succession.
 
 use std::collections::BTreeMap;
 
@@ -14,17 +15,18 @@
 /// Epoch of the entry that orders hosts.
 const EPOCH: u64 = 7;
 
-/// The entry that orders hosts: pool `busy` lacks one, pool `idle` offers `h1`.
+/// The entry that orders hosts. Pool `busy` lacks one host, and pool `idle` offers `h1`.
 struct Holder {
     controller: HostController,
     config: FleetConfig,
     now_ms: u64,
-    /// What `idle` offers.
+    /// Hosts that `idle` offers.
     offers: Offers,
 }
 
 impl Holder {
-    /// After a holder that ordered these hosts, and told of some in its last heartbeat, two seconds ago.
+    /// Creates an entry that takes over from a holder which had ordered the hosts `former`, and which reported the
+    /// times `reported_ms` in its last heartbeat two seconds ago.
     fn new(former: &[&str], reported_ms: &[(&str, u64)]) -> Self {
         let row = HostOrdersRow {
             hosts: former.iter().map(|host| host.to_string()).collect(),
@@ -35,9 +37,9 @@
             value: Some(encode(&row)),
             revision: 1,
         };
-        let told = reported_ms.iter().map(|(host, at)| (host.to_string(), *at));
+        let reported = reported_ms.iter().map(|(host, at)| (host.to_string(), *at));
         let former = FormerHostOrders {
-            reported_ms: told.collect(),
+            reported_ms: reported.collect(),
             over_ms: 49_500,
         };
         let mut offers = Offers::default();
@@ -58,8 +60,8 @@
             state: HostState::Up,
             worker: format!("life of {host}"),
         });
-        // The first look asks for the list.
-        holder.look();
+        // The first pass asks for the list of hosts.
+        holder.reconcile_hosts();
         hosts::apply_list(&mut holder.controller, list.to_vec());
         holder
     }
@@ -73,29 +75,29 @@
             need("busy", 1, &none, self.now_ms),
             need("idle", 1, &self.offers, self.now_ms),
         ];
-        let look = Inputs {
+        let inputs = Inputs {
             config: &self.config,
             needs: &needs,
             pool: "off",
             epoch: EPOCH,
         };
-        decide(self.now_ms, |ctx| work(&mut self.controller, &look, ctx))
+        decide(self.now_ms, |ctx| work(&mut self.controller, &inputs, ctx))
     }
 
-    fn look(&mut self) -> Vec<Effect> {
-        self.with_ctx(|controller, look, ctx| {
-            hosts::reconcile(controller, &BTreeMap::new(), look, ctx)
+    fn reconcile_hosts(&mut self) -> Vec<Effect> {
+        self.with_ctx(|controller, inputs, ctx| {
+            hosts::reconcile(controller, &BTreeMap::new(), inputs, ctx)
         })
     }
 
-    fn recorded(&mut self) -> Vec<Effect> {
+    fn apply_recorded_orders(&mut self) -> Vec<Effect> {
         self.with_ctx(|controller, _, ctx| {
             hosts::apply_recorded(controller, &TxOutcome::Committed(9), EPOCH, ctx)
         })
     }
 
-    /// The host was taken from `idle`, or its offer was withdrawn meanwhile.
-    fn taken(&mut self, is_done: bool) -> Vec<Effect> {
+    /// Applies the answer to a take: the host was taken from `idle`, or its offer was withdrawn in the meantime.
+    fn apply_take_answer(&mut self, is_done: bool) -> Vec<Effect> {
         let outcome = match is_done {
             true => TxOutcome::Committed(10),
             false => TxOutcome::Conflict(Vec::new()),
@@ -109,17 +111,17 @@
     }
 }
 
-fn records(effects: &[Effect]) -> usize {
+fn count_records(effects: &[Effect]) -> usize {
     let is_record = |e: &&Effect| matches!(e, Effect::RecordHostOrders(..));
     effects.iter().filter(is_record).count()
 }
 
-fn takes(effects: &[Effect]) -> usize {
+fn count_takes(effects: &[Effect]) -> usize {
     let is_take = |e: &&Effect| matches!(e, Effect::TakeHosts(..));
     effects.iter().filter(is_take).count()
 }
 
-fn moves(effects: &[Effect]) -> Vec<(String, HostTask)> {
+fn list_moves(effects: &[Effect]) -> Vec<(String, HostTask)> {
     let orders = effects.iter().filter_map(|e| match e {
         Effect::OrderHost(_, _, host, task, _) => Some((host.clone(), task.clone())),
         _ => None,
@@ -127,63 +129,79 @@
     orders.collect()
 }
 
-fn to_busy() -> Vec<(String, HostTask)> {
+fn move_to_busy() -> Vec<(String, HostTask)> {
     vec![("h1".to_string(), HostTask::Move("busy".to_string()))]
 }
 
 #[test]
 fn hosts_recorded_first() {
     let mut holder = Holder::new(&[], &[]);
-    let effects = holder.look();
-    assert_eq!((records(&effects), takes(&effects)), (1, 1));
-    assert_eq!(moves(&effects), []);
-    assert_eq!(moves(&holder.taken(true)), [], "not on record yet");
-    assert_eq!(moves(&holder.recorded()), to_busy());
+    let effects = holder.reconcile_hosts();
+    assert_eq!((count_records(&effects), count_takes(&effects)), (1, 1));
+    assert_eq!(list_moves(&effects), []);
+    assert_eq!(
+        list_moves(&holder.apply_take_answer(true)),
+        [],
+        "the order is not recorded yet"
+    );
+    assert_eq!(list_moves(&holder.apply_recorded_orders()), move_to_busy());
 }
 
 #[test]
 fn hosts_taken_first() {
     let mut holder = Holder::new(&[], &[]);
-    holder.look();
-    assert_eq!(moves(&holder.recorded()), [], "its pool still offers it");
-    // A slow store: what was taken is taken, however long it took.
+    holder.reconcile_hosts();
+    assert_eq!(
+        list_moves(&holder.apply_recorded_orders()),
+        [],
+        "the pool still offers the host"
+    );
+    // A slow store: the take holds, however long its answer took.
     holder.now_ms += 1_500;
-    assert_eq!(moves(&holder.taken(true)), to_busy());
+    assert_eq!(list_moves(&holder.apply_take_answer(true)), move_to_busy());
 }
 
-/// Its pool took the host back before it could be taken, and may have given it work.
+/// The pool withdrew its offer before the host was taken, and may have placed work there, so the host is not moved.
 #[test]
 fn hosts_withdrawn() {
     let mut holder = Holder::new(&[], &[]);
-    holder.look();
-    holder.recorded();
-    assert_eq!(moves(&holder.taken(false)), []);
+    holder.reconcile_hosts();
+    holder.apply_recorded_orders();
+    assert_eq!(list_moves(&holder.apply_take_answer(false)), []);
     holder.offers.replace_row(OffersRow::default(), 11);
     holder.now_ms += 2_000;
-    let effects = holder.look();
-    assert_eq!((moves(&effects), takes(&effects)), (vec![], 0));
+    let effects = holder.reconcile_hosts();
+    assert_eq!((list_moves(&effects), count_takes(&effects)), (vec![], 0));
 }
 
 #[test]
 fn hosts_silent_again() {
     let mut holder = Holder::new(&[], &[]);
-    holder.look();
-    holder.recorded();
-    assert_eq!(moves(&holder.taken(true)).len(), 1);
+    holder.reconcile_hosts();
+    holder.apply_recorded_orders();
+    assert_eq!(list_moves(&holder.apply_take_answer(true)).len(), 1);
     holder.with_ctx(|controller, _, ctx| {
         hosts::apply_reply(controller, "h1", HostReply::Silent, ctx)
     });
     holder.now_ms += 500;
-    assert_eq!(moves(&holder.look()), to_busy(), "it is taken: sent again");
+    assert_eq!(
+        list_moves(&holder.reconcile_hosts()),
+        move_to_busy(),
+        "the host is taken, so the order is sent again"
+    );
     holder.with_ctx(|controller, _, ctx| {
         hosts::apply_reply(controller, "h1", HostReply::Silent, ctx)
     });
     holder.offers.replace_row(OffersRow::default(), 12);
     holder.now_ms += 500;
-    assert_eq!(moves(&holder.look()), [], "it is not taken any more");
+    assert_eq!(
+        list_moves(&holder.reconcile_hosts()),
+        [],
+        "the host is no longer taken"
+    );
 }
 
-/// What was taken and is not moved goes back to its pool, once no order can still move it.
+/// A host that was taken but not moved goes back to its pool once no order can move it any more.
 #[test]
 fn hosts_given_back() {
     let mut holder = Holder::new(&[], &[]);
@@ -194,21 +212,22 @@
     };
     let by_former = BTreeMap::from([("h1".to_string(), taken(EPOCH - 1))]);
     holder.offers.row.taken = by_former;
-    let effects = holder.with_ctx(|controller, look, ctx| {
-        let needs = [look.needs[1]];
-        let calm = Inputs {
+    let effects = holder.with_ctx(|controller, inputs, ctx| {
+        let needs = [inputs.needs[1]];
+        let without_need = Inputs {
             needs: &needs,
-            ..*look
+            ..*inputs
         };
-        hosts::reconcile(controller, &BTreeMap::new(), &calm, ctx);
+        hosts::reconcile(controller, &BTreeMap::new(), &without_need, ctx);
     });
-    // Nobody lacks a host: the former holder's mark goes.
-    assert_eq!((takes(&effects), moves(&effects).len()), (1, 0));
-    holder.taken(true);
+    // No pool lacks a host, so the former holder's mark is removed.
+    assert_eq!((count_takes(&effects), list_moves(&effects).len()), (1, 0));
+    holder.apply_take_answer(true);
     assert!(holder.offers.row.taken.is_empty());
 }
 
-/// A mark that a former holder left on a life that is over says nothing of the one that came back to the pool.
+/// A former holder marked an instance as taken that has ended since. The mark says nothing about the host's next
+/// instance, which came back to the pool.
 #[test]
 fn hosts_stale_mark() {
     let mut holder = Holder::new(&[], &[]);
@@ -218,23 +237,26 @@
         epoch: EPOCH - 1,
     };
     holder.offers.row.taken = BTreeMap::from([("h1".to_string(), earlier)]);
-    let effects = holder.look();
-    assert_eq!((records(&effects), takes(&effects)), (0, 1));
-    assert_eq!(moves(&holder.taken(true)), []);
-    assert!(holder.offers.row.taken.is_empty(), "the mark goes");
+    let effects = holder.reconcile_hosts();
+    assert_eq!((count_records(&effects), count_takes(&effects)), (0, 1));
+    assert_eq!(list_moves(&holder.apply_take_answer(true)), []);
+    assert!(
+        holder.offers.row.taken.is_empty(),
+        "the stale mark is removed"
+    );
 }
 
-/// The same for an offer: the host crashed, and its next life may be at work.
+/// The same for an offer: the host crashed, and its next instance may be running tasks.
 #[test]
 fn hosts_stale_offer() {
     let mut holder = Holder::new(&[], &[]);
     let offered = BTreeMap::from([("h1".to_string(), "earlier life".to_string())]);
     holder.offers.row.offered = offered;
-    let effects = holder.look();
-    assert_eq!((records(&effects), takes(&effects)), (0, 0));
+    let effects = holder.reconcile_hosts();
+    assert_eq!((count_records(&effects), count_takes(&effects)), (0, 0));
 }
 
-/// Hosts that nobody wants are turned off a few at a time: orders that somebody waits for go between them.
+/// Surplus hosts are turned off a few at a time, so that orders that a pool waits for are sent between them.
 #[test]
 fn hosts_parked_slowly() {
     let mut holder = Holder::new(&[], &[]);
@@ -248,33 +270,40 @@
         worker: String::new(),
     });
     hosts::apply_list(&mut holder.controller, list.collect());
-    holder.look();
-    holder.recorded();
-    holder.taken(true);
+    holder.reconcile_hosts();
+    holder.apply_recorded_orders();
+    holder.apply_take_answer(true);
     holder.now_ms += 10_000;
-    holder.look();
-    holder.recorded();
-    let sent = moves(&holder.taken(true));
+    holder.reconcile_hosts();
+    holder.apply_recorded_orders();
+    let sent = list_moves(&holder.apply_take_answer(true));
     let is_off = |(_, task): &&(String, HostTask)| *task == HostTask::Move("off".to_string());
     let off = sent.iter().filter(is_off).count();
-    assert!((1..=16).contains(&off), "{off} of 100");
+    assert!(
+        (1..=16).contains(&off),
+        "{off} of 100 hosts turned off at once"
+    );
 }
 
 #[test]
 fn hosts_former_holder() {
     let mut holder = Holder::new(&["h1"], &[]);
     holder.now_ms = 49_500 + hosts::ORDERS_APART_MS - 1;
-    assert_eq!(records(&holder.look()), 0, "another entry ordered it last");
+    assert_eq!(
+        count_records(&holder.reconcile_hosts()),
+        0,
+        "another entry ordered the host last"
+    );
     holder.now_ms += 1;
-    assert_eq!(records(&holder.look()), 1);
+    assert_eq!(count_records(&holder.reconcile_hosts()), 1);
 }
 
-/// The former holder said in its heartbeats when it ordered the host about: only what is left is waited for.
+/// The former holder reported in its heartbeats when it ordered the host, so only the rest of the gap is waited for.
 #[test]
 fn hosts_former_told() {
     let mut holder = Holder::new(&["h1"], &[("h1", 47_000)]);
     holder.now_ms = 47_000 + hosts::ORDERS_APART_MS - 1;
-    assert_eq!(records(&holder.look()), 0);
+    assert_eq!(count_records(&holder.reconcile_hosts()), 0);
     holder.now_ms += 1;
-    assert_eq!(records(&holder.look()), 1);
+    assert_eq!(count_records(&holder.reconcile_hosts()), 1);
 }
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -1,4 +1,4 @@
-//! How a pool's jobs are spread over parts of the store.
+//! How a pool's jobs are spread over partitions of the store.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,10 @@
         *jobs.entry(part).or_default() += 1;
     }
     let most = jobs.values().max().copied();
-    assert!(most < Some(200), "100 a part on average, {most:?} in one");
+    assert!(
+        most < Some(200),
+        "{most:?} jobs in one part, of 100 on average"
+    );
 }
 
 #[test]
@@ -30,11 +33,11 @@
     assert!(parts.iter().all(|part| pool_of_part(part) == "a/b"));
 }
 
-/// A job whose partition is away is taken in its second one, stays one job when it is handed in again after the
-/// return, and can be read and cancelled meanwhile.
+/// A job whose partition is unavailable is stored in its second one. It stays one job when it is submitted again after
+/// the first partition is back, and can be read and cancelled in between.
 #[test]
 fn intake_second_part() {
-    let fleet = Fleet::start("pool", 2, 50).expect("it starts");
+    let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     fleet.configure(1, "pool");
     let one = entry(&fleet, "e1");
     let (id, other) = ("00000000000000aa", "00000000000000bb");
@@ -61,15 +64,16 @@
     assert_eq!(
         submit(one.callers, id, "work"),
         Some(200),
-        "it is the same job"
+        "the same job is submitted again"
     );
     assert_eq!(state(one.callers, id), "completed");
-    assert_eq!(fleet.starts(), 9, "nothing ran twice");
+    assert_eq!(fleet.starts(), 9, "no task ran twice");
     fleet.set_parts_away(&[first, second]);
     assert_eq!(status(one.callers, &format!("/q/{id}")), Some(504));
 }
 
-/// A job that stands in two parts runs once, and leaves both before its progress goes: else it would come back.
+/// A job that is stored in two partitions runs once. It is removed from both before its progress is, or it would be
+/// loaded as a new job.
 #[test]
 fn intake_in_both() {
     let mut world = World::new(51, 2, 3);
@@ -78,17 +82,22 @@
     world.submit_again("a");
     world.run(2_000);
     assert_eq!(world.recorded("a"), JobState::Completed);
-    world.kill(world.owner_entry().expect("somebody owns the pool"));
+    world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(170_000);
     assert_eq!(world.recorded("a"), JobState::Completed);
     assert_eq!(world.starts, 2);
-    assert_eq!(world.store.len(), 2 * SHARDS, "owner and heartbeat a shard");
+    assert_eq!(
+        world.store.len(),
+        2 * SHARDS,
+        "an owner row and a heartbeat row for each shard"
+    );
 }
 
-/// The operator's partition alone is away: jobs are taken and run by the last configuration, and the entry stays ready.
+/// Only the operator's partition is unavailable: jobs are accepted and run under the last configuration, and the entry
+/// stays ready.
 #[test]
 fn intake_operator_away() {
-    let fleet = Fleet::start("pool", 2, 50).expect("it starts");
+    let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     fleet.configure(1, "pool");
     let one = entry(&fleet, "e1");
     let (before, id) = ("00000000000000cc", "00000000000000aa");
--- a/tests/test_late_claim.rs
+++ b/tests/test_late_claim.rs
@@ -1,5 +1,6 @@
-//! The answer to a claim may come late and name a newer revision than the claim's. Another entry may have taken the pool in
-//! between; an answer taken for the newer of the two makes this one claim the shards of an owner that is alive.
+//! The answer to a claim may come late and name a newer revision than the claim's own, and another entry may have
+//! claimed the pool in between. If the answer is taken for the newer claim of the two, this entry claims the other
+//! shards from an owner that is alive.
 
 use std::sync::Arc;
 
@@ -15,7 +16,7 @@
     Now { ms, wall_ms: ms }
 }
 
-fn claims(effects: &[Effect]) -> Vec<usize> {
+fn claimed_shards(effects: &[Effect]) -> Vec<usize> {
     let shards = effects.iter().filter_map(|effect| match effect {
         Effect::Claim(_, shard, _) => Some(*shard),
         _ => None,
@@ -23,7 +24,7 @@
     shards.collect()
 }
 
-/// The owner's row of the first shard as the feed tells it.
+/// Returns the event by which the feed delivers the first shard's owner row.
 fn owned_by(entry: &str, nonce: u64, revision: u64) -> Event {
     let owner = OwnerRow {
         entry: entry.to_string(),
@@ -38,24 +39,36 @@
     })
 }
 
-/// An entry whose claim at revision 20 is out; another took the pool at 23, and the answer names `told`.
-fn claims_after(told: u64) -> Vec<usize> {
+/// Returns the shards that an entry claims after its claim at revision 20 is answered with `answered_revision`, while
+/// another entry has claimed the pool at revision 23.
+fn claims_after(answered_revision: u64) -> Vec<usize> {
     let mut state = State::new("a", 1);
-    let word = OperatorEvent::Config(Arc::new(config(1)));
-    reduce(&mut state, Event::Operator(word), at(1_000));
+    let config_event = OperatorEvent::Config(Arc::new(config(1)));
+    reduce(&mut state, Event::Operator(config_event), at(1_000));
     let effects = reduce(&mut state, Event::Tick, at(9_000));
-    assert_eq!(claims(&effects), [0], "the pool has no owner");
+    assert_eq!(claimed_shards(&effects), [0], "the pool has no owner");
     reduce(&mut state, owned_by("b", 2, 23), at(11_000));
-    let answer = Event::Claimed(PoolKey(0), 0, 9_000, TxOutcome::Committed(told));
-    claims(&reduce(&mut state, answer, at(11_100)))
+    let answer = Event::Claimed(
+        PoolKey(0),
+        0,
+        9_000,
+        TxOutcome::Committed(answered_revision),
+    );
+    claimed_shards(&reduce(&mut state, answer, at(11_100)))
 }
 
 #[test]
 fn late_claim() {
-    assert!(claims_after(20).is_empty(), "its own revision");
+    assert!(
+        claims_after(20).is_empty(),
+        "the answer names the claim's own revision"
+    );
 }
 
 #[test]
 fn late_claim_ahead() {
-    assert!(claims_after(25).is_empty(), "the store's newest revision");
+    assert!(
+        claims_after(25).is_empty(),
+        "the answer names the store's newest revision"
+    );
 }
--- a/tests/test_leases.rs
+++ b/tests/test_leases.rs
@@ -1,4 +1,4 @@
-//! How long an owner may take its lease to last, and how long a claim must wait for another's.
+//! How long an owner may count its lease as valid, and how long a claim must wait for another entry's lease.
 
 use std::sync::Arc;
 
@@ -17,11 +17,11 @@
     Now { ms, wall_ms: ms }
 }
 
-/// An entry that knows the configuration and reaches the store.
+/// Returns an entry that has the configuration and can reach the store.
 fn entry() -> State {
     let mut state = State::new("entry", 7);
-    let word = OperatorEvent::Config(Arc::new(config(1)));
-    reduce(&mut state, Event::Operator(word), now(10));
+    let config_event = OperatorEvent::Config(Arc::new(config(1)));
+    reduce(&mut state, Event::Operator(config_event), now(10));
     reduce(&mut state, Event::Store(true), now(20));
     state
 }
@@ -35,32 +35,32 @@
     })
 }
 
-/// A renewal that was sent.
-struct Sent {
+/// A renewal that was sent to the store.
+struct SentRenewal {
     at_ms: u64,
     shard: usize,
-    beat: Vec<u8>,
+    heartbeat: Vec<u8>,
 }
 
-/// Goes on until a renewal is sent.
-fn renewal(state: &mut State, now_ms: &mut u64) -> Sent {
+/// Advances the time until the entry sends a renewal, and returns it.
+fn next_renewal(state: &mut State, now_ms: &mut u64) -> SentRenewal {
     loop {
         *now_ms += 10;
         for effect in reduce(state, Event::Tick, now(*now_ms)) {
             if let Effect::Renew(_, _, shard, tx) = effect {
                 let write = tx.writes.into_iter().find(|w| w.key == HEARTBEAT_KEY);
-                return Sent {
+                return SentRenewal {
                     at_ms: *now_ms,
                     shard,
-                    beat: write.and_then(|w| w.value).expect("a heartbeat"),
+                    heartbeat: write.and_then(|w| w.value).expect("a heartbeat"),
                 };
             }
         }
     }
 }
 
-/// Answers are lost, and the feed is behind: a heartbeat that it brings renews the lease from its own sending, not from
-/// that of a later one which may never reach the store.
+/// Answers are lost and the feed lags. A heartbeat that arrives through the feed renews the lease from the time that
+/// heartbeat was sent, not from that of a later one that may never reach the store.
 #[test]
 fn leases_own_beat() {
     let mut state = entry();
@@ -72,12 +72,12 @@
     }
     assert_eq!(state.owned_count(), 1);
     let mut now_ms = 3_010;
-    let first = renewal(&mut state, &mut now_ms);
-    let second = renewal(&mut state, &mut now_ms);
-    let seen = owner_row(first.shard, HEARTBEAT_KEY, first.beat, 200);
+    let first = next_renewal(&mut state, &mut now_ms);
+    let second = next_renewal(&mut state, &mut now_ms);
+    let seen = owner_row(first.shard, HEARTBEAT_KEY, first.heartbeat, 200);
     reduce(&mut state, seen, now(now_ms + 1));
-    let third = renewal(&mut state, &mut now_ms);
-    let seen = owner_row(second.shard, HEARTBEAT_KEY, second.beat, 201);
+    let third = next_renewal(&mut state, &mut now_ms);
+    let seen = owner_row(second.shard, HEARTBEAT_KEY, second.heartbeat, 201);
     reduce(&mut state, seen, now(now_ms + 1));
     let renewed_ms = state.pool(POOL).map(|p| p.lease.renewed_ms);
     assert_eq!(
@@ -88,8 +88,8 @@
     );
 }
 
-/// An earlier process of this entry won the first shard and ended. The owner before it renews in the other shards, and may
-/// send orders until its lease there is over.
+/// An earlier process of this entry won the first shard and ended. The previous owner renews in the other shards and
+/// may send orders until its lease there expires, so these must not be claimed yet.
 #[test]
 fn leases_half_claimed() {
     let mut state = entry();
@@ -104,13 +104,13 @@
             nonce,
             epoch: 0,
         };
-        let beat = HeartbeatRow {
+        let heartbeat = HeartbeatRow {
             entry: "other".to_string(),
             ..HeartbeatRow::default()
         };
         let event = owner_row(shard, OWNER_KEY, encode(&owner), 50);
         reduce(&mut state, event, now(100));
-        let event = owner_row(shard, HEARTBEAT_KEY, encode(&beat), 60);
+        let event = owner_row(shard, HEARTBEAT_KEY, encode(&heartbeat), 60);
         reduce(&mut state, event, now(100));
     }
     let mut claimed = Vec::new();
@@ -125,6 +125,6 @@
     }
     assert!(
         claimed.is_empty(),
-        "{claimed:?}: the other's heartbeats are 30 ms old"
+        "claimed {claimed:?}, though the previous owner's heartbeats are 30 ms old"
     );
 }
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -1,45 +1,45 @@
-//! A host stood still in its wave for good: the worker on it was up and answered, and its owner knew of none there. The owner had
-//! claimed the pool, and read its rows and the list of workers with them, 0.4 s before that worker came up. Its entry came by
-//! the feed while the rows were still being read; the list that came with them, older than the entry, lacked it, and the worker was
-//! taken for gone. The feed does not tell an entry twice. (`worker-found` of it in no log; a hold to the life before it answered
-//! "another life answered"; "left 1" for both waves from then on.)
+//! An owner must keep a worker whose entry arrives through the feed while the owner is still reading its pool's rows.
+//! The list that comes with the rows was read before and lacks that worker; taken for the newest, it removed the
+//! worker. Since the feed delivers an entry only once, the owner then never knew of a worker that was up and answered,
+//! and the host stayed out in its wave forever.
 
 use rockwick::core::sched::state::Event;
 use rockwick::port::fleet::{WorkerEvent, WorkerInfo};
 
 use crate::world::{worker_fact, World};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Words of the feed are told to an entry after it asked for its rows, and before these are here.
-fn told_between(words: Vec<WorkerEvent>) -> Vec<String> {
+/// Returns the workers that an owner lists after the feed delivered `events` between its request for the rows and
+/// their arrival.
+fn listed_after(events: Vec<WorkerEvent>) -> Vec<String> {
     let mut world = World::new(1, 1, 2);
     world.run(SETTLE_MS);
     let rows = world.read_rows();
     world.run(10);
-    for word in words {
-        world.tell(0, Event::Worker(word));
+    for event in events {
+        world.tell(0, Event::Worker(event));
     }
     world.load(0, rows);
-    let owner = world.owner().expect("it owns the pool");
+    let owner = world.owner().expect("the entry owns the pool");
     owner.listed.keys().cloned().collect()
 }
 
-fn young() -> WorkerInfo {
+fn new_worker() -> WorkerInfo {
     worker_fact("young", "host-9")
 }
 
 #[test]
 fn listing_outlives_reading() {
-    let listed = told_between(vec![WorkerEvent::Present(young())]);
+    let listed = listed_after(vec![WorkerEvent::Present(new_worker())]);
     assert!(listed.contains(&"young".to_string()), "{listed:?}");
 }
 
-/// Nor does the reading bring back what the feed took away meanwhile.
+/// The rows don't bring back a worker that the feed removed in the meantime.
 #[test]
 fn listing_stays_gone() {
     let id = World::new(1, 1, 2).lives()[0].clone();
-    let listed = told_between(vec![WorkerEvent::Gone(id.clone())]);
+    let listed = listed_after(vec![WorkerEvent::Gone(id.clone())]);
     assert!(!listed.contains(&id), "{listed:?}");
 }
