--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -1,4 +1,5 @@
-//! Hosts on offer: taken back at once or moved, never both, whatever happens to answers of the store.
+//! Offered hosts: the pool withdraws a host's offer or the host is moved, but never both, whatever happens to the
+//! store's answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,16 +22,16 @@
 use crate::decide::{answering, decide, need, pools};
 use crate::world::{config, job, worker_fact, POOL};
 
-/// Seeds in CI.
+/// Number of seeds in CI.
 const SEEDS: u64 = 300;
 
-/// Hosts of the pool that offers some.
+/// Number of hosts of the pool that offers some.
 const HOSTS: usize = 6;
 
-/// Epoch of both sides; another guards none of the rows here.
+/// Epoch of both sides; no row here is guarded by another epoch.
 const EPOCH: u64 = 7;
 
-/// A call to the store that gets no answer is given up then.
+/// Time after which an unanswered call to the store is given up.
 const TIMEOUT_MS: Millis = 800;
 
 enum Arrival {
@@ -38,35 +39,35 @@
     Taken(TxOutcome),
     Recorded,
     Ordered(String, HostReply),
-    /// The row as the owner's feed tells it.
+    /// The owner's feed delivers the row.
     ToOwner(StoredRow),
-    /// The same for the entry that orders hosts.
+    /// The feed of the entry that orders hosts delivers the row.
     ToHolder(StoredRow),
     /// A write whose answer was lost takes effect.
     Applies(RowTx),
 }
 
-/// An owner, the entry that orders hosts, and the one row between them.
-struct Pair {
+/// Simulates an owner, the entry that orders hosts, and the row of offers that both write.
+struct Simulation {
     rng: Rng,
     now_ms: Millis,
     pool_state: PoolState,
     sizing: Sizing,
     offers: Offers,
     controller: HostController,
-    seen: Offers,
+    holder_offers: Offers,
     config: FleetConfig,
     row: Option<(Vec<u8>, u64)>,
     arrivals: Vec<(Millis, Arrival)>,
-    /// Hosts that were ordered away and are not gone yet, and when they go.
+    /// Hosts that were ordered away and have not left yet, with the times at which they leave.
     leaving: BTreeMap<String, Millis>,
     gone: BTreeSet<String>,
     moved: usize,
     reopened: usize,
-    lacks: u64,
+    hosts_lacked: u64,
 }
 
-impl Pair {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut pool_state = PoolState::default();
         for n in 0..HOSTS {
@@ -86,7 +87,7 @@
             sizing,
             offers: Offers::default(),
             controller,
-            seen: Offers::default(),
+            holder_offers: Offers::default(),
             config: pools(POOL),
             row: None,
             arrivals: Vec::new(),
@@ -94,15 +95,15 @@
             gone: BTreeSet::new(),
             moved: 0,
             reopened: 0,
-            lacks: 0,
+            hosts_lacked: 0,
         }
     }
 
-    fn later(&mut self, ms: Millis, what: Arrival) {
+    fn schedule(&mut self, ms: Millis, what: Arrival) {
         self.arrivals.push((self.now_ms + ms, what));
     }
 
-    fn stored(&self) -> StoredRow {
+    fn stored_row(&self) -> StoredRow {
         let (value, revision) = self.row.clone().unwrap_or_default();
         StoredRow {
             part: POOL.to_string(),
@@ -116,56 +117,56 @@
         let revision = self.row.as_ref().map_or(0, |(_, revision)| *revision);
         let guard = tx.guards.iter().find(|g| g.key == OFFERS_KEY);
         if guard.is_some_and(|g| g.revision != revision) {
-            return TxOutcome::Conflict(vec![(tx.writes[0].table, self.stored())]);
+            return TxOutcome::Conflict(vec![(tx.writes[0].table, self.stored_row())]);
         }
         let value = tx.writes[0].value.clone().unwrap_or_default();
         self.row = Some((value, revision + 1));
-        let row = self.stored();
+        let row = self.stored_row();
         let (a, b) = (self.rng.u64(1..400), self.rng.u64(1..400));
-        self.later(a, Arrival::ToOwner(row.clone()));
-        self.later(b, Arrival::ToHolder(row));
+        self.schedule(a, Arrival::ToOwner(row.clone()));
+        self.schedule(b, Arrival::ToHolder(row));
         TxOutcome::Committed(revision + 1)
     }
 
-    /// Sends a transaction; its answer may be lost, and its effect late.
+    /// Sends a transaction. Its answer may be lost and its effect may be late.
     fn call(&mut self, tx: &RowTx, answer: impl FnOnce(TxOutcome) -> Arrival) {
         match self.rng.u32(0..10) {
             0 => {
                 self.transact(tx);
-                self.later(TIMEOUT_MS, answer(TxOutcome::Unknown));
+                self.schedule(TIMEOUT_MS, answer(TxOutcome::Unknown));
             }
             1 => {
                 let late_ms = self.rng.u64(900..5_000);
-                self.later(late_ms, Arrival::Applies(tx.clone()));
-                self.later(TIMEOUT_MS, answer(TxOutcome::Unknown));
+                self.schedule(late_ms, Arrival::Applies(tx.clone()));
+                self.schedule(TIMEOUT_MS, answer(TxOutcome::Unknown));
             }
-            2 => self.later(TIMEOUT_MS, answer(TxOutcome::Unknown)),
-            3 => self.later(5, answer(TxOutcome::Refused)),
+            2 => self.schedule(TIMEOUT_MS, answer(TxOutcome::Unknown)),
+            3 => self.schedule(5, answer(TxOutcome::Refused)),
             _ => {
                 let outcome = self.transact(tx);
                 let after_ms = self.rng.u64(2..300);
-                self.later(after_ms, answer(outcome));
+                self.schedule(after_ms, answer(outcome));
             }
         }
     }
 
-    fn carry(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::SettleOffers(_, _, tx) => self.call(&tx, Arrival::Settled),
                 Effect::TakeHosts(_, _, _, tx) => self.call(&tx, Arrival::Taken),
                 Effect::RecordHostOrders(..) => {
                     let after_ms = self.rng.u64(2..300);
-                    self.later(after_ms, Arrival::Recorded);
+                    self.schedule(after_ms, Arrival::Recorded);
                 }
-                Effect::OrderHost(_, _, host, HostTask::Move(_), _) => self.order(&host),
+                Effect::OrderHost(_, _, host, HostTask::Move(_), _) => self.order_away(&host),
                 _ => {}
             }
         }
     }
 
-    /// A host is ordered away: its owner must not use it.
-    fn order(&mut self, host: &str) {
+    /// Orders a host away, after checking that its owner does not use it.
+    fn order_away(&mut self, host: &str) {
         self.check_idle(host);
         let is_silent = self.rng.u32(0..5) == 0;
         if !self.gone.contains(host) {
@@ -177,7 +178,7 @@
         } else {
             HostReply::Accepted
         };
-        self.later(20, Arrival::Ordered(host.to_string(), reply));
+        self.schedule(20, Arrival::Ordered(host.to_string(), reply));
     }
 
     fn check_idle(&self, host: &str) {
@@ -191,14 +192,14 @@
         );
     }
 
-    fn owner_looks(&mut self) {
-        let open = |pair: &Self| {
-            let workers = pair.pool_state.workers.values();
-            workers.filter(|w| w.is_open(pair.now_ms)).count()
+    fn reconcile_owner(&mut self) {
+        let open = |sim: &Self| {
+            let workers = sim.pool_state.workers.values();
+            workers.filter(|w| w.is_open(sim.now_ms)).count()
         };
         let before = open(self);
         self.change_load();
-        let with = sizing::Inputs {
+        let sizing_inputs = sizing::Inputs {
             pool: POOL,
             epoch: EPOCH,
             can_park: true,
@@ -210,16 +211,16 @@
                 &mut self.pool_state,
                 &mut self.sizing,
                 &mut self.offers,
-                &with,
+                &sizing_inputs,
                 ctx,
             );
         });
         self.reopened += usize::from(open(self) > before);
-        self.carry(effects);
-        self.work();
+        self.apply_effects(effects);
+        self.change_tasks();
     }
 
-    /// What the pool needs rises and falls: jobs that never get a place come and go.
+    /// Changes what the pool needs: jobs that never get a place come and go.
     fn change_load(&mut self) {
         if self.rng.u32(0..4) > 0 {
             return;
@@ -242,8 +243,8 @@
         });
     }
 
-    /// Work comes to some host that is open, and ends on others.
-    fn work(&mut self) {
+    /// Adds a task to a random host if it is open, or removes one.
+    fn change_tasks(&mut self) {
         let keys: Vec<_> = self.pool_state.workers.keys().collect();
         let key = keys[self.rng.usize(0..keys.len())];
         let demand = Capacity {
@@ -265,24 +266,24 @@
         }
     }
 
-    fn holder(&mut self, work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>)) {
+    fn with_holder(&mut self, work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>)) {
         let none = Offers::default();
         let needs = [
-            need("busy", self.lacks, &none, self.now_ms),
-            need(POOL, 0, &self.seen, self.now_ms),
+            need("busy", self.hosts_lacked, &none, self.now_ms),
+            need(POOL, 0, &self.holder_offers, self.now_ms),
         ];
-        let look = Inputs {
+        let inputs = Inputs {
             config: &self.config,
             needs: &needs,
             pool: "off",
             epoch: EPOCH,
         };
         let controller = &mut self.controller;
-        let effects = decide(self.now_ms, |ctx| work(controller, &look, ctx));
-        self.carry(effects);
+        let effects = decide(self.now_ms, |ctx| work(controller, &inputs, ctx));
+        self.apply_effects(effects);
     }
 
-    fn list(&self) -> Vec<HostRecord> {
+    fn list_hosts(&self) -> Vec<HostRecord> {
         let hosts = (0..HOSTS).map(|n| format!("host-{n}"));
         hosts
             .map(|host| HostRecord {
@@ -297,38 +298,40 @@
             .collect()
     }
 
-    fn arrive(&mut self, what: Arrival) {
+    fn deliver(&mut self, what: Arrival) {
         match what {
             Arrival::Settled(outcome) => match outcome {
                 TxOutcome::Committed(revision) => self.offers.apply_change(revision),
                 TxOutcome::Conflict(found) => {
                     self.offers.pending = None;
-                    observe(&mut self.offers, &found[0].1);
+                    apply_row_if_present(&mut self.offers, &found[0].1);
                 }
                 TxOutcome::Refused => self.offers.pending = None,
                 TxOutcome::Unknown => self.offers.keep_unsure(),
             },
             Arrival::Taken(outcome) => {
                 let mut row = None;
-                self.holder(|controller, _, ctx| {
+                self.with_holder(|controller, _, ctx| {
                     row = hosts::apply_taken(controller, POOL, &outcome, EPOCH, ctx);
                 });
                 match (outcome, row) {
                     (TxOutcome::Committed(revision), Some(row)) => {
-                        self.seen.replace_row(row, revision)
+                        self.holder_offers.replace_row(row, revision)
+                    }
+                    (TxOutcome::Conflict(found), _) => {
+                        apply_row_if_present(&mut self.holder_offers, &found[0].1)
                     }
-                    (TxOutcome::Conflict(found), _) => observe(&mut self.seen, &found[0].1),
                     _ => {}
                 }
             }
-            Arrival::Recorded => self.holder(|controller, _, ctx| {
+            Arrival::Recorded => self.with_holder(|controller, _, ctx| {
                 hosts::apply_recorded(controller, &TxOutcome::Committed(1), EPOCH, ctx);
             }),
-            Arrival::Ordered(host, reply) => self.holder(|controller, _, ctx| {
+            Arrival::Ordered(host, reply) => self.with_holder(|controller, _, ctx| {
                 hosts::apply_reply(controller, &host, reply, ctx);
             }),
-            Arrival::ToOwner(row) => observe(&mut self.offers, &row),
-            Arrival::ToHolder(row) => observe(&mut self.seen, &row),
+            Arrival::ToOwner(row) => apply_row_if_present(&mut self.offers, &row),
+            Arrival::ToHolder(row) => apply_row_if_present(&mut self.holder_offers, &row),
             Arrival::Applies(tx) => {
                 self.transact(&tx);
             }
@@ -342,7 +345,7 @@
         self.arrivals = rest;
         let due: Vec<(Millis, Arrival)> = due;
         for (_, what) in due {
-            self.arrive(what);
+            self.deliver(what);
         }
         let leaving: Vec<String> = self.leaving.keys().cloned().collect();
         for host in &leaving {
@@ -360,40 +363,43 @@
         }
         if now_ms.is_multiple_of(100) {
             if self.rng.u32(0..8) == 0 {
-                self.lacks = self.rng.u64(0..=HOSTS as u64);
+                self.hosts_lacked = self.rng.u64(0..=HOSTS as u64);
             }
-            self.owner_looks();
-            let list = self.list();
-            self.holder(|controller, look, ctx| {
+            self.reconcile_owner();
+            let list = self.list_hosts();
+            self.with_holder(|controller, inputs, ctx| {
                 hosts::apply_list(controller, list);
-                hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
+                hosts::reconcile(controller, &BTreeMap::new(), inputs, ctx);
             });
         }
     }
 }
 
-fn observe(offers: &mut Offers, row: &StoredRow) {
+fn apply_row_if_present(offers: &mut Offers, row: &StoredRow) {
     if row.revision > 0 {
         offers.apply_row(row).expect("the row decodes");
     }
 }
 
-/// Random withdrawals and moves over a store that loses answers, is late and refuses.
+/// Random withdrawals and moves over a store that loses answers, answers late and refuses.
 #[test]
 fn offers_random() {
     let (mut moved, mut reopened) = (0, 0);
     for seed in 0..SEEDS {
-        let mut pair = Pair::new(seed);
+        let mut sim = Simulation::new(seed);
         for _ in 0..1_000 {
-            pair.step();
+            sim.step();
         }
-        moved += pair.moved;
-        reopened += pair.reopened;
+        moved += sim.moved;
+        reopened += sim.reopened;
     }
-    assert!(moved > 200 && reopened > 200, "{moved} {reopened}");
+    assert!(
+        moved > 200 && reopened > 200,
+        "{moved} hosts moved, {reopened} reopened"
+    );
 }
 
-/// A take that lost is told, with the orders that were dropped for it.
+/// A take that failed is logged, and the orders that rested on it are dropped.
 #[test]
 fn offers_not_taken_told() {
     let offered = Offers {
@@ -410,7 +416,7 @@
         need("busy", 1, &none, 100_000),
         need(POOL, 0, &offered, 100_000),
     ];
-    let look = Inputs {
+    let inputs = Inputs {
         config: &config,
         needs: &needs,
         pool: "off",
@@ -419,9 +425,9 @@
     let mut controller = HostController::default();
     let effects = decide(100_000, |ctx| {
         controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
-        hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
-        hosts::apply_list(&mut controller, Pair::new(1).list());
-        hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
+        hosts::reconcile(&mut controller, &BTreeMap::new(), &inputs, ctx);
+        hosts::apply_list(&mut controller, Simulation::new(1).list_hosts());
+        hosts::reconcile(&mut controller, &BTreeMap::new(), &inputs, ctx);
     });
     let is_take = |e: &Effect| matches!(e, Effect::TakeHosts(..));
     assert!(effects.iter().any(is_take), "{effects:?}");
@@ -434,77 +440,77 @@
             ctx,
         );
     });
-    let is_told = |e: &Effect| matches!(e, Effect::Log(d) if d.code == Code::OffersNotTaken);
-    assert!(effects.iter().any(is_told), "{effects:?}");
+    let is_logged = |e: &Effect| matches!(e, Effect::Log(d) if d.code == Code::OffersNotTaken);
+    assert!(effects.iter().any(is_logged), "{effects:?}");
     assert!(!controller.has_order("host-0"));
 }
 
-/// An owner that changes its offers just before each take arrives: what is on offer is taken all the same.
+/// The owner changes its offers just before each take arrives. The takes must still succeed often enough.
 #[test]
 fn offers_in_step() {
     let config = pools(POOL);
     let none = Offers::default();
     let mut controller = HostController::default();
     let mut offers = Offers::default();
-    let mut took = 0;
+    let mut committed = 0;
     decide(100_000, |ctx| {
         controller = HostController::new(&[], &FormerHostOrders::default(), true, ctx);
     });
-    for look_n in 0..10 {
-        let now_ms = 100_000 + look_n * 100;
-        let mut effects = with_look(
+    for pass in 0..10 {
+        let now_ms = 100_000 + pass * 100;
+        let mut effects = with_inputs(
             &config,
             &none,
             &offers,
             now_ms,
-            |controller, look, ctx| {
-                hosts::reconcile(controller, &BTreeMap::new(), look, ctx);
-                hosts::apply_list(controller, Pair::new(1).list());
+            |controller, inputs, ctx| {
+                hosts::reconcile(controller, &BTreeMap::new(), inputs, ctx);
+                hosts::apply_list(controller, Simulation::new(1).list_hosts());
             },
             &mut controller,
         );
-        // The owner puts one more on offer before the take arrives.
-        let host = format!("host-{}", look_n.min(5));
+        // The owner offers one more host before the take arrives.
+        let host = format!("host-{}", pass.min(5));
         offers
             .row
             .offered
             .insert(host.clone(), host.replace("host", "life"));
         offers.revision += 1;
-        while let Some(guard) = effects.iter().find_map(taken_revision) {
+        while let Some(guard) = effects.iter().find_map(take_revision) {
             let is_newest = guard == offers.revision;
             let outcome = match is_newest {
                 true => TxOutcome::Committed(guard + 1),
                 false => TxOutcome::Conflict(Vec::new()),
             };
-            took += usize::from(is_newest);
-            effects = with_look(
+            committed += usize::from(is_newest);
+            effects = with_inputs(
                 &config,
                 &none,
                 &offers,
                 now_ms + 10,
-                |controller, look, ctx| {
+                |controller, inputs, ctx| {
                     hosts::apply_taken(controller, POOL, &outcome, EPOCH, ctx);
                     if !is_newest {
-                        hosts::retry_take(controller, &BTreeMap::new(), look, ctx);
+                        hosts::retry_take(controller, &BTreeMap::new(), inputs, ctx);
                     }
                 },
                 &mut controller,
             );
         }
     }
-    assert!(took >= 3, "{took} takes in ten looks");
+    assert!(committed >= 3, "{committed} takes in ten passes");
 }
 
-/// The revision of the row that a take goes by.
-fn taken_revision(effect: &Effect) -> Option<u64> {
+/// Returns the revision of the row on which a take is conditional.
+fn take_revision(effect: &Effect) -> Option<u64> {
     let Effect::TakeHosts(_, _, _, tx) = effect else {
         return None;
     };
     tx.guards.first().map(|guard| guard.revision)
 }
 
-/// Runs `work` for the entry that orders hosts, while pool `busy` lacks six.
-fn with_look(
+/// Runs `work` for the entry that orders hosts, while pool `busy` lacks six hosts.
+fn with_inputs(
     config: &FleetConfig,
     none: &Offers,
     offers: &Offers,
@@ -513,11 +519,11 @@
     controller: &mut HostController,
 ) -> Vec<Effect> {
     let needs = [need("busy", 6, none, now_ms), need(POOL, 0, offers, now_ms)];
-    let look = Inputs {
+    let inputs = Inputs {
         config,
         needs: &needs,
         pool: "off",
         epoch: EPOCH,
     };
-    decide(now_ms, |ctx| work(controller, &look, ctx))
+    decide(now_ms, |ctx| work(controller, &inputs, ctx))
 }
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -1,7 +1,7 @@
-//! A conflict's answer may be older than what is known: answers that travel on different connections overtake one another,
-//! and the feed overtakes them all. What a row held before must not replace what it holds. Taken for the newest, the old row
-//! lacks the slot or the offer of a host that is on record: the host is opened and gets work, and whoever orders hosts goes by
-//! the record and ends that work.
+//! The answer to a conflict may be older than what is known, since answers on different connections overtake one
+//! another and the feed overtakes them all. An older row must not replace a newer one: without the slot or the offer
+//! that is recorded since, the host would be opened and get tasks, and the entry that orders hosts, which goes by the
+//! record, would end them.
 
 use std::collections::BTreeMap;
 
@@ -34,10 +34,13 @@
     };
     let mut offers = Offers::default();
     let fed = stored(OFFERS_KEY, rows::encode(&new), 11);
-    offers.apply_row(&fed).expect("it can be read");
+    offers.apply_row(&fed).expect("the row decodes");
     let found = stored(OFFERS_KEY, rows::encode(&OffersRow::default()), 10);
-    offers.apply_conflict_row(&found).expect("it can be read");
-    assert!(offers.is_offered(HOST), "the feed told it at revision 11");
+    offers.apply_conflict_row(&found).expect("the row decodes");
+    assert!(
+        offers.is_offered(HOST),
+        "the feed delivered the row at revision 11"
+    );
 }
 
 #[test]
@@ -59,22 +62,22 @@
     });
     assert!(
         known.row.out.contains_key(HOST),
-        "the feed told it at revision 11"
+        "the feed delivered the row at revision 11"
     );
 }
 
 /// An owner that gives a host back, and another entry that takes a slot in the wave's row right after.
-struct Turn {
+struct Scenario {
     pool_state: PoolState,
     controller: WaveController,
     waves: BTreeMap<u64, WaveKnown>,
-    /// As this owner writes it, on condition of revision 10.
+    /// The row as this owner writes it, conditional on revision 10.
     ours: WaveRow,
-    /// As the other entry writes it then, at 12.
+    /// The row as the other entry then writes it, at revision 12.
     theirs: WaveRow,
 }
 
-impl Turn {
+impl Scenario {
     fn new() -> Self {
         let slot = SlotRow {
             pool: POOL.to_string(),
@@ -99,7 +102,7 @@
             },
             ..WaveKnown::default()
         };
-        let mut turn = Self {
+        let mut scenario = Self {
             pool_state: PoolState::default(),
             controller: WaveController::default(),
             waves: BTreeMap::from([(1, known)]),
@@ -110,23 +113,26 @@
             out: out(HOST),
             ..WaveRow::default()
         };
-        turn.row(&first, 10);
-        turn.look(1_000);
+        scenario.feed_row(&first, 10);
+        scenario.sends_change(1_000);
         let hosts = [HOST, "host-2"].map(|host| HostRecord {
             host: host.to_string(),
             pool: "other".to_string(),
             state: HostState::Up,
             worker: "life".to_string(),
         });
-        wave::apply_list(&mut turn.controller, hosts.to_vec());
-        assert!(!turn.look(1_500), "the list is read anew");
-        wave::apply_list(&mut turn.controller, hosts.to_vec());
-        assert!(turn.look(2_000), "the host is given back");
-        turn
+        wave::apply_list(&mut scenario.controller, hosts.to_vec());
+        assert!(
+            !scenario.sends_change(1_500),
+            "the list is read again first"
+        );
+        wave::apply_list(&mut scenario.controller, hosts.to_vec());
+        assert!(scenario.sends_change(2_000), "the host is given back");
+        scenario
     }
 
-    /// Looks at the wave; whether a change of its row goes out.
-    fn look(&mut self, now_ms: u64) -> bool {
+    /// Runs one pass over the wave and returns whether it sends a change of the wave's row.
+    fn sends_change(&mut self, now_ms: u64) -> bool {
         let (pool_state, controller, waves) =
             (&mut self.pool_state, &mut self.controller, &mut self.waves);
         let effects = decide(now_ms, |ctx| {
@@ -136,13 +142,13 @@
         effects.iter().any(is_change)
     }
 
-    fn row(&mut self, row: &WaveRow, revision: u64) {
-        let known = self.waves.get_mut(&1).expect("it is there");
+    fn feed_row(&mut self, row: &WaveRow, revision: u64) {
+        let known = self.waves.get_mut(&1).expect("the wave is known");
         let row = stored("1", rows::encode(row), revision);
         decide(2_000, |ctx| wave::apply_row(known, &row, ctx));
     }
 
-    fn answer(&mut self, outcome: TxOutcome) {
+    fn apply_answer(&mut self, outcome: TxOutcome) {
         let (pool_state, controller, waves) =
             (&mut self.pool_state, &mut self.controller, &mut self.waves);
         decide(2_000, |ctx| {
@@ -151,25 +157,25 @@
     }
 }
 
-/// The feed told of both writes before the answer to the first came.
+/// The feed delivers both writes before the answer to the first one arrives.
 #[test]
 fn conflict_answer_late() {
-    let mut turn = Turn::new();
-    let (ours, theirs) = (turn.ours.clone(), turn.theirs.clone());
-    turn.row(&ours, 11);
-    turn.row(&theirs, 12);
-    turn.answer(TxOutcome::Committed(13));
-    assert_eq!(turn.waves[&1].row, theirs);
-    assert_eq!(turn.waves[&1].revision, 12);
+    let mut scenario = Scenario::new();
+    let (ours, theirs) = (scenario.ours.clone(), scenario.theirs.clone());
+    scenario.feed_row(&ours, 11);
+    scenario.feed_row(&theirs, 12);
+    scenario.apply_answer(TxOutcome::Committed(13));
+    assert_eq!(scenario.waves[&1].row, theirs);
+    assert_eq!(scenario.waves[&1].revision, 12);
 }
 
-/// The answer to the first write names a revision behind the second one, and the feed tells of that later.
+/// The answer to the first write names a revision after the second write, which the feed delivers later.
 #[test]
 fn conflict_answer_ahead() {
-    let mut turn = Turn::new();
-    let theirs = turn.theirs.clone();
-    turn.answer(TxOutcome::Committed(13));
-    turn.row(&theirs, 12);
-    assert_eq!(turn.waves[&1].row, theirs);
-    assert_eq!(turn.waves[&1].revision, 12);
+    let mut scenario = Scenario::new();
+    let theirs = scenario.theirs.clone();
+    scenario.apply_answer(TxOutcome::Committed(13));
+    scenario.feed_row(&theirs, 12);
+    assert_eq!(scenario.waves[&1].row, theirs);
+    assert_eq!(scenario.waves[&1].revision, 12);
 }
--- a/tests/test_overload.rs
+++ b/tests/test_overload.rs
@@ -1,4 +1,4 @@
-//! More work than room: as many jobs as possible are in time, in place of all a little late.
+//! When there is more work than capacity, as many jobs as possible are in time, rather than all a little late.
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::keys::JobKey;
@@ -7,11 +7,12 @@
 
 use crate::world::{job, World};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Jobs that must start by these times, with this much work in tasks of a second; the places of those set behind.
-fn behind(jobs: &[(u64, u64)], supply: &Supply) -> Vec<usize> {
+/// Takes jobs as pairs of the latest start and the work in core-ms, in tasks of one second. Returns the positions of
+/// the deferred ones.
+fn deferred(jobs: &[(u64, u64)], supply: &Supply) -> Vec<usize> {
     let mut keys: SlotMap<JobKey, usize> = SlotMap::with_key();
     let contenders = jobs
         .iter()
@@ -23,15 +24,16 @@
             work_core_ms: *work,
         });
     let contenders = contenders.collect();
-    let mut places: Vec<usize> = jobs_to_defer(contenders, supply, 0)
+    let mut positions: Vec<usize> = jobs_to_defer(contenders, supply, 0)
         .into_iter()
         .map(|key| keys[key])
         .collect();
-    places.sort_unstable();
-    places
+    positions.sort_unstable();
+    positions
 }
 
-/// So many cores, all taken, of which 90 of 100 can be filled again, and no more to come.
+/// Returns a supply of `cores` cores that are all in use, with no more to come. Only 90 of 100 count as fillable
+/// again.
 fn cores(cores: u64) -> Supply {
     Supply {
         now_cpu_milli: cores * 1_000,
@@ -41,19 +43,20 @@
 
 #[test]
 fn overload_all_fit() {
-    assert!(behind(&[(1_000, 4_000), (2_000, 5_000)], &cores(5)).is_empty());
+    assert!(deferred(&[(1_000, 4_000), (2_000, 5_000)], &cores(5)).is_empty());
 }
 
 #[test]
 fn overload_largest_goes() {
-    // 4,500 core-ms by the first objective, 9,000 by the second: the large one would make two late.
+    // The supply is 4,500 core-ms by the first objective and 9,000 by the second. The large job would make two others
+    // late.
     let jobs = [
         (1_000, 4_000),
         (2_000, 6_000),
         (2_000, 1_000),
         (2_000, 2_000),
     ];
-    assert_eq!(behind(&jobs, &cores(5)), [1]);
+    assert_eq!(deferred(&jobs, &cores(5)), [1]);
 }
 
 #[test]
@@ -64,12 +67,12 @@
         coming_in_ms: 2_000,
         ..cores(5)
     };
-    assert_eq!(behind(&jobs, &cores(5)), [1]);
-    assert!(behind(&jobs, &soon).is_empty());
+    assert_eq!(deferred(&jobs, &cores(5)), [1]);
+    assert!(deferred(&jobs, &soon).is_empty());
     assert_eq!(
         soon.startable_core_ms(4_000, 1_000),
         58_500,
-        "5 cores for 4 s, 15 more for 2 s and a task"
+        "5 cores for 4 s, and 15 more for 2 s plus one task"
     );
     let free = Supply {
         free_cpu_milli: 5_000,
@@ -78,11 +81,11 @@
     assert_eq!(
         free.startable_core_ms(0, 1_000),
         4_500,
-        "what is free takes a task each at once"
+        "each free core takes a task at once"
     );
 }
 
-/// What became of a peak's jobs.
+/// Counts of a peak's jobs by outcome.
 #[derive(Debug, Default)]
 struct Outcome {
     in_time: usize,
@@ -90,18 +93,18 @@
     sent: usize,
 }
 
-/// One queue asks twice what the pool can do, for five seconds, in jobs of about one size.
-fn peak(seed: u64) -> Outcome {
+/// Runs a peak in which one queue submits twice what the pool can run, for five seconds, in jobs of about one size.
+fn run_peak(seed: u64) -> Outcome {
     let mut world = World::new(seed, 1, 6);
     world.run(SETTLE_MS);
     let mut open: Vec<(String, u64)> = Vec::new();
     let mut outcome = Outcome::default();
     for tick in 0..1_500_u16 {
-        // 25 jobs a second of 5 to 7 tasks, each 1 s on one core as a mean: 150 cores of work for 72.
+        // 25 jobs a second of 5 to 7 tasks, each one core for 1 s on average: 150 cores of work for 72 cores.
         if tick < 250 && tick % 2 == 0 {
             let id = format!("job-{tick}");
             world.submit(&id, job(5 + tick / 2 % 3, 1_000, 800));
-            // The target of 600 ms, and 1.6 times the longest of some six tasks of 400 to 1,600 ms.
+            // The target is 600 ms plus 1.6 times the longest of about six tasks of 400 to 1,600 ms.
             open.push((id, world.now_ms + 600 + 1_400 * 16 / 10));
             outcome.sent += 1;
         }
@@ -117,12 +120,13 @@
     outcome
 }
 
-/// By earliest objective and work left alone, 393 of 750 were in time (0.52); with jobs set behind, 451 (0.60).
+/// Ordering by earliest objective and remaining work alone got 393 of 750 jobs done in time (0.52); deferring jobs got
+/// 451 (0.60).
 #[test]
 fn overload_peak() {
-    let outcomes: Vec<Outcome> = (0..6).map(peak).collect();
+    let outcomes: Vec<Outcome> = (0..6).map(run_peak).collect();
     let sum = |count: fn(&Outcome) -> usize| outcomes.iter().map(count).sum::<usize>();
     let (in_time, done, sent) = (sum(|o| o.in_time), sum(|o| o.done), sum(|o| o.sent));
-    assert_eq!(done, sent, "what is set behind goes on, too");
+    assert_eq!(done, sent, "deferred jobs complete, too");
     assert!(in_time * 100 >= sent * 57, "{in_time} of {sent} in time");
 }
--- a/tests/test_packing.rs
+++ b/tests/test_packing.rs
@@ -1,11 +1,11 @@
-//! Tasks share workers as far as they fit, so that others stay empty and can leave the pool.
+//! Tasks share workers as far as they fit, so that other workers stay empty and can leave the pool.
 
 use crate::world::{job, lasting, World};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Tasks by worker, most first.
+/// Returns the number of tasks on each worker, in descending order.
 fn loads(world: &World) -> Vec<usize> {
     let mut loads: Vec<usize> = world
         .lives()
@@ -34,5 +34,9 @@
     world.submit("a", lasting(3, 1));
     world.submit("b", job(4, 2_000, 5_000));
     world.run(400);
-    assert_eq!(loads(&world), [5, 1, 1], "what must stand apart does");
+    assert_eq!(
+        loads(&world),
+        [5, 1, 1],
+        "copies that must be apart are on separate workers"
+    );
 }
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -1,4 +1,5 @@
-//! Quotas of client accounts: what runs of one over all pools is never more, however owners and writes race.
+//! Quotas of client accounts: the tasks of an account that run in all pools together never exceed its quota, however
+//! owners and writes race.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +15,7 @@
 use crate::decide::decide;
 use crate::world::{job, World};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
 const ACCOUNT: &str = "shop";
@@ -27,7 +28,7 @@
     }
 }
 
-/// A configuration in which the account may have so many cores.
+/// Returns a configuration in which the account's quota is `count` cores.
 fn config(version: u64, count: u64) -> FleetConfig {
     let account = AccountConfig {
         name: ACCOUNT.to_string(),
@@ -41,13 +42,13 @@
     }
 }
 
-/// A pool's owner: what runs of the account there, and what it knows of grants.
+/// A pool's owner, with the account's usage in the pool and the grants that it knows.
 struct Owner {
     pool: String,
     epoch: u64,
     pool_state: PoolState,
     controller: QuotaController,
-    /// Its configuration: version, and quota in cores.
+    /// The version of its configuration, and the account's quota in cores.
     quota: (u64, u64),
 }
 
@@ -72,7 +73,7 @@
         self.pool_state.accounts[0].used.cpu_milli / 1_000
     }
 
-    fn act(
+    fn with_inputs(
         &mut self,
         now_ms: u64,
         short_elsewhere: &BTreeSet<String>,
@@ -84,21 +85,21 @@
         ),
     ) -> Vec<Effect> {
         let config = config(self.quota.0, self.quota.1);
-        let with = Inputs {
+        let inputs = Inputs {
             pool: &self.pool,
             epoch: self.epoch,
             config: &config,
             short_elsewhere,
         };
         decide(now_ms, |ctx| {
-            work(&mut self.pool_state, &mut self.controller, &with, ctx)
+            work(&mut self.pool_state, &mut self.controller, &inputs, ctx)
         })
     }
 
-    /// Starts a task of a core, if it may.
+    /// Starts a task of one core if the limit allows it, and returns whether it did.
     fn start(&mut self) -> bool {
         let account = &mut self.pool_state.accounts[0];
-        let limit = account.limit.expect("it has a quota").cpu_milli;
+        let limit = account.limit.expect("the account has a quota").cpu_milli;
         let may = account.waiting.cpu_milli > 0 && account.used.cpu_milli + 1_000 <= limit;
         if may {
             account.used.add(cores(1));
@@ -108,7 +109,7 @@
     }
 }
 
-/// An answer on its way.
+/// An answer that has not arrived yet.
 struct Answer {
     at_ms: u64,
     owner: usize,
@@ -116,7 +117,7 @@
     what: Option<TxOutcome>,
 }
 
-/// Owners of three pools, the account's row, and calls that are lost and late.
+/// Simulates the owners of three pools, the account's row, and calls that are lost or late.
 struct Race {
     now_ms: u64,
     rng: Rng,
@@ -125,7 +126,7 @@
     revision: u64,
     answers: Vec<Answer>,
     late: Vec<(u64, RowTx)>,
-    /// The highest quota that may be in force, until when.
+    /// Quotas in cores that may be in force, with the time until when.
     quotas: Vec<(u64, u64)>,
 }
 
@@ -144,7 +145,7 @@
         }
     }
 
-    fn stored(&self) -> Option<StoredRow> {
+    fn stored_row(&self) -> Option<StoredRow> {
         self.row.as_ref().map(|(value, revision)| StoredRow {
             part: String::new(),
             key: ACCOUNT.to_string(),
@@ -154,15 +155,15 @@
     }
 
     fn transact(&mut self, tx: &RowTx) -> TxOutcome {
-        let there = self.row.as_ref().map_or(0, |(_, revision)| *revision);
-        if tx.guards[0].revision != there {
+        let stored_revision = self.row.as_ref().map_or(0, |(_, revision)| *revision);
+        if tx.guards[0].revision != stored_revision {
             let absent = StoredRow {
                 part: String::new(),
                 key: ACCOUNT.to_string(),
                 value: None,
                 revision: 0,
             };
-            let row = self.stored().unwrap_or(absent);
+            let row = self.stored_row().unwrap_or(absent);
             return TxOutcome::Conflict(vec![(Table::Quotas, row)]);
         }
         self.revision += 1;
@@ -171,7 +172,7 @@
         TxOutcome::Committed(self.revision)
     }
 
-    fn carry(&mut self, owner: usize, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, owner: usize, effects: Vec<Effect>) {
         let epoch = self.owners[owner].epoch;
         for effect in effects {
             let (after_ms, what) = match effect {
@@ -217,19 +218,19 @@
         self.answers = later;
         let due: Vec<Answer> = due;
         for answer in due {
-            let row = self.stored();
+            let row = self.stored_row();
             let owner = &mut self.owners[answer.owner];
             if owner.epoch != answer.epoch {
                 continue;
             }
-            let effects = owner.act(
+            let effects = owner.with_inputs(
                 now_ms,
                 &BTreeSet::new(),
-                |pool_state, controller, with, ctx| match answer.what {
+                |pool_state, controller, inputs, ctx| match answer.what {
                     Some(outcome) => quota::apply_settled(
                         Some(pool_state),
                         controller,
-                        with.pool,
+                        inputs.pool,
                         ACCOUNT,
                         outcome,
                         ctx,
@@ -237,11 +238,11 @@
                     None => quota::apply_row(pool_state, controller, ACCOUNT, row, ctx),
                 },
             );
-            self.carry(answer.owner, effects);
+            self.apply_effects(answer.owner, effects);
         }
     }
 
-    fn most(&self) -> u64 {
+    fn quota_max(&self) -> u64 {
         let in_force = self
             .quotas
             .iter()
@@ -249,7 +250,7 @@
         in_force.map(|(quota, _)| *quota).max().unwrap_or(0)
     }
 
-    /// The operator changes the quota; owners hear of it within two seconds.
+    /// Changes the quota as the operator does; owners learn of it within two seconds.
     fn set_quota(&mut self, quota: u64) {
         let until_ms = self.now_ms + 2_500;
         self.quotas
@@ -258,8 +259,8 @@
         self.quotas.push((quota, u64::MAX));
     }
 
-    /// An owner looks at its grants, every 0.1 s and where it wants to.
-    fn look(&mut self, n: usize) {
+    /// Lets an owner adjust its grants, every 100 ms and whenever it asks for it.
+    fn adjust_grants(&mut self, n: usize) {
         if self.now_ms % 100 >= 10 && !self.owners[n].pool_state.wants_quota {
             return;
         }
@@ -267,11 +268,11 @@
         let others = others.filter(|(other, _)| *other != n);
         let short = others.flat_map(|(_, o)| o.controller.short.iter().cloned());
         let short = short.collect();
-        let effects = self.owners[n].act(self.now_ms, &short, quota::adjust);
-        self.carry(n, effects);
+        let effects = self.owners[n].with_inputs(self.now_ms, &short, quota::adjust);
+        self.apply_effects(n, effects);
     }
 
-    /// Ten milliseconds; the number of starts.
+    /// Advances the time by 10 ms and returns the number of starts.
     fn step(&mut self) -> u64 {
         let mut starts = 0;
         self.now_ms += 10;
@@ -283,13 +284,13 @@
                 self.owners[n].quota = newest;
             }
             if self.rng.u32(0..1_500) == 0 {
-                // Another entry takes the pool over, with what runs there.
+                // Another entry takes the pool over with its running tasks.
                 let (pool, used) = (self.owners[n].pool.clone(), self.owners[n].used());
                 self.revision += 1;
                 self.owners[n] = Owner::new(&pool, self.revision, used, newest);
             }
             let account = &mut self.owners[n].pool_state.accounts[0];
-            // Peaks turn from pool to pool.
+            // The peak moves from pool to pool.
             let is_peak = (self.now_ms / 3_000) as usize % 3 == n;
             if self.rng.u32(0..100) < if is_peak { 30 } else { 2 } {
                 account.waiting.add(cores(self.rng.u64(1..4)));
@@ -297,10 +298,10 @@
             if account.used.cpu_milli > 0 && self.rng.u32(0..100) < 25 {
                 account.used.sub(cores(1));
             }
-            self.look(n);
+            self.adjust_grants(n);
             while self.owners[n].start() {
                 let sum: u64 = self.owners.iter().map(Owner::used).sum();
-                let most = self.most();
+                let most = self.quota_max();
                 assert!(sum <= most, "{sum} cores run of {most} at {}", self.now_ms);
                 starts += 1;
             }
@@ -309,8 +310,8 @@
     }
 }
 
-/// Three owners whose peaks turn, takeovers, quotas that change, writes lost and late: what runs never passes the
-/// quota, and what waits gets its turn.
+/// Three owners with alternating peaks, takeovers, changed quotas, and lost or late writes: running tasks never exceed
+/// the quota, and waiting tasks get their turn.
 #[test]
 fn quota_random() {
     for seed in 0..200 {
@@ -327,8 +328,8 @@
     }
 }
 
-/// Peaks that turn from one pool to another of what the account may have in all: the second one has most of it soon
-/// after the first one's work ends, though the first was granted all.
+/// The peak moves from one pool to another. The second pool has most of the quota soon after the first one's work
+/// ends, though the first was granted all.
 #[test]
 fn quota_peaks_turn() {
     let mut race = Race::new(1);
@@ -342,7 +343,7 @@
                 if race.rng.u32(0..10) == 0 && account.used.cpu_milli > 0 {
                     account.used.sub(cores(1));
                 }
-                race.look(n);
+                race.adjust_grants(n);
                 while race.owners[n].start() {}
             }
         }
@@ -360,7 +361,8 @@
     }
 }
 
-/// An account that floods runs no more than its quota, all its jobs are done in the end, and others are not held up.
+/// An account that floods a pool never runs more than its quota, all its jobs complete in the end, and other accounts'
+/// jobs are not delayed.
 #[test]
 fn quota_flood() {
     let mut world = World::new(41, 2, 4);
@@ -379,15 +381,15 @@
     }
     world.run(400);
     let done = (0..20).filter(|n| world.recorded(&format!("dock-{n}")) == JobState::Completed);
-    assert!(done.count() >= 19, "the other account's jobs go on");
+    assert!(done.count() >= 19, "the other account's jobs complete");
     assert!(most <= 8_000, "{most}");
-    assert!(most >= 6_000, "{most}: it gets what it may have");
+    assert!(most >= 6_000, "{most}: the account gets most of its quota");
     world.run(12_000);
     let done = (0..40).filter(|n| world.recorded(&format!("flood-{n}")) == JobState::Completed);
     assert_eq!(done.count(), 40);
 }
 
-/// A quota that is lowered below what runs stops nothing, and nothing starts until what runs is below it.
+/// A quota that is lowered below the current usage stops no task, and nothing starts until usage is below it.
 #[test]
 fn quota_lowered() {
     let mut world = World::new(42, 2, 4);
@@ -409,7 +411,7 @@
     assert_eq!(world.recorded("wide"), JobState::Completed);
 }
 
-/// The owner is killed in a flood: what it started counts for the next one.
+/// The owner is killed in a flood. The next owner counts the tasks that it started.
 #[test]
 fn quota_takeover() {
     let mut world = World::new(43, 3, 4);
@@ -420,7 +422,7 @@
     }
     for _ in 0..3 {
         world.run(700);
-        world.kill(world.owner_entry().expect("somebody owns the pool"));
+        world.kill(world.owner_entry().expect("the pool has an owner"));
         for n in 0..3 {
             if world.entries[n].state.is_none() {
                 world.boot(n);
@@ -437,7 +439,7 @@
     assert_eq!(done.count(), 60);
 }
 
-/// Configurations that follow each other must not add looks: each of them would stay for good.
+/// New configurations must not add quota timers, since each extra timer would keep rescheduling itself forever.
 #[test]
 fn quota_looks_stay_one() {
     let mut world = World::new(44, 1, 3);
@@ -446,10 +448,10 @@
         world.set_quotas(&[("shop", 4_000 + n)]);
         world.run(130);
     }
-    let state = world.owner().expect("somebody owns the pool");
-    let looks = state
+    let state = world.owner().expect("the pool has an owner");
+    let quota_timers = state
         .timers
         .iter()
         .filter(|(_, _, timer)| *timer == Timer::Quota);
-    assert_eq!(looks.count(), 1);
+    assert_eq!(quota_timers.count(), 1);
 }
--- a/tests/test_removal.rs
+++ b/tests/test_removal.rs
@@ -1,17 +1,17 @@
-//! A finished job leaves the store while others read it: it never begins anew.
+//! A finished job that is removed from the store while an owner reads it never starts again.
 
 use rockwick::core::sched::state::Event;
 use rockwick::port::fleet::{StoredRow, Table};
 
 use crate::world::{job, World};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// A finished job is still there after so long.
+/// Time after which a finished job is still stored.
 const KEPT_MS: u64 = 140_000;
 
-/// And gone after so much longer.
+/// Further time after which it is removed.
 const GONE_MS: u64 = 20_000;
 
 fn intake_rows(world: &World, id: &str) -> Vec<StoredRow> {
@@ -26,8 +26,9 @@
     .collect()
 }
 
-/// The store's history is gone, and all of intake is read, part by part. A job that was there when its part was read is
-/// removed and forgotten before the last part is read; only then does the owner hear of its row.
+/// The store's history is lost, so the owner reads all of intake again, part by part. A job that was there when its
+/// part was read is removed from the store and from memory before the last part is read, and only then does the owner
+/// process its row.
 #[test]
 fn removal_while_read() {
     let mut world = World::new(10, 1, 3);
@@ -42,5 +43,8 @@
         world.tell(0, Event::Intake(row));
     }
     world.run(3_000);
-    assert_eq!(world.starts, starts, "its tasks were done");
+    assert_eq!(
+        world.starts, starts,
+        "tasks that were done don't start again"
+    );
 }
--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -1,10 +1,10 @@
-//! A pool's rows that are read again within an ownership, after one of them was changed by something else.
+//! An owner reads its pool's rows again within an ownership, after something else changed one of them.
 //!
-//! Each reading gives new books, whose keys of workers and tasks mean something else than those of the books before. Answers
-//! that were on their way and timers that were set for the earlier books were told apart by the epoch alone, which
-//! stays: an account of one worker was taken for another's, and all that the other ran for not running there. A lost
-//! pool's timers stayed as well. And leases of workers were taken to be over a lease's time after the claim, though
-//! this very owner had renewed them since: with the reading all that ran was requeued in the same moment.
+//! Each reading builds a new in-memory state whose keys of workers and tasks differ from the old ones. Pending answers
+//! and timers of the old state were told apart only by the epoch, which stays the same: a report of one worker was
+//! taken for another's, and all tasks of that other worker counted as not running. A lost pool's timers stayed as
+//! well. Leases of workers were also taken to expire a lease's time after the claim, though this owner had renewed
+//! them since, so a reading requeued all running tasks at once.
 
 use fastrand::Rng;
 use rockwick::core::sched::job::JobState;
@@ -12,13 +12,13 @@
 
 use crate::world::{job, lasting, World, POOL};
 
-/// Long enough for owners to be found, and for a lease and a takeover to pass.
+/// Time within which an entry has claimed the pool, also after a lease expired.
 const SETTLE_MS: u64 = 8_000;
 
-/// Worlds of their own.
+/// Number of seeds; each gives a world of its own.
 const SEEDS: u64 = 120;
 
-/// Tasks that run go on, also long after the claim.
+/// Running tasks go on after a reading, also long after the claim.
 #[test]
 fn reread_keeps_runs() {
     let mut world = World::new(3, 1, 4);
@@ -29,12 +29,12 @@
     world.reload(0);
     world.run(SETTLE_MS);
     assert_eq!(world.running("a"), 3);
-    assert_eq!(world.starts, before, "what ran went on running");
+    assert_eq!(world.starts, before, "running tasks are not started again");
 }
 
-/// Six hosts, some of which crash and come back with lives whose ids sort elsewhere; the rows are read again at ten
-/// moments of 30: out of order, or with odd seeds as a record meets a row that something else wrote.
-fn play(seed: u64) {
+/// Runs six hosts, some of which crash and come back as instances whose ids sort elsewhere. The rows are read again in
+/// ten of 30 rounds: directly for even seeds, and for odd ones when a commit finds a row that something else wrote.
+fn simulate(seed: u64) {
     let mut rng = Rng::with_seed(seed ^ 0x4e4d);
     let mut world = World::new(seed, 1, 6);
     world.run(SETTLE_MS);
@@ -45,8 +45,11 @@
         jobs.push(id);
         world.run(rng.u64(50..500));
         if rng.u32(0..4) == 0 {
-            let lives = world.lives();
-            world.crash(&lives[rng.usize(0..lives.len())], rng.u64(50..3_000));
+            let worker_ids = world.lives();
+            world.crash(
+                &worker_ids[rng.usize(0..worker_ids.len())],
+                rng.u64(50..3_000),
+            );
         }
         if round % 3 != 2 {
             continue;
@@ -68,7 +71,7 @@
 
 #[test]
 fn reread_old_answers() {
-    let is_broken = |seed: &u64| std::panic::catch_unwind(|| play(*seed)).is_err();
+    let is_broken = |seed: &u64| std::panic::catch_unwind(|| simulate(*seed)).is_err();
     let broken: Vec<u64> = (0..SEEDS).filter(is_broken).collect();
     assert!(
         broken.is_empty(),
@@ -77,24 +80,27 @@
     );
 }
 
-/// What a lost pool leaves behind is the look at whether it wants an owner.
+/// A lost pool leaves only the timer that checks whether the pool needs an owner.
 #[test]
 fn reread_lost_timers() {
     let mut world = World::new(5, 2, 4);
     world.run(SETTLE_MS);
     world.submit("a", lasting(3, 1));
     world.run(2_000);
-    let owner = world.owner_entry().expect("somebody owns the pool");
+    let owner = world.owner_entry().expect("the pool has an owner");
     world.freeze(owner, 6_000);
     world.run(6_100);
-    let state = world.entries[owner].state.as_ref().expect("it is up");
+    let state = world.entries[owner]
+        .state
+        .as_ref()
+        .expect("the entry is up");
     assert!(state.pool(POOL).is_some_and(|p| p.ownership.is_none()));
-    let left = state.timers.iter().map(|(_, _, timer)| *timer);
-    let left: Vec<Timer> = left.filter(|t| *t != Timer::Claim).collect();
-    assert!(left.is_empty(), "{left:?}");
+    let timers_left = state.timers.iter().map(|(_, _, timer)| *timer);
+    let timers_left: Vec<Timer> = timers_left.filter(|t| *t != Timer::Claim).collect();
+    assert!(timers_left.is_empty(), "{timers_left:?}");
 }
 
-/// What the odd seeds above rest on: a row that something else wrote again makes its owner read all rows.
+/// Checks what the odd seeds above rely on: a row that something else rewrote makes its owner read all rows again.
 #[test]
 fn reread_touched() {
     let mut world = World::new(1, 1, 6);
@@ -107,8 +113,11 @@
         let id = format!("job-{round}");
         world.submit(&id, job(4, 1_000, 500));
         world.run(200);
-        assert!(world.touch_progress(&id), "it is on record");
+        assert!(world.touch_progress(&id), "the job's progress is recorded");
         world.run(2_000);
     }
-    assert!(readings(&world) > Some(1), "a touched row is read again");
+    assert!(
+        readings(&world) > Some(1),
+        "a rewritten row makes its owner read again"
+    );
 }
--- a/tests/test_reread_orders.rs
+++ b/tests/test_reread_orders.rs
@@ -1,16 +1,18 @@
-//! A start that is still on its way as its owner reads its rows again carries the fence of the books that follow. An
-//! account that lacks the run proves nothing then, unlike one under a new epoch, which bars all that was sent before.
+//! A start that is still on its way when its owner reads its rows again carries the same fencing token as the starts
+//! after that reading. A report that lacks the run therefore proves nothing, unlike one under a new epoch, which
+//! fences off all earlier starts.
 
 use crate::world::{job, Faults, World};
 
-/// Worlds of their own.
+/// Number of seeds; each gives a world of its own.
 const SEEDS: u64 = 120;
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Orders are lost and carried out seconds later, with the rows read again at most of the rounds or at none.
-fn play(seed: u64, rereads: bool) {
+/// Runs a world in which orders are lost and carried out seconds later, with the rows read again in each round or in
+/// none.
+fn simulate(seed: u64, rereads: bool) {
     let mut world = World::new(seed, 1, 6);
     world.run(SETTLE_MS);
     world.faults = Faults {
@@ -30,20 +32,28 @@
     world.run(20_000);
 }
 
-fn broken(rereads: bool) -> Vec<u64> {
-    let is_broken = |seed: &u64| std::panic::catch_unwind(|| play(*seed, rereads)).is_err();
+fn broken_seeds(rereads: bool) -> Vec<u64> {
+    let is_broken = |seed: &u64| std::panic::catch_unwind(|| simulate(*seed, rereads)).is_err();
     (0..SEEDS).filter(is_broken).collect()
 }
 
-/// The same worlds without readings, so that what breaks below comes of them.
+/// Runs the same worlds without readings, so that a failure in the test below comes from the readings.
 #[test]
 fn late_orders() {
-    let broken = broken(false);
-    assert!(broken.is_empty(), "{} broke: {broken:?}", broken.len());
+    let broken = broken_seeds(false);
+    assert!(
+        broken.is_empty(),
+        "{} seeds broke: {broken:?}",
+        broken.len()
+    );
 }
 
 #[test]
 fn late_orders_reread() {
-    let broken = broken(true);
-    assert!(broken.is_empty(), "{} broke: {broken:?}", broken.len());
+    let broken = broken_seeds(true);
+    assert!(
+        broken.is_empty(),
+        "{} seeds broke: {broken:?}",
+        broken.len()
+    );
 }
--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -1,25 +1,25 @@
-//! Every answer of the store names the store's newest revision. That is a transaction's own only where no other write came
-//! in between; taken for its own, it makes the next condition fail, though nobody else has touched the row. The owner then
-//! read all of its rows again within its ownership, while answers and timers of the books before went on: with one commit in
-//! twenty answered so, 111 of 150 random worlds broke a promise, many by tasks that ran twice.
+//! Every answer of the store names the store's newest revision, which is the transaction's own only if no other write
+//! came in between. Taken for its own, it makes the next condition fail though nobody else wrote the row, and the
+//! owner reads all its rows again while answers and timers of the earlier in-memory state go on. With one commit in
+//! twenty answered like that, 111 of 150 random worlds failed, many since tasks ran twice.
 
 use rockwick::core::sched::job::JobState;
 
 use crate::world::{job, lasting, World};
 
-/// Worlds, each with its own draws.
+/// Number of seeds; each gives a world of its own.
 const SEEDS: u64 = 30;
 
-/// Jobs in each.
+/// Number of jobs in each world.
 const JOBS: u64 = 24;
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// One commit in ten.
+/// Commits of a thousand whose answer names a newer revision: one in ten.
 const AHEAD_MILLI: u32 = 100;
 
-fn play(seed: u64) {
+fn simulate(seed: u64) {
     let mut world = World::new(seed, 3, 6);
     world.answers_ahead = AHEAD_MILLI;
     world.run(SETTLE_MS);
@@ -28,9 +28,9 @@
     for n in 0..JOBS {
         world.submit(&format!("job-{n}"), job(4, 1_000, 700));
         world.run(300);
-        let lives = world.lives();
+        let worker_ids = world.lives();
         if n % 8 == 3 {
-            world.crash(&lives[seed as usize % lives.len()], 2_000);
+            world.crash(&worker_ids[seed as usize % worker_ids.len()], 2_000);
         }
         if n == 12 {
             let owner = world.owner_entry();
@@ -46,13 +46,20 @@
             "seed {seed}: {id}"
         );
     }
-    assert!(world.waves_done.contains(&1), "seed {seed}: the wave ends");
-    assert_eq!(world.running("lasting"), 3, "seed {seed}: it is at work");
+    assert!(
+        world.waves_done.contains(&1),
+        "seed {seed}: the wave did not end"
+    );
+    assert_eq!(
+        world.running("lasting"),
+        3,
+        "seed {seed}: the lasting tasks run"
+    );
 }
 
 #[test]
 fn revisions_ahead() {
     for seed in 0..SEEDS {
-        play(seed);
+        simulate(seed);
     }
 }
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -1,4 +1,4 @@
-//! The index of workers by free room finds the place that a walk over all workers finds.
+//! The index of workers by free capacity finds the place that a scan of all workers finds.
 
 use fastrand::Rng;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
@@ -12,7 +12,7 @@
 use crate::decide::{answering, decide};
 use crate::world::{config, job, worker_fact, POOL};
 
-/// A worker of a made-up size on one of three racks, with some room taken.
+/// Adds a worker of random size on one of three racks, with some capacity in use.
 fn add_worker(pool_state: &mut PoolState, n: usize, rng: &mut Rng) {
     let mut fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
     fact.labels = vec!["kind".to_string(), format!("r{}", rng.u32(0..3))];
@@ -29,7 +29,8 @@
     pool_state.update_free_index(key);
 }
 
-/// The least cost of a place, by a walk: what stays free, failures, and 1,000 where the data lies elsewhere.
+/// Returns the least cost of a place by scanning all workers. The cost is the share that stays free, plus penalties
+/// for failures and 1,000 where the data is on another rack.
 fn least_cost(pool_state: &PoolState, cpu_milli: u64, rack: Option<&str>) -> Option<u64> {
     let fits = pool_state.workers.keys().filter(|key| {
         let w = &pool_state.workers[*key];
@@ -41,10 +42,10 @@
 
 fn cost(pool_state: &PoolState, key: WorkerKey, rack: Option<&str>) -> u64 {
     let w = &pool_state.workers[key];
-    let room = w.fact.capacity.cpu_milli;
+    let total = w.fact.capacity.cpu_milli;
     let far = rack.is_some_and(|rack| rack != w.rack());
-    let free = room.saturating_sub(w.used.cpu_milli);
-    free * 1_000 / room + u64::from(far) * 1_000 + u64::from(w.fails_in_row) * 300
+    let free = total.saturating_sub(w.used.cpu_milli);
+    free * 1_000 / total + u64::from(far) * 1_000 + u64::from(w.fails_in_row) * 300
 }
 
 #[test]
@@ -79,13 +80,13 @@
             };
             Some(cost(&before, worker, rack))
         });
-        assert_eq!(chosen, expected, "seed {seed}, waits: {task:?}");
+        assert_eq!(chosen, expected, "seed {seed}, waiting task: {task:?}");
         placed += usize::from(chosen.is_some());
     }
-    assert!(placed > 100, "{placed}");
+    assert!(placed > 100, "only {placed} tasks were placed");
 }
 
-/// What a task gives back can be had at once, by tasks that need all of it, too.
+/// Capacity that a task frees is available at once, also to tasks that need all of it.
 #[test]
 fn room_given_back() {
     let mut pool_state = PoolState::default();
@@ -93,7 +94,7 @@
     add_worker(&mut pool_state, 0, &mut rng);
     let key = pool_state
         .find_instance("life-0", None)
-        .expect("it was added");
+        .expect("the worker was added");
     let worker = &mut pool_state.workers[key];
     worker.is_answering = true;
     let taken = worker.used;
--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -1,8 +1,9 @@
-//! Rounds of timed jobs that overlap, across a change of owner.
+//! Overlapping rounds of timed jobs, across a change of owner.
 //!
-//! A round may end before an earlier one does. Progress on record named the lowest round that was still there, and the
-//! rounds that were there; one that had ended above the last of these looked like one that never began, and the next owner
-//! began it again. Of 120 seeds of the world below, with the owner killed 4 to 8 s after the job came, 9 broke.
+//! A round may end before an earlier one does. The recorded progress named the lowest round that was still there, and
+//! the rounds that were there. A round that had ended above the last of these looked as if it had never begun, and the
+//! next owner began it again. Of 120 seeds of the world below, with the owner killed 4 to 8 s after the job was
+//! submitted, 9 failed.
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::rows::{self, ProgressRow};
@@ -10,16 +11,16 @@
 
 use crate::world::{job, timed, World, WALL_MS};
 
-/// Long enough for owners to be found, and for a lease and a takeover to pass.
+/// Time within which an entry has claimed the pool, also after a lease expired.
 const SETTLE_MS: u64 = 8_000;
 
-/// From one round to the next: several are at work at once.
+/// Time from one round to the next, short enough that several overlap.
 const APART_MS: u64 = 300;
 
-/// Worlds of their own.
+/// Number of seeds; each gives a world of its own.
 const SEEDS: u64 = 120;
 
-/// The first round takes longer than the owner lives, three others end before that.
+/// The first round outlasts the owner, and three others end before the owner is killed.
 #[test]
 fn rounds_end_once() {
     let mut world = World::new(1, 2, 4);
@@ -35,27 +36,27 @@
     world.submit("a", timed(job(1, 1_000, 500), 4, due_wall_ms, APART_MS));
     world.run(4_000);
     assert_eq!((world.starts, world.running("a")), (4, 1));
-    world.kill(world.owner_entry().expect("somebody owns the pool"));
+    world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(SETTLE_MS);
     assert_eq!(world.recorded("a"), JobState::Completed);
-    assert_eq!(world.starts, 4, "no round is begun again");
+    assert_eq!(world.starts, 4, "no round begins twice");
 }
 
-fn play(seed: u64) {
+fn simulate(seed: u64) {
     let mut world = World::new(seed, 3, 6);
     world.run(SETTLE_MS);
     world.run(1_000);
     let due_wall_ms = WALL_MS + world.now_ms;
     world.submit("a", timed(job(2, 1_000, 3_000), 8, due_wall_ms, APART_MS));
     world.run(4_000 + seed % 5 * 1_000);
-    world.kill(world.owner_entry().expect("somebody owns the pool"));
+    world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(30_000);
     assert_eq!(world.recorded("a"), JobState::Completed, "seed {seed}");
 }
 
 #[test]
 fn rounds_owner_killed() {
-    let is_broken = |seed: &u64| std::panic::catch_unwind(|| play(*seed)).is_err();
+    let is_broken = |seed: &u64| std::panic::catch_unwind(|| simulate(*seed)).is_err();
     let broken: Vec<u64> = (0..SEEDS).filter(is_broken).collect();
     assert!(
         broken.is_empty(),
@@ -64,10 +65,10 @@
     );
 }
 
-/// Rows of before tell of no round beyond the last that they list.
+/// Rows of an older version name no round beyond the last that they list.
 #[test]
 fn rounds_rows_of_before() {
-    let row = |text: &str| rows::decode::<ProgressRow>(text.as_bytes()).expect("it decodes");
+    let row = |text: &str| rows::decode::<ProgressRow>(text.as_bytes()).expect("the row decodes");
     let open =
         row(r#"{"state":"Running","rounds":[{"round":0,"steps":[]},{"round":3,"steps":[]}]}"#);
     assert_eq!((open.rounds_begun, open.begun()), (0, 4));
--- a/tests/test_routing.rs
+++ b/tests/test_routing.rs
@@ -1,4 +1,4 @@
-//! Which queue and which account a call is for.
+//! Finds the queue and the account that a call is for.
 
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
     assert_eq!(
         name("one", "/\u{e4}\u{e4}"),
         None,
-        "a length may end within a letter"
+        "a prefix length may fall inside a UTF-8 character"
     );
 }
 
@@ -65,7 +65,7 @@
     assert_eq!(name(""), None);
 }
 
-/// As many queues as the largest configurations hold: each is found, under hosts that many share.
+/// With as many queues as the largest configurations have, each is found under hosts that many queues share.
 #[test]
 fn routing_many_queues() {
     let queues = (0..1_500).map(|n| {
