--- a/tests/test_reload.rs
+++ b/tests/test_reload.rs
@@ -1,11 +1,11 @@
-//! Rows that an owner reads again within its ownership.
+//! An owner reads its rows again within its ownership.
 
 use crate::world::{lasting, World};
 
-/// Long enough for an owner to be found, and for all that a former owner leased to lapse.
+/// Time within which an entry has claimed the pool, and all leases of a former owner have expired.
 const SETTLE_MS: u64 = 8_000;
 
-/// What the owner itself leased since is not over because a former owner's leases are.
+/// Leases that the owner itself renewed do not expire because a former owner's leases have.
 #[test]
 fn reload_keeps_leases() {
     let mut world = World::new(20, 1, 4);
--- a/tests/test_shards.rs
+++ b/tests/test_shards.rs
@@ -1,28 +1,28 @@
-//! Partitions of the store that are away one by one: an owner goes on with the others.
+//! Partitions of the store become unavailable one by one, and an owner goes on with the others.
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::rows::{shard_part, shard_parts, SHARDS};
 
 use crate::world::{job, lasting, World, POOL};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// As long as a quarter of the partitions was away on a day of 350 workers.
+/// How long partitions are unavailable. A load with 350 workers had a quarter of its partitions unavailable for as long.
 const AWAY_MS: u64 = 5_800;
 
-fn away(world: &mut World, shard: usize) {
+fn make_unavailable(world: &mut World, shard: usize) {
     world.parts_away.insert(shard_part(POOL, shard));
 }
 
-/// The load of a queue's peak while the pool's own partition is away: 40 jobs a second, most of which must get done
-/// before it is back. With one partition a pool, nothing was done until then.
+/// A queue's peak load of 40 jobs a second while the pool's first partition is unavailable. Most of the jobs must
+/// complete before it is back; with a single partition for each pool, none did.
 #[test]
 fn shards_first_away() {
     let mut world = World::new(31, 3, 8);
     world.run(SETTLE_MS);
     let owner = world.owner_entry();
-    away(&mut world, 0);
+    make_unavailable(&mut world, 0);
     let mut ids = Vec::new();
     for n in 0..(AWAY_MS / 25) {
         let id = format!("job-{n}");
@@ -35,15 +35,18 @@
         ids.iter().filter(is_done).count()
     };
     let share_percent = done(&world) * 100 / ids.len();
-    assert!(share_percent >= 75, "{share_percent}% were done meanwhile");
-    assert_eq!(world.owner_entry(), owner, "it kept its lease");
+    assert!(
+        share_percent >= 75,
+        "{share_percent}% of the jobs were done meanwhile"
+    );
+    assert_eq!(world.owner_entry(), owner, "the owner kept its lease");
     world.parts_away.clear();
     world.run(5_000);
     assert_eq!(done(&world), ids.len());
 }
 
-/// Jobs that began in a partition that goes away end once it is back; others are not held up, and no worker loses what
-/// runs there since its ends can't be recorded.
+/// Jobs that began in a partition that becomes unavailable end once it is back. Other jobs are not delayed, and no
+/// worker loses its running tasks because ends can't be recorded.
 #[test]
 fn shards_begun_there() {
     let mut world = World::new(32, 2, 4);
@@ -52,7 +55,7 @@
     world.submit("begun", job(2, 1_000, 500));
     world.run(200);
     assert_eq!(world.recorded("begun"), JobState::Running);
-    away(&mut world, 0);
+    make_unavailable(&mut world, 0);
     world.run(1_000);
     world.submit("new", job(2, 1_000, 500));
     world.run(2_500);
@@ -62,25 +65,26 @@
     assert_eq!(world.running("lasts"), 2);
     assert!(
         world.oldest_run_ms("lasts") >= Some(8_000),
-        "its leases went on"
+        "its workers' leases were renewed"
     );
     world.parts_away.clear();
     world.run(2_000);
     assert_eq!(world.recorded("begun"), JobState::Completed);
 }
 
-/// An owner that renews in one shard alone is not taken over, however long, and one that died is, once all are back.
+/// An owner that renews in one shard only is not taken over, however long that lasts. One that died is taken over once
+/// all shards are available again.
 #[test]
 fn shards_takeover() {
     let mut world = World::new(33, 3, 4);
     world.run(SETTLE_MS);
-    let owner = world.owner_entry().expect("somebody owns the pool");
-    (0..SHARDS - 1).for_each(|shard| away(&mut world, shard));
+    let owner = world.owner_entry().expect("the pool has an owner");
+    (0..SHARDS - 1).for_each(|shard| make_unavailable(&mut world, shard));
     world.run(20_000);
     assert_eq!(world.owner_entry(), Some(owner));
     world.kill(owner);
     world.run(10_000);
-    assert_eq!(world.owner_entry(), None, "not all can be claimed");
+    assert_eq!(world.owner_entry(), None, "not all shards can be claimed");
     world.parts_away.clear();
     world.run(5_000);
     assert!(world.owner_entry().is_some());
@@ -89,18 +93,18 @@
     assert_eq!(world.recorded("a"), JobState::Completed);
 }
 
-/// A taker that lost sight of heartbeats, while the owner renews in a shard that is claimed last, takes nothing: the
-/// world checks that no two entries start the same task.
+/// An entry that sees no heartbeats claims nothing while the owner renews in a shard that is claimed last. The world
+/// checks that no two entries start the same task.
 #[test]
 fn shards_stale_taker() {
     let mut world = World::new(34, 2, 4);
     world.run(SETTLE_MS);
-    let owner = world.owner_entry().expect("somebody owns the pool");
+    let owner = world.owner_entry().expect("the pool has an owner");
     let other = 1 - owner;
     for shard in 0..SHARDS - 1 {
-        away(&mut world, shard);
+        make_unavailable(&mut world, shard);
     }
-    // Feeds of the other stand still while the owner renews in the last shard.
+    // The other entry's feeds deliver nothing while the owner renews in the last shard.
     world.freeze(other, 4_000);
     world.run(3_900);
     world.parts_away.clear();
@@ -110,7 +114,8 @@
     assert_eq!(world.starts, 4, "each task ran once");
 }
 
-/// As many writes at a time as there are shards, where the store takes those of a partition in turn.
+/// Each shard has a partition of its own whose name gives the shard. The store runs the writes of one partition in
+/// turn, so that as many writes run at a time as there are shards.
 #[test]
 fn shards_named() {
     let parts = shard_parts(POOL);
--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -1,5 +1,5 @@
-//! A worker's room shrinks and grows while it runs. Workers here start whatever they are told; the world checks that no start
-//! goes over a room that could be known.
+//! A worker's capacity shrinks and grows while it runs. The workers here accept every start, and the world checks that
+//! no start exceeds a capacity that the owner could know.
 
 use fastrand::Rng;
 use rockwick::core::sched::job::JobState;
@@ -9,10 +9,11 @@
 
 use crate::world::{job, lasting, World};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// A peak, while workers shrink to any size, to nothing and below what runs there, grow again, and their owner is killed.
+/// A peak during which workers shrink to any size, also to nothing and below what they run, and grow again, while
+/// their owner is killed.
 #[test]
 fn shrinks_random() {
     for seed in 0..40 {
@@ -29,10 +30,10 @@
                 job(rng.u16(2..10), rng.u64(300..2_500), rng.u64(200..1_500)),
             );
             jobs.push(id);
-            let lives = world.lives();
-            if !lives.is_empty() && rng.u32(0..3) == 0 {
-                let life = &lives[rng.usize(0..lives.len())];
-                world.resize(life, [0, 1_000, 4_000, 12_000][rng.usize(0..4)]);
+            let worker_ids = world.lives();
+            if !worker_ids.is_empty() && rng.u32(0..3) == 0 {
+                let worker_id = &worker_ids[rng.usize(0..worker_ids.len())];
+                world.resize(worker_id, [0, 1_000, 4_000, 12_000][rng.usize(0..4)]);
             }
             if rng.u32(0..20) == 0 {
                 if let Some(owner) = world.owner_entry() {
@@ -42,8 +43,8 @@
             }
             world.run(rng.u64(100..900));
         }
-        for life in world.lives() {
-            world.resize(&life, 12_000);
+        for worker_id in world.lives() {
+            world.resize(&worker_id, 12_000);
         }
         world.run(60_000);
         for id in &jobs {
@@ -53,15 +54,15 @@
     }
 }
 
-/// A room that changes is told, with what is used of it.
+/// A changed capacity is logged with the part that is in use.
 #[test]
 fn shrinks_told() {
     let mut world = World::new(1, 1, 1);
     world.run(SETTLE_MS);
     let mut fact = world.fact(&world.lives()[0].clone());
     fact.capacity.cpu_milli = 4_000;
-    let told = world.told(0, Event::Worker(WorkerEvent::Present(fact)));
-    let lines: Vec<_> = told
+    let logged = world.told(0, Event::Worker(WorkerEvent::Present(fact)));
+    let lines: Vec<_> = logged
         .iter()
         .filter(|d| d.code == Code::WorkerResized)
         .collect();
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -1,4 +1,4 @@
-//! How many hosts a pool wants, by what its work can still earn.
+//! How many hosts a pool wants, by how much of its work can still be in time.
 
 use rockwick::core::sched::job::JobSpec;
 use rockwick::core::sched::keys::TaskKey;
@@ -13,15 +13,15 @@
 use crate::decide::{answering, decide};
 use crate::world::{config, job, lasting, worker_fact, POOL};
 
-/// A pool of hosts with 16 cores each, and nothing to do.
-struct Bench {
+/// A pool of hosts with 16 cores each that has no work yet.
+struct Fixture {
     pool_state: PoolState,
     sizing: Sizing,
     now_ms: u64,
     jobs: u64,
 }
 
-impl Bench {
+impl Fixture {
     fn new(hosts: u16) -> Self {
         let mut pool_state = PoolState::default();
         for n in 0..hosts {
@@ -60,21 +60,21 @@
         });
     }
 
-    /// Hosts needed and wanted, looked at for a second in which nothing changes.
-    fn look(&mut self, pressed: bool) -> (u64, u64) {
-        let with = calm(pressed);
+    /// Runs sizing passes for one second in which nothing changes, and returns the hosts needed and wanted.
+    fn reconcile_for_second(&mut self, pressed: bool) -> (u64, u64) {
+        let inputs = base_inputs(pressed);
         for _ in 0..10 {
             self.now_ms += 100;
             self.with_ctx(|pool_state, sizing, ctx| {
-                sizing::reconcile(pool_state, sizing, &mut Offers::default(), &with, ctx);
+                sizing::reconcile(pool_state, sizing, &mut Offers::default(), &inputs, ctx);
             });
         }
         (self.sizing.needed, self.sizing.wanted)
     }
 }
 
-/// A look where no host can be given away.
-fn calm(pressed: bool) -> Inputs<'static> {
+/// Returns the inputs of a pass in which no host can be given away.
+fn base_inputs(pressed: bool) -> Inputs<'static> {
     Inputs {
         pool: POOL,
         epoch: 1,
@@ -86,65 +86,74 @@
 
 #[test]
 fn sizing_no_load_yet() {
-    let mut bench = Bench::new(10);
-    assert_eq!(bench.look(false), (0, 0), "it asks for nothing");
+    let mut fixture = Fixture::new(10);
+    assert_eq!(
+        fixture.reconcile_for_second(false),
+        (0, 0),
+        "a pool without work asks for no host"
+    );
 }
 
 #[test]
 fn sizing_no_host_yet() {
-    let mut bench = Bench::new(0);
-    bench.submit(&job(8, 1_000, 60_000), bench.now_ms);
-    assert_eq!(bench.look(false), (3, 3), "nobody knows how large one is");
+    let mut fixture = Fixture::new(0);
+    fixture.submit(&job(8, 1_000, 60_000), fixture.now_ms);
+    assert_eq!(
+        fixture.reconcile_for_second(false),
+        (3, 3),
+        "the size of a host is not known yet"
+    );
 }
 
 #[test]
 fn sizing_late_work_waits() {
-    let mut bench = Bench::new(10);
-    // 160 cores of work that should have been done a minute ago.
+    let mut fixture = Fixture::new(10);
+    // 160 cores of work that was due a minute ago.
     for _ in 0..20 {
-        bench.submit(&job(8, 1_000, 1_000), bench.now_ms - 60_000);
+        fixture.submit(&job(8, 1_000, 1_000), fixture.now_ms - 60_000);
     }
-    bench.look(true);
-    let (needed, wanted) = bench.look(true);
+    fixture.reconcile_for_second(true);
+    let (needed, wanted) = fixture.reconcile_for_second(true);
     assert_eq!(
         (needed, wanted),
         (3, 3),
         "another pool lacks hosts for work in time"
     );
-    let (_, wanted) = bench.look(false);
+    let (_, wanted) = fixture.reconcile_for_second(false);
     assert_eq!(
         wanted, 13,
-        "nobody else lacks any: 160 cores and room beside them"
+        "no other pool lacks hosts: 160 cores and spare capacity"
     );
 }
 
 #[test]
 fn sizing_work_in_time() {
-    let mut bench = Bench::new(10);
+    let mut fixture = Fixture::new(10);
     for _ in 0..20 {
-        bench.submit(&job(8, 1_000, 60_000), bench.now_ms);
+        fixture.submit(&job(8, 1_000, 60_000), fixture.now_ms);
     }
-    let (needed, wanted) = bench.look(true);
+    let (needed, wanted) = fixture.reconcile_for_second(true);
     assert_eq!((needed, wanted), (13, 13));
 }
 
 #[test]
 fn sizing_sees_rate() {
-    let mut bench = Bench::new(10);
-    // Within 200 ms come 20 jobs of one task that keeps 4 cores busy for 2 s.
+    let mut fixture = Fixture::new(10);
+    // Within 200 ms, 20 jobs arrive, each of one task that uses 4 cores for 2 s.
     for _ in 0..20 {
-        bench.submit(&job(1, 4_000, 2_000), bench.now_ms);
-        bench.now_ms += 10;
+        fixture.submit(&job(1, 4_000, 2_000), fixture.now_ms);
+        fixture.now_ms += 10;
     }
-    let with = calm(true);
-    bench.with_ctx(|pool_state, sizing, ctx| {
-        sizing::reconcile(pool_state, sizing, &mut Offers::default(), &with, ctx);
+    let inputs = base_inputs(true);
+    fixture.with_ctx(|pool_state, sizing, ctx| {
+        sizing::reconcile(pool_state, sizing, &mut Offers::default(), &inputs, ctx);
     });
-    // What came takes 80 cores; at that rate it will take 400.
-    assert_eq!(bench.sizing.needed, 32);
+    // The jobs so far take 80 cores; at that rate 400 will be needed.
+    assert_eq!(fixture.sizing.needed, 32);
 }
 
-/// Hosts that come free one by one go on offer together: between two changes of the row they can be taken.
+/// Hosts that become free one by one are offered together, so that between two changes of the row other pools can take
+/// them.
 #[test]
 fn sizing_offers_apart() {
     let mut pool_state = PoolState::default();
@@ -160,16 +169,16 @@
         value: Some(rows::encode(&job(1, 1_000, 60_000))),
         revision: 1,
     };
-    let with = Inputs {
+    let inputs = Inputs {
         can_park: true,
-        ..calm(true)
+        ..base_inputs(true)
     };
     let mut changes = Vec::new();
     decide(100_000, |ctx| {
         load::apply_intake(&mut pool_state, &row, &config(1), 1, ctx);
     });
     let keys: Vec<_> = pool_state.workers.keys().collect();
-    // All carry something; one host more is empty at each look.
+    // All hosts run something, and one more becomes empty at each pass.
     let task = TaskKey::default();
     for key in &keys {
         pool_state.workers[*key].add_task(task, Capacity::default());
@@ -178,7 +187,7 @@
         pool_state.workers[*key].remove_task(task, Capacity::default());
         let now_ms = 100_000 + n as u64 * 100;
         let effects = decide(now_ms, |ctx| {
-            sizing::reconcile(&mut pool_state, &mut sizing, &mut offers, &with, ctx);
+            sizing::reconcile(&mut pool_state, &mut sizing, &mut offers, &inputs, ctx);
         });
         if effects
             .iter()
@@ -193,38 +202,37 @@
     assert!(are_apart, "{changes:?}");
 }
 
-/// A pool whose peak is over and that gives hosts away: two large jobs are no new peak, many jobs are one.
+/// A pool whose peak is over gives hosts away. Two large jobs are no new peak, many jobs are one.
 #[test]
 fn sizing_chance_takes_nothing_back() {
     let needed_after = |jobs: u64, cpu_milli: u64| {
-        let mut bench = Bench::new(10);
+        let mut fixture = Fixture::new(10);
         for _ in 0..jobs {
-            bench.submit(&job(20, cpu_milli, 1_000), bench.now_ms);
-            bench.now_ms += 10;
+            fixture.submit(&job(20, cpu_milli, 1_000), fixture.now_ms);
+            fixture.now_ms += 10;
         }
         let mut offers = Offers::default();
         let given = ("host-0".to_string(), "life-0".to_string());
         offers.row.offered = [given].into();
-        let with = calm(true);
-        bench.with_ctx(|pool_state, sizing, ctx| {
-            sizing::reconcile(pool_state, sizing, &mut offers, &with, ctx);
+        let inputs = base_inputs(true);
+        fixture.with_ctx(|pool_state, sizing, ctx| {
+            sizing::reconcile(pool_state, sizing, &mut offers, &inputs, ctx);
         });
-        bench.sizing.needed
+        fixture.sizing.needed
     };
-    // Two jobs of 40 cores for a second: they need 7 hosts; by the bare rate it would be 16.
+    // Two jobs of 40 cores for a second need 7 hosts; by the rate alone it would be 16.
     assert_eq!(needed_after(2, 2_000), 7);
-    // Sixteen of 5 cores: the same work and rate; less the spread, 12.
+    // Sixteen jobs of 5 cores are the same work at the same rate; minus the statistical spread, 12 hosts.
     assert_eq!(needed_after(16, 250), 12);
 }
 
-/// A worker with a task that lasts was emptied and taken away; the task waited for 14 s, until the day ended, and never got a
-/// place: `pool-load` told 24 open hosts, 83 of 384 cores used and one task waiting, `pool-sized` that 18 hosts were wanted,
-/// and eight more stood idle on offer. The task takes a third of a host's memory, of which two thirds were taken on each; by
-/// sums there was room.
+/// A lasting task that fits on no open host must count as needing another one. The task takes a third of a host's
+/// memory, of which two thirds are in use on each host, so by sums there is capacity. The pool then gave hosts away,
+/// the task's worker among them, and the task never got a place.
 #[test]
 fn sizing_waiting_shape() {
-    let mut bench = Bench::new(4);
-    for worker in bench.pool_state.workers.values_mut() {
+    let mut fixture = Fixture::new(4);
+    for worker in fixture.pool_state.workers.values_mut() {
         worker.is_answering = true;
         worker.clock = Some(ClockSample {
             local_ms: 0,
@@ -235,10 +243,13 @@
         let mut spec = lasting(count, 1);
         spec.steps[0].per_worker_max = 4;
         spec.steps[0].mem_mb = mem_mb;
-        bench.submit(&spec, bench.now_ms);
-        bench.with_ctx(|pool_state, _, ctx| place::place(pool_state, ctx));
+        fixture.submit(&spec, fixture.now_ms);
+        fixture.with_ctx(|pool_state, _, ctx| place::place(pool_state, ctx));
     }
-    assert_eq!(bench.pool_state.ready.len(), 1, "one fits nowhere");
-    let (needed, _) = bench.look(false);
-    assert!(needed > 4, "{needed} hosts, and one task waits for another");
+    assert_eq!(fixture.pool_state.ready.len(), 1, "one task fits nowhere");
+    let (needed, _) = fixture.reconcile_for_second(false);
+    assert!(
+        needed > 4,
+        "{needed} hosts are needed, though one task waits for another"
+    );
 }
--- a/tests/test_starts.rs
+++ b/tests/test_starts.rs
@@ -1,4 +1,5 @@
-//! A start that went unanswered may be carried out seconds later: a refusal of the next sending says nothing of it.
+//! An unanswered start may still be carried out seconds later, so a refusal of the next sending doesn't prove that the
+//! task never ran.
 
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
 use rockwick::core::sched::load;
@@ -12,14 +13,14 @@
 use crate::decide::{answering, decide};
 use crate::world::{config, job, worker_fact, Faults, World, POOL};
 
-/// Epoch of the owner.
+/// The owner's epoch.
 const EPOCH: u64 = 7;
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Books with one worker, and one task whose start is out.
-fn starting() -> (PoolState, TaskKey, WorkerKey) {
+/// Returns a pool with one worker, and one task whose start was sent.
+fn pool_with_sent_start() -> (PoolState, TaskKey, WorkerKey) {
     let mut pool_state = PoolState::default();
     let worker = answering(&mut pool_state, worker_fact("life", "host"));
     let row = StoredRow {
@@ -38,7 +39,7 @@
     (pool_state, task, worker)
 }
 
-fn answered(pool_state: &mut PoolState, task: TaskKey, replies: &[OrderReply]) -> Vec<Effect> {
+fn apply_replies(pool_state: &mut PoolState, task: TaskKey, replies: &[OrderReply]) -> Vec<Effect> {
     decide(2_000, |ctx| {
         for reply in replies {
             runs::settle_start(pool_state, task, 1, *reply, EPOCH, ctx);
@@ -49,27 +50,30 @@
 #[test]
 fn starts_refused_at_once() {
     for refusal in [OrderReply::Unwell, OrderReply::NoRoom] {
-        let (mut pool_state, task, _) = starting();
-        answered(&mut pool_state, task, &[refusal]);
+        let (mut pool_state, task, _) = pool_with_sent_start();
+        apply_replies(&mut pool_state, task, &[refusal]);
         let phase = pool_state.task(task).map(|t| t.phase);
-        assert_eq!(phase, Some(Phase::Ready), "{refusal:?}: it never ran");
+        assert_eq!(phase, Some(Phase::Ready), "{refusal:?}: the task never ran");
     }
 }
 
 #[test]
 fn starts_refused_after_silence() {
     for refusal in [OrderReply::Unwell, OrderReply::NoRoom] {
-        let (mut pool_state, task, worker) = starting();
-        let effects = answered(&mut pool_state, task, &[OrderReply::Silent, refusal]);
+        let (mut pool_state, task, worker) = pool_with_sent_start();
+        let effects = apply_replies(&mut pool_state, task, &[OrderReply::Silent, refusal]);
         let phase = pool_state.task(task).map(|t| t.phase);
         assert_eq!(phase, Some(Phase::Stopping(worker)), "{refusal:?}");
         let is_stop = |e: &Effect| matches!(e, Effect::Stop(_, _, _, 1));
-        assert!(effects.iter().any(is_stop), "the run is barred first");
+        assert!(
+            effects.iter().any(is_stop),
+            "the run is stopped before the task is placed again"
+        );
     }
 }
 
-/// A task that a worker starts late, after its job was cancelled, is gone soon, whether or not the entry that
-/// started it is still there.
+/// A task that a worker starts late, after its job was cancelled, is stopped soon, whether or not the entry that sent
+/// the start is still running.
 #[test]
 fn starts_late_after_cancel() {
     for is_starter_lost in [false, true] {
@@ -87,16 +91,16 @@
             world.cancel("a");
             world.run(100);
             if is_starter_lost {
-                let owner = world.owner_entry().expect("it is owned");
+                let owner = world.owner_entry().expect("the pool has an owner");
                 world.kill(owner);
             }
-            // Orders are held up by 12 s at the most.
+            // Orders are delayed by 12 s at most.
             for _ in 0..140 {
                 world.run(100);
                 let oldest_ms = world.oldest_run_ms("a").unwrap_or(0);
                 assert!(
                     oldest_ms < 5_000,
-                    "seed {seed}, starter lost: {is_starter_lost}: runs on for {oldest_ms} ms"
+                    "seed {seed}, starter lost: {is_starter_lost}: a task runs on for {oldest_ms} ms"
                 );
             }
             assert_eq!(world.running("a"), 0);
--- a/tests/test_times.rs
+++ b/tests/test_times.rs
@@ -1,4 +1,4 @@
-//! What queues' steps took, against what callers estimated.
+//! Expected durations of queues' steps, from measured durations and callers' estimates.
 
 use rockwick::core::sched::times::Times;
 
@@ -31,7 +31,7 @@
 fn times_good_estimates() {
     let mut times = Times::default();
     for n in 0..40 {
-        // Always half of what it takes, whatever that is.
+        // The estimate is always half of the duration.
         let took_ms = 400 + 400 * (n % 10);
         times.record(QUEUE, took_ms / 2, took_ms);
     }
@@ -45,7 +45,7 @@
     for n in 0..40 {
         times.record(QUEUE, 100 + n, 1_000);
     }
-    let text = serde_json::to_string(&times).expect("plain numbers");
-    let read: Times = serde_json::from_str(&text).expect("as written");
+    let text = serde_json::to_string(&times).expect("the times serialize");
+    let read: Times = serde_json::from_str(&text).expect("the times deserialize");
     assert_eq!(expected_ms(&read, 120), expected_ms(&times, 120));
 }
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: whose host is out, and when it is back.
+//! Maintenance waves: which host holds a slot, and when it counts as back.
 
 use std::collections::BTreeMap;
 
@@ -15,15 +15,15 @@
 
 const HOST: &str = "host-1";
 
-/// A pool with one host, whose order to go for upkeep was accepted.
-struct Out {
+/// A pool with one host whose maintenance order was accepted.
+struct Scenario {
     pool_state: PoolState,
     controller: WaveController,
     waves: BTreeMap<u64, WaveKnown>,
     now_ms: u64,
 }
 
-impl Out {
+impl Scenario {
     fn new() -> Self {
         let mut pool_state = PoolState::default();
         load::add_worker(&mut pool_state, worker_fact("life-2", HOST), 0);
@@ -53,18 +53,18 @@
         }
     }
 
-    /// Looks for a second; whether the slot was given back.
-    fn look(&mut self) -> bool {
+    /// Runs passes for one second and returns whether the slot was given back.
+    fn gives_slot_back(&mut self) -> bool {
         let mut is_given_back = false;
         for _ in 0..10 {
-            let effects = self.effects();
+            let effects = self.reconcile_once();
             let is_settled = |e: &Effect| matches!(e, Effect::SettleWave(..));
             is_given_back |= effects.iter().any(is_settled);
         }
         is_given_back
     }
 
-    fn effects(&mut self) -> Vec<Effect> {
+    fn reconcile_once(&mut self) -> Vec<Effect> {
         self.now_ms += 100;
         decide(self.now_ms, |ctx| {
             wave::reconcile(
@@ -78,18 +78,19 @@
         })
     }
 
-    /// What is told of waiting in so long.
-    fn waits(&mut self, ms: u64) -> Vec<Decision> {
-        let looks = (0..ms / 100).flat_map(|_| self.effects());
-        let told = looks.filter_map(|effect| match effect {
+    /// Runs passes for `ms` and returns the log lines about waiting.
+    fn wait_lines(&mut self, ms: u64) -> Vec<Decision> {
+        let looks = (0..ms / 100).flat_map(|_| self.reconcile_once());
+        let logged = looks.filter_map(|effect| match effect {
             Effect::Log(decision) => Some(decision),
             _ => None,
         });
-        told.filter(|d| matches!(d.code, Code::WaveWaits | Code::HostWaits))
+        logged
+            .filter(|d| matches!(d.code, Code::WaveWaits | Code::HostWaits))
             .collect()
     }
 
-    fn read(&mut self, state: HostState) {
+    fn read_list(&mut self, state: HostState) {
         let record = HostRecord {
             host: HOST.to_string(),
             pool: POOL.to_string(),
@@ -100,42 +101,57 @@
     }
 }
 
-/// The host crashed while it held its slot, and the order met its next life, which is just ending: that life
-/// in the books must not count as the host's return, or another host goes out beside it.
+/// The host crashed while it held its slot, and the order reached its next instance, which is just ending. That
+/// instance in the in-memory state must not count as the host's return, or another host goes out beside it.
 #[test]
 fn waves_crashed_host_is_out() {
-    let mut out = Out::new();
-    assert!(!out.look(), "nobody has seen the host up since its order");
-    out.read(HostState::Upkeep);
-    assert!(!out.look(), "the list says that it is out");
-    out.read(HostState::Up);
-    assert!(out.look(), "the list says that it is back");
+    let mut out = Scenario::new();
+    assert!(
+        !out.gives_slot_back(),
+        "the host was not seen up since its order"
+    );
+    out.read_list(HostState::Upkeep);
+    assert!(!out.gives_slot_back(), "the list shows the host as out");
+    out.read_list(HostState::Up);
+    assert!(out.gives_slot_back(), "the list shows the host as back");
 }
 
-/// A new owner finds a slot that the former one took, with the order still to come: nothing is placed on that host.
+/// A new owner finds a slot that the former owner took without having sent the order yet. Nothing may be placed on
+/// that host.
 #[test]
 fn waves_slot_found_closes_host() {
-    let mut out = Out::new();
-    let wave = out.waves.get_mut(&1).expect("it is there");
-    let slot = wave.row.out.get_mut(HOST).expect("the host holds it");
+    let mut out = Scenario::new();
+    let wave = out.waves.get_mut(&1).expect("the wave is known");
+    let slot = wave.row.out.get_mut(HOST).expect("the host holds a slot");
     slot.is_ordered = false;
-    out.look();
+    out.gives_slot_back();
     let key = out.pool_state.worker_on(HOST).expect("the host is listed");
     assert!(out.pool_state.workers[key].is_closing);
 }
 
-/// A host that stays away is told of once its wave has waited for long, and seldom again; by its name and its wave's.
+/// A host that stays away is logged once its wave has waited for long, and seldom after that. The lines name the host
+/// and the wave.
 #[test]
 fn waves_wait_told() {
-    let mut out = Out::new();
-    out.read(HostState::Upkeep);
-    assert!(out.waits(12_000).is_empty(), "a turn takes its time");
-    let told = out.waits(3_000);
-    let about = |subject, id| told.iter().filter(|d| d.is_about(subject, id)).count();
-    assert_eq!(about(Subject::Wave, "1"), 1, "{told:?}");
-    assert_eq!(about(Subject::Host, HOST), 1, "{told:?}");
+    let mut out = Scenario::new();
+    out.read_list(HostState::Upkeep);
+    assert!(
+        out.wait_lines(12_000).is_empty(),
+        "maintenance may take a while"
+    );
+    let logged = out.wait_lines(3_000);
+    let about = |subject, id| logged.iter().filter(|d| d.is_about(subject, id)).count();
+    assert_eq!(about(Subject::Wave, "1"), 1, "{logged:?}");
+    assert_eq!(about(Subject::Host, HOST), 1, "{logged:?}");
     let is_away = |d: &Decision| d.why.contains("does not name it as up");
-    assert!(told.iter().all(is_away), "{told:?}");
-    assert!(out.waits(50_000).is_empty(), "once is enough for a while");
-    assert_eq!(out.waits(15_000).len(), 2, "and then it is told again");
+    assert!(logged.iter().all(is_away), "{logged:?}");
+    assert!(
+        out.wait_lines(50_000).is_empty(),
+        "the wait is not logged again soon"
+    );
+    assert_eq!(
+        out.wait_lines(15_000).len(),
+        2,
+        "the wait is logged again later"
+    );
 }
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -1,4 +1,4 @@
-//! Tasks that need most of a host, in pools where every host carries something.
+//! Tasks that need most of a host, in pools where every host runs something.
 
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::offers::Offers;
@@ -13,68 +13,69 @@
 use crate::decide::{answering, decide};
 use crate::world::{config, job, lasting, worker_fact, World, POOL};
 
-/// Long enough for an owner to be found.
+/// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Between two jobs of the stream: shorter than the shortest of its tasks.
+/// Time between two jobs of the stream, shorter than the shortest of its tasks.
 const STREAM_MS: u64 = 300;
 
-/// The longest of those tasks, a second of waiting, and a lease.
+/// Time within which a wide task must start: the longest of the stream's tasks, one second of waiting, and a lease.
 const BOUND_MS: u64 = 1_600 + 1_000 + 4_500;
 
 const HOSTS: u16 = 8;
 
 const NOW_MS: u64 = 100_000;
 
-/// One task on each host, 400 to 1,600 ms long.
+/// Returns a job with one task on each host, of 400 to 1,600 ms.
 fn small() -> JobSpec {
     let mut spec = job(HOSTS, 1_300, 800);
     spec.steps[0].per_worker_max = 1;
     spec
 }
 
-/// Five of eight hosts carry a task that lasts, all of them a part of the stream.
-fn busy(seed: u64) -> World {
+/// Returns a world in which five of eight hosts run a lasting task, and all run a part of the stream.
+fn busy_world(seed: u64) -> World {
     let mut world = World::new(seed, 1, usize::from(HOSTS));
     world.run(SETTLE_MS);
     let mut spec = lasting(5, 1);
     spec.steps[0].cpu_milli = 1_500;
     world.submit("lasts", spec);
-    stream(&mut world, 4_000);
+    submit_stream(&mut world, 4_000);
     world
 }
 
-/// The stream goes on for so long.
-fn stream(world: &mut World, ms: u64) {
+/// Submits the stream of small jobs for `ms`.
+fn submit_stream(world: &mut World, ms: u64) {
     for _ in 0..ms / STREAM_MS {
         world.submit(&format!("small-{}", world.now_ms), small());
         world.run(STREAM_MS);
     }
 }
 
-/// The stream goes on until the wide task runs, or for so long.
-fn stream_until(world: &mut World, ms: u64) -> bool {
+/// Submits the stream until the wide task runs or `ms` are over, and returns whether it runs or completed.
+fn stream_until_wide(world: &mut World, ms: u64) -> bool {
     for _ in 0..ms / STREAM_MS {
         if world.running("wide") > 0 || world.recorded("wide") == JobState::Completed {
             return true;
         }
-        stream(world, STREAM_MS);
+        submit_stream(world, STREAM_MS);
     }
     false
 }
 
-/// Over half of the pool is free, and no host ever has eleven of its twelve cores free by itself.
+/// Over half of the pool is free, but no host ever has eleven of its twelve cores free by itself. Without a
+/// reservation the wide task never starts.
 #[test]
 fn wide_never_starts() {
     for seed in 0..5 {
-        let mut world = busy(seed);
+        let mut world = busy_world(seed);
         world.submit("wide", job(1, 11_000, 500));
-        let starts = stream_until(&mut world, BOUND_MS);
+        let starts = stream_until_wide(&mut world, BOUND_MS);
         assert!(starts, "seed {seed}: {}", world.describe("wide"));
     }
 }
 
-/// Events of reservations so far.
+/// Returns the log lines about reservations so far.
 fn reservations(world: &World) -> Vec<&Decision> {
     let codes = [
         Code::HostReserved,
@@ -85,7 +86,7 @@
     log.filter(|d| codes.contains(&d.code)).collect()
 }
 
-/// The worker that is reserved now.
+/// Returns the worker that is reserved now.
 fn reserved(world: &World) -> Option<String> {
     let last = reservations(world).pop()?;
     let mut names = last.names.iter();
@@ -93,13 +94,13 @@
     (last.code == Code::HostReserved).then(|| id.clone())
 }
 
-/// A pool in which a host has just been reserved, and that worker.
+/// Returns a world in which a host has just been reserved, and the reserved worker.
 fn with_reserved(seed: u64, tasks: u16) -> (World, String) {
-    let mut world = busy(seed);
+    let mut world = busy_world(seed);
     world.keeps_log = true;
     world.submit("wide", job(tasks, 11_000, 500));
     for _ in 0..BOUND_MS / STREAM_MS {
-        stream(&mut world, STREAM_MS);
+        submit_stream(&mut world, STREAM_MS);
         if let Some(id) = reserved(&world) {
             return (world, id);
         }
@@ -107,34 +108,34 @@
     panic!("seed {seed}: no host was reserved");
 }
 
-/// After `fault` struck the reserved worker, the task is started elsewhere.
-fn starts_after(fault: impl Fn(&mut World, &str)) {
+/// Checks that the wide task starts elsewhere after `fault` hit the reserved worker.
+fn check_starts_after(fault: impl Fn(&mut World, &str)) {
     for seed in 0..5 {
         let (mut world, id) = with_reserved(seed, 1);
         fault(&mut world, &id);
-        let starts = stream_until(&mut world, 2 * BOUND_MS);
+        let starts = stream_until_wide(&mut world, 2 * BOUND_MS);
         assert!(starts, "seed {seed}: {}", world.describe("wide"));
     }
 }
 
 #[test]
 fn wide_host_crashes() {
-    starts_after(|world, id| world.crash(id, 2_000));
+    check_starts_after(|world, id| world.crash(id, 2_000));
 }
 
 #[test]
 fn wide_host_resized() {
-    starts_after(|world, id| world.resize(id, 6_000));
+    check_starts_after(|world, id| world.resize(id, 6_000));
 }
 
 #[test]
 fn wide_host_silent() {
-    starts_after(|world, id| world.cut_worker(id, 20_000));
+    check_starts_after(|world, id| world.cut_worker(id, 20_000));
 }
 
 #[test]
 fn wide_wave_begins() {
-    starts_after(|world, _| world.wave(1, 60_000, 2));
+    check_starts_after(|world, _| world.wave(1, 60_000, 2));
 }
 
 #[test]
@@ -143,7 +144,7 @@
         let (mut world, _) = with_reserved(seed, 1);
         world.kill(0);
         world.boot(0);
-        let starts = stream_until(&mut world, SETTLE_MS + BOUND_MS);
+        let starts = stream_until_wide(&mut world, SETTLE_MS + BOUND_MS);
         assert!(starts, "seed {seed}: {}", world.describe("wide"));
     }
 }
@@ -152,34 +153,38 @@
 fn wide_cancelled() {
     let (mut world, _) = with_reserved(1, 1);
     world.cancel("wide");
-    stream(&mut world, 1_500);
+    submit_stream(&mut world, 1_500);
     assert_eq!(reserved(&world), None);
     assert_eq!(world.running("wide"), 0);
 }
 
-/// One host at a time in a small pool, and all of it is used by small tasks in between.
+/// A small pool reserves one host at a time, and small tasks use all of it in between.
 #[test]
 fn wide_one_host() {
     let (mut world, _) = with_reserved(2, 4);
     for _ in 0..4 {
-        stream(&mut world, BOUND_MS);
+        submit_stream(&mut world, BOUND_MS);
     }
     assert_eq!(world.recorded("wide"), JobState::Completed);
-    let mut held = 0;
+    let mut reserved_hosts = 0;
     for event in reservations(&world) {
-        held = match event.code {
-            Code::HostReserved => held + 1,
-            _ => held - 1,
+        reserved_hosts = match event.code {
+            Code::HostReserved => reserved_hosts + 1,
+            _ => reserved_hosts - 1,
         };
-        assert!(held <= 1, "{event:?}");
+        assert!(reserved_hosts <= 1, "{event:?}");
     }
     world.run(5_000);
-    let jobs = world.owner_book().expect("it is owned").jobs.values();
-    let left = jobs.filter(|job| !job.state.is_final() && job.id != "lasts");
-    assert_eq!(left.count(), 0, "the stream went on");
+    let jobs = world
+        .owner_book()
+        .expect("the pool has an owner")
+        .jobs
+        .values();
+    let unfinished = jobs.filter(|job| !job.state.is_final() && job.id != "lasts");
+    assert_eq!(unfinished.count(), 0, "all jobs of the stream completed");
 }
 
-/// What lasts takes a reserved host if there is no other.
+/// Lasting tasks take a reserved host if there is no other.
 #[test]
 fn wide_yields_to_lasting() {
     let (mut world, id) = with_reserved(3, 1);
@@ -201,20 +206,21 @@
     });
 }
 
-/// What a round of placing tells of reservations: event, host, reason.
+/// Runs one placement pass and returns what it logs about reservations: event, host, reason.
 fn place_at(pool_state: &mut PoolState, now_ms: u64) -> Vec<(Code, String, String)> {
     let effects = decide(now_ms, |ctx| place::place(pool_state, ctx));
-    let told = effects.into_iter().filter_map(|effect| match effect {
+    let logged = effects.into_iter().filter_map(|effect| match effect {
         Effect::Log(d) if d.code != Code::TaskPlaced => Some(d),
         _ => None,
     });
     let host = |d: &Decision| d.names.iter().find(|(what, _)| *what == "on").cloned();
-    told.map(|d| (d.code, host(&d).unwrap_or_default().1, d.why))
+    logged
+        .map(|d| (d.code, host(&d).unwrap_or_default().1, d.why))
         .collect()
 }
 
-/// Books of so many hosts with a task each that takes 2 s, and `task`, which fits beside none of them.
-fn split_up(hosts: u16, cpu_milli: u64, task: &JobSpec) -> PoolState {
+/// Returns a pool of `hosts` hosts that each run one task of 2 s, with `task` waiting, which fits beside none of them.
+fn fragmented_pool(hosts: u16, cpu_milli: u64, task: &JobSpec) -> PoolState {
     let mut pool_state = PoolState::default();
     for n in 0..hosts {
         let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
@@ -224,11 +230,11 @@
     apart.steps[0].per_worker_max = 1;
     submit(&mut pool_state, "apart", &apart);
     submit(&mut pool_state, "wide", task);
-    assert_eq!(pool_state.ready.len(), 1, "one fits nowhere");
+    assert_eq!(pool_state.ready.len(), 1, "one task fits nowhere");
     pool_state
 }
 
-/// A task of nearly a host.
+/// Returns a job of one task that needs nearly a whole host.
 fn wide(accepted_wall_ms: u64) -> JobSpec {
     JobSpec {
         accepted_wall_ms,
@@ -236,21 +242,22 @@
     }
 }
 
-/// Why the reserved host is given up after `fault` struck it, and whether another one is reserved then.
-fn given_up_after(fault: impl Fn(&mut Worker)) -> (String, bool) {
-    let mut pool_state = split_up(4, 4_000, &wide(NOW_MS));
-    let told = place_at(&mut pool_state, NOW_MS + 999);
-    assert_eq!(told, [], "it waits for a second");
-    let told = place_at(&mut pool_state, NOW_MS + 1_250);
-    let [(Code::HostReserved, host, _)] = &told[..] else {
-        panic!("{told:?}");
+/// Returns why the reservation is dropped after `fault` hit the reserved host, and whether another host is reserved
+/// then.
+fn dropped_after(fault: impl Fn(&mut Worker)) -> (String, bool) {
+    let mut pool_state = fragmented_pool(4, 4_000, &wide(NOW_MS));
+    let logged = place_at(&mut pool_state, NOW_MS + 999);
+    assert_eq!(logged, [], "the task waits for a second first");
+    let logged = place_at(&mut pool_state, NOW_MS + 1_250);
+    let [(Code::HostReserved, host, _)] = &logged[..] else {
+        panic!("{logged:?}");
     };
-    let key = pool_state.worker_on(host).expect("it is there");
+    let key = pool_state.worker_on(host).expect("the host is known");
     fault(&mut pool_state.workers[key]);
-    let told = place_at(&mut pool_state, NOW_MS + 1_500);
-    let [(Code::ReservationDropped, dropped, why), (Code::HostReserved, next, _)] = &told[..]
+    let logged = place_at(&mut pool_state, NOW_MS + 1_500);
+    let [(Code::ReservationDropped, dropped, why), (Code::HostReserved, next, _)] = &logged[..]
     else {
-        panic!("{told:?}");
+        panic!("{logged:?}");
     };
     assert_eq!(dropped, host);
     (why.clone(), next != host)
@@ -258,47 +265,47 @@
 
 #[test]
 fn wide_host_closed() {
-    let told = given_up_after(|worker| worker.is_closing = true);
-    assert_eq!(told, ("its host takes no work".to_string(), true));
-    let told = given_up_after(|worker| worker.is_answering = false);
-    assert_eq!(told, ("its host takes no work".to_string(), true));
+    let logged = dropped_after(|worker| worker.is_closing = true);
+    assert_eq!(logged, ("its host takes no work".to_string(), true));
+    let logged = dropped_after(|worker| worker.is_answering = false);
+    assert_eq!(logged, ("its host takes no work".to_string(), true));
 }
 
 #[test]
 fn wide_host_shrinks() {
-    let told = given_up_after(|worker| worker.fact.capacity.cpu_milli = 14_000);
+    let logged = dropped_after(|worker| worker.fact.capacity.cpu_milli = 14_000);
     let why = "its host will not have the room".to_string();
-    assert_eq!(told, (why, true));
+    assert_eq!(logged, (why, true));
 }
 
 #[test]
 fn wide_host_slow() {
-    let mut pool_state = split_up(4, 4_000, &wide(NOW_MS));
-    let told = place_at(&mut pool_state, NOW_MS + 1_250);
-    let [(Code::HostReserved, host, _)] = &told[..] else {
-        panic!("{told:?}");
+    let mut pool_state = fragmented_pool(4, 4_000, &wide(NOW_MS));
+    let logged = place_at(&mut pool_state, NOW_MS + 1_250);
+    let [(Code::HostReserved, host, _)] = &logged[..] else {
+        panic!("{logged:?}");
     };
     // Twice the 750 ms that its task has left, and a lease.
     let until_ms = NOW_MS + 1_250 + 1_500 + 4_500;
     assert_eq!(place_at(&mut pool_state, until_ms - 1), []);
-    let told = place_at(&mut pool_state, until_ms);
-    let [(Code::ReservationDropped, dropped, why)] = &told[..] else {
-        panic!("{told:?}");
+    let logged = place_at(&mut pool_state, until_ms);
+    let [(Code::ReservationDropped, dropped, why)] = &logged[..] else {
+        panic!("{logged:?}");
     };
     assert_eq!((dropped, &**why), (host, "it takes too long"));
-    let told = place_at(&mut pool_state, until_ms + 250);
-    let [(Code::HostReserved, next, _)] = &told[..] else {
-        panic!("{told:?}");
+    let logged = place_at(&mut pool_state, until_ms + 250);
+    let [(Code::HostReserved, next, _)] = &logged[..] else {
+        panic!("{logged:?}");
     };
     assert_ne!(next, host);
 }
 
-/// Work that is late gets a host reserved in pools that are up to 60% full, tasks of half a host or less, too; wide tasks
-/// that can be in time up to 80%.
+/// Late work, and tasks of half a host or less, get a host reserved in pools that are up to 60% full; wide tasks that
+/// can be in time get one up to 80%.
 #[test]
 fn wide_full_pool() {
     let reserved = |hosts, cpu_milli, task: &JobSpec| {
-        let mut pool_state = split_up(hosts, cpu_milli, task);
+        let mut pool_state = fragmented_pool(hosts, cpu_milli, task);
         place_at(&mut pool_state, NOW_MS + 1_250).len()
     };
     let late_ms = NOW_MS - 60_000;
@@ -314,8 +321,8 @@
     assert_eq!(reserved(16, 13_000, &wide(NOW_MS)), 0, "wide, 82%");
 }
 
-/// Hosts that a pool of six needs, whose hosts carry a task that lasts each, once a task of nearly a host has waited. What
-/// lasts is as much as room for three hosts.
+/// Returns the hosts that a pool of six needs, each of which runs a lasting task, once a task of nearly a host has
+/// waited. The lasting tasks take up as much as three hosts.
 fn needed_beside_lasting(wide: &JobSpec) -> u64 {
     let mut pool_state = PoolState::default();
     for n in 0..6 {
@@ -327,9 +334,9 @@
     for (id, spec) in [("a", &lasts), ("b", &lasts), ("wide", wide)] {
         submit(&mut pool_state, id, spec);
     }
-    assert_eq!(pool_state.ready.len(), 1, "one fits nowhere");
+    assert_eq!(pool_state.ready.len(), 1, "one task fits nowhere");
     let mut sizing = Sizing::default();
-    let with = Inputs {
+    let inputs = Inputs {
         pool: POOL,
         epoch: 1,
         can_park: false,
@@ -342,7 +349,7 @@
                 &mut pool_state,
                 &mut sizing,
                 &mut Offers::default(),
-                &with,
+                &inputs,
                 ctx,
             );
         });
@@ -350,11 +357,11 @@
     sizing.needed
 }
 
-/// A pool whose hosts carried a task that lasts each gave its empty ones away: `pool-load` told 53 open hosts, 315 of 848
-/// cores used and three tasks of 14,550 thousandths waiting for 15 s, `pool-sized` that 46 hosts were wanted, and 38 on offer.
+/// A pool whose hosts each run a lasting task must ask for another host for a task of nearly a host. By its sums it
+/// wanted fewer and gave its empty hosts away, while tasks of 14,550 thousandths of a core waited for 15 s.
 #[test]
 fn wide_asks_host() {
     assert!(needed_beside_lasting(&wide(NOW_MS)) > 6, "in time");
     let late_ms = NOW_MS - 60_000;
-    assert!(needed_beside_lasting(&wide(late_ms)) > 6, "past its time");
+    assert!(needed_beside_lasting(&wide(late_ms)) > 6, "late");
 }
