--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -242,7 +242,7 @@
     let broken: Vec<u64> = (0..SEEDS).filter(is_broken).collect();
     assert!(
         broken.is_empty(),
-        "{} seeds broke: {broken:?}",
+        "{} seeds failed: {broken:?}",
         broken.len()
     );
 }
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -1,11 +1,6 @@
-//! Ends of runs that an owner has applied but not yet recorded must survive the worker that reported them. A worker
-//! whose tasks were all done in the owner's in-memory state counted as empty at once; its host was ordered out for
-//! maintenance or offered to other pools, and the worker's list of ends went with it. If the owner was replaced before
-//! it recorded the ends, the next owner found all those tasks as started on a worker that was gone, and started them
-//! again.
-//!
-//! In the first test below the job's partition is unavailable for 6 s and the maintenance order comes 2.4 s after the
-//! last end; with the fault each of the six tasks is started twice (12 starts).
+//! An end that a worker reported is applied at once and recorded later. If the host of a worker whose tasks are all
+//! done leaves in between, its list of ends goes with it, and a new owner starts these tasks again. In the first test
+//! below all six did: the job's partition is unavailable for 6 s, and the host leaves 2.4 s after the last end.
 
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -68,7 +68,7 @@
 
 #[test]
 fn foreign_entries() {
-    let fleet = Fleet::start("pool", 2, 50).expect("it starts");
+    let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     let platform = Platform::new(fleet.address, Some(fleet.address));
     let unreadable = bad_entries();
     for (n, value) in unreadable.iter().enumerate() {
@@ -91,7 +91,7 @@
         let present = events
             .iter()
             .filter(|w| matches!(w, WorkerEvent::Present(_)));
-        assert_eq!(present.count(), 3, "the readable entries");
+        assert_eq!(present.count(), 3, "the readable entries are read");
     });
 }
 
@@ -173,7 +173,7 @@
 /// good rows between them are read.
 #[test]
 fn foreign_fuzz() {
-    let fleet = Fleet::start("pool", 2, 50).expect("it starts");
+    let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     let platform = Platform::new(fleet.address, Some(fleet.address));
     fleet.configure(7, "pool");
     let good = entry().to_string().into_bytes();
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -1,7 +1,6 @@
-//! An owner must keep a worker whose entry arrives through the feed while the owner is still reading its pool's rows.
-//! The list that comes with the rows was read before and lacks that worker; taken for the newest, it removed the
-//! worker. Since the feed delivers an entry only once, the owner then never knew of a worker that was up and answered,
-//! and the host stayed out in its wave forever.
+//! A worker's entry that the feed delivers while its owner reads the pool's rows is delivered only once. If the older
+//! list that comes with the rows replaces it, the owner never knows of that worker, and its host stays out in a wave
+//! forever.
 
 use rockwick::core::sched::state::Event;
 use rockwick::port::fleet::{WorkerEvent, WorkerInfo};
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -1,6 +1,5 @@
-//! The answer to a conflict may be older than what is known, since answers on different connections overtake one
-//! another and the feed overtakes them all. An older row must not replace a newer one: without the slot or the offer
-//! that is recorded since, the host would be opened and get tasks, and the entry that orders hosts, which goes by the
+//! A conflict's answer or the feed may arrive out of order, and an older row must not replace a newer one. Without the
+//! recorded slot or offer the host would be opened and get tasks, and the entry that orders hosts, which goes by the
 //! record, would end them.
 
 use std::collections::BTreeMap;
--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -1,10 +1,6 @@
-//! An owner reads its pool's rows again within an ownership, after something else changed one of them.
-//!
-//! Each reading builds a new in-memory state whose keys of workers and tasks differ from the old ones. Pending answers
-//! and timers of the old state were told apart only by the epoch, which stays the same: a report of one worker was
-//! taken for another's, and all tasks of that other worker counted as not running. A lost pool's timers stayed as
-//! well. Leases of workers were also taken to expire a lease's time after the claim, though this owner had renewed
-//! them since, so a reading requeued all running tasks at once.
+//! An owner reads its rows again within an ownership, after something else changed one of them. The new in-memory
+//! state has new keys of workers and tasks under the same epoch, so pending answers and timers of the old state must
+//! not apply to it, and leases that this owner renewed must not count as expired, or running tasks are requeued.
 
 use fastrand::Rng;
 use rockwick::core::sched::job::JobState;
@@ -75,7 +71,7 @@
     let broken: Vec<u64> = (0..SEEDS).filter(is_broken).collect();
     assert!(
         broken.is_empty(),
-        "{} seeds broke: {broken:?}",
+        "{} seeds failed: {broken:?}",
         broken.len()
     );
 }
--- a/tests/test_reread_orders.rs
+++ b/tests/test_reread_orders.rs
@@ -43,7 +43,7 @@
     let broken = broken_seeds(false);
     assert!(
         broken.is_empty(),
-        "{} seeds broke: {broken:?}",
+        "{} seeds failed: {broken:?}",
         broken.len()
     );
 }
@@ -53,7 +53,7 @@
     let broken = broken_seeds(true);
     assert!(
         broken.is_empty(),
-        "{} seeds broke: {broken:?}",
+        "{} seeds failed: {broken:?}",
         broken.len()
     );
 }
--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -1,7 +1,6 @@
-//! Every answer of the store names the store's newest revision, which is the transaction's own only if no other write
-//! came in between. Taken for its own, it makes the next condition fail though nobody else wrote the row, and the
-//! owner reads all its rows again while answers and timers of the earlier in-memory state go on. With one commit in
-//! twenty answered like that, 111 of 150 random worlds failed, many since tasks ran twice.
+//! The store's answers name its newest revision, which another write may have made. Taken for the transaction's own,
+//! it makes the next condition fail, and the owner reads all its rows again while old answers and timers go on. With
+//! one commit in twenty answered like that, 111 of 150 random worlds failed, many since tasks ran twice.
 
 use rockwick::core::sched::job::JobState;
 
@@ -46,10 +45,7 @@
             "seed {seed}: {id}"
         );
     }
-    assert!(
-        world.waves_done.contains(&1),
-        "seed {seed}: the wave did not end"
-    );
+    assert!(world.waves_done.contains(&1), "seed {seed}: the wave ends");
     assert_eq!(
         world.running("lasting"),
         3,
--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -1,9 +1,6 @@
-//! Overlapping rounds of timed jobs, across a change of owner.
-//!
-//! A round may end before an earlier one does. The recorded progress named the lowest round that was still there, and
-//! the rounds that were there. A round that had ended above the last of these looked as if it had never begun, and the
-//! next owner began it again. Of 120 seeds of the world below, with the owner killed 4 to 8 s after the job was
-//! submitted, 9 failed.
+//! A round of a timed job may end before an earlier one does. Progress that names only the rounds that are open makes
+//! an ended round above the last of them look as if it had never begun, and the next owner begins it again. With the
+//! owner killed 4 to 8 s after the job was submitted, 9 of the 120 seeds below failed.
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::rows::{self, ProgressRow};
@@ -60,7 +57,7 @@
     let broken: Vec<u64> = (0..SEEDS).filter(is_broken).collect();
     assert!(
         broken.is_empty(),
-        "{} seeds broke: {broken:?}",
+        "{} seeds failed: {broken:?}",
         broken.len()
     );
 }
--- a/tests/test_shards.rs
+++ b/tests/test_shards.rs
@@ -8,7 +8,7 @@
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// How long partitions are unavailable. A load with 350 workers had a quarter of its partitions unavailable for as long.
+/// How long partitions are unavailable; a load with 350 workers had a quarter of them unavailable for as long.
 const AWAY_MS: u64 = 5_800;
 
 fn make_unavailable(world: &mut World, shard: usize) {
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -105,52 +105,61 @@
 /// instance in the in-memory state must not count as the host's return, or another host goes out beside it.
 #[test]
 fn waves_crashed_host_is_out() {
-    let mut out = Scenario::new();
+    let mut scenario = Scenario::new();
     assert!(
-        !out.gives_slot_back(),
+        !scenario.gives_slot_back(),
         "the host was not seen up since its order"
     );
-    out.read_list(HostState::Upkeep);
-    assert!(!out.gives_slot_back(), "the list shows the host as out");
-    out.read_list(HostState::Up);
-    assert!(out.gives_slot_back(), "the list shows the host as back");
+    scenario.read_list(HostState::Upkeep);
+    assert!(
+        !scenario.gives_slot_back(),
+        "the list shows the host as out"
+    );
+    scenario.read_list(HostState::Up);
+    assert!(
+        scenario.gives_slot_back(),
+        "the list shows the host as back"
+    );
 }
 
 /// A new owner finds a slot that the former owner took without having sent the order yet. Nothing may be placed on
 /// that host.
 #[test]
 fn waves_slot_found_closes_host() {
-    let mut out = Scenario::new();
-    let wave = out.waves.get_mut(&1).expect("the wave is known");
+    let mut scenario = Scenario::new();
+    let wave = scenario.waves.get_mut(&1).expect("the wave is known");
     let slot = wave.row.out.get_mut(HOST).expect("the host holds a slot");
     slot.is_ordered = false;
-    out.gives_slot_back();
-    let key = out.pool_state.worker_on(HOST).expect("the host is listed");
-    assert!(out.pool_state.workers[key].is_closing);
+    scenario.gives_slot_back();
+    let key = scenario
+        .pool_state
+        .worker_on(HOST)
+        .expect("the host is listed");
+    assert!(scenario.pool_state.workers[key].is_closing);
 }
 
 /// A host that stays away is logged once its wave has waited for long, and seldom after that. The lines name the host
 /// and the wave.
 #[test]
 fn waves_wait_told() {
-    let mut out = Scenario::new();
-    out.read_list(HostState::Upkeep);
+    let mut scenario = Scenario::new();
+    scenario.read_list(HostState::Upkeep);
     assert!(
-        out.wait_lines(12_000).is_empty(),
+        scenario.wait_lines(12_000).is_empty(),
         "maintenance may take a while"
     );
-    let logged = out.wait_lines(3_000);
+    let logged = scenario.wait_lines(3_000);
     let about = |subject, id| logged.iter().filter(|d| d.is_about(subject, id)).count();
     assert_eq!(about(Subject::Wave, "1"), 1, "{logged:?}");
     assert_eq!(about(Subject::Host, HOST), 1, "{logged:?}");
     let is_away = |d: &Decision| d.why.contains("does not name it as up");
     assert!(logged.iter().all(is_away), "{logged:?}");
     assert!(
-        out.wait_lines(50_000).is_empty(),
+        scenario.wait_lines(50_000).is_empty(),
         "the wait is not logged again soon"
     );
     assert_eq!(
-        out.wait_lines(15_000).len(),
+        scenario.wait_lines(15_000).len(),
         2,
         "the wait is logged again later"
     );
