--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -16,7 +16,7 @@
 fn slot_taken(world: &mut World) -> String {
     for _ in 0..4_000 {
         world.run(5);
-        if let Some(host) = world.waiting_slot(1) {
+        if let Some(host) = world.find_waiting_slot(1) {
             return host;
         }
     }
@@ -31,13 +31,16 @@
         world.run(SETTLE_MS);
         world.wave(1, 60_000, 1);
         let host = slot_taken(&mut world);
-        let life = world.life_on(&host).expect("it is up");
+        let life = world.worker_on(&host).expect("it is up");
         world.crash(&life, 60 + seed * 20);
         for n in 0..60 {
             world.submit(&format!("job-{n}"), job(4, 900, 600));
             world.run(50);
         }
-        assert_eq!(world.upkeep_ended, 0, "seed {seed}: runs ended by upkeep");
+        assert_eq!(
+            world.runs_ended_by_upkeep, 0,
+            "seed {seed}: runs ended by upkeep"
+        );
         world.run(60_000);
         for n in 0..60 {
             let state = world.recorded(&format!("job-{n}"));
@@ -53,7 +56,7 @@
     for seed in 0..10 {
         let mut world = World::new(seed, 2, 6);
         world.run(SETTLE_MS);
-        world.crashes_workers("bad", 0, 380);
+        world.make_crasher("bad", 0, 380);
         world.submit("bad", job(3, 900, 500));
         world.run(60_000);
         assert!(world.recorded("bad").is_final(), "seed {seed}");
@@ -71,7 +74,7 @@
     for seed in 0..10 {
         let mut world = World::new(seed, 2, 6);
         world.run(SETTLE_MS);
-        world.crashes_workers("bad", 0, 10);
+        world.make_crasher("bad", 0, 10);
         world.submit("bad", lasting(1, 1));
         world.run(60_000);
         assert_eq!(world.recorded("bad"), JobState::Failed, "seed {seed}");
@@ -122,7 +125,7 @@
         world.submit("bad", lasting(3, 1));
         world.run(20_000);
         assert_eq!(world.running("bad"), 3, "seed {seed}");
-        world.crashes_workers("bad", 0, 10);
+        world.make_crasher("bad", 0, 10);
         let life = world.life_of("bad", 0).expect("it runs");
         world.crash(&life, 3_400);
         world.run(60_000);
@@ -144,10 +147,13 @@
         }
         world.run(100);
         world.wave(1, 60_000, 1);
-        world.word_late_ms = 1_500;
+        world.worker_events_late_ms = 1_500;
         world.run(15_000);
         upkept += world.upkept.values().map(HashSet::len).sum::<usize>();
-        assert_eq!(world.upkeep_ended, 0, "seed {seed}: runs that upkeep ended");
+        assert_eq!(
+            world.runs_ended_by_upkeep, 0,
+            "seed {seed}: runs that upkeep ended"
+        );
         assert_eq!(world.counted(), 0, "seed {seed}: ends by upkeep counted");
     }
     assert!(upkept > 0, "no host had its upkeep");
--- a/tests/test_crashes.rs
+++ b/tests/test_crashes.rs
@@ -22,7 +22,7 @@
     for seed in 0..10 {
         let mut world = World::new(seed, 2, 6);
         world.run(SETTLE_MS);
-        world.crashes_workers("bad", 0, CRASH_MS);
+        world.make_crasher("bad", 0, CRASH_MS);
         world.submit("bad", job(6, 900, 400));
         world.run(60_000);
         assert_eq!(world.recorded("bad"), JobState::Failed, "seed {seed}");
@@ -39,7 +39,7 @@
             world.submit(&format!("good-{n}"), job(6, 900, 1_500));
         }
         world.run(150);
-        world.crashes_workers("bad", 0, CRASH_MS);
+        world.make_crasher("bad", 0, CRASH_MS);
         world.submit("bad", job(6, 900, 400));
         world.run(60_000);
         assert_eq!(world.recorded("bad"), JobState::Failed, "seed {seed}");
@@ -56,7 +56,7 @@
     for seed in 0..20 {
         let mut world = World::new(seed, 3, 6);
         world.run(SETTLE_MS);
-        world.crashes_workers("bad", 0, CRASH_MS);
+        world.make_crasher("bad", 0, CRASH_MS);
         world.submit("bad", job(6, 900, 400));
         for _ in 0..12 {
             world.run(3_000 + 300 * seed);
@@ -76,7 +76,7 @@
     for seed in 0..10 {
         let mut world = World::new(seed, 2, 6);
         world.run(SETTLE_MS);
-        world.crashes_workers("bad", 0, CRASH_MS);
+        world.make_crasher("bad", 0, CRASH_MS);
         world.submit("bad", lasting(4, 1));
         world.run(60_000);
         assert_eq!(world.running("bad"), 3, "seed {seed}");
@@ -94,7 +94,7 @@
     for seed in 0..10 {
         let mut world = World::new(seed, 2, 6);
         world.run(SETTLE_MS);
-        world.crashes_workers("bad", 1, CRASH_MS);
+        world.make_crasher("bad", 1, CRASH_MS);
         let mut gang = job(3, 6_000, 400);
         gang.steps[0].gang = true;
         world.submit("bad", gang);
@@ -166,7 +166,7 @@
         let id = format!("job-{n}");
         let is_bad = rng.u32(0..30) == 0;
         if is_bad {
-            world.crashes_workers(&id, rng.u16(0..8), rng.u64(2..40));
+            world.make_crasher(&id, rng.u16(0..8), rng.u64(2..40));
         }
         world.submit(&id, job(8, 900, 1_000));
         jobs.push((id, is_bad));
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -114,7 +114,7 @@
         1 => {
             world.touch_progress(&jobs[rng.usize(0..jobs.len())]);
         }
-        2 => world.relist(),
+        2 => world.relist_ended_instance(),
         _ => {}
     }
 }
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -207,7 +207,7 @@
 fn sched_reload_keeps_host_orders() {
     let mut world = World::new(20, 1, 4);
     world.run(SETTLE_MS);
-    world.is_host_deaf = true;
+    world.drops_host_orders = true;
     world.wave(1, 60_000, 1);
     world.run(1_000);
     let ordered = |world: &World| {
@@ -286,7 +286,7 @@
     let (there, told) = if world.running_on(&young) > 0 {
         (young, old)
     } else {
-        (other.clone(), world.earlier_fact(&other))
+        (other.clone(), world.earlier_instance_info(&other))
     };
     assert_eq!(world.running_on(&there), 1);
     let before = world.starts;
@@ -310,9 +310,9 @@
     world.run(45_000);
     assert!(world.waves_done.contains(&1), "{:?}", world.upkept);
     assert!(
-        world.out_most <= 2,
+        world.max_hosts_out <= 2,
         "{} hosts were out at once",
-        world.out_most
+        world.max_hosts_out
     );
     assert_eq!(world.running("a"), 4);
 }
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -5,7 +5,7 @@
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::rows::shard_parts;
 
-use crate::world::{job, lasting, timed, Faults, HandOver, World, POOL, WALL_MS};
+use crate::world::{job, lasting, timed, DeliveryOrder, Faults, World, POOL, WALL_MS};
 
 /// Seeds in CI; more by ROCKWICK_SEEDS, a number of them or a range as `6000..9000`.
 const SEEDS: u64 = 60;
@@ -58,7 +58,7 @@
                 world.kill(n);
             }
         }
-        8 => world.relist(),
+        8 => world.relist_ended_instance(),
         _ => {}
     }
     for n in 0..world.entries.len() {
@@ -122,7 +122,7 @@
             world.readdress(&life, &other, ms);
         }
         Extra::Restarts | Extra::LateRestarts => match rng.u32(0..4) {
-            0 => world.relist_former(),
+            0 => world.relist_former_instance(),
             _ => world.restart(&life, ms / 2),
         },
         Extra::Configs => {
@@ -134,21 +134,21 @@
 }
 
 fn play(seed: u64) {
-    play_handed(seed, Extra::Nothing, HandOver::InOrder);
+    play_handed(seed, Extra::Nothing, DeliveryOrder::InOrder);
 }
 
 fn play_with(seed: u64, extra: Extra) {
-    play_handed(seed, extra, HandOver::InOrder);
+    play_handed(seed, extra, DeliveryOrder::InOrder);
 }
 
-fn play_handed(seed: u64, extra: Extra, hand_over: HandOver) {
+fn play_handed(seed: u64, extra: Extra, delivery_order: DeliveryOrder) {
     let mut extras = Rng::with_seed(seed ^ 0xe874);
     let mut rng = Rng::with_seed(seed ^ 0x5eed);
     let mut partial = Rng::with_seed(seed ^ 0x9a47);
     let mut gangs = Rng::with_seed(seed ^ 0x9a79);
     let mut crashers = Rng::with_seed(seed ^ 0xc4a5);
     let mut world = World::new(seed, rng.usize(1..5), rng.usize(2..8));
-    world.hand_over = hand_over;
+    world.delivery_order = delivery_order;
     world.keeps_ids = extra == Extra::LateRestarts && seed % 2 == 1;
     world.faults = Faults {
         store_lost: rng.u32(0..150),
@@ -187,7 +187,7 @@
                 spec.steps[0].gang = !spec.steps[0].lasting;
             }
             if has_crashers && crashers.u32(0..8) == 0 {
-                world.crashes_workers(&id, 0, crashers.u64(0..400));
+                world.make_crasher(&id, 0, crashers.u64(0..400));
             }
             let lasts = spec.steps[0].lasting;
             if extra == Extra::Timed && !lasts && extras.u32(0..3) == 0 {
@@ -307,7 +307,7 @@
 #[test]
 fn sched_model_saved() {
     for seed in SAVED {
-        play_handed(seed, Extra::Nothing, HandOver::AsMet);
+        play_handed(seed, Extra::Nothing, DeliveryOrder::AtThaw);
         play(seed);
     }
 }
--- a/tests/world/callers.rs
+++ b/tests/world/callers.rs
@@ -1,16 +1,17 @@
-//! What callers and the operator ask of the world: jobs, cancels, accounts with quotas, waves.
+//! Requests of callers and of the operator: jobs, cancels, accounts with quotas, and waves.
 
 use super::*;
 
 impl World {
-    /// Puts a configuration with these accounts in force: names and thousandths of a core that they may have running.
+    /// Puts a configuration with these accounts in force, each with its name and its quota in thousandths of a core.
     pub(crate) fn set_quotas(&mut self, quotas: &[(&str, u64)]) {
         let accounts: Vec<(&str, u64, u64)> =
             quotas.iter().map(|(name, cpu)| (*name, *cpu, 0)).collect();
         self.set_accounts(&accounts);
     }
 
-    /// The same, and how many jobs a second they were promised; 0 is no bound.
+    /// Puts a configuration with these accounts in force, each with its name, its quota in thousandths of a core (0
+    /// means no limit) and the jobs per second that it was promised.
     pub(crate) fn set_accounts(&mut self, accounts: &[(&str, u64, u64)]) {
         let account = |(name, cpu_milli, weight): &(&str, u64, u64)| {
             let config = AccountConfig {
@@ -25,10 +26,10 @@
             (name.to_string(), config)
         };
         self.config.accounts = accounts.iter().map(account).collect();
-        self.tell_config();
+        self.broadcast_config();
     }
 
-    /// Puts a configuration in force whose queue allows so many failed runs of a task.
+    /// Puts a configuration in force whose queue allows this many failed runs of a task.
     pub(crate) fn set_attempts(&mut self, attempts_max: u32) {
         for queue in self.config.queues.values_mut() {
             queue.attempts_max = attempts_max;
@@ -37,31 +38,31 @@
             *least = attempts_max.min(*least);
             *most = attempts_max.max(*most);
         }
-        self.tell_config();
+        self.broadcast_config();
     }
 
-    /// Puts a configuration without a queue in force.
+    /// Puts a configuration without this queue in force.
     pub(crate) fn remove_queue(&mut self, queue: &str) {
         self.config.queues.remove(queue);
-        self.tell_config();
+        self.broadcast_config();
     }
 
-    fn tell_config(&mut self) {
+    fn broadcast_config(&mut self) {
         self.config.version += 1;
         let config = Arc::new(self.config.clone());
         self.broadcast(&Event::Operator(OperatorEvent::Config(config)));
     }
 
-    /// Thousandths of a core that an account's tasks take now.
+    /// Returns the processor time that the running tasks of an account use, in thousandths of a core.
     pub(crate) fn account_cpu_milli(&self, account: &str) -> u64 {
-        let lives = self.workers.values().filter(|w| w.is_up);
-        let runs = lives.flat_map(|w| w.running.iter());
+        let instances = self.workers.values().filter(|w| w.is_up);
+        let runs = instances.flat_map(|w| w.running.iter());
         let of_account =
             runs.filter(|(task, _)| self.specs[&task.job].account.as_deref() == Some(account));
         of_account.map(|(_, run)| run.demand.cpu_milli).sum()
     }
 
-    /// A caller hands in a job.
+    /// Submits a job.
     pub(crate) fn submit(&mut self, id: &str, mut spec: JobSpec) {
         spec.accepted_wall_ms = WALL_MS + self.now_ms;
         spec.policy = QueuePolicy::of(&spec.queue, &self.config);
@@ -73,23 +74,23 @@
         self.put(Table::Intake, &part, id, value);
     }
 
-    /// The same job handed in again while its first part did not answer, so that it stands in both.
+    /// Submits the same job again as if its first partition had not answered, so that it is in both partitions.
     pub(crate) fn submit_again(&mut self, id: &str) {
         let value = rows::encode(&self.specs[id]);
         let [_, part] = intake_parts_of(POOL, id);
         self.put(Table::Intake, &part, id, value);
     }
 
-    /// A caller cancels a job.
+    /// Cancels a job.
     pub(crate) fn cancel(&mut self, id: &str) {
         self.cancelled_at_ms.insert(id.to_string(), self.now_ms);
         let [part, _] = intake_parts_of(POOL, id);
         self.put(Table::Intake, &part, &cancel_key(id), b"{}".to_vec());
     }
 
-    /// The operator asks for a wave over all hosts.
+    /// Orders a wave over all hosts, with at most `out_max` hosts out at a time.
     pub(crate) fn wave(&mut self, number: u64, duration_ms: u64, out_max: usize) {
-        let hosts: HashSet<String> = self.workers.values().map(|w| w.fact.host.clone()).collect();
+        let hosts: HashSet<String> = self.workers.values().map(|w| w.info.host.clone()).collect();
         let order = WaveOrder {
             wave: number,
             hosts: hosts.into_iter().collect(),
--- a/tests/world/carry.rs
+++ b/tests/world/carry.rs
@@ -1,14 +1,14 @@
-//! Carries an entry's effects out, with whatever may befall them.
+//! Carries out the effects of an entry, subject to the faults of the world.
 
 use super::store::STORE_TIMEOUT_MS;
 use super::*;
 
 impl World {
-    pub(super) fn carry(&mut self, n: usize, effect: Effect) {
+    pub(super) fn apply_effect(&mut self, n: usize, effect: Effect) {
         if std::env::var_os("ROCKWICK_SEED").is_some() {
             println!("{} entry-{n} {effect:?}", self.now_ms);
         }
-        self.orderer = n;
+        self.ordering_entry = n;
         match effect {
             Effect::Claim(pool, shard, tx) => {
                 let sent_ms = self.now_ms;
@@ -44,9 +44,9 @@
                 let (after_ms, outcome) = self.store_call(n, &tx);
                 self.reply(n, after_ms, Event::WaveSettled(pool, epoch, outcome));
             }
-            Effect::ReportWave(wave, state) => self.wave_told(wave, state),
+            Effect::ReportWave(wave, state) => self.apply_wave_report(wave, state),
             Effect::Load(pool, epoch, _) => {
-                // A part that is away can't be read either.
+                // An unavailable partition cannot be read either.
                 let is_cut = self.entries[n].cut_until_ms > self.now_ms;
                 let reads = !is_cut && self.parts_away.is_empty();
                 let rows = reads.then(|| self.rows());
@@ -59,9 +59,9 @@
             Effect::Start(order, task, start) => {
                 let run = start.run;
                 let late = LateOrder::Start(order.to.fence, start.clone());
-                let (after_ms, reply) = if let Some(reply) = self.astray(&order.to) {
+                let (after_ms, reply) = if let Some(reply) = self.misaddressed_reply(&order.to) {
                     (self.delay(), reply)
-                } else if self.order_goes(&order.to.worker, late) {
+                } else if self.is_order_delivered(&order.to.worker, late) {
                     (
                         self.delay(),
                         self.start(&order.to.worker, order.to.fence, &start),
@@ -78,9 +78,9 @@
             }
             Effect::Stop(order, task, name, run) => {
                 let late = LateOrder::Stop(order.to.fence, name.clone(), run);
-                let (after_ms, reply) = if let Some(reply) = self.astray(&order.to) {
+                let (after_ms, reply) = if let Some(reply) = self.misaddressed_reply(&order.to) {
                     (self.delay(), reply)
-                } else if self.order_goes(&order.to.worker, late) {
+                } else if self.is_order_delivered(&order.to.worker, late) {
                     let reply = self.stop_run(&order.to.worker, order.to.fence, &name, run);
                     (self.delay(), reply)
                 } else {
@@ -95,22 +95,22 @@
             }
             Effect::StopStray(order, name, run) => {
                 let late = LateOrder::Stop(order.to.fence, name.clone(), run);
-                let is_astray = self.astray(&order.to).is_some();
-                if !is_astray && self.order_goes(&order.to.worker, late) {
+                let is_misaddressed = self.misaddressed_reply(&order.to).is_some();
+                if !is_misaddressed && self.is_order_delivered(&order.to.worker, late) {
                     self.stop_run(&order.to.worker, order.to.fence, &name, run);
                 }
             }
-            Effect::RenewWorker(order, worker, ask) => {
+            Effect::RenewWorker(order, worker, request) => {
                 let sent_ms = self.now_ms;
-                let late = LateOrder::Hold(order.to.fence, ask);
-                let (after_ms, result) = if let Some(reply) = self.astray(&order.to) {
+                let late = LateOrder::Renew(order.to.fence, request);
+                let (after_ms, result) = if let Some(reply) = self.misaddressed_reply(&order.to) {
                     (self.delay(), Err(reply))
-                } else if self.order_goes(&order.to.worker, late) {
-                    let wait_ms = self.rng.u64(0..=ask.wait_ms.min(60));
-                    let result = self.hold(&order.to.worker, order.to.fence, ask);
+                } else if self.is_order_delivered(&order.to.worker, late) {
+                    let wait_ms = self.rng.u64(0..=request.wait_ms.min(60));
+                    let result = self.renew(&order.to.worker, order.to.fence, request);
                     (self.delay() + wait_ms, result)
                 } else {
-                    (ask.wait_ms + ORDER_TIMEOUT_MS, Err(OrderReply::Silent))
+                    (request.wait_ms + ORDER_TIMEOUT_MS, Err(OrderReply::Silent))
                 };
                 let pool_state = order.pool_state;
                 let event = Event::WorkerRenewed(order.pool, pool_state, worker, sent_ms, result);
@@ -154,7 +154,7 @@
             }
             Effect::OrderHost(pool, epoch, host, task, _) => {
                 let reply = match task {
-                    _ if self.is_host_deaf => HostReply::Silent,
+                    _ if self.drops_host_orders => HostReply::Silent,
                     HostTask::Upkeep(wave) => self.upkeep(wave, &host),
                     HostTask::Move(_) => HostReply::Wrong,
                 };
--- a/tests/world/crash.rs
+++ b/tests/world/crash.rs
@@ -1,30 +1,30 @@
-//! Tasks that bring down each worker that starts them, and what may still be started of them.
+//! Tasks that crash each worker that starts them, and the bound on further starts of them.
 
 use super::*;
 
-/// A crashed worker's host is back with a new life after so long.
+/// Time until a new instance starts on the host of a crashed worker.
 const BACK_MS: u64 = 3_400;
 
-/// What such a task may be started after three workers have crashed under it.
+/// The number of starts allowed for a crashing task after three workers have crashed under it.
 const STARTS_PAST_THREE: u32 = 2;
 
-/// Tasks that crash workers, and what they did.
+/// Tasks that crash workers, and what they caused.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
-    /// How long after its start each of them brings its worker down.
+    /// How long after its start each crashing task crashes its worker.
     pub(crate) after_ms: HashMap<TaskName, u64>,
-    /// Workers that crashed under each task, whatever the cause.
+    /// Number of workers that crashed under each task, for any cause.
     pub(crate) under: HashMap<TaskName, u32>,
-    /// Workers that such tasks brought down.
+    /// Number of workers that crashing tasks crashed.
     pub(crate) workers: u32,
-    /// Runs of others that ended with them.
+    /// Number of runs of other tasks that ended in these crashes.
     pub(crate) runs: u32,
-    /// Starts of such tasks after three workers had crashed under them.
+    /// Starts of crashing tasks after three workers had crashed under them.
     past_three: HashMap<TaskName, u32>,
 }
 
 impl Crashes {
-    /// Most workers that crashed under one task of a job.
+    /// Returns the largest number of workers that crashed under one task of a job.
     pub(super) fn most_under(&self, job: &str) -> u32 {
         let of_job = self.under.iter().filter(|(task, _)| task.job == job);
         of_job.map(|(_, n)| *n).max().unwrap_or(0)
@@ -32,8 +32,8 @@
 }
 
 impl World {
-    /// A task of a job's first step brings down each worker, so long after its start.
-    pub(crate) fn crashes_workers(&mut self, job: &str, index: u16, after_ms: u64) {
+    /// Makes a task of the first step of a job crash each worker this long after its start.
+    pub(crate) fn make_crasher(&mut self, job: &str, index: u16, after_ms: u64) {
         let task = TaskName {
             job: job.to_string(),
             round: 0,
@@ -43,47 +43,52 @@
         self.crashes.after_ms.insert(task, after_ms);
     }
 
-    /// Whether a task of a job may be given up: two workers have crashed under it.
+    /// Returns whether a job may be given up: two workers have crashed under one of its tasks.
     pub(crate) fn may_be_given_up(&self, job: &str) -> bool {
         self.crashes.most_under(job) >= 2
     }
 
-    /// Crashes that the owner's books count, over all tasks.
+    /// Returns the number of crashes in the owner's in-memory state, over all tasks.
     pub(crate) fn counted(&self) -> u32 {
-        let jobs = self.owner_book().expect("an owner has books").jobs.values();
+        let jobs = self
+            .owner_book()
+            .expect("an owner has loaded the pool")
+            .jobs
+            .values();
         let steps = jobs.flat_map(|j| j.rounds.values()).flat_map(|r| &r.steps);
         let ended = steps.flat_map(|s| &s.tasks).map(|t| t.losses);
         ended.map(|e| u32::from(e.crashed + e.likely)).sum()
     }
 
-    /// The promise on starts of such a task, and what its start leads to.
-    pub(super) fn crasher_started(&mut self, id: &str, task: &TaskName, run: u32) {
+    /// Checks the bound on starts of a crashing task and schedules the crash of its worker.
+    pub(super) fn check_crasher_start(&mut self, id: &str, task: &TaskName, run: u32) {
         let Some(after_ms) = self.crashes.after_ms.get(task).copied() else {
             return;
         };
         if self.crashes.under.get(task).is_some_and(|n| *n >= 3) {
-            let counts = u32::from(self.is_in_touch());
+            let counts = u32::from(self.is_undisturbed());
             let past = self.crashes.past_three.entry(task.clone()).or_default();
             *past += counts;
             assert!(
                 *past <= STARTS_PAST_THREE,
-                "{} ms: {task:?} starts as run {run} after three workers have crashed under it, {past} by entries in touch",
+                "{} ms: {task:?} starts as run {run} after three workers have crashed under it, {past} times by undisturbed entries",
                 self.now_ms
             );
         }
-        self.at(
+        self.schedule(
             after_ms,
-            Happening::CrashedBy(id.to_string(), task.clone(), run),
+            TimedEvent::RunCrashesWorker(id.to_string(), task.clone(), run),
         );
     }
 
-    /// Whether the order that is carried out comes in time, from an entry that nothing befell of late.
-    fn is_in_touch(&self) -> bool {
-        !self.is_late && self.now_ms >= self.entries[self.orderer].calm_since_ms + CONTACT_MS
+    /// Returns whether the order that is carried out is in time and comes from an undisturbed entry.
+    fn is_undisturbed(&self) -> bool {
+        !self.is_late_order
+            && self.now_ms >= self.entries[self.ordering_entry].calm_since_ms + UNDISTURBED_MS
     }
 
-    /// A run brings its worker down, if it is still there.
-    pub(super) fn crashed_by(&mut self, id: &str, task: &TaskName, run: u32) {
+    /// Crashes the worker of a run, if the run is still there.
+    pub(super) fn crash_worker_of(&mut self, id: &str, task: &TaskName, run: u32) {
         let there = self.workers.get(id).filter(|w| w.is_up);
         let there = there.and_then(|w| w.running.get(task));
         if there.is_none_or(|r| r.run != run) {
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -1,71 +1,71 @@
-//! The world's entries: processes that start, stand still, are cut off and end, and the schedulers in them.
+//! Simulated entries: processes that start, freeze, lose the store and end, with a scheduler in each of them.
 
 use super::*;
 
 impl World {
-    /// Starts an entry's process.
+    /// Starts the process of an entry.
     pub(crate) fn boot(&mut self, n: usize) {
         let entry = &mut self.entries[n];
-        entry.life += 1;
+        entry.incarnation += 1;
         entry.frozen_until_ms = 0;
-        entry.held = 0;
+        entry.held_rows = 0;
         entry.calm_since_ms = self.now_ms;
         entry.wake_ms = self.now_ms + 5;
-        let nonce = entry.life * 100 + n as u64;
+        let nonce = entry.incarnation * 100 + n as u64;
         entry.state = Some(State::new(format!("entry-{n}"), nonce));
-        self.tell_all(n);
-        self.at(5, Happening::Wake(n));
+        self.deliver_initial_state(n);
+        self.schedule(5, TimedEvent::Wake(n));
     }
 
-    /// Gives an entry so much processor time.
+    /// Sets the processor time of an entry, in thousandths of a core.
     pub(crate) fn set_cpu(&mut self, n: usize, cpu_milli: u64) {
         if let Some(state) = &mut self.entries[n].state {
             state.cpu_milli = cpu_milli;
         }
     }
 
-    /// Kills an entry's process.
+    /// Kills the process of an entry.
     pub(crate) fn kill(&mut self, n: usize) {
         self.entries[n].state = None;
-        self.entries[n].life += 1;
+        self.entries[n].incarnation += 1;
     }
 
-    /// Tells an entry to stop; its process ends a moment later.
+    /// Asks an entry to stop; its process is killed after a grace period.
     pub(crate) fn stop(&mut self, n: usize) {
-        let life = self.entries[n].life;
-        self.at(0, Happening::Deliver(n, life, Event::Stop));
-        self.at(GRACE_MS, Happening::Kill(n, life));
+        let incarnation = self.entries[n].incarnation;
+        self.schedule(0, TimedEvent::Deliver(n, incarnation, Event::Stop));
+        self.schedule(GRACE_MS, TimedEvent::Kill(n, incarnation));
     }
 
-    /// An entry stands still. One that does already stands still as long as either of both asks for: let go by the shorter
-    /// one, it would be handed what came later before what was held for the end of the longer one.
+    /// Freezes an entry. A frozen entry stays frozen until the later of both ends: with the earlier one, it would
+    /// receive later events before those held for the later end.
     pub(crate) fn freeze(&mut self, n: usize, ms: u64) {
-        let already_ms = match self.hand_over {
-            HandOver::InOrder => self.entries[n].frozen_until_ms,
-            HandOver::AsMet => 0,
+        let already_ms = match self.delivery_order {
+            DeliveryOrder::InOrder => self.entries[n].frozen_until_ms,
+            DeliveryOrder::AtThaw => 0,
         };
         let until_ms = already_ms.max(self.now_ms + ms);
         self.entries[n].frozen_until_ms = until_ms;
         self.entries[n].calm_since_ms = until_ms;
     }
 
-    /// The store does not hear an entry, nor it the store.
+    /// Disconnects an entry from the store for a time.
     pub(crate) fn cut_entry(&mut self, n: usize, ms: u64) {
         self.entries[n].cut_until_ms = self.now_ms + ms;
         self.entries[n].calm_since_ms = self.now_ms + ms;
-        let life = self.entries[n].life;
-        self.at(0, Happening::Deliver(n, life, Event::Store(false)));
-        // Its feeds notice the end, whatever else goes on.
-        self.at(ms + 1, Happening::Deliver(n, life, Event::Tick));
+        let incarnation = self.entries[n].incarnation;
+        self.schedule(0, TimedEvent::Deliver(n, incarnation, Event::Store(false)));
+        // The feeds notice that the connection is back even if no other event arrives.
+        self.schedule(ms + 1, TimedEvent::Deliver(n, incarnation, Event::Tick));
     }
 
-    /// The owner's state.
+    /// Returns the state of the entry that owns the pool.
     pub(crate) fn owner(&self) -> Option<&State> {
         let states = self.entries.iter().filter_map(|e| e.state.as_ref());
         states.into_iter().find(|s| s.owned_count() > 0)
     }
 
-    /// The owner's books on the pool, once it has read them.
+    /// Returns the owner's in-memory state of the pool, once it is loaded.
     pub(crate) fn owner_book(&self) -> Option<&PoolState> {
         self.owner()?
             .pool(POOL)?
@@ -75,19 +75,20 @@
             .as_ref()
     }
 
-    /// Whether a job has ended by its owner's books, whatever is on record.
+    /// Returns whether a job has ended in its owner's in-memory state, whatever its record says.
     pub(crate) fn is_over_by_books(&self, id: &str) -> bool {
         let pool_state = self.owner_book();
         pool_state.is_some_and(|pool_state| pool_state.jobs[pool_state.by_id[id]].state.is_final())
     }
 
-    /// The entry that owns the pool.
+    /// Returns the number of the entry that owns the pool.
     pub(crate) fn owner_entry(&self) -> Option<usize> {
         let owns = |e: &Entry| e.state.as_ref().is_some_and(|s| s.owned_count() > 0);
         self.entries.iter().position(owns)
     }
 
-    /// An entry reads the rows of its pool again, within the same ownership; gives what is logged by it.
+    /// Makes an entry read the rows of its pool again within the same ownership, and returns the decisions that it
+    /// logs.
     pub(crate) fn reload(&mut self, n: usize) -> Vec<Decision> {
         let state = self.entries[n].state.as_ref();
         let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
@@ -96,12 +97,12 @@
         self.told(n, Event::Loaded(PoolKey(0), epoch, Some(rows)))
     }
 
-    /// The pool's rows as they are now.
+    /// Returns the current rows of the pool.
     pub(crate) fn read_rows(&self) -> LoadedRows {
         self.rows()
     }
 
-    /// An entry is handed rows that were read before, within its ownership.
+    /// Delivers rows that were read earlier to an entry, within its ownership.
     pub(crate) fn load(&mut self, n: usize, rows: LoadedRows) {
         let state = self.entries[n].state.as_ref();
         let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
@@ -109,55 +110,61 @@
         self.tell(n, Event::Loaded(PoolKey(0), epoch, Some(rows)));
     }
 
-    /// Hands an event to an entry, or holds it while that stands still. `place` is its place among what was held.
-    pub(super) fn deliver(&mut self, n: usize, life: u64, event: Event, place: Option<u64>) {
-        if self.entries[n].life != life {
+    /// Delivers an event to an entry, or holds it back while the entry is frozen. `place` is the position of the event
+    /// among those held back.
+    pub(super) fn deliver(&mut self, n: usize, incarnation: u64, event: Event, place: Option<u64>) {
+        if self.entries[n].incarnation != incarnation {
             return;
         }
-        let is_behind = place.is_none() && self.is_in_order(&event) && self.entries[n].held > 0;
+        let is_behind =
+            place.is_none() && self.is_in_order(&event) && self.entries[n].held_rows > 0;
         if self.entries[n].frozen_until_ms > self.now_ms || is_behind {
-            self.hold_back(n, life, event, place);
+            self.hold_back(n, incarnation, event, place);
             return;
         }
         if place.is_some() {
-            self.entries[n].held -= 1;
+            self.entries[n].held_rows -= 1;
         }
         self.deliver_now(n, event);
     }
 
-    /// Whether an event keeps its place among what an entry missed.
+    /// Returns whether an event keeps its position among the events held back.
     fn is_in_order(&self, event: &Event) -> bool {
-        self.hand_over == HandOver::InOrder && is_feed(event)
+        self.delivery_order == DeliveryOrder::InOrder && is_feed(event)
     }
 
-    /// Feeds keep the order of changes, however often their reader stands still: what was held before goes first. Answers
-    /// come by connections of their own, in any order.
-    fn hold_back(&mut self, n: usize, life: u64, event: Event, place: Option<u64>) {
+    /// Holds an event back until the entry is no longer frozen. Feeds keep the order of changes, so rows held back
+    /// earlier go first. Answers come over connections of their own, in any order.
+    fn hold_back(&mut self, n: usize, incarnation: u64, event: Event, place: Option<u64>) {
         let after_ms = self.entries[n].frozen_until_ms.saturating_sub(self.now_ms);
         if !self.is_in_order(&event) {
-            self.at(after_ms, Happening::Deliver(n, life, event));
+            self.schedule(after_ms, TimedEvent::Deliver(n, incarnation, event));
             return;
         }
         let place = place.unwrap_or_else(|| {
-            self.entries[n].held += 1;
+            self.entries[n].held_rows += 1;
             self.next_number()
         });
-        self.at_place(after_ms, place, Happening::Held(n, life, event, place));
+        self.schedule_at(
+            after_ms,
+            place,
+            TimedEvent::DeliverHeld(n, incarnation, event, place),
+        );
     }
 
     pub(super) fn deliver_now(&mut self, n: usize, event: Event) {
         if self.entries[n].frozen_until_ms > self.now_ms {
             let thaw_ms = self.entries[n].frozen_until_ms;
             self.entries[n].wake_ms = thaw_ms;
-            self.at(thaw_ms - self.now_ms, Happening::Wake(n));
+            self.schedule(thaw_ms - self.now_ms, TimedEvent::Wake(n));
             return;
         }
         let cut_until_ms = self.entries[n].cut_until_ms;
         if cut_until_ms > 0 && cut_until_ms <= self.now_ms {
             self.entries[n].cut_until_ms = 0;
-            self.tell_all(n);
-            let life = self.entries[n].life;
-            self.at(3, Happening::Deliver(n, life, Event::Store(true)));
+            self.deliver_initial_state(n);
+            let incarnation = self.entries[n].incarnation;
+            self.schedule(3, TimedEvent::Deliver(n, incarnation, Event::Store(true)));
         }
         self.reduce(n, event);
     }
@@ -169,35 +176,35 @@
         };
         let effects = reduce(state, event, now);
         for effect in effects {
-            self.carry(n, effect);
+            self.apply_effect(n, effect);
         }
         let wake_ms = self.entries[n].state.as_ref().and_then(State::wake_ms);
         let Some(at_ms) = wake_ms else { return };
         let at_ms = at_ms.max(self.now_ms + 1);
         if self.entries[n].wake_ms <= self.now_ms || at_ms < self.entries[n].wake_ms {
             self.entries[n].wake_ms = at_ms;
-            self.at(at_ms - self.now_ms, Happening::Wake(n));
+            self.schedule(at_ms - self.now_ms, TimedEvent::Wake(n));
         }
     }
 
     pub(super) fn reply(&mut self, n: usize, after_ms: u64, event: Event) {
-        let life = self.entries[n].life;
-        self.at(after_ms, Happening::Deliver(n, life, event));
+        let incarnation = self.entries[n].incarnation;
+        self.schedule(after_ms, TimedEvent::Deliver(n, incarnation, event));
     }
 
-    /// What an entry reads when it starts, or comes back to the store.
-    pub(super) fn tell_all(&mut self, n: usize) {
-        let life = self.entries[n].life;
+    /// Delivers everything that an entry reads when it starts or reaches the store again.
+    pub(super) fn deliver_initial_state(&mut self, n: usize) {
+        let incarnation = self.entries[n].incarnation;
         let config = Event::Operator(OperatorEvent::Config(Arc::new(self.config.clone())));
         let config_ms = 3 + self.config_late_ms;
-        self.at(config_ms, Happening::Deliver(n, life, config));
+        self.schedule(config_ms, TimedEvent::Deliver(n, incarnation, config));
         let mut events = Vec::new();
         for wave in &self.waves {
             events.push(Event::Operator(OperatorEvent::Wave(wave.clone())));
         }
-        // The list holds entries of lives that have ended for some heartbeats.
-        let facts = self.listed();
-        events.push(Event::WorkersRead(facts));
+        // The list contains ended instances for some heartbeats.
+        let infos = self.listed();
+        events.push(Event::WorkersRead(infos));
         for ((table, part, key), (value, revision)) in &self.store {
             let row = StoredRow {
                 part: part.clone(),
@@ -208,7 +215,7 @@
             events.extend(row_event(*table, row));
         }
         for event in events {
-            self.at(3, Happening::Deliver(n, life, event));
+            self.schedule(3, TimedEvent::Deliver(n, incarnation, event));
         }
     }
 }
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -1,24 +1,24 @@
-//! What befalls a world only where a test asks for it, drawn by generators of their own.
+//! Faults that occur only where a test asks for them, drawn by generators of their own.
 
 use rockwick::port::fleet::OrderTarget;
 
 use super::*;
 
-/// Longest time that an order is late.
+/// The longest delay of an order.
 const LATE_MAX_MS: u64 = 12_000;
 
-/// Longest time that is waited for runs to fail.
+/// The longest time to wait for runs to fail.
 const FAIL_RUNS_MAX_MS: u64 = 20_000;
 
 impl World {
-    /// The list of workers lacks an entry for a while; the life runs on.
+    /// Removes a worker from the worker list for a time; the worker keeps running.
     pub(crate) fn unlist(&mut self, id: &str, ms: u64) {
         self.unlisted.insert(id.to_string());
         self.broadcast(&Event::Worker(WorkerEvent::Gone(id.to_string())));
-        self.at(ms, Happening::Beat(id.to_string()));
+        self.schedule(ms, TimedEvent::Heartbeat(id.to_string()));
     }
 
-    /// All runs fail until so many of a task of a job have; then none does.
+    /// Makes all runs fail until one task of a job has this many failed runs.
     pub(crate) fn fail_runs(&mut self, id: &str, fails: usize) {
         let until_ms = self.now_ms + FAIL_RUNS_MAX_MS;
         self.faults.run_fails = 1_000;
@@ -28,7 +28,7 @@
         self.faults.run_fails = 0;
     }
 
-    /// All entries' processes are killed and start again at once.
+    /// Kills the processes of all entries and starts them again at once.
     pub(crate) fn restart_all(&mut self) {
         for n in 0..self.entries.len() {
             self.kill(n);
@@ -36,32 +36,34 @@
         }
     }
 
-    /// Orders to workers get no answer this often, in thousandths, and are carried out up to 12 s later.
+    /// Makes orders to workers get no answer with this probability, in thousandths; such orders are carried out up to
+    /// 12 s later.
     pub(crate) fn delay_orders(&mut self, milli: u32, rng: Rng) {
         self.late_orders = Some((milli, rng));
     }
 
-    /// How late an order is carried out, if it is.
+    /// Returns the delay of an order, or `None` for an order in time.
     pub(super) fn lateness_ms(&mut self) -> Option<u64> {
         let (milli, rng) = self.late_orders.as_mut()?;
         let is_late = rng.u32(0..1_000) < *milli;
         is_late.then(|| rng.u64(20..LATE_MAX_MS))
     }
 
-    /// A new life comes up on a host while the old one drains for a while: its runs go on, and it takes none.
+    /// Starts a new instance on a host while the old one drains for a time: its runs continue, and it takes no new
+    /// ones.
     pub(crate) fn overlap(&mut self, id: &str, ms: u64) {
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
         };
-        w.fact.draining = true;
-        let fact = w.fact.clone();
-        let host = fact.host.clone();
-        self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
-        self.new_life(&host);
-        self.at(ms, Happening::LifeOver(id.to_string()));
+        w.info.draining = true;
+        let info = w.info.clone();
+        let host = info.host.clone();
+        self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
+        self.start_instance(&host);
+        self.schedule(ms, TimedEvent::DrainEnds(id.to_string()));
     }
 
-    pub(super) fn life_over(&mut self, id: &str) {
+    pub(super) fn end_draining(&mut self, id: &str) {
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
         };
@@ -69,27 +71,28 @@
         for task in w.running.keys() {
             *self.crashes.under.entry(task.clone()).or_default() += 1;
         }
-        self.clear(id);
+        self.end_all_runs(id);
     }
 
-    /// The entry of a life names an address for a while at which another life answers.
+    /// Lists a worker for a time under the address at which another worker answers.
     pub(crate) fn readdress(&mut self, id: &str, other: &str, ms: u64) {
-        let fact = WorkerInfo {
-            address: self.workers[other].fact.address,
+        let info = WorkerInfo {
+            address: self.workers[other].info.address,
             ..self.fact(id)
         };
-        self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
-        self.at(ms, Happening::Beat(id.to_string()));
+        self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
+        self.schedule(ms, TimedEvent::Heartbeat(id.to_string()));
     }
 
-    /// What an order comes to that goes to another address than the worker's: who answers there says that it is another life.
-    pub(super) fn astray(&self, to: &OrderTarget) -> Option<OrderReply> {
+    /// Returns the reply to an order whose address is not the worker's: another worker there answers that it is
+    /// another instance. Returns `None` for a correct address.
+    pub(super) fn misaddressed_reply(&self, to: &OrderTarget) -> Option<OrderReply> {
         let w = self.workers.get(&to.worker)?;
-        if w.fact.address == to.address {
+        if w.info.address == to.address {
             return None;
         }
         let mut up = self.workers.values().filter(|w| w.is_up);
-        let is_other = up.any(|w| w.fact.address == to.address);
+        let is_other = up.any(|w| w.info.address == to.address);
         Some(match is_other {
             true => OrderReply::OtherLife,
             false => OrderReply::Refused,
--- a/tests/world/happenings.rs
+++ b/tests/world/happenings.rs
@@ -1,39 +1,39 @@
-//! What happens in the world, each at its time, and how it is carried out.
+//! The queue of timed events of the world, and how each event is carried out.
 
 use super::*;
 
-/// What comes at its time.
-pub(super) enum Happening {
+/// An event that is carried out at its time.
+pub(super) enum TimedEvent {
     Deliver(usize, u64, Event),
-    /// What came by a feed while its entry stood still, and its place in the order in which such things came.
-    Held(usize, u64, Event, u64),
+    /// A row of a feed that arrived while the entry was frozen, with its position among the rows held back.
+    DeliverHeld(usize, u64, Event, u64),
     Apply(RowTx),
-    /// An order, and the life whose process has it, if one has.
-    OrderLate(String, Option<u64>, LateOrder),
+    /// A delayed order, and the serial number of the instance that has already received it, if any.
+    LateOrderArrives(String, Option<u64>, LateOrder),
     RunEnds(String, TaskName, u32),
     AtWork(String, TaskName, u32),
     GangAlone(String, TaskName, u32),
-    CrashedBy(String, TaskName, u32),
-    Beat(String),
+    RunCrashesWorker(String, TaskName, u32),
+    Heartbeat(String),
     Lapse(String),
     UpkeepOver(String),
-    Restarted(String),
-    LifeOver(String),
+    LaterInstanceStarts(String),
+    DrainEnds(String),
     Wake(usize),
     Kill(usize, u64),
 }
 
-/// An order that is carried out late.
+/// An order that is carried out late, with its fencing token.
 pub(super) enum LateOrder {
     Start(u64, RunStart),
     Stop(u64, TaskName, u32),
-    Hold(u64, RenewalRequest),
+    Renew(u64, RenewalRequest),
 }
 
 pub(super) struct Queued {
     pub(super) at_ms: u64,
     pub(super) number: u64,
-    pub(super) what: Happening,
+    pub(super) what: TimedEvent,
 }
 
 impl PartialEq for Queued {
@@ -54,9 +54,9 @@
 }
 
 impl World {
-    pub(super) fn at(&mut self, after_ms: u64, what: Happening) {
+    pub(super) fn schedule(&mut self, after_ms: u64, what: TimedEvent) {
         let number = self.next_number();
-        self.at_place(after_ms, number, what);
+        self.schedule_at(after_ms, number, what);
     }
 
     pub(super) fn next_number(&mut self) -> u64 {
@@ -64,8 +64,8 @@
         self.number
     }
 
-    /// The same, before all with a higher number that happen then.
-    pub(super) fn at_place(&mut self, after_ms: u64, number: u64, what: Happening) {
+    /// Schedules an event before all events of the same time with a higher number.
+    pub(super) fn schedule_at(&mut self, after_ms: u64, number: u64, what: TimedEvent) {
         self.queue.push(Reverse(Queued {
             at_ms: self.now_ms + after_ms,
             number,
@@ -73,7 +73,7 @@
         }));
     }
 
-    /// Lets the world run on for so long.
+    /// Runs the world for a time.
     pub(crate) fn run(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         while let Some(Reverse(next)) = self.queue.peek() {
@@ -84,20 +84,24 @@
                 break;
             };
             self.now_ms = next.at_ms.max(self.now_ms);
-            self.happen(next.what);
+            self.apply_timed_event(next.what);
         }
         self.now_ms = until_ms;
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn apply_timed_event(&mut self, what: TimedEvent) {
         match what {
-            Happening::Deliver(n, life, event) => self.deliver(n, life, event, None),
-            Happening::Held(n, life, event, place) => self.deliver(n, life, event, Some(place)),
-            Happening::Apply(tx) => {
+            TimedEvent::Deliver(n, incarnation, event) => self.deliver(n, incarnation, event, None),
+            TimedEvent::DeliverHeld(n, incarnation, event, place) => {
+                self.deliver(n, incarnation, event, Some(place))
+            }
+            TimedEvent::Apply(tx) => {
                 self.transact(&tx);
             }
-            Happening::OrderLate(id, life, order) => self.order_late(&id, life, order),
-            Happening::RunEnds(id, task, run) => {
+            TimedEvent::LateOrderArrives(id, serial, order) => {
+                self.apply_late_order(&id, serial, order)
+            }
+            TimedEvent::RunEnds(id, task, run) => {
                 let there = self.workers.get(&id).and_then(|w| w.running.get(&task));
                 if there.is_some_and(|r| r.run == run) {
                     let is_bad = self.bad_worker.as_ref() == Some(&id);
@@ -110,46 +114,46 @@
                     self.end(&id, &task, run, kind);
                 }
             }
-            Happening::AtWork(id, task, run) => {
+            TimedEvent::AtWork(id, task, run) => {
                 let there = self.workers.get(&id).and_then(|w| w.running.get(&task));
                 if there.is_some_and(|r| r.run == run) {
                     self.ordered_away.remove(&task);
                 }
             }
-            Happening::GangAlone(id, task, run) => {
+            TimedEvent::GangAlone(id, task, run) => {
                 let there = self.workers.get(&id).and_then(|w| w.running.get(&task));
                 let is_there = there.is_some_and(|r| r.run == run);
                 let members =
                     usize::from(self.specs[&task.job].steps[usize::from(task.step)].count);
-                if is_there && self.present(&task, run) < members {
+                if is_there && self.count_members(&task, run) < members {
                     self.end(&id, &task, run, EndKind::GangAlone);
                 }
             }
-            Happening::CrashedBy(id, task, run) => self.crashed_by(&id, &task, run),
-            Happening::Beat(id) => {
+            TimedEvent::RunCrashesWorker(id, task, run) => self.crash_worker_of(&id, &task, run),
+            TimedEvent::Heartbeat(id) => {
                 self.unlisted.remove(&id);
                 let up = self.workers.get(&id).filter(|w| w.is_up);
-                if let Some(fact) = up.map(|w| w.fact.clone()) {
-                    self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
+                if let Some(info) = up.map(|w| w.info.clone()) {
+                    self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
                 }
             }
-            Happening::Lapse(id) => self.lapse(&id),
-            Happening::LifeOver(id) => self.life_over(&id),
-            Happening::Restarted(id) => self.restarted(&id),
-            Happening::UpkeepOver(host) => {
-                self.out.remove(&host);
-                self.come_back(&host);
+            TimedEvent::Lapse(id) => self.lapse(&id),
+            TimedEvent::DrainEnds(id) => self.end_draining(&id),
+            TimedEvent::LaterInstanceStarts(id) => self.start_later_instance(&id),
+            TimedEvent::UpkeepOver(host) => {
+                self.hosts_out.remove(&host);
+                self.start_on_host(&host);
             }
-            Happening::Kill(n, life) => {
-                if self.entries[n].life == life {
+            TimedEvent::Kill(n, incarnation) => {
+                if self.entries[n].incarnation == incarnation {
                     self.kill(n);
                 }
             }
-            Happening::Wake(n) if self.entries[n].wake_ms == self.now_ms => {
+            TimedEvent::Wake(n) if self.entries[n].wake_ms == self.now_ms => {
                 self.deliver_now(n, Event::Tick);
             }
-            // An earlier wake came before it.
-            Happening::Wake(_) => {}
+            // An earlier wake has replaced this one.
+            TimedEvent::Wake(_) => {}
         }
     }
 }
--- a/tests/world/jobs.rs
+++ b/tests/world/jobs.rs
@@ -1,8 +1,8 @@
-//! The configuration of all worlds, and jobs for them.
+//! Configuration, jobs and workers that the tests share.
 
 use super::*;
 
-/// A queue on the pool, as configured in all worlds.
+/// Returns a configuration with one queue on the pool, which all worlds use.
 pub(crate) fn config(version: u64) -> FleetConfig {
     FleetConfig {
         version,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A job of one step.
+/// Returns a job of one step with these demands for each of its tasks.
 pub(crate) fn job(count: u16, cpu_milli: u64, estimate_ms: u64) -> JobSpec {
     JobSpec {
         queue: QUEUE.to_string(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// A job that lasts.
+/// Returns a job of lasting tasks, at most one a worker, of which orders may end `away_max` at a time.
 pub(crate) fn lasting(count: u16, away_max: u16) -> JobSpec {
     let mut spec = job(count, 500, 700);
     spec.steps[0].lasting = true;
@@ -57,7 +57,7 @@
     spec
 }
 
-/// A worker of 16 cores and 32 GB on a host, as the platform lists it.
+/// Returns a worker of 16 cores and 32 GB on a host, as the platform lists it.
 pub(crate) fn worker_fact(life: &str, host: &str) -> WorkerInfo {
     WorkerInfo {
         id: life.to_string(),
@@ -76,7 +76,7 @@
     }
 }
 
-/// A job of one step with so many rounds, the first one due at that wall clock.
+/// Adds a schedule to a job: `rounds` rounds, the first one due at `first_wall_ms`.
 pub(crate) fn timed(spec: JobSpec, rounds: u32, first_wall_ms: u64, interval_ms: u64) -> JobSpec {
     JobSpec {
         schedule: Some(Schedule {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,7 +1,8 @@
-//! A small world for the scheduler: several entries, one store, workers with leases, on a made-up clock.
+//! A random simulation of the scheduler: several entries, one store and workers with leases on a simulated clock. The
+//! scheduler's tests build a [`World`], inject faults and let it run.
 //!
-//! Everything that travels may be lost, late or doubled; entries are killed, frozen and cut off; workers
-//! crash, are cut off and run on. The promises are checked while it runs.
+//! Messages may be lost, delayed or duplicated. Entries are killed, frozen and disconnected; workers crash, or are
+//! disconnected and keep running. The scheduler's guarantees are checked at every step.
 
 mod callers;
 mod calm;
@@ -40,122 +41,123 @@
     WorkerInfo,
 };
 
-use happenings::{Happening, LateOrder, Queued};
+use happenings::{LateOrder, Queued, TimedEvent};
 
 pub(crate) use jobs::{config, job, lasting, timed, worker_fact};
 
-/// The only pool.
+/// Name of the only pool.
 pub(crate) const POOL: &str = "pool";
 
-/// The only queue.
+/// Name of the only queue.
 pub(crate) const QUEUE: &str = "queue";
 
-/// Wall clock at the world's beginning.
+/// Wall clock when the world begins.
 pub(crate) const WALL_MS: u64 = 1_000_000;
 
-/// A process that was told to stop is killed after so long.
+/// An entry that was asked to stop is killed after this time.
 const GRACE_MS: u64 = 5_300;
 
-/// A member of a gang waits so long for the others.
+/// A gang member waits this long for the other members, then ends.
 const GANG_MS: u64 = 3_000;
 
-/// What a change needs to come by a feed.
+/// Time from a change in the store to its delivery by a feed.
 const FEED_MS: u64 = 5;
 
-/// A lease that a worker accepts at most.
+/// The longest lease that a worker accepts.
 const RENEWAL_MAX_MS: u64 = 10_000;
 
-/// An order that got no answer by then is given up by its sender.
+/// The sender of an order gives up waiting for an answer after this time.
 const ORDER_TIMEOUT_MS: u64 = 400;
 
-/// Workers state themselves so often.
-const BEAT_MS: u64 = 1_500;
+/// Interval between two heartbeats of a worker.
+const HEARTBEAT_MS: u64 = 1_500;
 
-/// An entry that nothing befell for so long is in touch.
-const CONTACT_MS: u64 = 4_000;
+/// An entry counts as undisturbed this long after its last fault.
+const UNDISTURBED_MS: u64 = 4_000;
 
-/// How an entry that stood still is handed what came meanwhile.
+/// Sets how an entry that was frozen receives what arrived meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum HandOver {
-    /// The rows of feeds in the order of their changes, as feeds keep it.
+pub(crate) enum DeliveryOrder {
+    /// Rows of feeds arrive in the order of their changes, as real feeds deliver them.
     #[default]
     InOrder,
-    /// Each thing at the end of the standstill that it met, so that rows pass each other where two overlap. No feed does
-    /// that; seeds 3043 and 181 found their faults so, and play otherwise in order.
-    AsMet,
+    /// Each event arrives at the end of the freeze that it met, so rows can overtake each other where two freezes
+    /// overlap. No real feed does that. Seeds 3043 and 181 found their faults in this mode; otherwise they play in
+    /// order.
+    AtThaw,
 }
 
-/// How often things go wrong, in thousandths; all zero is a calm world.
+/// Probabilities of faults, in thousandths. With all at zero no faults occur.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
-    /// An answer of the store is lost, its write done or not.
+    /// The answer of the store is lost; the write may or may not have been applied.
     pub(crate) store_lost: u32,
-    /// A lost write takes effect seconds later.
+    /// A lost write is applied seconds later.
     pub(crate) store_late: u32,
     /// An order to a worker gets no answer.
     pub(crate) order_lost: u32,
-    /// Such an order is carried out seconds later.
+    /// An order without an answer is carried out seconds later.
     pub(crate) order_late: u32,
     /// A run fails.
     pub(crate) run_fails: u32,
 }
 
-/// One entry.
+/// A simulated entry process.
 pub(crate) struct Entry {
-    /// Its scheduler; none while the process is down.
+    /// The scheduler; `None` while the process is down.
     pub(crate) state: Option<State>,
-    life: u64,
+    incarnation: u64,
     frozen_until_ms: u64,
-    /// Rows of feeds that came while it stood still and were not handed to it yet.
-    held: u64,
+    /// Rows of feeds that arrived while the entry was frozen and are not yet delivered.
+    held_rows: u64,
     cut_until_ms: u64,
-    /// Nothing befell it since then: no start, freeze or cut.
+    /// When the last start, freeze or disconnection of the entry was over.
     calm_since_ms: u64,
-    /// The next wake that is on its way.
+    /// When the next scheduled wake is due.
     wake_ms: u64,
 }
 
 struct Running {
     run: u32,
     demand: Capacity,
-    /// When it was started.
+    /// When the run was started.
     since_ms: u64,
-    /// From then on, a task that lasts is at work.
+    /// When a lasting task begins to work.
     at_work_ms: u64,
 }
 
-/// A worker's life.
+/// An instance of a worker.
 pub(crate) struct Worker {
-    fact: WorkerInfo,
-    /// Its number among all lives.
+    info: WorkerInfo,
+    /// The instance's serial number over all workers.
     serial: u64,
     fence: u64,
     clock_ahead_ms: u64,
     lease_until_ms: u64,
     running: BTreeMap<TaskName, Running>,
-    barred: HashMap<TaskName, u32>,
+    refused_through: HashMap<TaskName, u32>,
     ended: Vec<RunEnd>,
     next_end: u64,
-    /// How often its lease has lapsed.
+    /// Number of times that the lease has lapsed.
     lapses: u32,
-    /// When its room last shrank.
+    /// When the capacity last shrank.
     shrunk_ms: Option<u64>,
-    /// Up, or its host is out.
+    /// Whether the process is up; false after a crash and while the host is out.
     is_up: bool,
     cut_until_ms: u64,
 }
 
 impl Worker {
-    /// A life that has just begun.
-    fn new(fact: WorkerInfo, serial: u64) -> Self {
+    /// Returns an instance that has just started, without a lease or runs.
+    fn new(info: WorkerInfo, serial: u64) -> Self {
         Worker {
-            fact,
+            info,
             serial,
             fence: 0,
             clock_ahead_ms: 0,
             lease_until_ms: 0,
             running: BTreeMap::new(),
-            barred: HashMap::new(),
+            refused_through: HashMap::new(),
             ended: Vec::new(),
             next_end: 1,
             lapses: 0,
@@ -170,96 +172,98 @@
     }
 }
 
-/// Everything.
+/// The whole simulation: entries, workers, store, clock and pending events.
 pub(crate) struct World {
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the world began.
     pub(crate) now_ms: u64,
-    /// The entries.
+    /// The entries, by number.
     pub(crate) entries: Vec<Entry>,
-    /// Workers' lives by id, ended ones included.
+    /// Workers by id. An ended instance stays until another one takes over its id.
     pub(crate) workers: BTreeMap<String, Worker>,
-    /// Rows of the store.
+    /// Rows of the store by table, partition and key, with their revisions.
     pub(crate) store: BTreeMap<(Table, String, String), (Vec<u8>, u64)>,
-    /// What goes wrong.
+    /// Probabilities of faults.
     pub(crate) faults: Faults,
-    /// What came while an entry stood still.
-    pub(crate) hand_over: HandOver,
-    /// Waves told completed.
+    /// How a frozen entry receives what arrived meanwhile.
+    pub(crate) delivery_order: DeliveryOrder,
+    /// Waves that were reported as completed.
     pub(crate) waves_done: HashSet<u64>,
-    /// Hosts that had their upkeep, by wave.
+    /// Hosts that had their maintenance, by wave.
     pub(crate) upkept: HashMap<u64, HashSet<String>>,
-    /// Runs started, for progress in tests.
+    /// Number of runs started.
     pub(crate) starts: u64,
-    /// So many claims take effect without an answer.
+    /// Number of next claims that are applied but get no answer.
     pub(crate) claims_unanswered: u32,
-    /// Orders to hosts get no answer, and are not carried out.
-    pub(crate) is_host_deaf: bool,
-    /// Transactions that renewed a lease and did nothing else.
+    /// Orders to hosts get no answer and are not carried out.
+    pub(crate) drops_host_orders: bool,
+    /// Number of transactions that only renewed a lease.
     pub(crate) renewals: u32,
-    /// So many of a thousand commits are answered with a newer revision than theirs: another's write came in between.
+    /// Probability, in thousandths, that a commit is answered with a newer revision than its own, as if another write
+    /// had come in between.
     pub(crate) answers_ahead: u32,
     /// Partitions of the store that do not answer.
     pub(crate) parts_away: HashSet<String>,
-    /// Workers start whatever they are told, whether it fits or not.
+    /// Workers accept starts that exceed their capacity.
     pub(crate) is_unguarded: bool,
-    /// A worker on which all runs fail.
+    /// The worker on which all runs fail.
     pub(crate) bad_worker: Option<String>,
-    /// What is told of workers comes so much later.
-    pub(crate) word_late_ms: u64,
-    /// Most hosts that were out at a time.
-    pub(crate) out_most: usize,
-    /// Runs that upkeep ended.
-    pub(crate) upkeep_ended: usize,
-    /// Tasks that bring workers down.
+    /// Extra delay of worker events.
+    pub(crate) worker_events_late_ms: u64,
+    /// The largest number of hosts that were out at the same time.
+    pub(crate) max_hosts_out: usize,
+    /// Number of runs that were ended by the maintenance of a host.
+    pub(crate) runs_ended_by_upkeep: usize,
+    /// Tasks that crash workers, and their effects.
     pub(crate) crashes: crash::Crashes,
-    /// What entries hear of the configuration comes so much later than the rest.
+    /// Extra delay of configuration events.
     pub(crate) config_late_ms: u64,
-    /// What entries log is kept.
+    /// Whether the decisions that entries log are kept in `log`.
     pub(crate) keeps_log: bool,
-    /// What was logged since, by any entry.
+    /// Decisions that were logged by any entry while `keeps_log` was set.
     pub(crate) log: Vec<Decision>,
     revision: u64,
     number: u64,
     queue: BinaryHeap<Reverse<Queued>>,
     rng: Rng,
-    /// Draws for [`World::answers_ahead`]: seeds that failed before play as they did.
-    aheads: Rng,
+    /// Draws for [`World::answers_ahead`], kept apart so that older seeds play the same worlds.
+    newer_answers_rng: Rng,
     config: FleetConfig,
     waves: Vec<WaveOrder>,
-    noted_done: HashSet<TaskName>,
-    /// Fewest and most failed runs of a task that the queue allowed since a job came.
+    acked_done: HashSet<TaskName>,
+    /// The least and the greatest number of failed runs of a task that the queue allowed since the job was submitted,
+    /// by job.
     attempts: HashMap<String, (u32, u32)>,
-    /// What a task takes, where that is not to be drawn.
+    /// Duration of a task where it is set and not drawn.
     pub(crate) takes_ms: HashMap<TaskName, u64>,
-    /// Lives that the list lacks for a while.
+    /// Workers that are missing from the worker list for a while.
     unlisted: HashSet<String>,
-    /// How often orders are late, and what tells how late.
+    /// Probability that an order is delayed, in thousandths, and the generator that draws the delay.
     late_orders: Option<(u32, Rng)>,
-    /// What counts on starts of one task again.
-    once: once::Once,
+    /// Starts and ends, for the check that work is done once.
+    once: once::StartHistory,
     failed_runs: HashMap<TaskName, HashSet<u32>>,
-    /// Lasting tasks that orders ended, until they are at work again.
+    /// Lasting tasks that orders ended and that are not at work again yet.
     ordered_away: HashSet<TaskName>,
     cancelled_at_ms: HashMap<String, u64>,
     specs: HashMap<String, JobSpec>,
-    next_life: u64,
-    /// Draws for workers that start again under their id: seeds that failed before play as they did.
-    restarts: Rng,
-    /// A host's next life has the id of the one before.
+    next_serial: u64,
+    /// Draws for workers that restart under their id, kept apart so that older seeds play the same worlds.
+    restarts_rng: Rng,
+    /// The next instance on a host keeps the id of the previous one.
     pub(crate) keeps_ids: bool,
-    /// Earlier lives of ids that came again.
+    /// Earlier instances whose ids were taken over by later ones.
     former: Vec<Worker>,
-    /// An order that was held up is being carried out.
-    is_late: bool,
-    /// The entry whose order is being carried out.
-    orderer: usize,
-    /// States of jobs whose rows were removed.
+    /// Whether the order that is being carried out was delayed.
+    is_late_order: bool,
+    /// The entry whose effect is being carried out.
+    ordering_entry: usize,
+    /// Final states of jobs whose rows were removed.
     removed: HashMap<String, JobState>,
-    out: HashSet<String>,
+    hosts_out: HashSet<String>,
 }
 
 impl World {
-    /// So many entries and workers, and nothing wrong yet.
+    /// Creates a world with these numbers of entries and workers, and without faults.
     pub(crate) fn new(seed: u64, entries: usize, workers: usize) -> Self {
         let mut world = World {
             now_ms: 1,
@@ -267,20 +271,20 @@
             workers: BTreeMap::new(),
             store: BTreeMap::new(),
             faults: Faults::default(),
-            hand_over: HandOver::default(),
+            delivery_order: DeliveryOrder::default(),
             waves_done: HashSet::new(),
             upkept: HashMap::new(),
             starts: 0,
             claims_unanswered: 0,
-            is_host_deaf: false,
+            drops_host_orders: false,
             renewals: 0,
             answers_ahead: 0,
             parts_away: HashSet::new(),
             is_unguarded: false,
             bad_worker: None,
-            word_late_ms: 0,
-            out_most: 0,
-            upkeep_ended: 0,
+            worker_events_late_ms: 0,
+            max_hosts_out: 0,
+            runs_ended_by_upkeep: 0,
             crashes: Default::default(),
             config_late_ms: 0,
             keeps_log: false,
@@ -289,10 +293,10 @@
             number: 0,
             queue: BinaryHeap::new(),
             rng: Rng::with_seed(seed),
-            aheads: Rng::with_seed(!seed),
+            newer_answers_rng: Rng::with_seed(!seed),
             config: config(1),
             waves: Vec::new(),
-            noted_done: HashSet::new(),
+            acked_done: HashSet::new(),
             attempts: HashMap::new(),
             takes_ms: HashMap::new(),
             unlisted: HashSet::new(),
@@ -302,24 +306,24 @@
             ordered_away: HashSet::new(),
             cancelled_at_ms: HashMap::new(),
             specs: HashMap::new(),
-            next_life: 0,
-            restarts: Rng::with_seed(seed ^ 0x4e57),
+            next_serial: 0,
+            restarts_rng: Rng::with_seed(seed ^ 0x4e57),
             keeps_ids: false,
             former: Vec::new(),
-            is_late: false,
-            orderer: 0,
+            is_late_order: false,
+            ordering_entry: 0,
             removed: HashMap::new(),
-            out: HashSet::new(),
+            hosts_out: HashSet::new(),
         };
         for host in 0..workers {
-            world.new_life(&format!("host-{host}"));
+            world.start_instance(&format!("host-{host}"));
         }
         for n in 0..entries {
             world.entries.push(Entry {
                 state: None,
-                life: 0,
+                incarnation: 0,
                 frozen_until_ms: 0,
-                held: 0,
+                held_rows: 0,
                 cut_until_ms: 0,
                 calm_since_ms: 0,
                 wake_ms: 0,
@@ -344,7 +348,7 @@
         self.rng.u64(1..8)
     }
 
-    /// No entry hears a worker, nor it them; it runs on.
+    /// Disconnects a worker from all entries for a time; the worker keeps running.
     pub(crate) fn cut_worker(&mut self, id: &str, ms: u64) {
         let until_ms = self.now_ms + ms;
         if let Some(w) = self.workers.get_mut(id) {
@@ -352,59 +356,59 @@
         }
     }
 
-    /// A worker crashes; another life comes on its host.
+    /// Crashes a worker; a new instance starts on its host later.
     pub(crate) fn crash(&mut self, id: &str, back_after_ms: u64) {
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
         };
         w.is_up = false;
-        let host = w.fact.host.clone();
+        let host = w.info.host.clone();
         for task in w.running.keys() {
             *self.crashes.under.entry(task.clone()).or_default() += 1;
         }
-        self.clear(id);
-        self.at(back_after_ms, Happening::UpkeepOver(host));
+        self.end_all_runs(id);
+        self.schedule(back_after_ms, TimedEvent::UpkeepOver(host));
     }
 
-    /// A worker's room changes; its entry tells that a heartbeat later at the most.
+    /// Changes the capacity of a worker, which states it within one heartbeat interval.
     pub(crate) fn resize(&mut self, id: &str, cpu_milli: u64) {
         let now_ms = self.now_ms;
-        let beat_ms = self.rng.u64(0..BEAT_MS);
+        let heartbeat_ms = self.rng.u64(0..HEARTBEAT_MS);
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
         };
-        if cpu_milli < w.fact.capacity.cpu_milli {
+        if cpu_milli < w.info.capacity.cpu_milli {
             w.shrunk_ms = Some(now_ms);
         }
-        w.fact.capacity.cpu_milli = cpu_milli;
-        self.at(beat_ms, Happening::Beat(id.to_string()));
+        w.info.capacity.cpu_milli = cpu_milli;
+        self.schedule(heartbeat_ms, TimedEvent::Heartbeat(id.to_string()));
     }
 
-    /// Ids of lives that are up.
+    /// Returns the ids of all instances that are up.
     pub(crate) fn lives(&self) -> Vec<String> {
         let up = self.workers.iter().filter(|(_, w)| w.is_up);
         up.map(|(id, _)| id.clone()).collect()
     }
 
-    /// A life's worker as entries see it.
+    /// Returns a worker as it describes itself to entries.
     pub(crate) fn fact(&self, id: &str) -> WorkerInfo {
-        self.workers[id].fact.clone()
+        self.workers[id].info.clone()
     }
 
     fn broadcast(&mut self, event: &Event) {
         for n in 0..self.entries.len() {
-            let life = self.entries[n].life;
+            let incarnation = self.entries[n].incarnation;
             let late_ms = match event {
-                Event::Worker(_) => self.word_late_ms,
+                Event::Worker(_) => self.worker_events_late_ms,
                 Event::Operator(OperatorEvent::Config(_)) => self.config_late_ms,
                 _ => 0,
             };
             let delay_ms = self.delay() + 20 + late_ms;
-            self.at(delay_ms, Happening::Deliver(n, life, event.clone()));
+            self.schedule(delay_ms, TimedEvent::Deliver(n, incarnation, event.clone()));
         }
     }
 
-    /// A job's state on record.
+    /// Returns the recorded state of a job.
     pub(crate) fn recorded(&self, id: &str) -> JobState {
         if let Some(state) = self.removed.get(id) {
             return *state;
@@ -412,7 +416,7 @@
         self.progress(id).map_or(JobState::Queued, |row| row.state)
     }
 
-    /// A job's progress on record, in whichever shard it is.
+    /// Returns the recorded progress of a job, whichever shard holds it.
     fn progress(&self, id: &str) -> Option<ProgressRow> {
         let keys = shard_parts(POOL).into_iter();
         let mut found =
@@ -422,8 +426,8 @@
         Some(rows::decode(value).expect("progress decodes"))
     }
 
-    /// What a life before this one on the same host would have stated.
-    pub(crate) fn earlier_fact(&self, id: &str) -> WorkerInfo {
+    /// Returns a worker as an earlier instance on the same host would have described itself.
+    pub(crate) fn earlier_instance_info(&self, id: &str) -> WorkerInfo {
         WorkerInfo {
             id: "earlier".to_string(),
             address: SocketAddr::from(([10, 0, 0, 2], 1)),
@@ -431,77 +435,80 @@
         }
     }
 
-    /// A heartbeat of a life that has ended comes through now.
-    pub(crate) fn relist(&mut self) {
+    /// Delivers a heartbeat of a random instance that has ended.
+    pub(crate) fn relist_ended_instance(&mut self) {
         let ended: Vec<WorkerInfo> = self
             .workers
             .values()
             .filter(|w| !w.is_up)
-            .map(|w| w.fact.clone())
+            .map(|w| w.info.clone())
             .collect();
         if !ended.is_empty() {
-            let fact = ended[self.rng.usize(0..ended.len())].clone();
-            self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
+            let info = ended[self.rng.usize(0..ended.len())].clone();
+            self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
         }
     }
 
-    /// Tasks that run on a worker now.
+    /// Returns the number of tasks that run on a worker.
     pub(crate) fn running_on(&self, id: &str) -> usize {
         self.workers[id].running.len()
     }
 
-    /// Tasks that run now, by job.
+    /// Returns the number of running tasks of a job.
     pub(crate) fn running(&self, id: &str) -> usize {
-        let lives = self.workers.values().filter(|w| w.is_up);
-        lives
+        let instances = self.workers.values().filter(|w| w.is_up);
+        instances
             .map(|w| w.running.keys().filter(|t| t.job == id).count())
             .sum()
     }
 
-    /// How long the oldest run of a job has been running.
+    /// Returns for how long the oldest run of a job has been running.
     pub(crate) fn oldest_run_ms(&self, id: &str) -> Option<u64> {
-        let lives = self.workers.values().filter(|w| w.is_up);
-        let runs = lives.flat_map(|w| w.running.iter());
+        let instances = self.workers.values().filter(|w| w.is_up);
+        let runs = instances.flat_map(|w| w.running.iter());
         let of_job = runs.filter(|(task, _)| task.job == id);
         of_job.map(|(_, run)| self.now_ms - run.since_ms).max()
     }
 
-    fn wave_told(&mut self, wave: u64, state: WaveState) {
+    fn apply_wave_report(&mut self, wave: u64, state: WaveState) {
         if state == WaveState::Completed {
             let order = self
                 .waves
                 .iter()
                 .find(|w| w.wave == wave)
-                .expect("it was asked for");
+                .expect("the wave was ordered");
             let upkept = self.upkept.entry(wave).or_default();
             for host in &order.hosts {
-                assert!(upkept.contains(host), "wave {wave} told done before {host}");
+                assert!(
+                    upkept.contains(host),
+                    "wave {wave} was reported as done before {host} had its maintenance"
+                );
             }
             self.waves_done.insert(wave);
         }
     }
 
-    /// How a job stands in its owner's books, for messages.
+    /// Describes a job in its owner's in-memory state, for messages.
     pub(crate) fn describe(&self, id: &str) -> String {
         let Some(pool_state) = self.owner_book() else {
-            return "no owner has books".to_string();
+            return "no owner has loaded the pool".to_string();
         };
         let job = pool_state.by_id.get(id).map(|key| &pool_state.jobs[*key]);
-        let lives = pool_state
+        let instances = pool_state
             .workers
             .values()
             .map(|w| (&w.fact.id, w.is_listed, w.is_answering, w.used));
         format!(
             "{job:?}\n{:?}\n{:?}",
-            lives.collect::<Vec<_>>(),
+            instances.collect::<Vec<_>>(),
             pool_state.ready
         )
     }
 
-    /// The same as [`World::tell`]; gives what is logged by it.
+    /// Delivers an event to an entry at once and returns the decisions that the entry logs.
     pub(crate) fn told(&mut self, n: usize, event: Event) -> Vec<Decision> {
         let now = self.now();
-        let state = self.entries[n].state.as_mut().expect("it is up");
+        let state = self.entries[n].state.as_mut().expect("the entry is up");
         let effects = reduce(state, event, now);
         let logged = effects.iter().filter_map(|effect| match effect {
             Effect::Log(decision) => Some(decision.clone()),
@@ -509,18 +516,18 @@
         });
         let logged = logged.collect();
         for effect in effects {
-            self.carry(n, effect);
+            self.apply_effect(n, effect);
         }
         logged
     }
 
-    /// Hands an event to an entry's scheduler now.
+    /// Delivers an event to an entry now, or when its freeze ends.
     pub(crate) fn tell(&mut self, n: usize, event: Event) {
         self.deliver_now(n, event);
     }
 }
 
-/// Whether an event is a row that comes by a feed.
+/// Returns whether an event is a row that a feed delivers.
 fn is_feed(event: &Event) -> bool {
     matches!(
         event,
--- a/tests/world/restart.rs
+++ b/tests/world/restart.rs
@@ -1,12 +1,12 @@
-//! Workers that start again under the id that they had: the later life knows nothing of the earlier one.
+//! Workers that restart under their id. The later instance knows nothing of the earlier one.
 
 use super::*;
 
-/// Wall clocks are set back or forward by so much at the most between two lives.
+/// The most by which the wall clock of a host is set back or forward between two instances.
 const CLOCK_STEP_MS: u64 = 4_000;
 
 impl World {
-    /// A worker crashes; a later life comes up under its id, at its address.
+    /// Crashes a worker; a later instance starts under its id at its address.
     pub(crate) fn restart(&mut self, id: &str, back_after_ms: u64) {
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
@@ -18,58 +18,63 @@
         if std::env::var_os("ROCKWICK_SEED").is_some() {
             println!("{} {id} crashes, back in {back_after_ms} ms", self.now_ms);
         }
-        self.clear(id);
-        self.at(back_after_ms, Happening::Restarted(id.to_string()));
+        self.end_all_runs(id);
+        self.schedule(
+            back_after_ms,
+            TimedEvent::LaterInstanceStarts(id.to_string()),
+        );
     }
 
-    /// A host's worker comes up after a crash or its upkeep.
-    pub(super) fn come_back(&mut self, host: &str) {
-        let last = self.workers.iter().filter(|(_, w)| w.fact.host == host);
+    /// Starts a worker on a host after a crash or maintenance.
+    pub(super) fn start_on_host(&mut self, host: &str) {
+        let last = self.workers.iter().filter(|(_, w)| w.info.host == host);
         let last = last.max_by_key(|(_, w)| w.serial).map(|(id, _)| id.clone());
         match last {
-            Some(id) if self.keeps_ids && !self.workers[&id].is_up => self.restarted(&id),
-            _ => self.new_life(host),
+            Some(id) if self.keeps_ids && !self.workers[&id].is_up => {
+                self.start_later_instance(&id)
+            }
+            _ => self.start_instance(host),
         }
     }
 
-    /// The later life comes up. Its entry is told now, or with its first heartbeat.
-    pub(super) fn restarted(&mut self, id: &str) {
+    /// Starts the later instance. Entries learn of it at once or from its first heartbeat.
+    pub(super) fn start_later_instance(&mut self, id: &str) {
         let now_ms = self.now_ms;
-        let born_wall_ms = WALL_MS + now_ms + self.restarts.u64(0..CLOCK_STEP_MS * 2);
-        let is_told = self.restarts.bool();
-        let beat_ms = if is_told {
+        let born_wall_ms = WALL_MS + now_ms + self.restarts_rng.u64(0..CLOCK_STEP_MS * 2);
+        let is_seen_at_once = self.restarts_rng.bool();
+        let heartbeat_ms = if is_seen_at_once {
             0
         } else {
-            self.restarts.u64(0..BEAT_MS)
+            self.restarts_rng.u64(0..HEARTBEAT_MS)
         };
-        self.next_life += 1;
-        let serial = self.next_life;
+        self.next_serial += 1;
+        let serial = self.next_serial;
         let Some(w) = self.workers.get_mut(id).filter(|w| !w.is_up) else {
             return;
         };
-        let fact = WorkerInfo {
+        let info = WorkerInfo {
             born_wall_ms: Some(born_wall_ms.saturating_sub(CLOCK_STEP_MS)),
             draining: false,
-            ..w.fact.clone()
+            ..w.info.clone()
         };
         let later = Worker {
-            // Its clock counts from its start.
+            // The clock of the instance counts from its start.
             clock_ahead_ms: 0_u64.wrapping_sub(now_ms),
-            ..Worker::new(fact, serial)
+            ..Worker::new(info, serial)
         };
         self.former.push(std::mem::replace(w, later));
-        self.at(beat_ms, Happening::Beat(id.to_string()));
+        self.schedule(heartbeat_ms, TimedEvent::Heartbeat(id.to_string()));
     }
 
-    /// An entry that an earlier life wrote is seen now, after the later life's.
-    pub(crate) fn relist_former(&mut self) {
+    /// Delivers the list entry of an earlier instance after the later instance's own.
+    pub(crate) fn relist_former_instance(&mut self) {
         if self.former.is_empty() {
             return;
         }
-        let n = self.restarts.usize(0..self.former.len());
-        let fact = self.former[n].fact.clone();
-        let id = fact.id.clone();
-        self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
-        self.at(BEAT_MS, Happening::Beat(id));
+        let n = self.restarts_rng.usize(0..self.former.len());
+        let info = self.former[n].info.clone();
+        let id = info.id.clone();
+        self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
+        self.schedule(HEARTBEAT_MS, TimedEvent::Heartbeat(id));
     }
 }
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -1,8 +1,8 @@
-//! The store of the world, and what it promises of progress.
+//! The simulated store, and the checks on the progress that is recorded in it.
 
 use super::*;
 
-/// A call that got no answer is given up after so long.
+/// A call without an answer is given up after this time.
 pub(super) const STORE_TIMEOUT_MS: u64 = 800;
 
 impl World {
@@ -20,10 +20,10 @@
             if self.entries[n].cut_until_ms > self.now_ms {
                 continue;
             }
-            let life = self.entries[n].life;
+            let incarnation = self.entries[n].incarnation;
             if let Some(event) = row_event(table, row.clone()) {
-                // Feeds keep the order of changes.
-                self.at(FEED_MS, Happening::Deliver(n, life, event));
+                // All rows take the same time, so feeds keep the order of changes.
+                self.schedule(FEED_MS, TimedEvent::Deliver(n, incarnation, event));
             }
         }
     }
@@ -59,7 +59,7 @@
         }
         let before = self.revision;
         for write in &tx.writes {
-            // All rows of a transaction carry one revision.
+            // All rows of a transaction get the same revision.
             self.revision = before;
             let Some(value) = write.value.clone() else {
                 self.remove(write.table, &tx.part, &write.key);
@@ -73,16 +73,16 @@
         TxOutcome::Committed(self.revision)
     }
 
-    /// A job's progress turns into bytes that nobody can read.
+    /// Replaces the recorded progress of a job by bytes that cannot be decoded.
     pub(crate) fn spoil_progress(&mut self, id: &str) {
         let rows = self.store.iter_mut();
         let mut of_job = rows.filter(|((table, _, key), _)| *table == Table::Progress && key == id);
-        let (_, (value, _)) = of_job.next().expect("it is on record");
+        let (_, (value, _)) = of_job.next().expect("the job has a record");
         *value = b"\xff{".to_vec();
     }
 
-    /// Something else writes a job's progress in other bytes that say the same: its owner's next record conflicts with a row
-    /// that it did not write, and it reads all rows again. Says whether there is such a row.
+    /// Rewrites the recorded progress of a job with other bytes of the same meaning. The owner's next record conflicts
+    /// with a row that the owner did not write, so it reads all rows again. Returns whether the row exists.
     pub(crate) fn touch_progress(&mut self, id: &str) -> bool {
         let mut rows = self.store.iter();
         let found = rows.find(|((table, _, key), _)| *table == Table::Progress && key == id);
@@ -95,8 +95,8 @@
         true
     }
 
-    /// Failed runs of the task of a job that has most. A gang fails as a whole, whichever member did: its runs count
-    /// together.
+    /// Returns the largest number of failed runs of one task of a job. A gang fails as a whole, whichever member
+    /// failed, so the runs of its members count together.
     pub(crate) fn most_failed_runs(&self, id: &str) -> usize {
         let steps = &self.specs[id].steps;
         let mut runs: HashMap<(u32, u16, Option<u16>), HashSet<u32>> = HashMap::new();
@@ -110,14 +110,14 @@
     }
 
     pub(super) fn check_progress(&mut self, id: &str) {
-        let row = self.progress(id).expect("it was just written");
+        let row = self.progress(id).expect("the record was just written");
         let spec = &self.specs[id];
         if row.state == JobState::Failed {
             let most = self.most_failed_runs(id);
             let (least, _) = self.attempts[id];
             assert!(
                 most >= least as usize || self.may_be_given_up(id),
-                "{id} shown as failed after {most} failed runs of {least}, without crashes under a task"
+                "{id} is recorded as failed after {most} failed runs of {least}, without two crashes under one task"
             );
         }
         if row.state == JobState::Completed {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// All tasks of a round were done.
+    /// Checks that all tasks of a round were done.
     fn check_done(&self, id: &str, round: u32) {
         for (step, s) in self.specs[id].steps.iter().enumerate() {
             for index in 0..s.count {
@@ -140,7 +140,7 @@
                 };
                 assert!(
                     self.was_done(&name),
-                    "{name:?} shown as completed, not done"
+                    "{name:?} was not done, but its job is recorded as completed"
                 );
             }
         }
@@ -148,11 +148,11 @@
 
     pub(super) fn was_done(&self, name: &TaskName) -> bool {
         let is_it = |e: &RunEnd| e.task == *name && e.kind == EndKind::Done;
-        let mut lives = self.workers.values().chain(&self.former);
-        self.noted_done.contains(name) || lives.any(|w| w.ended.iter().any(is_it))
+        let mut instances = self.workers.values().chain(&self.former);
+        self.acked_done.contains(name) || instances.any(|w| w.ended.iter().any(is_it))
     }
 
-    /// Sends a transaction with whatever may befall it.
+    /// Sends a transaction, subject to the faults of the world, and returns the time until the answer and the answer.
     pub(super) fn store_call(&mut self, n: usize, tx: &RowTx) -> (u64, TxOutcome) {
         if self.entries[n].cut_until_ms > self.now_ms || self.parts_away.contains(&tx.part) {
             return (STORE_TIMEOUT_MS, TxOutcome::Unknown);
@@ -162,19 +162,19 @@
                 self.transact(tx);
             } else if self.chance(self.faults.store_late) {
                 let late_ms = self.rng.u64(1_000..6_000);
-                self.at(late_ms, Happening::Apply(tx.clone()));
+                self.schedule(late_ms, TimedEvent::Apply(tx.clone()));
             }
             return (STORE_TIMEOUT_MS, TxOutcome::Unknown);
         }
         let outcome = self.transact(tx);
-        let outcome = self.answered_with(outcome);
+        let outcome = self.with_newer_revision(outcome);
         (self.delay() + 4, outcome)
     }
 
-    /// An answer names the newest revision of the store, whoever's that is.
-    fn answered_with(&mut self, outcome: TxOutcome) -> TxOutcome {
+    /// Returns the answer to a commit, which may name a newer revision than the commit's own.
+    fn with_newer_revision(&mut self, outcome: TxOutcome) -> TxOutcome {
         if !matches!(outcome, TxOutcome::Committed(_))
-            || self.aheads.u32(0..1_000) >= self.answers_ahead
+            || self.newer_answers_rng.u32(0..1_000) >= self.answers_ahead
         {
             return outcome;
         }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -1,20 +1,20 @@
-//! Workers and hosts of the world, and the promises on what they are told.
+//! Simulated workers and hosts, and the checks on the orders that they receive.
 
 use super::*;
 
-/// Whether two tasks are of one step.
-fn is_fellow(a: &TaskName, b: &TaskName) -> bool {
+/// Returns whether two tasks belong to the same step and round.
+fn is_same_step(a: &TaskName, b: &TaskName) -> bool {
     a.job == b.job && a.round == b.round && a.step == b.step
 }
 
 impl World {
-    pub(super) fn new_life(&mut self, host: &str) {
-        self.next_life += 1;
+    pub(super) fn start_instance(&mut self, host: &str) {
+        self.next_serial += 1;
         self.revision += 1;
-        // Ids tell nothing of the order of lives.
-        let id = format!("w{:04x}-{}", self.rng.u16(..), self.next_life);
-        let port = 1_000 + self.next_life as u16;
-        let fact = WorkerInfo {
+        // Ids are random, so they do not show the order of instances.
+        let id = format!("w{:04x}-{}", self.rng.u16(..), self.next_serial);
+        let port = 1_000 + self.next_serial as u16;
+        let info = WorkerInfo {
             id: id.clone(),
             born_wall_ms: Some(WALL_MS + self.now_ms),
             host: host.to_string(),
@@ -31,27 +31,30 @@
         };
         let worker = Worker {
             clock_ahead_ms: self.rng.u64(0..1_000_000),
-            ..Worker::new(fact.clone(), self.next_life)
+            ..Worker::new(info.clone(), self.next_serial)
         };
         self.workers.insert(id, worker);
-        self.broadcast(&Event::Worker(WorkerEvent::Present(fact)));
+        self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
     }
 
-    /// Carries out a start. One that is refused for want of room, or is there already, still carries a lease, which is over
-    /// at its time.
+    /// Carries out a start. A start that is refused for lack of capacity, or whose run is there already, still renews
+    /// the lease, whose lapse is scheduled.
     pub(super) fn start(&mut self, id: &str, fence: u64, start: &RunStart) -> OrderReply {
         let reply = self.start_leased(id, fence, start);
         let now_ms = self.now_ms;
         if let Some(w) = self.workers.get(id).filter(|w| w.is_up) {
             let lapse_ms = w.lease_until_ms.saturating_sub(w.clock(now_ms));
-            self.at(lapse_ms, Happening::Lapse(id.to_string()));
+            self.schedule(lapse_ms, TimedEvent::Lapse(id.to_string()));
         }
         reply
     }
 
     fn start_leased(&mut self, id: &str, fence: u64, start: &RunStart) -> OrderReply {
         let now_ms = self.now_ms;
-        let spec = self.specs.get(&start.task.job).expect("a caller sent it");
+        let spec = self
+            .specs
+            .get(&start.task.job)
+            .expect("the job was submitted");
         let step = spec.steps[usize::from(start.task.step)].clone();
         let demand = step.demand();
         let slow = if self.rng.u32(0..6) == 0 { 6 } else { 1 };
@@ -74,29 +77,29 @@
         {
             return OrderReply::Accepted;
         }
-        if w.barred
+        if w.refused_through
             .get(&start.task)
             .is_some_and(|run| start.run <= *run)
         {
             return OrderReply::Outdated;
         }
         let used: u64 = w.running.values().map(|r| r.demand.cpu_milli).sum();
-        let is_over = used + demand.cpu_milli > w.fact.capacity.cpu_milli;
+        let is_over = used + demand.cpu_milli > w.info.capacity.cpu_milli;
         if is_over && !self.is_unguarded {
             return OrderReply::NoRoom;
         }
-        // What shrank of late can't be known yet.
-        let is_told = w
+        // The entry cannot know yet of a recent decrease of the capacity.
+        let is_capacity_known = w
             .shrunk_ms
-            .is_none_or(|at| now_ms >= at + CONTACT_MS + BEAT_MS);
+            .is_none_or(|at| now_ms >= at + UNDISTURBED_MS + HEARTBEAT_MS);
         assert!(
-            !is_over || !is_told,
-            "{now_ms} ms: {:?} starts on {id} over its room of {} beside {used}",
+            !is_over || !is_capacity_known,
+            "{now_ms} ms: {:?} starts on {id} over its capacity of {} beside {used} in use",
             start.task,
-            w.fact.capacity.cpu_milli
+            w.info.capacity.cpu_milli
         );
-        self.check_alone(id, start);
-        let w = self.workers.get_mut(id).expect("it is up");
+        self.check_no_other_run(id, start);
+        let w = self.workers.get_mut(id).expect("the worker is up");
         let run = Running {
             run: start.run,
             demand,
@@ -105,46 +108,47 @@
         };
         w.running.insert(start.task.clone(), run);
         self.starts += 1;
-        self.note_start(id, start);
+        self.record_start(id, start);
         self.check_start(id, &start.task);
-        self.crasher_started(id, &start.task, start.run);
-        let at_work = Happening::AtWork(id.to_string(), start.task.clone(), start.run);
-        self.at(at_work_ms - now_ms, at_work);
+        self.check_crasher_start(id, &start.task, start.run);
+        let at_work = TimedEvent::AtWork(id.to_string(), start.task.clone(), start.run);
+        self.schedule(at_work_ms - now_ms, at_work);
         let members = if step.gang { step.count } else { 1 };
-        if step.gang && self.present(&start.task, start.run) < usize::from(members) {
-            // It waits for the others, but not for ever.
-            let alone = Happening::GangAlone(id.to_string(), start.task.clone(), start.run);
-            self.at(GANG_MS, alone);
+        if step.gang && self.count_members(&start.task, start.run) < usize::from(members) {
+            // The member ends if the others do not come in time.
+            let alone = TimedEvent::GangAlone(id.to_string(), start.task.clone(), start.run);
+            self.schedule(GANG_MS, alone);
         } else if !step.lasting {
             let drawn_ms = self.rng.u64(step.estimate_ms / 2..=step.estimate_ms * 2);
             let set_ms = self.takes_ms.get(&start.task).copied();
             let work_ms = set_ms.unwrap_or(drawn_ms);
-            let end = Happening::RunEnds(id.to_string(), start.task.clone(), start.run);
-            self.at(work_ms, end);
+            let end = TimedEvent::RunEnds(id.to_string(), start.task.clone(), start.run);
+            self.schedule(work_ms, end);
         }
         OrderReply::Accepted
     }
 
-    /// Everything on a life is over, and the gangs of which it carried a member are broken.
-    pub(super) fn clear(&mut self, id: &str) {
+    /// Ends all runs on a worker and breaks the gangs that had a member on it.
+    pub(super) fn end_all_runs(&mut self, id: &str) {
         let Some(w) = self.workers.get_mut(id) else {
             return;
         };
         let lost = std::mem::take(&mut w.running);
         for (task, run) in lost {
-            self.end_fellows(&task, run.run, EndKind::GangBroken);
+            self.end_other_members(&task, run.run, EndKind::GangBroken);
         }
     }
 
-    /// Members of a task's gang that are there under a run.
-    pub(super) fn present(&self, task: &TaskName, run: u32) -> usize {
-        let lives = self.workers.values().filter(|w| w.is_up);
-        let running = lives.flat_map(|w| w.running.iter());
-        let of_gang = running.filter(|(t, r)| is_fellow(t, task) && r.run == run);
+    /// Returns the number of members of a task's gang that are running under a run.
+    pub(super) fn count_members(&self, task: &TaskName, run: u32) -> usize {
+        let instances = self.workers.values().filter(|w| w.is_up);
+        let running = instances.flat_map(|w| w.running.iter());
+        let of_gang = running.filter(|(t, r)| is_same_step(t, task) && r.run == run);
         of_gang.count()
     }
 
-    /// The promises on starts.
+    /// Checks the guarantees on starts: one run a task, one run a gang, no start after an acknowledged end or long
+    /// after a cancel.
     pub(super) fn check_start(&self, id: &str, task: &TaskName) {
         for (other, w) in &self.workers {
             let runs_too = w.is_up && other != id && w.running.contains_key(task);
@@ -162,7 +166,7 @@
             .filter(|w| w.is_up)
             .flat_map(|w| &w.running)
         {
-            let is_member = is_fellow(other, task);
+            let is_member = is_same_step(other, task);
             assert!(
                 !(is_gang && is_member && r.run != run),
                 "{} ms: {task:?} starts as run {run} beside {other:?} of run {}",
@@ -171,8 +175,8 @@
             );
         }
         assert!(
-            !self.noted_done.contains(task),
-            "{} ms: {task:?} starts on {id} after its end was noted",
+            !self.acked_done.contains(task),
+            "{} ms: {task:?} starts on {id} after its end was acknowledged",
             self.now_ms
         );
         if let Some(at_ms) = self.cancelled_at_ms.get(&task.job) {
@@ -198,28 +202,31 @@
             return OrderReply::Fenced;
         }
         w.fence = fence;
-        let barred = w.barred.entry(task.clone()).or_default();
-        *barred = (*barred).max(run);
+        let refused_through = w.refused_through.entry(task.clone()).or_default();
+        *refused_through = (*refused_through).max(run);
         if w.running.get(task).is_some_and(|r| r.run == run) {
-            self.check_away(id, task);
+            self.check_away_max(id, task);
             self.end(id, task, run, EndKind::Stopped);
         }
         OrderReply::Accepted
     }
 
-    /// The promise on lasting tasks that an order ends.
-    pub(super) fn check_away(&mut self, id: &str, task: &TaskName) {
+    /// Checks that orders end no more lasting tasks at a time than their step allows.
+    pub(super) fn check_away_max(&mut self, id: &str, task: &TaskName) {
         let now_ms = self.now_ms;
         let Some(most) = self.specs[&task.job].steps[usize::from(task.step)].away_max else {
             return;
         };
-        let lives = self.workers.values().filter(|w| w.is_up);
-        let at_work: HashSet<TaskName> = lives
+        let instances = self.workers.values().filter(|w| w.is_up);
+        let at_work: HashSet<TaskName> = instances
             .flat_map(|w| w.running.iter())
             .filter(|(_, r)| now_ms >= r.at_work_ms)
             .map(|(t, _)| t.clone())
             .collect();
-        if !at_work.contains(task) || self.is_late || self.cancelled_at_ms.contains_key(&task.job) {
+        if !at_work.contains(task)
+            || self.is_late_order
+            || self.cancelled_at_ms.contains_key(&task.job)
+        {
             return;
         }
         let others = self.ordered_away.iter();
@@ -232,11 +239,11 @@
         self.ordered_away.insert(task.clone());
     }
 
-    pub(super) fn hold(
+    pub(super) fn renew(
         &mut self,
         id: &str,
         fence: u64,
-        ask: RenewalRequest,
+        request: RenewalRequest,
     ) -> Result<RenewalReport, OrderReply> {
         let now_ms = self.now_ms;
         let w = self.workers.get_mut(id).filter(|w| w.is_up);
@@ -246,17 +253,17 @@
         }
         w.fence = fence;
         w.note_lapse(now_ms);
-        if let Some(until_ms) = ask.lease_until_ms {
+        if let Some(until_ms) = request.lease_until_ms {
             let cap_ms = w.clock(now_ms) + RENEWAL_MAX_MS;
             w.lease_until_ms = w.lease_until_ms.max(until_ms.min(cap_ms));
         }
         let (seen, rest): (Vec<RunEnd>, Vec<RunEnd>) = w
             .ended
             .drain(..)
-            .partition(|e| e.number <= ask.acked_through);
+            .partition(|e| e.number <= request.acked_through);
         w.ended = rest;
         let report = RenewalReport {
-            born_wall_ms: w.fact.born_wall_ms,
+            born_wall_ms: w.info.born_wall_ms,
             clock_ms: w.clock(now_ms),
             unreadable: 0,
             running: w
@@ -275,12 +282,12 @@
         let lapse_ms = w.lease_until_ms.saturating_sub(w.clock(now_ms));
         for end in seen {
             match end.kind {
-                EndKind::Done => self.note_done(id, end),
-                EndKind::Failed => self.note_failed(id, end),
+                EndKind::Done => self.ack_done(id, end),
+                EndKind::Failed => self.ack_failed(id, end),
                 _ => {}
             }
         }
-        self.at(lapse_ms, Happening::Lapse(id.to_string()));
+        self.schedule(lapse_ms, TimedEvent::Lapse(id.to_string()));
         Ok(report)
     }
 
@@ -290,19 +297,19 @@
             EndKind::Done => EndKind::Done,
             _ => EndKind::GangBroken,
         };
-        self.end_fellows(task, run, kind);
+        self.end_other_members(task, run, kind);
     }
 
-    /// The others of a task's gang end with it.
-    fn end_fellows(&mut self, task: &TaskName, run: u32, kind: EndKind) {
+    /// Ends the other members of a task's gang.
+    fn end_other_members(&mut self, task: &TaskName, run: u32, kind: EndKind) {
         let spec = &self.specs[&task.job].steps[usize::from(task.step)];
         if !spec.gang {
             return;
         }
-        let lives = self.workers.iter().filter(|(_, w)| w.is_up);
-        let others: Vec<(String, TaskName)> = lives
+        let instances = self.workers.iter().filter(|(_, w)| w.is_up);
+        let others: Vec<(String, TaskName)> = instances
             .flat_map(|(id, w)| w.running.iter().map(move |(t, r)| (id, t, r)))
-            .filter(|(_, t, r)| is_fellow(t, task) && r.run == run)
+            .filter(|(_, t, r)| is_same_step(t, task) && r.run == run)
             .map(|(id, t, _)| (id.clone(), t.clone()))
             .collect();
         for (id, task) in others {
@@ -315,8 +322,8 @@
             return;
         };
         w.running.remove(task);
-        let barred = w.barred.entry(task.clone()).or_default();
-        *barred = (*barred).max(run);
+        let refused_through = w.refused_through.entry(task.clone()).or_default();
+        *refused_through = (*refused_through).max(run);
         if kind == EndKind::Failed {
             let runs = self.failed_runs.entry(task.clone()).or_default();
             runs.insert(run);
@@ -326,7 +333,7 @@
         if std::env::var_os("ROCKWICK_SEED").is_some() {
             println!("{} {id} ends {task:?} run {run}: {kind:?}", self.now_ms);
         }
-        let at = once::DoneAt {
+        let at = once::EndState {
             ms: self.now_ms,
             starts: self.starts,
             lapses: w.lapses,
@@ -345,8 +352,8 @@
         });
     }
 
-    /// What befalls an order to a worker: nothing, or it is lost, perhaps to be carried out later.
-    pub(super) fn order_goes(&mut self, worker: &str, late: LateOrder) -> bool {
+    /// Returns whether an order reaches its worker now. An order that does not is lost, or is carried out later.
+    pub(super) fn is_order_delivered(&mut self, worker: &str, late: LateOrder) -> bool {
         let is_cut = self
             .workers
             .get(worker)
@@ -355,53 +362,54 @@
             return false;
         }
         if let Some(late_ms) = self.lateness_ms() {
-            self.order_comes(worker, late_ms, late);
+            self.schedule_late_order(worker, late_ms, late);
             return false;
         }
         if self.chance(self.faults.order_lost) {
             if self.chance(self.faults.order_late) {
                 let late_ms = self.rng.u64(2_000..12_000);
-                self.order_comes(worker, late_ms, late);
+                self.schedule_late_order(worker, late_ms, late);
             }
             return false;
         }
         true
     }
 
-    /// An order is carried out late. Within the time for which its sender waits it may be on its way, and is met by whichever
-    /// life is there then; later it can only wait in the process that took it, and ends with that.
-    fn order_comes(&mut self, worker: &str, late_ms: u64, order: LateOrder) {
+    /// Schedules a late order. Within the time for which the sender waits, the order may still be in transit and
+    /// reaches whichever instance is up then. Later it can only be waiting in the process that received it, and is
+    /// lost if that process ends.
+    fn schedule_late_order(&mut self, worker: &str, late_ms: u64, order: LateOrder) {
         let there = self.workers.get(worker).filter(|w| w.is_up);
-        let life = match late_ms {
+        let serial = match late_ms {
             0..=ORDER_TIMEOUT_MS => None,
             _ => Some(there.map_or(0, |w| w.serial)),
         };
-        self.at(
+        self.schedule(
             late_ms,
-            Happening::OrderLate(worker.to_string(), life, order),
+            TimedEvent::LateOrderArrives(worker.to_string(), serial, order),
         );
     }
 
-    pub(super) fn order_late(&mut self, id: &str, life: Option<u64>, order: LateOrder) {
+    pub(super) fn apply_late_order(&mut self, id: &str, serial: Option<u64>, order: LateOrder) {
         let there = self.workers.get(id).map(|w| w.serial);
-        if life.is_some() && life != there {
+        if serial.is_some() && serial != there {
             return;
         }
         match order {
             LateOrder::Start(fence, start) => {
-                self.is_late = true;
+                self.is_late_order = true;
                 self.start(id, fence, &start);
-                self.is_late = false;
+                self.is_late_order = false;
             }
             LateOrder::Stop(fence, task, run) => {
-                // What was away when it was sent may have changed since: that is nobody's fault.
-                self.is_late = true;
+                // Other tasks may have gone away since the order was sent, which is not a fault.
+                self.is_late_order = true;
                 self.stop_run(id, fence, &task, run);
-                self.is_late = false;
+                self.is_late_order = false;
             }
-            LateOrder::Hold(fence, ask) => {
-                // Its answer goes nowhere.
-                let _ = self.hold(id, fence, ask);
+            LateOrder::Renew(fence, request) => {
+                // The answer to a late renewal is lost.
+                let _ = self.renew(id, fence, request);
             }
         }
     }
@@ -430,33 +438,33 @@
         let up = self
             .workers
             .values_mut()
-            .find(|w| w.is_up && w.fact.host == host);
+            .find(|w| w.is_up && w.info.host == host);
         let Some(w) = up else {
             return HostReply::Busy;
         };
         w.is_up = false;
-        let id = w.fact.id.clone();
+        let id = w.info.id.clone();
         let ended: Vec<TaskName> = w.running.keys().cloned().collect();
         upkept.insert(host.to_string());
-        self.upkeep_ended += ended.len();
+        self.runs_ended_by_upkeep += ended.len();
         for task in &ended {
-            self.check_away(&id, task);
+            self.check_away_max(&id, task);
         }
-        self.clear(&id);
-        self.out.insert(host.to_string());
-        self.out_most = self.out_most.max(self.out.len());
-        self.at(2_000, Happening::UpkeepOver(host.to_string()));
+        self.end_all_runs(&id);
+        self.hosts_out.insert(host.to_string());
+        self.max_hosts_out = self.max_hosts_out.max(self.hosts_out.len());
+        self.schedule(2_000, TimedEvent::UpkeepOver(host.to_string()));
         HostReply::Accepted
     }
 
-    /// The life on a host that is up.
-    pub(crate) fn life_on(&self, host: &str) -> Option<String> {
+    /// Returns the id of the worker that is up on a host.
+    pub(crate) fn worker_on(&self, host: &str) -> Option<String> {
         let mut up = self.workers.iter().filter(|(_, w)| w.is_up);
-        let on_host = up.find(|(_, w)| w.fact.host == host);
+        let on_host = up.find(|(_, w)| w.info.host == host);
         on_host.map(|(id, _)| id.clone())
     }
 
-    /// The life on which a task of a job's first step runs.
+    /// Returns the id of the worker that runs a task of a job's first step.
     pub(crate) fn life_of(&self, job: &str, index: u16) -> Option<String> {
         let mut up = self.workers.iter().filter(|(_, w)| w.is_up);
         let runs_it = |w: &Worker| {
@@ -466,8 +474,8 @@
         up.find(|(_, w)| runs_it(w)).map(|(id, _)| id.clone())
     }
 
-    /// A host with a slot of a wave for which it was not ordered out yet.
-    pub(crate) fn waiting_slot(&self, wave: u64) -> Option<String> {
+    /// Returns a host that has a slot of a wave and was not ordered out yet.
+    pub(crate) fn find_waiting_slot(&self, wave: u64) -> Option<String> {
         let key = (Table::Waves, String::new(), wave.to_string());
         let (value, _) = self.store.get(&key)?;
         let row: rows::WaveRow = rows::decode(value).expect("a wave's row decodes");
@@ -475,27 +483,27 @@
         waiting.next().map(|(host, _)| host.clone())
     }
 
-    /// The list of workers.
+    /// Returns the list of workers as the platform shows it.
     pub(super) fn listed(&self) -> Vec<WorkerInfo> {
         let listed = self
             .workers
             .values()
-            .filter(|w| !self.unlisted.contains(&w.fact.id));
-        listed.map(|w| w.fact.clone()).collect()
+            .filter(|w| !self.unlisted.contains(&w.info.id));
+        listed.map(|w| w.info.clone()).collect()
     }
 
     pub(super) fn hosts(&self) -> Vec<HostRecord> {
         let mut hosts: BTreeMap<String, HostRecord> = BTreeMap::new();
         for w in self.workers.values() {
             let record = HostRecord {
-                host: w.fact.host.clone(),
+                host: w.info.host.clone(),
                 pool: POOL.to_string(),
                 state: if w.is_up {
                     HostState::Up
                 } else {
                     HostState::Upkeep
                 },
-                worker: w.fact.id.clone(),
+                worker: w.info.id.clone(),
             };
             let is_up = hosts
                 .get(&record.host)
