--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -61,7 +61,7 @@
     world.run(SETTLE_MS);
     let mut fact = world.fact(&world.lives()[0].clone());
     fact.capacity.cpu_milli = 4_000;
-    let logged = world.told(0, Event::Worker(WorkerEvent::Present(fact)));
+    let logged = world.deliver_logged(0, Event::Worker(WorkerEvent::Present(fact)));
     let lines: Vec<_> = logged
         .iter()
         .filter(|d| d.code == Code::WorkerResized)
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -94,7 +94,7 @@
         let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
         let epoch = ownership.expect("it owns the pool").epoch;
         let rows = self.rows();
-        self.told(n, Event::Loaded(PoolKey(0), epoch, Some(rows)))
+        self.deliver_logged(n, Event::Loaded(PoolKey(0), epoch, Some(rows)))
     }
 
     /// Returns the current rows of the pool.
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -506,7 +506,7 @@
     }
 
     /// Delivers an event to an entry at once and returns the decisions that the entry logs.
-    pub(crate) fn told(&mut self, n: usize, event: Event) -> Vec<Decision> {
+    pub(crate) fn deliver_logged(&mut self, n: usize, event: Event) -> Vec<Decision> {
         let now = self.now();
         let state = self.entries[n].state.as_mut().expect("the entry is up");
         let effects = reduce(state, event, now);
