--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -106,7 +106,7 @@
     world.run(500);
     assert_eq!(world.running_on(&worker_id), 2);
     let unreadable = WorkerEvent::Unreadable(worker_id.clone(), "not JSON".to_string());
-    world.tell(0, Event::Worker(unreadable));
+    world.deliver_event(0, Event::Worker(unreadable));
     world.submit("second", job(2, 1_000, 500));
     world.run(600);
     assert_eq!(
@@ -120,7 +120,7 @@
         "tasks that run on the worker go on"
     );
     let good = world.fact(&worker_id);
-    world.tell(0, Event::Worker(WorkerEvent::Present(good)));
+    world.deliver_event(0, Event::Worker(WorkerEvent::Present(good)));
     world.run(300);
     assert_eq!(world.running("second"), 2);
 }
@@ -215,7 +215,7 @@
         for n in 0..20 {
             if is_foreign {
                 let unreadable = WorkerEvent::Unreadable(format!("x-{n}"), "not JSON".to_string());
-                world.tell(n % 2, Event::Worker(unreadable));
+                world.deliver_event(n % 2, Event::Worker(unreadable));
             }
             world.submit(&format!("job-{n}"), job(3, 900, 700));
             world.run(400);
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -262,7 +262,7 @@
         for _ in 0..1_500 {
             world.run(7);
             let former = Event::WaveSettled(PoolKey(0), 0, TxOutcome::Committed(1 << 40));
-            world.tell(0, former);
+            world.deliver_event(0, former);
         }
         world.faults.store_lost = 0;
         world.run(cleanup_max_ms(3));
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -18,7 +18,7 @@
     let rows = world.read_rows();
     world.run(10);
     for event in events {
-        world.tell(0, Event::Worker(event));
+        world.deliver_event(0, Event::Worker(event));
     }
     world.load(0, rows);
     let owner = world.owner().expect("the entry owns the pool");
--- a/tests/test_removal.rs
+++ b/tests/test_removal.rs
@@ -40,7 +40,7 @@
     let starts = world.starts;
     world.run(GONE_MS);
     for row in rows {
-        world.tell(0, Event::Intake(row));
+        world.deliver_event(0, Event::Intake(row));
     }
     world.run(3_000);
     assert_eq!(
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -95,13 +95,13 @@
     world.run(2_000);
     let facts: Vec<_> = world.lives().iter().map(|id| world.fact(id)).collect();
     for fact in &facts {
-        world.tell(0, Event::Worker(WorkerEvent::Gone(fact.id.clone())));
+        world.deliver_event(0, Event::Worker(WorkerEvent::Gone(fact.id.clone())));
     }
     world.submit("a", job(1, 1_000, 200));
     world.run(1_500);
     assert_eq!((world.starts, world.running("lasts")), (2, 2));
     for fact in facts {
-        world.tell(0, Event::Worker(WorkerEvent::Present(fact)));
+        world.deliver_event(0, Event::Worker(WorkerEvent::Present(fact)));
     }
     world.run(2_000);
     assert_eq!(world.recorded("a"), JobState::Completed);
@@ -300,7 +300,7 @@
     };
     assert_eq!(world.running_on(&there), 1);
     let before = world.starts;
-    world.tell(0, Event::Worker(WorkerEvent::Present(stale)));
+    world.deliver_event(0, Event::Worker(WorkerEvent::Present(stale)));
     world.run(2_000);
     assert_eq!(
         world.starts, before,
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -86,7 +86,7 @@
         }
         let owner = world.owner_entry().expect("it settled");
         let newer = OperatorEvent::Config(Arc::new(newer));
-        world.tell(owner, Event::Operator(newer));
+        world.deliver_event(owner, Event::Operator(newer));
         world.submit("job", job(1, 1_000, 2_000));
         world.fail_runs("job", 3);
         world.run(300);
@@ -127,7 +127,7 @@
                 queue.attempts_max = attempts_max;
             }
             let event = OperatorEvent::Config(Arc::new(passing));
-            world.tell(owner, Event::Operator(event));
+            world.deliver_event(owner, Event::Operator(event));
         }
         world.resize(&worker, 16_000);
         world.run(RUNS_MS);
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -107,7 +107,7 @@
         let state = self.entries[n].state.as_ref();
         let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
         let epoch = ownership.expect("it owns the pool").epoch;
-        self.tell(n, Event::Loaded(PoolKey(0), epoch, Some(rows)));
+        self.deliver_event(n, Event::Loaded(PoolKey(0), epoch, Some(rows)));
     }
 
     /// Delivers an event to an entry, or holds it back while the entry is frozen. `place` is the position of the event
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -522,7 +522,7 @@
     }
 
     /// Delivers an event to an entry now, or when its freeze ends.
-    pub(crate) fn tell(&mut self, n: usize, event: Event) {
+    pub(crate) fn deliver_event(&mut self, n: usize, event: Event) {
         self.deliver_now(n, event);
     }
 }
