--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -216,7 +216,7 @@
 fn simulate_shrunk(seed: u64) {
     let mut world = World::new(seed, 2, 4);
     world.run(SETTLE_MS);
-    for worker_id in &world.lives()[1..] {
+    for worker_id in &world.worker_ids()[1..] {
         world.resize(worker_id, 4_000);
     }
     world.run(2_000);
--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -94,7 +94,7 @@
     }
     world.run(300);
     for _ in 0..60 {
-        for worker_id in world.lives() {
+        for worker_id in world.worker_ids() {
             if rng.u32(0..3) == 0 {
                 world.crash(&worker_id, rng.u64(300..900));
             }
--- a/tests/test_crashes.rs
+++ b/tests/test_crashes.rs
@@ -113,7 +113,7 @@
         world.submit("good", job(2, 900, 4_000));
         for _ in 0..8 {
             world.run(2_000);
-            for worker_id in world.lives() {
+            for worker_id in world.worker_ids() {
                 world.cut_worker(&worker_id, 5_500);
             }
             world.run(6_500);
--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -101,7 +101,7 @@
 fn foreign_overwrites() {
     let mut world = World::new(1, 1, 1);
     world.run(SETTLE_MS);
-    let worker_id = world.lives()[0].clone();
+    let worker_id = world.worker_ids()[0].clone();
     world.submit("first", job(2, 1_000, 3_000));
     world.run(500);
     assert_eq!(world.running_on(&worker_id), 2);
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -52,7 +52,7 @@
 
 fn inject_fault(world: &mut World, jobs: &[String], rng: &mut Rng) {
     let n = rng.usize(0..world.entries.len());
-    let worker_ids = world.lives();
+    let worker_ids = world.worker_ids();
     let worker_id =
         (!worker_ids.is_empty()).then(|| worker_ids[rng.usize(0..worker_ids.len())].clone());
     let ms = rng.u64(100..6_000);
@@ -140,7 +140,7 @@
             .iter()
             .map(|host| format!("{host} is closed")),
     );
-    let up = world.lives();
+    let up = world.worker_ids();
     let gone = pool_state
         .workers
         .values()
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -38,7 +38,7 @@
 /// The rows don't bring back a worker that the feed removed in the meantime.
 #[test]
 fn listing_stays_gone() {
-    let id = World::new(1, 1, 2).lives()[0].clone();
+    let id = World::new(1, 1, 2).worker_ids()[0].clone();
     let listed = listed_after(vec![WorkerEvent::Gone(id.clone())]);
     assert!(!listed.contains(&id), "{listed:?}");
 }
--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -44,7 +44,7 @@
     world.submit("a", job(TASKS, 500, 30_000));
     world.run(4_000);
     assert_eq!(world.running("a"), usize::from(TASKS));
-    let worker_ids = world.lives().into_iter();
+    let worker_ids = world.worker_ids().into_iter();
     let busiest = worker_ids.max_by_key(|worker_id| world.running_on(worker_id));
     (world, busiest.expect("workers are up"))
 }
@@ -92,7 +92,7 @@
 fn lives_wrong_address() {
     for seed in 0..20 {
         let (mut world, worker_id) = busy_world(seed);
-        let worker_ids = world.lives();
+        let worker_ids = world.worker_ids();
         let other = worker_ids.iter().find(|other| **other != worker_id);
         world.readdress(&worker_id, other.expect("there are two"), 1_000);
         world.run(3_000);
--- a/tests/test_packing.rs
+++ b/tests/test_packing.rs
@@ -8,7 +8,7 @@
 /// Returns the number of tasks on each worker, in descending order.
 fn loads(world: &World) -> Vec<usize> {
     let mut loads: Vec<usize> = world
-        .lives()
+        .worker_ids()
         .iter()
         .map(|id| world.running_on(id))
         .collect();
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -111,7 +111,7 @@
         world.submit("job", job(1, 10_000, 200));
         world.fail_runs("job", 1);
         world.faults.run_fails = 1_000;
-        let worker = world.lives().remove(0);
+        let worker = world.worker_ids().remove(0);
         while world.starts < 2 {
             world.run(5);
         }
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -73,7 +73,7 @@
 
 fn inject_fault(world: &mut World, rng: &mut Rng) {
     let n = rng.usize(0..world.entries.len());
-    let worker_ids = world.lives();
+    let worker_ids = world.worker_ids();
     match rng.u32(0..8) {
         0 => world.kill(n),
         1 => world.freeze(n, rng.u64(100..6_000)),
@@ -106,7 +106,7 @@
     if round == WAVE_ROUND && rng.bool() {
         world.wave(1, 10_000, rng.usize(1..3));
     }
-    let worker_ids = world.lives();
+    let worker_ids = world.worker_ids();
     match rng.u32(0..6) {
         0 if !worker_ids.is_empty() => {
             let worker_id = &worker_ids[rng.usize(0..worker_ids.len())];
@@ -132,7 +132,7 @@
     let mut rng = Rng::with_seed(seed ^ 0x9a09);
     let mut world = World::new(seed, rng.usize(1..4), rng.usize(2..7));
     world.set_attempts(rng.u32(2..ATTEMPTS_MAX + 1));
-    for worker_id in world.lives() {
+    for worker_id in world.worker_ids() {
         world.resize(&worker_id, SIZES[rng.usize(0..SIZES.len())]);
         if rng.bool() {
             world.relabel(&worker_id, &["a", "r2", "b"]);
--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -41,7 +41,7 @@
         jobs.push(id);
         world.run(rng.u64(50..500));
         if rng.u32(0..4) == 0 {
-            let worker_ids = world.lives();
+            let worker_ids = world.worker_ids();
             world.crash(
                 &worker_ids[rng.usize(0..worker_ids.len())],
                 rng.u64(50..3_000),
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -44,7 +44,7 @@
     for (n, id) in jobs.iter().enumerate() {
         world.submit(id, job(6, 1_000, 400));
         if n % 10 == 9 {
-            let worker_ids = world.lives();
+            let worker_ids = world.worker_ids();
             let worker = worker_ids[rng.usize(0..worker_ids.len())].clone();
             let back_ms = rng.u64(300..3_000);
             match keeps_id {
@@ -485,7 +485,7 @@
         world.wave(1, 40_000, 2);
         for n in 0..12 {
             world.run(700);
-            let worker_ids = world.lives();
+            let worker_ids = world.worker_ids();
             if n % 3 == 0 {
                 world.restart(&worker_ids[n % worker_ids.len()].clone(), 400);
             }
--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -27,7 +27,7 @@
     for n in 0..JOBS {
         world.submit(&format!("job-{n}"), job(4, 1_000, 700));
         world.run(300);
-        let worker_ids = world.lives();
+        let worker_ids = world.worker_ids();
         if n % 8 == 3 {
             world.crash(&worker_ids[seed as usize % worker_ids.len()], 2_000);
         }
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -93,7 +93,7 @@
     world.run(SETTLE_MS);
     world.submit("lasts", lasting(2, 1));
     world.run(2_000);
-    let facts: Vec<_> = world.lives().iter().map(|id| world.fact(id)).collect();
+    let facts: Vec<_> = world.worker_ids().iter().map(|id| world.fact(id)).collect();
     for fact in &facts {
         world.deliver_event(0, Event::Worker(WorkerEvent::Gone(fact.id.clone())));
     }
@@ -134,7 +134,7 @@
     world.submit("gang", gang);
     world.run(200);
     assert_eq!(world.running("gang"), 3);
-    let lost = world.lives()[0].clone();
+    let lost = world.worker_ids()[0].clone();
     world.crash(&lost, 500);
     world.run(20_000);
     assert_eq!(world.recorded("gang"), JobState::Completed);
@@ -273,13 +273,13 @@
 fn sched_two_lives_listed() {
     let mut world = World::new(5, 1, 2);
     world.run(SETTLE_MS);
-    let first = world.lives()[0].clone();
+    let first = world.worker_ids()[0].clone();
     let old = world.fact(&first);
     world.crash(&first, 100);
     world.run(1_000);
     world.submit("full", job(1, 12_000, 1_000));
     world.run(50);
-    let worker_ids = world.lives();
+    let worker_ids = world.worker_ids();
     let on = |world: &World, host: &str| {
         let mut ids = worker_ids.iter().filter(|id| world.fact(id).host == host);
         ids.next().cloned().expect("a worker is up on the host")
@@ -380,7 +380,7 @@
 fn sched_fails_elsewhere_next() {
     let mut world = World::new(11, 1, 2);
     world.run(SETTLE_MS);
-    let worker_ids = world.lives();
+    let worker_ids = world.worker_ids();
     world.submit("long", job(1, 8_000, 4_000));
     world.run(50);
     let bad = worker_ids
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -40,7 +40,7 @@
 
 fn inject_fault(world: &mut World, rng: &mut Rng) {
     let n = rng.usize(0..world.entries.len());
-    let worker_ids = world.lives();
+    let worker_ids = world.worker_ids();
     let worker_id =
         (!worker_ids.is_empty()).then(|| worker_ids[rng.usize(0..worker_ids.len())].clone());
     match rng.u32(0..10) {
@@ -108,7 +108,7 @@
     if extra == Extra::Nothing || rng.u32(0..EXTRA_IN) > 0 {
         return;
     }
-    let worker_ids = world.lives();
+    let worker_ids = world.worker_ids();
     if worker_ids.is_empty() {
         return;
     }
--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -30,7 +30,7 @@
                 job(rng.u16(2..10), rng.u64(300..2_500), rng.u64(200..1_500)),
             );
             jobs.push(id);
-            let worker_ids = world.lives();
+            let worker_ids = world.worker_ids();
             if !worker_ids.is_empty() && rng.u32(0..3) == 0 {
                 let worker_id = &worker_ids[rng.usize(0..worker_ids.len())];
                 world.resize(worker_id, [0, 1_000, 4_000, 12_000][rng.usize(0..4)]);
@@ -43,7 +43,7 @@
             }
             world.run(rng.u64(100..900));
         }
-        for worker_id in world.lives() {
+        for worker_id in world.worker_ids() {
             world.resize(&worker_id, 12_000);
         }
         world.run(60_000);
@@ -59,7 +59,7 @@
 fn shrinks_told() {
     let mut world = World::new(1, 1, 1);
     world.run(SETTLE_MS);
-    let mut fact = world.fact(&world.lives()[0].clone());
+    let mut fact = world.fact(&world.worker_ids()[0].clone());
     fact.capacity.cpu_milli = 4_000;
     let logged = world.deliver_logged(0, Event::Worker(WorkerEvent::Present(fact)));
     let lines: Vec<_> = logged
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -451,7 +451,7 @@
     assert_eq!(figure(log_line, "done"), Some(0));
     assert_eq!(figure(log_line, "reads"), Some(1));
     let on: Vec<&str> = name_in(log_line, "started_on").split(' ').collect();
-    let worker_ids = world.lives();
+    let worker_ids = world.worker_ids();
     let counts = on.iter().map(|entry| {
         let (worker_id, count) = entry.split_once(':').expect("an instance and a count");
         assert!(
@@ -490,7 +490,7 @@
         for n in 0..12_u64 {
             world.submit(&format!("j{n}"), job(4, 900, 800));
             world.run(400 + 37 * seed);
-            let worker_ids = world.lives();
+            let worker_ids = world.worker_ids();
             let worker_id = &worker_ids[(n + seed) as usize % worker_ids.len()];
             match n % 3 {
                 0 => world.crash(worker_id, 700),
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -91,7 +91,7 @@
         world.fail_runs("job", 3);
         world.run(300);
         world.kill(owner);
-        let worker_ids = world.lives();
+        let worker_ids = world.worker_ids();
         let busy = worker_ids.iter().find(|id| world.running_on(id) > 0);
         world.crash(busy.expect("the fourth run began"), 1_000);
         world.run(RUNS_MS);
@@ -109,7 +109,7 @@
         world.run(SETTLE_MS);
         world.submit("job", job(1, 10_000, 2_500));
         world.fail_runs("job", 1);
-        let worker = world.lives().remove(0);
+        let worker = world.worker_ids().remove(0);
         while world.starts < 2 && world.now_ms < RUNS_MS {
             world.run(5);
         }
@@ -279,7 +279,7 @@
     assert_no_failures(&failing_seeds(|seed| {
         let mut world = World::new(seed, 3, 4);
         world.run(SETTLE_MS);
-        for worker in world.lives().into_iter().skip(1) {
+        for worker in world.worker_ids().into_iter().skip(1) {
             world.resize(&worker, 4_000);
         }
         world.run(3_000);
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -385,7 +385,7 @@
     }
 
     /// Returns the ids of all instances that are up.
-    pub(crate) fn lives(&self) -> Vec<String> {
+    pub(crate) fn worker_ids(&self) -> Vec<String> {
         let up = self.workers.iter().filter(|(_, w)| w.is_up);
         up.map(|(id, _)| id.clone()).collect()
     }
