--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -119,7 +119,7 @@
         2,
         "tasks that run on the worker go on"
     );
-    let good = world.fact(&worker_id);
+    let good = world.worker_info(&worker_id);
     world.deliver_event(0, Event::Worker(WorkerEvent::Present(good)));
     world.run(300);
     assert_eq!(world.running("second"), 2);
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -93,7 +93,7 @@
     world.run(SETTLE_MS);
     world.submit("lasts", lasting(2, 1));
     world.run(2_000);
-    let facts: Vec<_> = world.worker_ids().iter().map(|id| world.fact(id)).collect();
+    let facts: Vec<_> = world.worker_ids().iter().map(|id| world.worker_info(id)).collect();
     for fact in &facts {
         world.deliver_event(0, Event::Worker(WorkerEvent::Gone(fact.id.clone())));
     }
@@ -274,14 +274,14 @@
     let mut world = World::new(5, 1, 2);
     world.run(SETTLE_MS);
     let first = world.worker_ids()[0].clone();
-    let old = world.fact(&first);
+    let old = world.worker_info(&first);
     world.crash(&first, 100);
     world.run(1_000);
     world.submit("full", job(1, 12_000, 1_000));
     world.run(50);
     let worker_ids = world.worker_ids();
     let on = |world: &World, host: &str| {
-        let mut ids = worker_ids.iter().filter(|id| world.fact(id).host == host);
+        let mut ids = worker_ids.iter().filter(|id| world.worker_info(id).host == host);
         ids.next().cloned().expect("a worker is up on the host")
     };
     let young = on(&world, &old.host);
--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -59,7 +59,7 @@
 fn shrinks_told() {
     let mut world = World::new(1, 1, 1);
     world.run(SETTLE_MS);
-    let mut fact = world.fact(&world.worker_ids()[0].clone());
+    let mut fact = world.worker_info(&world.worker_ids()[0].clone());
     fact.capacity.cpu_milli = 4_000;
     let logged = world.deliver_logged(0, Event::Worker(WorkerEvent::Present(fact)));
     let lines: Vec<_> = logged
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -78,7 +78,7 @@
     pub(crate) fn readdress(&mut self, id: &str, other: &str, ms: u64) {
         let info = WorkerInfo {
             address: self.workers[other].info.address,
-            ..self.fact(id)
+            ..self.worker_info(id)
         };
         self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
         self.schedule(ms, TimedEvent::Heartbeat(id.to_string()));
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -391,7 +391,7 @@
     }
 
     /// Returns a worker as it describes itself to entries.
-    pub(crate) fn fact(&self, id: &str) -> WorkerInfo {
+    pub(crate) fn worker_info(&self, id: &str) -> WorkerInfo {
         self.workers[id].info.clone()
     }
 
@@ -431,7 +431,7 @@
         WorkerInfo {
             id: "earlier".to_string(),
             address: SocketAddr::from(([10, 0, 0, 2], 1)),
-            ..self.fact(id)
+            ..self.worker_info(id)
         }
     }
 
