--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -27,12 +27,12 @@
 fn world_with_started_job() -> World {
     let mut world = World::new(1, 2, 2);
     world.run(SETTLE_MS);
-    world.parts_away.insert(shard_part(POOL, 0));
+    world.unavailable_parts.insert(shard_part(POOL, 0));
     // Runs until heartbeats in that shard have failed.
     world.run(1_000);
     world.submit("a", job(TASKS, 1_000, 1_500));
     world.run(300);
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     assert_eq!(world.starts, u64::from(TASKS));
     world
 }
@@ -40,14 +40,14 @@
 #[test]
 fn ends_outlive_upkeep() {
     let mut world = world_with_started_job();
-    world.parts_away.insert(shard_part(POOL, SHARD));
+    world.unavailable_parts.insert(shard_part(POOL, SHARD));
     world.wave(1, 4_000, 1);
     world.run(9_000);
     let owner = world
         .owner_entry()
         .expect("the owner renews in other shards");
     world.kill(owner);
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     world.run(20_000);
     assert_eq!(world.starts, u64::from(TASKS), "no task starts twice");
 }
--- a/tests/test_ends_holding.rs
+++ b/tests/test_ends_holding.rs
@@ -22,13 +22,13 @@
 fn starts_after(estimate_ms: u64) -> u64 {
     let mut world = World::new(1, 2, 2);
     world.run(SETTLE_MS);
-    world.parts_away.insert(shard_part(POOL, 0));
+    world.unavailable_parts.insert(shard_part(POOL, 0));
     world.run(1_000);
     world.submit("a", job(TASKS, TASK_CPU_MILLI, estimate_ms));
     world.run(300);
     assert_eq!(world.starts, u64::from(TASKS));
     // Orders to hosts are recorded in the first shard, so they wait while the wave's row takes the slot.
-    world.parts_away.insert(shard_part(POOL, SHARD));
+    world.unavailable_parts.insert(shard_part(POOL, SHARD));
     world.wave(1, 4_000, 1);
     let until_ms = world.now_ms + 16_000;
     while !world.is_over_by_books("a") && world.now_ms < until_ms {
@@ -38,13 +38,13 @@
         return 0;
     }
     let before = world.starts;
-    world.parts_away.remove(&shard_part(POOL, 0));
+    world.unavailable_parts.remove(&shard_part(POOL, 0));
     world.run(2_500);
     let owner = world
         .owner_entry()
         .expect("the owner renews in other shards");
     world.kill(owner);
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     world.run(20_000);
     world.starts - before
 }
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -97,10 +97,10 @@
 
 /// Injects the additional faults of every second world, with draws of their own.
 fn inject_extra_fault(world: &mut World, round: u32, jobs: &[String], rng: &mut Rng) {
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     for part in shard_parts(POOL) {
         if rng.u32(0..12) == 0 {
-            world.parts_away.insert(part);
+            world.unavailable_parts.insert(part);
         }
     }
     if round == WAVE_ROUND && rng.bool() {
@@ -171,7 +171,7 @@
         run_fails: world.faults.run_fails.min(600),
         ..Faults::default()
     };
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     boot_all(&mut world);
     run_until_idle(&mut world);
     for id in &jobs {
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -214,17 +214,17 @@
         }
         inject_extra_fault(&mut world, extra, &jobs, &mut extras);
         // Unavailable partitions use a generator of their own so that older seeds play the same worlds.
-        world.parts_away.clear();
+        world.unavailable_parts.clear();
         for part in shard_parts(POOL) {
             if partial.u32(0..12) == 0 {
-                world.parts_away.insert(part);
+                world.unavailable_parts.insert(part);
             }
         }
         world.run(rng.u64(50..1_500));
     }
     world.faults = Faults::default();
     world.delay_orders(0, Rng::with_seed(0));
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     // Entries that were asked to stop have ended by then.
     world.run(6_000);
     for n in 0..world.entries.len() {
--- a/tests/test_shards.rs
+++ b/tests/test_shards.rs
@@ -12,7 +12,7 @@
 const AWAY_MS: u64 = 5_800;
 
 fn make_unavailable(world: &mut World, shard: usize) {
-    world.parts_away.insert(shard_part(POOL, shard));
+    world.unavailable_parts.insert(shard_part(POOL, shard));
 }
 
 /// A queue's peak load of 40 jobs a second while the pool's first partition is unavailable. Most of the jobs must
@@ -40,7 +40,7 @@
         "{share_percent}% of the jobs were done meanwhile"
     );
     assert_eq!(world.owner_entry(), owner, "the owner kept its lease");
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     world.run(5_000);
     assert_eq!(done(&world), ids.len());
 }
@@ -67,7 +67,7 @@
         world.oldest_run_ms("lasts") >= Some(8_000),
         "its workers' leases were renewed"
     );
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     world.run(2_000);
     assert_eq!(world.recorded("begun"), JobState::Completed);
 }
@@ -85,7 +85,7 @@
     world.kill(owner);
     world.run(10_000);
     assert_eq!(world.owner_entry(), None, "not all shards can be claimed");
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     world.run(5_000);
     assert!(world.owner_entry().is_some());
     world.submit("a", job(2, 1_000, 300));
@@ -107,7 +107,7 @@
     // The other entry's feeds deliver nothing while the owner renews in the last shard.
     world.freeze(other, 4_000);
     world.run(3_900);
-    world.parts_away.clear();
+    world.unavailable_parts.clear();
     world.submit("a", job(4, 1_000, 400));
     world.run(4_000);
     assert_eq!(world.recorded("a"), JobState::Completed);
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -204,7 +204,7 @@
         world.submit("job", job(1, 1_000, 3_000));
         world.run(1_000);
         let part = find_part(&world, Table::Progress, "job").expect("the job has a record");
-        world.parts_away.insert(part);
+        world.unavailable_parts.insert(part);
         world.run(200_000);
         assert!(!world.recorded("job").is_final());
         find_part(&world, Table::Intake, "job").is_some()
@@ -262,7 +262,7 @@
         let mut world = World::new(seed, 3, 0);
         world.run(SETTLE_MS);
         world.restart_all();
-        world.parts_away.insert("a part of intake".to_string());
+        world.unavailable_parts.insert("a part of intake".to_string());
         for n in 0..10 {
             world.submit(&format!("job-{n}"), job(1, 1_000, 200));
         }
--- a/tests/world/carry.rs
+++ b/tests/world/carry.rs
@@ -48,7 +48,7 @@
             Effect::Load(pool, epoch, _) => {
                 // An unavailable partition cannot be read either.
                 let is_cut = self.entries[n].cut_until_ms > self.now_ms;
-                let reads = !is_cut && self.parts_away.is_empty();
+                let reads = !is_cut && self.unavailable_parts.is_empty();
                 let rows = reads.then(|| self.rows());
                 self.reply(n, 8, Event::Loaded(pool, epoch, rows));
             }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -202,7 +202,7 @@
     /// had come in between.
     pub(crate) answers_ahead: u32,
     /// Partitions of the store that do not answer.
-    pub(crate) parts_away: HashSet<String>,
+    pub(crate) unavailable_parts: HashSet<String>,
     /// Workers accept starts that exceed their capacity.
     pub(crate) is_unguarded: bool,
     /// The worker on which all runs fail.
@@ -279,7 +279,7 @@
             drops_host_orders: false,
             renewals: 0,
             answers_ahead: 0,
-            parts_away: HashSet::new(),
+            unavailable_parts: HashSet::new(),
             is_unguarded: false,
             bad_worker: None,
             worker_events_late_ms: 0,
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -154,7 +154,7 @@
 
     /// Sends a transaction, subject to the faults of the world, and returns the time until the answer and the answer.
     pub(super) fn store_call(&mut self, n: usize, tx: &RowTx) -> (u64, TxOutcome) {
-        if self.entries[n].cut_until_ms > self.now_ms || self.parts_away.contains(&tx.part) {
+        if self.entries[n].cut_until_ms > self.now_ms || self.unavailable_parts.contains(&tx.part) {
             return (STORE_TIMEOUT_MS, TxOutcome::Unknown);
         }
         if self.chance(self.faults.store_lost) {
