--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -83,7 +83,7 @@
         order_late: rng.u32(0..1_000),
         run_fails: 0,
     };
-    world.answers_ahead = rng.u32(0..500);
+    world.newer_answers_milli = rng.u32(0..500);
     let mut jobs = Vec::new();
     for round in 0..ROUNDS {
         if rng.bool() {
@@ -107,7 +107,7 @@
         world.run(rng.u64(50..1_500));
     }
     world.faults = Faults::default();
-    world.answers_ahead = 0;
+    world.newer_answers_milli = 0;
     // Entries that were asked to stop have ended by then.
     world.run(6_000);
     for n in 0..world.entries.len() {
--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -20,7 +20,7 @@
 
 fn simulate(seed: u64) {
     let mut world = World::new(seed, 3, 6);
-    world.answers_ahead = AHEAD_MILLI;
+    world.newer_answers_milli = AHEAD_MILLI;
     world.run(SETTLE_MS);
     world.submit("lasting", lasting(3, 1));
     world.wave(1, 30_000, 2);
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -200,7 +200,7 @@
     pub(crate) renewals: u32,
     /// Probability, in thousandths, that a commit is answered with a newer revision than its own, as if another write
     /// had come in between.
-    pub(crate) answers_ahead: u32,
+    pub(crate) newer_answers_milli: u32,
     /// Partitions of the store that do not answer.
     pub(crate) unavailable_parts: HashSet<String>,
     /// Workers accept starts that exceed their capacity.
@@ -278,7 +278,7 @@
             claims_unanswered: 0,
             drops_host_orders: false,
             renewals: 0,
-            answers_ahead: 0,
+            newer_answers_milli: 0,
             unavailable_parts: HashSet::new(),
             is_unguarded: false,
             bad_worker: None,
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -174,7 +174,7 @@
     /// Returns the answer to a commit, which may name a newer revision than the commit's own.
     fn with_newer_revision(&mut self, outcome: TxOutcome) -> TxOutcome {
         if !matches!(outcome, TxOutcome::Committed(_))
-            || self.newer_answers_rng.u32(0..1_000) >= self.answers_ahead
+            || self.newer_answers_rng.u32(0..1_000) >= self.newer_answers_milli
         {
             return outcome;
         }
