--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -19,7 +19,7 @@
     for seed in 0..40 {
         let mut rng = Rng::with_seed(seed);
         let mut world = World::new(seed, 2, 4);
-        world.is_unguarded = true;
+        world.ignores_capacity = true;
         world.run(SETTLE_MS);
         world.submit("lasts", lasting(4, 1));
         let mut jobs = Vec::new();
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -204,7 +204,7 @@
     /// Partitions of the store that do not answer.
     pub(crate) unavailable_parts: HashSet<String>,
     /// Workers accept starts that exceed their capacity.
-    pub(crate) is_unguarded: bool,
+    pub(crate) ignores_capacity: bool,
     /// The worker on which all runs fail.
     pub(crate) bad_worker: Option<String>,
     /// Extra delay of worker events.
@@ -280,7 +280,7 @@
             renewals: 0,
             newer_answers_milli: 0,
             unavailable_parts: HashSet::new(),
-            is_unguarded: false,
+            ignores_capacity: false,
             bad_worker: None,
             worker_events_late_ms: 0,
             max_hosts_out: 0,
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -85,7 +85,7 @@
         }
         let used: u64 = w.running.values().map(|r| r.demand.cpu_milli).sum();
         let is_over = used + demand.cpu_milli > w.info.capacity.cpu_milli;
-        if is_over && !self.is_unguarded {
+        if is_over && !self.ignores_capacity {
             return OrderReply::NoRoom;
         }
         // The entry cannot know yet of a recent decrease of the capacity.
