--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -28,7 +28,7 @@
         step: 0,
         index: 0,
     };
-    world.takes_ms.insert(first, 9_000);
+    world.run_ms.insert(first, 9_000);
     let due_wall_ms = WALL_MS + world.now_ms;
     world.submit("a", timed(job(1, 1_000, 500), 4, due_wall_ms, APART_MS));
     world.run(4_000);
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -234,7 +234,7 @@
     /// by job.
     attempts: HashMap<String, (u32, u32)>,
     /// Duration of a task where it is set and not drawn.
-    pub(crate) takes_ms: HashMap<TaskName, u64>,
+    pub(crate) run_ms: HashMap<TaskName, u64>,
     /// Workers that are missing from the worker list for a while.
     unlisted: HashSet<String>,
     /// Probability that an order is delayed, in thousandths, and the generator that draws the delay.
@@ -298,7 +298,7 @@
             waves: Vec::new(),
             acked_done: HashSet::new(),
             attempts: HashMap::new(),
-            takes_ms: HashMap::new(),
+            run_ms: HashMap::new(),
             unlisted: HashSet::new(),
             late_orders: None,
             once: Default::default(),
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -120,7 +120,7 @@
             self.schedule(GANG_MS, alone);
         } else if !step.lasting {
             let drawn_ms = self.rng.u64(step.estimate_ms / 2..=step.estimate_ms * 2);
-            let set_ms = self.takes_ms.get(&start.task).copied();
+            let set_ms = self.run_ms.get(&start.task).copied();
             let work_ms = set_ms.unwrap_or(drawn_ms);
             let end = TimedEvent::RunEnds(id.to_string(), start.task.clone(), start.run);
             self.schedule(work_ms, end);
