--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -45,7 +45,7 @@
         );
         world.run(60_000);
         for n in 0..60 {
-            let state = world.recorded(&format!("job-{n}"));
+            let state = world.recorded_state(&format!("job-{n}"));
             assert_eq!(state, JobState::Completed, "seed {seed}: job-{n}");
         }
     }
@@ -61,7 +61,7 @@
         world.set_crashing_task("bad", 0, 380);
         world.submit("bad", job(3, 900, 500));
         world.run(60_000);
-        assert!(world.recorded("bad").is_final(), "seed {seed}");
+        assert!(world.recorded_state("bad").is_final(), "seed {seed}");
         assert!(
             world.crashes.workers <= 3,
             "seed {seed}: {} workers",
@@ -79,7 +79,7 @@
         world.set_crashing_task("bad", 0, 10);
         world.submit("bad", lasting(1, 1));
         world.run(60_000);
-        assert_eq!(world.recorded("bad"), JobState::Failed, "seed {seed}");
+        assert_eq!(world.recorded_state("bad"), JobState::Failed, "seed {seed}");
     }
 }
 
--- a/tests/test_crashes.rs
+++ b/tests/test_crashes.rs
@@ -26,7 +26,7 @@
         world.set_crashing_task("bad", 0, CRASH_MS);
         world.submit("bad", job(6, 900, 400));
         world.run(60_000);
-        assert_eq!(world.recorded("bad"), JobState::Failed, "seed {seed}");
+        assert_eq!(world.recorded_state("bad"), JobState::Failed, "seed {seed}");
     }
 }
 
@@ -43,9 +43,9 @@
         world.set_crashing_task("bad", 0, CRASH_MS);
         world.submit("bad", job(6, 900, 400));
         world.run(60_000);
-        assert_eq!(world.recorded("bad"), JobState::Failed, "seed {seed}");
+        assert_eq!(world.recorded_state("bad"), JobState::Failed, "seed {seed}");
         for n in 0..8 {
-            let state = world.recorded(&format!("good-{n}"));
+            let state = world.recorded_state(&format!("good-{n}"));
             assert_eq!(state, JobState::Completed, "seed {seed}: good-{n}");
         }
     }
@@ -67,7 +67,7 @@
             }
         }
         world.run(60_000);
-        assert_eq!(world.recorded("bad"), JobState::Failed, "seed {seed}");
+        assert_eq!(world.recorded_state("bad"), JobState::Failed, "seed {seed}");
     }
 }
 
@@ -81,7 +81,7 @@
         world.submit("bad", lasting(4, 1));
         world.run(60_000);
         assert_eq!(world.running("bad"), 3, "seed {seed}");
-        assert_eq!(world.recorded("bad"), JobState::Running, "seed {seed}");
+        assert_eq!(world.recorded_state("bad"), JobState::Running, "seed {seed}");
         let owner = world.owner_entry().expect("the pool has an owner");
         world.kill(owner);
         world.run(20_000);
@@ -100,7 +100,7 @@
         gang.steps[0].gang = true;
         world.submit("bad", gang);
         world.run(60_000);
-        assert_eq!(world.recorded("bad"), JobState::Failed, "seed {seed}");
+        assert_eq!(world.recorded_state("bad"), JobState::Failed, "seed {seed}");
     }
 }
 
@@ -119,7 +119,7 @@
             world.run(6_500);
         }
         world.run(60_000);
-        let state = world.recorded("good");
+        let state = world.recorded_state("good");
         assert_eq!(state, JobState::Completed, "seed {seed}");
     }
 }
@@ -175,7 +175,7 @@
     }
     world.run(60_000);
     for (id, is_bad) in jobs {
-        let state = world.recorded(&id);
+        let state = world.recorded_state(&id);
         assert!(state.is_final(), "seed {seed}: {id} is {state:?}");
         match (is_bad, state) {
             (true, _) => outcome.bad += 1,
--- a/tests/test_fairness.rs
+++ b/tests/test_fairness.rs
@@ -53,7 +53,7 @@
         let is_due = |at: &u64| world.now_ms >= at + 1_200 && world.now_ms < at + 1_225;
         let due = sent.iter().filter(|(at, _)| is_due(at));
         done += due
-            .filter(|(_, id)| world.recorded(id) == JobState::Completed)
+            .filter(|(_, id)| world.recorded_state(id) == JobState::Completed)
             .count();
     }
     let due_count = sent
--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -139,7 +139,7 @@
     let starts = world.starts;
     world.submit("good", job(2, 1_000, 500));
     world.run(4_000);
-    assert_eq!(world.recorded("good"), JobState::Completed);
+    assert_eq!(world.recorded_state("good"), JobState::Completed);
     assert_eq!(
         world.starts,
         starts + 2,
@@ -221,7 +221,7 @@
             world.run(400);
         }
         world.run(8_000);
-        let states = (0..20).map(|n| world.recorded(&format!("job-{n}")));
+        let states = (0..20).map(|n| world.recorded_state(&format!("job-{n}")));
         (world.starts, states.collect::<Vec<_>>())
     };
     assert_eq!(simulate(true), simulate(false));
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -81,10 +81,10 @@
     world.submit("a", job(2, 1_000, 100));
     world.submit_again("a");
     world.run(2_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
     world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(170_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
     assert_eq!(world.starts, 2);
     assert_eq!(
         world.store.len(),
--- a/tests/test_overload.rs
+++ b/tests/test_overload.rs
@@ -111,7 +111,7 @@
         world.run(20);
         let now_ms = world.now_ms;
         open.retain(|(id, due_ms)| {
-            let is_done = world.recorded(id) == JobState::Completed;
+            let is_done = world.recorded_state(id) == JobState::Completed;
             outcome.done += usize::from(is_done);
             outcome.in_time += usize::from(is_done && now_ms <= *due_ms);
             !is_done
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -41,7 +41,7 @@
     world.submit("job", job(1, 1_000, 200));
     world.fail_runs("job", ATTEMPTS as usize - 1);
     world.run(RUNS_MS);
-    world.recorded("job")
+    world.recorded_state("job")
 }
 
 #[test]
@@ -65,7 +65,7 @@
     world.restart_all();
     world.fail_runs("job", ATTEMPTS as usize - 1);
     world.run(RUNS_MS);
-    world.recorded("job")
+    world.recorded_state("job")
 }
 
 #[test]
@@ -88,7 +88,7 @@
     world.run(100);
     world.fail_runs("job", 4);
     world.run(RUNS_MS);
-    world.recorded("job")
+    world.recorded_state("job")
 }
 
 #[test]
@@ -123,7 +123,7 @@
         world.faults.run_fails = 0;
         world.resize(&worker, 16_000);
         world.run(RUNS_MS);
-        assert_eq!(world.recorded("job"), JobState::Failed, "seed {seed}");
+        assert_eq!(world.recorded_state("job"), JobState::Failed, "seed {seed}");
         assert_eq!(world.starts, 2, "seed {seed}");
     }
 }
@@ -152,7 +152,7 @@
             true => JobState::Failed,
             false => JobState::Completed,
         };
-        assert_eq!(world.recorded("job"), state, "seed {seed}");
+        assert_eq!(world.recorded_state("job"), state, "seed {seed}");
         assert_eq!(world.starts, 3, "seed {seed}");
     }
 }
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -175,7 +175,7 @@
     boot_all(&mut world);
     run_until_idle(&mut world);
     for id in &jobs {
-        let state = world.recorded(id);
+        let state = world.recorded_state(id);
         assert!(
             state.is_final() || !world.fits_somewhere(id),
             "seed {seed}: {id} is {state:?}: {}",
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -380,12 +380,12 @@
         }
     }
     world.run(400);
-    let done = (0..20).filter(|n| world.recorded(&format!("dock-{n}")) == JobState::Completed);
+    let done = (0..20).filter(|n| world.recorded_state(&format!("dock-{n}")) == JobState::Completed);
     assert!(done.count() >= 19, "the other account's jobs complete");
     assert!(most <= 8_000, "{most}");
     assert!(most >= 6_000, "{most}: the account gets most of its quota");
     world.run(12_000);
-    let done = (0..40).filter(|n| world.recorded(&format!("flood-{n}")) == JobState::Completed);
+    let done = (0..40).filter(|n| world.recorded_state(&format!("flood-{n}")) == JobState::Completed);
     assert_eq!(done.count(), 40);
 }
 
@@ -408,7 +408,7 @@
         before = now;
     }
     world.run(10_000);
-    assert_eq!(world.recorded("wide"), JobState::Completed);
+    assert_eq!(world.recorded_state("wide"), JobState::Completed);
 }
 
 /// The owner is killed in a flood. The next owner counts the tasks that it started.
@@ -435,7 +435,7 @@
         }
     }
     world.run(20_000);
-    let done = (0..60).filter(|n| world.recorded(&format!("flood-{n}")) == JobState::Completed);
+    let done = (0..60).filter(|n| world.recorded_state(&format!("flood-{n}")) == JobState::Completed);
     assert_eq!(done.count(), 60);
 }
 
--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -58,7 +58,7 @@
     }
     world.run(60_000);
     for id in &jobs {
-        let state = world.recorded(id);
+        let state = world.recorded_state(id);
         let is_over = state == JobState::Completed
             || (state == JobState::Failed && world.may_be_given_up(id));
         assert!(is_over, "seed {seed}: {id} is {state:?}");
--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -40,7 +40,7 @@
     for n in 0..JOBS {
         let id = format!("job-{n}");
         assert_eq!(
-            world.recorded(&id),
+            world.recorded_state(&id),
             JobState::Completed,
             "seed {seed}: {id}"
         );
--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -35,7 +35,7 @@
     assert_eq!((world.starts, world.running("a")), (4, 1));
     world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(SETTLE_MS);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
     assert_eq!(world.starts, 4, "no round begins twice");
 }
 
@@ -48,7 +48,7 @@
     world.run(4_000 + seed % 5 * 1_000);
     world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(30_000);
-    assert_eq!(world.recorded("a"), JobState::Completed, "seed {seed}");
+    assert_eq!(world.recorded_state("a"), JobState::Completed, "seed {seed}");
 }
 
 #[test]
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -20,7 +20,7 @@
     world.run(SETTLE_MS);
     world.submit("a", job(6, 1_000, 500));
     world.run(5_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
 }
 
 #[test]
@@ -34,7 +34,7 @@
     world.run(100);
     assert_eq!(world.starts, 4, "the second step waits for the first");
     world.run(6_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
 }
 
 #[test]
@@ -104,7 +104,7 @@
         world.deliver_event(0, Event::Worker(WorkerEvent::Present(fact)));
     }
     world.run(2_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
     assert_eq!((world.starts, world.running("lasts")), (3, 2));
 }
 
@@ -121,7 +121,7 @@
     world.run(300);
     assert_eq!(world.running("gang"), 0, "a member must not start alone");
     world.run(8_000);
-    assert_eq!(world.recorded("gang"), JobState::Completed);
+    assert_eq!(world.recorded_state("gang"), JobState::Completed);
     assert_eq!(world.starts, 3, "each member was started once");
 }
 
@@ -137,7 +137,7 @@
     let lost = world.worker_ids()[0].clone();
     world.crash(&lost, 500);
     world.run(20_000);
-    assert_eq!(world.recorded("gang"), JobState::Completed);
+    assert_eq!(world.recorded_state("gang"), JobState::Completed);
     assert_eq!(world.starts, 6, "all three members restarted under one run");
 }
 
@@ -170,7 +170,7 @@
     );
     world.submit("a", job(2, 1_000, 200));
     world.run(2_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
 }
 
 /// Frequent records of jobs renew the lease, since writes of a partition are made one at a time. Separate renewals
@@ -355,7 +355,7 @@
     world.cancel("a");
     world.run(1_000);
     assert_eq!(world.running("a"), 0);
-    assert_eq!(world.recorded("a"), JobState::Cancelled);
+    assert_eq!(world.recorded_state("a"), JobState::Cancelled);
 }
 
 #[test]
@@ -372,7 +372,7 @@
     );
     world.run(20_000);
     assert_eq!(world.store.len(), lease_rows, "owner and heartbeat a shard");
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
 }
 
 /// Only the bad worker has free capacity at first. The next run of a failed task must wait for another worker.
@@ -390,7 +390,7 @@
     world.bad_worker = Some(bad.clone());
     world.submit("a", job(1, 8_000, 100));
     world.run(15_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
 }
 
 #[test]
@@ -400,7 +400,7 @@
     world.faults.run_fails = 1_000;
     world.submit("a", job(1, 1_000, 100));
     world.run(20_000);
-    assert_eq!(world.recorded("a"), JobState::Failed);
+    assert_eq!(world.recorded_state("a"), JobState::Failed);
     assert_eq!(world.starts, 3);
     assert_eq!(
         world
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -234,7 +234,7 @@
     }
     world.run(90_000);
     for id in &jobs {
-        let state = world.recorded(id);
+        let state = world.recorded_state(id);
         let is_settled = match state {
             JobState::Completed | JobState::Failed => true,
             // Lasting tasks run, except those under which workers crash.
--- a/tests/test_shards.rs
+++ b/tests/test_shards.rs
@@ -31,7 +31,7 @@
         world.run(25);
     }
     let done = |world: &World| {
-        let is_done = |id: &&String| world.recorded(id) == JobState::Completed;
+        let is_done = |id: &&String| world.recorded_state(id) == JobState::Completed;
         ids.iter().filter(is_done).count()
     };
     let share_percent = done(&world) * 100 / ids.len();
@@ -54,13 +54,13 @@
     world.submit("lasts", lasting(2, 1));
     world.submit("begun", job(2, 1_000, 500));
     world.run(200);
-    assert_eq!(world.recorded("begun"), JobState::Running);
+    assert_eq!(world.recorded_state("begun"), JobState::Running);
     make_unavailable(&mut world, 0);
     world.run(1_000);
     world.submit("new", job(2, 1_000, 500));
     world.run(2_500);
-    assert_eq!(world.recorded("new"), JobState::Completed);
-    assert_eq!(world.recorded("begun"), JobState::Running);
+    assert_eq!(world.recorded_state("new"), JobState::Completed);
+    assert_eq!(world.recorded_state("begun"), JobState::Running);
     world.run(5_000);
     assert_eq!(world.running("lasts"), 2);
     assert!(
@@ -69,7 +69,7 @@
     );
     world.unavailable_parts.clear();
     world.run(2_000);
-    assert_eq!(world.recorded("begun"), JobState::Completed);
+    assert_eq!(world.recorded_state("begun"), JobState::Completed);
 }
 
 /// An owner that renews in one shard only is not taken over, however long that lasts. One that died is taken over once
@@ -90,7 +90,7 @@
     assert!(world.owner_entry().is_some());
     world.submit("a", job(2, 1_000, 300));
     world.run(2_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
 }
 
 /// An entry that sees no heartbeats claims nothing while the owner renews in a shard that is claimed last. The world
@@ -110,7 +110,7 @@
     world.unavailable_parts.clear();
     world.submit("a", job(4, 1_000, 400));
     world.run(4_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
     assert_eq!(world.starts, 4, "each task ran once");
 }
 
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -67,7 +67,7 @@
         world.submit("job", job(1, 1_000, 200));
         world.fail_runs("job", 4);
         world.run(RUNS_MS);
-        world.recorded("job") == JobState::Completed
+        world.recorded_state("job") == JobState::Completed
     }));
 }
 
@@ -95,7 +95,7 @@
         let busy = worker_ids.iter().find(|id| world.running_on(id) > 0);
         world.crash(busy.expect("the fourth run began"), 1_000);
         world.run(RUNS_MS);
-        world.recorded("job") == JobState::Completed
+        world.recorded_state("job") == JobState::Completed
     }));
 }
 
@@ -131,7 +131,7 @@
         }
         world.resize(&worker, 16_000);
         world.run(RUNS_MS);
-        world.recorded("job") == JobState::Completed
+        world.recorded_state("job") == JobState::Completed
     }));
 }
 
@@ -155,7 +155,7 @@
         world.restart_all();
         world.fail_runs("job", 4);
         world.run(RUNS_MS);
-        world.recorded("job") == JobState::Completed
+        world.recorded_state("job") == JobState::Completed
     }));
 }
 
@@ -206,7 +206,7 @@
         let part = find_part(&world, Table::Progress, "job").expect("the job has a record");
         world.unavailable_parts.insert(part);
         world.run(200_000);
-        assert!(!world.recorded("job").is_final());
+        assert!(!world.recorded_state("job").is_final());
         find_part(&world, Table::Intake, "job").is_some()
     }));
 }
@@ -286,6 +286,6 @@
         world.submit("job", job(1, 8_000, 200));
         world.fail_runs("job", 1);
         world.run(RUNS_MS);
-        world.recorded("job") == JobState::Completed
+        world.recorded_state("job") == JobState::Completed
     }));
 }
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -55,7 +55,7 @@
 /// Submits the stream until the wide task runs or `ms` are over, and returns whether it runs or completed.
 fn stream_until_wide(world: &mut World, ms: u64) -> bool {
     for _ in 0..ms / STREAM_MS {
-        if world.running("wide") > 0 || world.recorded("wide") == JobState::Completed {
+        if world.running("wide") > 0 || world.recorded_state("wide") == JobState::Completed {
             return true;
         }
         submit_stream(world, STREAM_MS);
@@ -165,7 +165,7 @@
     for _ in 0..4 {
         submit_stream(&mut world, BOUND_MS);
     }
-    assert_eq!(world.recorded("wide"), JobState::Completed);
+    assert_eq!(world.recorded_state("wide"), JobState::Completed);
     let mut reserved_hosts = 0;
     for event in reservations(&world) {
         reserved_hosts = match event.code {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -409,7 +409,7 @@
     }
 
     /// Returns the recorded state of a job.
-    pub(crate) fn recorded(&self, id: &str) -> JobState {
+    pub(crate) fn recorded_state(&self, id: &str) -> JobState {
         if let Some(state) = self.removed.get(id) {
             return *state;
         }
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -31,7 +31,7 @@
     pub(super) fn remove(&mut self, table: Table, part: &str, key: &str) {
         self.revision += 1;
         if table == Table::Progress {
-            let state = self.recorded(key);
+            let state = self.recorded_state(key);
             assert!(state.is_final(), "{key} is removed while {state:?}");
             self.removed.insert(key.to_string(), state);
         }
