--- a/tests/test_crashes.rs
+++ b/tests/test_crashes.rs
@@ -114,7 +114,7 @@
         for _ in 0..8 {
             world.run(2_000);
             for worker_id in world.worker_ids() {
-                world.cut_worker(&worker_id, 5_500);
+                world.disconnect_worker(&worker_id, 5_500);
             }
             world.run(6_500);
         }
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -62,7 +62,7 @@
         (2, _) => world.disconnect_entry(n, ms),
         (3, _) => world.stop(n),
         (4, Some(worker_id)) => world.crash(&worker_id, ms),
-        (5, Some(worker_id)) => world.cut_worker(&worker_id, rng.u64(100..FAULT_MAX_MS)),
+        (5, Some(worker_id)) => world.disconnect_worker(&worker_id, rng.u64(100..FAULT_MAX_MS)),
         _ if !jobs.is_empty() => {
             world.touch_progress(&jobs[rng.usize(0..jobs.len())]);
         }
--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -69,7 +69,7 @@
     for seed in 0..20 {
         let (mut world, worker_id) = busy_world(seed);
         world.overlap(&worker_id, 5_000);
-        world.cut_worker(&worker_id, 1_500);
+        world.disconnect_worker(&worker_id, 1_500);
         world.run(1_500);
         assert_eq!(world.starts, u64::from(TASKS), "seed {seed}");
     }
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -84,7 +84,7 @@
         }
         4 | 5 if !worker_ids.is_empty() => {
             let worker_id = &worker_ids[rng.usize(0..worker_ids.len())];
-            world.cut_worker(worker_id, rng.u64(100..12_000));
+            world.disconnect_worker(worker_id, rng.u64(100..12_000));
         }
         6 | 7 if !worker_ids.is_empty() => {
             let worker_id = &worker_ids[rng.usize(0..worker_ids.len())];
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -55,7 +55,7 @@
         }
         5 | 6 => {
             if let Some(worker_id) = worker_id {
-                world.cut_worker(&worker_id, rng.u64(100..12_000));
+                world.disconnect_worker(&worker_id, rng.u64(100..12_000));
             }
         }
         7 => {
--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -494,7 +494,7 @@
             let worker_id = &worker_ids[(n + seed) as usize % worker_ids.len()];
             match n % 3 {
                 0 => world.crash(worker_id, 700),
-                1 => world.cut_worker(worker_id, 6_000),
+                1 => world.disconnect_worker(worker_id, 6_000),
                 _ => {
                     let owner = world.owner_entry();
                     owner.into_iter().for_each(|owner| world.kill(owner));
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -130,7 +130,7 @@
 
 #[test]
 fn wide_host_silent() {
-    check_starts_after(|world, id| world.cut_worker(id, 20_000));
+    check_starts_after(|world, id| world.disconnect_worker(id, 20_000));
 }
 
 #[test]
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -349,7 +349,7 @@
     }
 
     /// Disconnects a worker from all entries for a time; the worker keeps running.
-    pub(crate) fn cut_worker(&mut self, id: &str, ms: u64) {
+    pub(crate) fn disconnect_worker(&mut self, id: &str, ms: u64) {
         let until_ms = self.now_ms + ms;
         if let Some(w) = self.workers.get_mut(id) {
             w.cut_until_ms = until_ms;
