--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -129,7 +129,7 @@
         world.run(20_000);
         assert_eq!(world.running("bad"), 3, "seed {seed}");
         world.set_crashing_task("bad", 0, 10);
-        let worker_id = world.life_of("bad", 0).expect("the task runs");
+        let worker_id = world.worker_running("bad", 0).expect("the task runs");
         world.crash(&worker_id, 3_400);
         world.run(60_000);
         assert_eq!(world.running("bad"), 2, "seed {seed}");
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -114,7 +114,7 @@
     world.run(SETTLE_MS);
     world.submit("a", job(TASKS, 1_000, 1_500));
     world.run(100);
-    let worker_id = world.life_of("a", 0).expect("the task runs");
+    let worker_id = world.worker_running("a", 0).expect("the task runs");
     while !world.is_over_by_books("a") {
         world.run(1);
     }
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -144,7 +144,7 @@
         world.set_attempts(2);
         world.run(500);
         if crashes {
-            let worker = world.life_of("job", 0).expect("it runs");
+            let worker = world.worker_running("job", 0).expect("it runs");
             world.crash(&worker, 1_000);
         }
         world.run(RUNS_MS);
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -465,7 +465,7 @@
     }
 
     /// Returns the id of the worker that runs a task of a job's first step.
-    pub(crate) fn life_of(&self, job: &str, index: u16) -> Option<String> {
+    pub(crate) fn worker_running(&self, job: &str, index: u16) -> Option<String> {
         let mut up = self.workers.iter().filter(|(_, w)| w.is_up);
         let runs_it = |w: &Worker| {
             let mut tasks = w.running.keys();
