--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -126,7 +126,7 @@
             found.push(format!("wave {wave} has not ended: {known:?}"));
         }
     }
-    let Some(pool_state) = world.owner_book() else {
+    let Some(pool_state) = world.owner_pool_state() else {
         return vec!["the pool has no loaded owner".to_string()];
     };
     let closed = pool_state
@@ -240,7 +240,7 @@
     world.wave(WAVES[0], 20_000, 1);
     world.run(500);
     let closing = |world: &World| {
-        let pool_state = world.owner_book().expect("the owner has loaded the pool");
+        let pool_state = world.owner_pool_state().expect("the owner has loaded the pool");
         let mut workers = pool_state.workers.values();
         workers.find(|w| w.is_closing).map(|w| w.fact.host.clone())
     };
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -176,7 +176,7 @@
     }
     world.run(5_000);
     let jobs = world
-        .owner_book()
+        .owner_pool_state()
         .expect("the pool has an owner")
         .jobs
         .values();
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -66,7 +66,7 @@
     }
 
     /// Returns the owner's in-memory state of the pool, once it is loaded.
-    pub(crate) fn owner_book(&self) -> Option<&PoolState> {
+    pub(crate) fn owner_pool_state(&self) -> Option<&PoolState> {
         self.owner()?
             .pool(POOL)?
             .ownership
@@ -77,7 +77,7 @@
 
     /// Returns whether a job has ended in its owner's in-memory state, whatever its record says.
     pub(crate) fn is_over_by_books(&self, id: &str) -> bool {
-        let pool_state = self.owner_book();
+        let pool_state = self.owner_pool_state();
         pool_state.is_some_and(|pool_state| pool_state.jobs[pool_state.by_id[id]].state.is_final())
     }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -490,7 +490,7 @@
 
     /// Describes a job in its owner's in-memory state, for messages.
     pub(crate) fn describe(&self, id: &str) -> String {
-        let Some(pool_state) = self.owner_book() else {
+        let Some(pool_state) = self.owner_pool_state() else {
             return "no owner has loaded the pool".to_string();
         };
         let job = pool_state.by_id.get(id).map(|key| &pool_state.jobs[*key]);
