--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -115,7 +115,7 @@
     world.submit("a", job(TASKS, 1_000, 1_500));
     world.run(100);
     let worker_id = world.worker_running("a", 0).expect("the task runs");
-    while !world.is_over_by_books("a") {
+    while !world.has_ended_in_memory("a") {
         world.run(1);
     }
     let owner = world.owner_entry().expect("the pool has an owner");
--- a/tests/test_ends_holding.rs
+++ b/tests/test_ends_holding.rs
@@ -31,10 +31,10 @@
     world.unavailable_parts.insert(shard_part(POOL, SHARD));
     world.wave(1, 4_000, 1);
     let until_ms = world.now_ms + 16_000;
-    while !world.is_over_by_books("a") && world.now_ms < until_ms {
+    while !world.has_ended_in_memory("a") && world.now_ms < until_ms {
         world.run(10);
     }
-    if !world.is_over_by_books("a") {
+    if !world.has_ended_in_memory("a") {
         return 0;
     }
     let before = world.starts;
