--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -158,7 +158,7 @@
             "seed {seed}: runs that maintenance ended"
         );
         assert_eq!(
-            world.counted(),
+            world.counted_crashes(),
             0,
             "seed {seed}: ends by maintenance counted as crashes"
         );
--- a/tests/world/crash.rs
+++ b/tests/world/crash.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns the number of crashes in the owner's in-memory state, over all tasks.
-    pub(crate) fn counted(&self) -> u32 {
+    pub(crate) fn counted_crashes(&self) -> u32 {
         let jobs = self
             .owner_pool_state()
             .expect("an owner has loaded the pool")
