--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -55,7 +55,7 @@
     for seed in 0..20 {
         let (mut world, worker_id) = busy_world(seed);
         let run_count = world.running_on(&worker_id);
-        world.overlap(&worker_id, 5_000);
+        world.overlap_instances(&worker_id, 5_000);
         world.run(1_500);
         assert_eq!(world.running_on(&worker_id), run_count, "seed {seed}");
         assert_eq!(world.starts, u64::from(TASKS), "seed {seed}");
@@ -68,7 +68,7 @@
 fn lives_drain_unheard() {
     for seed in 0..20 {
         let (mut world, worker_id) = busy_world(seed);
-        world.overlap(&worker_id, 5_000);
+        world.overlap_instances(&worker_id, 5_000);
         world.disconnect_worker(&worker_id, 1_500);
         world.run(1_500);
         assert_eq!(world.starts, u64::from(TASKS), "seed {seed}");
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -121,7 +121,7 @@
             }
         }
         Extra::Unlisted => world.unlist(&worker_id, ms),
-        Extra::TwoInstances => world.overlap(&worker_id, ms),
+        Extra::TwoInstances => world.overlap_instances(&worker_id, ms),
         Extra::Readdressed => {
             let other = worker_ids[rng.usize(0..worker_ids.len())].clone();
             world.readdress(&worker_id, &other, ms);
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -51,7 +51,7 @@
 
     /// Starts a new instance on a host while the old one drains for a time: its runs continue, and it takes no new
     /// ones.
-    pub(crate) fn overlap(&mut self, id: &str, ms: u64) {
+    pub(crate) fn overlap_instances(&mut self, id: &str, ms: u64) {
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
         };
