--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -132,7 +132,7 @@
     world.run(SETTLE_MS);
     world.submit("bad", job(2, 1_000, 20_000));
     world.run(500);
-    world.spoil_progress("bad");
+    world.corrupt_progress("bad");
     let owner = world.owner_entry().expect("the pool has an owner");
     world.kill(owner);
     world.run(SETTLE_MS);
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -74,7 +74,7 @@
     }
 
     /// Replaces the recorded progress of a job by bytes that cannot be decoded.
-    pub(crate) fn spoil_progress(&mut self, id: &str) {
+    pub(crate) fn corrupt_progress(&mut self, id: &str) {
         let rows = self.store.iter_mut();
         let mut of_job = rows.filter(|((table, _, key), _)| *table == Table::Progress && key == id);
         let (_, (value, _)) = of_job.next().expect("the job has a record");
