--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -9,7 +9,7 @@
 use rockwick::port::fleet::{EndKind, OrderReply, RunEnd, StoredRow, WorkerInfo};
 
 use crate::decide::{answering, decide};
-use crate::world::{config, job, lasting, worker_fact, Faults, World, POOL};
+use crate::world::{config, job, lasting, listed_worker, Faults, World, POOL};
 
 /// The owner's epoch.
 const EPOCH: u64 = 7;
@@ -31,7 +31,7 @@
 
 /// Returns the record of a worker with `cores` cores, a label and a rack.
 fn fact(name: &str, cores: u64, label: &str, rack: &str) -> WorkerInfo {
-    let mut fact = worker_fact(name, name);
+    let mut fact = listed_worker(name, name);
     fact.capacity.cpu_milli = cores * 1_000;
     fact.labels = vec![label.to_string(), rack.to_string()];
     fact
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -11,7 +11,7 @@
 use rockwick::port::fleet::StoredRow;
 
 use crate::decide::{answering, decide};
-use crate::world::{config, job, worker_fact, World, POOL};
+use crate::world::{config, job, listed_worker, World, POOL};
 
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
@@ -81,7 +81,7 @@
 #[test]
 fn ends_outlive_offer() {
     let mut pool_state = PoolState::default();
-    let hosts = (0..4).map(|n| worker_fact(&format!("life-{n}"), &format!("host-{n}")));
+    let hosts = (0..4).map(|n| listed_worker(&format!("life-{n}"), &format!("host-{n}")));
     let workers: Vec<_> = hosts.map(|fact| answering(&mut pool_state, fact)).collect();
     let row = StoredRow {
         part: POOL.to_string(),
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -5,7 +5,7 @@
 use rockwick::core::sched::state::Event;
 use rockwick::port::fleet::{WorkerEvent, WorkerInfo};
 
-use crate::world::{worker_fact, World};
+use crate::world::{listed_worker, World};
 
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
@@ -26,7 +26,7 @@
 }
 
 fn new_worker() -> WorkerInfo {
-    worker_fact("young", "host-9")
+    listed_worker("young", "host-9")
 }
 
 #[test]
--- a/tests/test_lives.rs
+++ b/tests/test_lives.rs
@@ -5,7 +5,7 @@
 use rockwick::port::fleet::{OrderReply, RenewalReport};
 
 use crate::decide::{answering, decide};
-use crate::world::{job, worker_fact, World};
+use crate::world::{job, listed_worker, World};
 
 /// Epoch of the owner.
 const EPOCH: u64 = 7;
@@ -14,8 +14,8 @@
 #[test]
 fn lives_no_host() {
     let mut pool_state = PoolState::default();
-    let one = answering(&mut pool_state, worker_fact("one", ""));
-    let other = answering(&mut pool_state, worker_fact("other", ""));
+    let one = answering(&mut pool_state, listed_worker("one", ""));
+    let other = answering(&mut pool_state, listed_worker("other", ""));
     pool_state.workers[one].answered_ms = 1_000;
     let report = RenewalReport {
         born_wall_ms: None,
@@ -104,8 +104,8 @@
 #[test]
 fn lives_withdrawn() {
     let mut pool_state = PoolState::default();
-    let one = answering(&mut pool_state, worker_fact("one", "host"));
-    let other = answering(&mut pool_state, worker_fact("other", "host"));
+    let one = answering(&mut pool_state, listed_worker("one", "host"));
+    let other = answering(&mut pool_state, listed_worker("other", "host"));
     pool_state.workers[one].answered_ms = 1_000;
     pool_state.workers[one].is_withdrawn = true;
     pool_state.workers[one].lease_end_ms = 9_000;
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -20,7 +20,7 @@
 };
 
 use crate::decide::{answering, decide, need, pools};
-use crate::world::{config, job, worker_fact, POOL};
+use crate::world::{config, job, listed_worker, POOL};
 
 /// Number of seeds in CI.
 const SEEDS: u64 = 300;
@@ -72,7 +72,7 @@
         let mut pool_state = PoolState::default();
         for n in 0..HOSTS {
             let host = format!("host-{n}");
-            let fact = worker_fact(&format!("life-{n}"), &host);
+            let fact = listed_worker(&format!("life-{n}"), &host);
             answering(&mut pool_state, fact);
         }
         let mut controller = HostController::default();
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -26,7 +26,7 @@
 };
 
 use crate::decide::decide;
-use crate::world::{config, job, worker_fact, World, POOL};
+use crate::world::{config, job, listed_worker, World, POOL};
 
 /// Number of seeds.
 const SEEDS: u64 = 120;
@@ -105,7 +105,7 @@
 fn fact(born_wall_ms: u64) -> WorkerInfo {
     WorkerInfo {
         born_wall_ms: Some(born_wall_ms),
-        ..worker_fact(ID, "host")
+        ..listed_worker(ID, "host")
     }
 }
 
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -10,11 +10,11 @@
 use rockwick::port::fleet::{Capacity, StoredRow};
 
 use crate::decide::{answering, decide};
-use crate::world::{config, job, worker_fact, POOL};
+use crate::world::{config, job, listed_worker, POOL};
 
 /// Adds a worker of random size on one of three racks, with some capacity in use.
 fn add_worker(pool_state: &mut PoolState, n: usize, rng: &mut Rng) {
-    let mut fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
+    let mut fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
     fact.labels = vec!["kind".to_string(), format!("r{}", rng.u32(0..3))];
     fact.capacity.cpu_milli = rng.u64(1..5) * 4_000;
     let key = answering(pool_state, fact);
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -11,7 +11,7 @@
 use rockwick::port::fleet::{Capacity, StoredRow};
 
 use crate::decide::{answering, decide};
-use crate::world::{config, job, lasting, worker_fact, POOL};
+use crate::world::{config, job, lasting, listed_worker, POOL};
 
 /// A pool of hosts with 16 cores each that has no work yet.
 struct Fixture {
@@ -25,7 +25,7 @@
     fn new(hosts: u16) -> Self {
         let mut pool_state = PoolState::default();
         for n in 0..hosts {
-            let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
+            let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
             load::add_worker(&mut pool_state, fact, 0);
         }
         let sizing = Sizing::default();
@@ -160,7 +160,7 @@
     let mut sizing = Sizing::default();
     let mut offers = Offers::default();
     for n in 0..12 {
-        let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
+        let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
         answering(&mut pool_state, fact);
     }
     let row = StoredRow {
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -12,7 +12,7 @@
 use rockwick::port::fleet::{HostRecord, HostState, OperatorEvent, Table, WaveOrder, WaveState};
 
 use crate::decide::decide;
-use crate::world::{config, job, worker_fact, World, POOL, QUEUE};
+use crate::world::{config, job, listed_worker, World, POOL, QUEUE};
 
 /// Number of seeds.
 const SEEDS: u64 = 40;
@@ -216,7 +216,7 @@
 #[test]
 fn wave_older_list() {
     let mut pool_state = PoolState::default();
-    load::add_worker(&mut pool_state, worker_fact("life-2", "new"), 0);
+    load::add_worker(&mut pool_state, listed_worker("life-2", "new"), 0);
     let mut controller = WaveController::default();
     let old = HostRecord {
         host: "old".to_string(),
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -11,7 +11,7 @@
 use rockwick::port::fleet::{HostRecord, HostState, WaveOrder};
 
 use crate::decide::decide;
-use crate::world::{worker_fact, POOL};
+use crate::world::{listed_worker, POOL};
 
 const HOST: &str = "host-1";
 
@@ -26,7 +26,7 @@
 impl Scenario {
     fn new() -> Self {
         let mut pool_state = PoolState::default();
-        load::add_worker(&mut pool_state, worker_fact("life-2", HOST), 0);
+        load::add_worker(&mut pool_state, listed_worker("life-2", HOST), 0);
         let slot = SlotRow {
             pool: POOL.to_string(),
             is_ordered: true,
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -11,7 +11,7 @@
 use rockwick::port::fleet::StoredRow;
 
 use crate::decide::{answering, decide};
-use crate::world::{config, job, lasting, worker_fact, World, POOL};
+use crate::world::{config, job, lasting, listed_worker, World, POOL};
 
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
@@ -223,7 +223,7 @@
 fn fragmented_pool(hosts: u16, cpu_milli: u64, task: &JobSpec) -> PoolState {
     let mut pool_state = PoolState::default();
     for n in 0..hosts {
-        let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
+        let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
         answering(&mut pool_state, fact);
     }
     let mut apart = job(hosts, cpu_milli, 2_000);
@@ -326,7 +326,7 @@
 fn needed_beside_lasting(wide: &JobSpec) -> u64 {
     let mut pool_state = PoolState::default();
     for n in 0..6 {
-        let fact = worker_fact(&format!("life-{n}"), &format!("host-{n}"));
+        let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
         answering(&mut pool_state, fact);
     }
     let mut lasts = lasting(3, 1);
--- a/tests/world/jobs.rs
+++ b/tests/world/jobs.rs
@@ -58,7 +58,7 @@
 }
 
 /// Returns a worker of 16 cores and 32 GB on a host, as the platform lists it.
-pub(crate) fn worker_fact(id: &str, host: &str) -> WorkerInfo {
+pub(crate) fn listed_worker(id: &str, host: &str) -> WorkerInfo {
     WorkerInfo {
         id: id.to_string(),
         born_wall_ms: None,
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -43,7 +43,7 @@
 
 use happenings::{LateOrder, Queued, TimedEvent};
 
-pub(crate) use jobs::{config, job, lasting, timed, worker_fact};
+pub(crate) use jobs::{config, job, lasting, timed, listed_worker};
 
 /// Name of the only pool.
 pub(crate) const POOL: &str = "pool";
