--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -270,7 +270,7 @@
 /// An ended instance stays listed for some heartbeats beside its successor. Its list entry must not end the runs of
 /// the instance that is up.
 #[test]
-fn sched_two_lives_listed() {
+fn sched_two_instances_listed() {
     let mut world = World::new(5, 1, 2);
     world.run(SETTLE_MS);
     let first = world.worker_ids()[0].clone();
