--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -348,7 +348,7 @@
 /// A later owner must assume the longest lease for an instance that started recently, which may hold a deadline from
 /// the former owner.
 #[test]
-fn restarts_young_life() {
+fn restarts_recent_instance() {
     let lease_end_ms = |born_wall_ms: u64| {
         let mut pool_state = PoolState::default();
         decide(100_000, |ctx| {
