--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -377,7 +377,7 @@
 /// The earlier instance's report is received after the later one is known. Its ends count, and nothing more is sent to
 /// it.
 #[test]
-fn restarts_late_account() {
+fn restarts_late_report() {
     let mut scene = Scene::new();
     scene.confirm_later(3_000);
     let renewal_report = RenewalReport {
