--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -309,7 +309,7 @@
 /// A worker without a recent report may have restarted. It must not receive acknowledgements of ends, which the later
 /// instance would take for its own.
 #[test]
-fn restarts_keep_seen() {
+fn restarts_withhold_acks() {
     let mut scene = Scene::new();
     let soon = decide(LAST_REPORT_MS + 100, |ctx| {
         renewal::send_next(&mut scene.pool_state, scene.earlier, EPOCH, ctx);
