--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn told_end_of_current_run() {
+fn run_log_current_run() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     settle_first_start(&mut pool_state, 1_030, OrderReply::Accepted);
     let done = run_end(1, task_name("a", 0), 1, EndKind::Done);
