--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn told_end_listed_again() {
+fn run_log_end_repeated() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     let done = run_end(1, task_name("a", 0), 1, EndKind::Done);
     apply_report(&mut pool_state, worker, 1_500, vec![done.clone()], &[]);
