--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn told_restart() {
+fn run_log_restart() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     pool_state.workers[worker].fact.born_wall_ms = Some(5_000);
     let report = RenewalReport {
