--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn told_end_of_done_task() {
+fn run_log_done_task() {
     let (mut pool_state, worker) = pool_with_sent_starts(2);
     let first = run_end(1, task_name("a", 0), 1, EndKind::Done);
     apply_report(&mut pool_state, worker, 1_500, vec![first], &[(1, 1)]);
