--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn told_end_of_unknown_job() {
+fn run_log_unknown_job() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     let ends = vec![
         run_end(1, task_name("b", 3), 2, EndKind::Done),
