--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -218,7 +218,7 @@
 
 /// A run is taken for over, the next one is started elsewhere, and then the first one's end arrives.
 #[test]
-fn told_end_of_earlier_run() {
+fn run_log_earlier_run() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     settle_first_start(&mut pool_state, 1_030, OrderReply::Accepted);
     let other = answering(&mut pool_state, listed_worker("life-2", "host-2"));
