--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn told_end_of_cancelled_job() {
+fn run_log_cancelled_job() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     let job = task_key(&pool_state, 0).job;
     decide(1_100, |ctx| {
