--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -266,7 +266,7 @@
 
 /// Long lists are split over several lines, and no end is left out.
 #[test]
-fn told_many_ends() {
+fn run_log_many_ends() {
     let (mut pool_state, worker) = pool_with_sent_starts(40);
     let ends = (0..40).map(|n| run_end(u64::from(n) + 1, task_name("a", n), 1, EndKind::Done));
     let ends: Vec<RunEnd> = ends.collect();
