--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -284,7 +284,7 @@
 
 /// Answers to starts are logged before the decision that rests on them.
 #[test]
-fn told_answers_first() {
+fn run_log_answers_first() {
     let (mut pool_state, _) = pool_with_sent_starts(1);
     let effects = settle_first_start(&mut pool_state, 1_030, OrderReply::Silent);
     assert!(
