--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -309,7 +309,7 @@
 
 /// An answer that is no longer awaited is logged, too.
 #[test]
-fn told_late_answer() {
+fn run_log_late_answer() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     settle_first_start(&mut pool_state, 1_030, OrderReply::Accepted);
     settle_first_start(&mut pool_state, 1_050, OrderReply::Accepted);
