--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn told_lease_over() {
+fn run_log_lease_expired() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     pool_state.workers[worker].is_answering = false;
     pool_state.workers[worker].answered_ms = 900;
