--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn told_later_life() {
+fn run_log_later_instance() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     pool_state.workers[worker].answered_ms = 900;
     let left_ms = pool_state.workers[worker].lease_end_ms - 1_500;
