--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn told_other_life() {
+fn run_log_other_instance() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     let effects = decide(1_500, |ctx| {
         renewal::settle(
