--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -385,7 +385,7 @@
 
 /// `explain job` finds the lines whose lists name the job, and no lines of other jobs.
 #[test]
-fn told_of_a_job() {
+fn run_log_names_job() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     let done = run_end(1, task_name("a", 0), 1, EndKind::Done);
     let effects = apply_report(&mut pool_state, worker, 1_500, vec![done], &[]);
