--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -408,7 +408,7 @@
 /// The log shows each end, the batch that recorded it, and from the next report on that its worker received the
 /// acknowledgement.
 #[test]
-fn told_until_seen() {
+fn run_log_acked_ends() {
     let mut world = logging_world(1, 1, 1);
     for n in 0..5 {
         world.submit(&format!("j{n}"), job(1, 100, 500));
