--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -437,7 +437,7 @@
 
 /// The log shows what a new owner loads, and what an owner loads that reads its rows again.
 #[test]
-fn told_on_record() {
+fn run_log_pool_loaded() {
     let mut world = logging_world(1, 2, 2);
     world.submit("long", job(3, 100, 60_000));
     world.run(2_000);
