--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -476,7 +476,7 @@
 
 /// A task's later run is placed only after a line has logged why the run before it is over, whatever fails.
 #[test]
-fn told_before_each_start() {
+fn run_log_before_start() {
     let mut again = 0;
     for seed in 0..30 {
         let mut world = logging_world(seed, 3, 5);
