--- a/tests/test_told.rs
+++ b/tests/test_told.rs
@@ -529,7 +529,7 @@
 
 /// An operator asks the entry that owns the pool to explain a job.
 #[test]
-fn told_explained() {
+fn run_log_explained() {
     let fleet = Fleet::start(POOL, 2, 50).expect("the fleet starts");
     fleet.configure(1, POOL);
     let one = entry(&fleet, "e1");
