--- a/tests/test_leases.rs
+++ b/tests/test_leases.rs
@@ -62,7 +62,7 @@
 /// Answers are lost and the feed lags. A heartbeat that arrives through the feed renews the lease from the time that
 /// heartbeat was sent, not from that of a later one that may never reach the store.
 #[test]
-fn leases_own_beat() {
+fn leases_own_heartbeat() {
     let mut state = entry();
     reduce(&mut state, Event::Tick, now(3_000));
     for shard in 0..SHARDS {
