--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -64,7 +64,7 @@
 
 /// Rows of an older version name no round beyond the last that they list.
 #[test]
-fn rounds_rows_of_before() {
+fn rounds_old_rows() {
     let row = |text: &str| rows::decode::<ProgressRow>(text.as_bytes()).expect("the row decodes");
     let open =
         row(r#"{"state":"Running","rounds":[{"round":0,"steps":[]},{"round":3,"steps":[]}]}"#);
