--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -56,7 +56,7 @@
 
 /// A changed capacity is logged with the part that is in use.
 #[test]
-fn shrinks_told() {
+fn shrinks_logged() {
     let mut world = World::new(1, 1, 1);
     world.run(SETTLE_MS);
     let mut fact = world.worker_info(&world.worker_ids()[0].clone());
