--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -141,7 +141,7 @@
 /// A host that stays away is logged once its wave has waited for long, and seldom after that. The lines name the host
 /// and the wave.
 #[test]
-fn waves_wait_told() {
+fn waves_wait_logged() {
     let mut scenario = Scenario::new();
     scenario.read_list(HostState::Upkeep);
     assert!(
