--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -401,7 +401,7 @@
 
 /// A take that failed is logged, and the orders that rested on it are dropped.
 #[test]
-fn offers_not_taken_told() {
+fn offers_take_logged() {
     let offered = Offers {
         row: OffersRow {
             offered: [("host-0".to_string(), "life-0".to_string())].into(),
