--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -300,7 +300,7 @@
 
 /// The former holder reported in its heartbeats when it ordered the host, so only the rest of the gap is waited for.
 #[test]
-fn hosts_former_told() {
+fn hosts_former_reported() {
     let mut holder = Holder::new(&["h1"], &[("h1", 47_000)]);
     holder.now_ms = 47_000 + hosts::ORDERS_APART_MS - 1;
     assert_eq!(count_records(&holder.reconcile_hosts()), 0);
