--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -225,7 +225,7 @@
     number: u64,
     queue: BinaryHeap<Reverse<Queued>>,
     rng: Rng,
-    /// Draws for [`World::answers_ahead`], kept apart so that older seeds play the same worlds.
+    /// Draws for [`World::newer_answers_milli`], kept apart so that older seeds play the same worlds.
     newer_answers_rng: Rng,
     config: FleetConfig,
     waves: Vec<WaveOrder>,
