--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -233,7 +233,11 @@
     }
     world.faults = Faults::default();
     world.run(10_000);
-    assert_eq!(world.recorded_state("a"), JobState::Completed, "seed {seed}");
+    assert_eq!(
+        world.recorded_state("a"),
+        JobState::Completed,
+        "seed {seed}"
+    );
 }
 
 #[test]
--- a/tests/test_crashes.rs
+++ b/tests/test_crashes.rs
@@ -81,7 +81,11 @@
         world.submit("bad", lasting(4, 1));
         world.run(60_000);
         assert_eq!(world.running("bad"), 3, "seed {seed}");
-        assert_eq!(world.recorded_state("bad"), JobState::Running, "seed {seed}");
+        assert_eq!(
+            world.recorded_state("bad"),
+            JobState::Running,
+            "seed {seed}"
+        );
         let owner = world.owner_entry().expect("the pool has an owner");
         world.kill(owner);
         world.run(20_000);
--- a/tests/test_lives.rs
+++ b/tests/test_instances.rs
@@ -12,7 +12,7 @@
 
 /// Platforms without a list of hosts give workers no host. Such workers must not count as instances of one host.
 #[test]
-fn lives_no_host() {
+fn instances_no_host() {
     let mut pool_state = PoolState::default();
     let one = answering(&mut pool_state, listed_worker("one", ""));
     let other = answering(&mut pool_state, listed_worker("other", ""));
@@ -51,7 +51,7 @@
 
 /// A host's next instance answers while the previous one drains. The previous one's runs must continue.
 #[test]
-fn lives_drain_beside() {
+fn instances_drain_beside() {
     for seed in 0..20 {
         let (mut world, worker_id) = busy_world(seed);
         let run_count = world.running_on(&worker_id);
@@ -65,7 +65,7 @@
 /// The draining instance is disconnected but has not ended. Its runs must not start elsewhere while its lease is
 /// valid.
 #[test]
-fn lives_drain_unheard() {
+fn instances_drain_unheard() {
     for seed in 0..20 {
         let (mut world, worker_id) = busy_world(seed);
         world.overlap_instances(&worker_id, 5_000);
@@ -77,7 +77,7 @@
 
 /// The tasks of a crashed instance must be requeued when the next instance reports, before the lease expires.
 #[test]
-fn lives_crash_quick() {
+fn instances_crash_quick() {
     for seed in 0..20 {
         let (mut world, worker_id) = busy_world(seed);
         let run_count = world.running_on(&worker_id) as u64;
@@ -89,7 +89,7 @@
 
 /// The list shows a worker under another worker's address for a while. The answer from there must not end any run.
 #[test]
-fn lives_wrong_address() {
+fn instances_wrong_address() {
     for seed in 0..20 {
         let (mut world, worker_id) = busy_world(seed);
         let worker_ids = world.worker_ids();
@@ -102,7 +102,7 @@
 
 /// A worker that left the list while it answered keeps its lease, as a worker that states that it drains does.
 #[test]
-fn lives_withdrawn() {
+fn instances_withdrawn() {
     let mut pool_state = PoolState::default();
     let one = answering(&mut pool_state, listed_worker("one", "host"));
     let other = answering(&mut pool_state, listed_worker("other", "host"));
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -240,7 +240,9 @@
     world.wave(WAVES[0], 20_000, 1);
     world.run(500);
     let closing = |world: &World| {
-        let pool_state = world.owner_pool_state().expect("the owner has loaded the pool");
+        let pool_state = world
+            .owner_pool_state()
+            .expect("the owner has loaded the pool");
         let mut workers = pool_state.workers.values();
         workers.find(|w| w.is_closing).map(|w| w.fact.host.clone())
     };
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -380,12 +380,14 @@
         }
     }
     world.run(400);
-    let done = (0..20).filter(|n| world.recorded_state(&format!("dock-{n}")) == JobState::Completed);
+    let done =
+        (0..20).filter(|n| world.recorded_state(&format!("dock-{n}")) == JobState::Completed);
     assert!(done.count() >= 19, "the other account's jobs complete");
     assert!(most <= 8_000, "{most}");
     assert!(most >= 6_000, "{most}: the account gets most of its quota");
     world.run(12_000);
-    let done = (0..40).filter(|n| world.recorded_state(&format!("flood-{n}")) == JobState::Completed);
+    let done =
+        (0..40).filter(|n| world.recorded_state(&format!("flood-{n}")) == JobState::Completed);
     assert_eq!(done.count(), 40);
 }
 
@@ -435,7 +437,8 @@
         }
     }
     world.run(20_000);
-    let done = (0..60).filter(|n| world.recorded_state(&format!("flood-{n}")) == JobState::Completed);
+    let done =
+        (0..60).filter(|n| world.recorded_state(&format!("flood-{n}")) == JobState::Completed);
     assert_eq!(done.count(), 60);
 }
 
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -57,7 +57,11 @@
     world.run(30_000);
     for id in &jobs {
         let is_due = world.recorded_state(id) == JobState::Completed || world.may_be_given_up(id);
-        assert!(is_due, "seed {seed}: {id} is {:?}", world.recorded_state(id));
+        assert!(
+            is_due,
+            "seed {seed}: {id} is {:?}",
+            world.recorded_state(id)
+        );
     }
 }
 
--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -48,7 +48,11 @@
     world.run(4_000 + seed % 5 * 1_000);
     world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(30_000);
-    assert_eq!(world.recorded_state("a"), JobState::Completed, "seed {seed}");
+    assert_eq!(
+        world.recorded_state("a"),
+        JobState::Completed,
+        "seed {seed}"
+    );
 }
 
 #[test]
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -93,7 +93,11 @@
     world.run(SETTLE_MS);
     world.submit("lasts", lasting(2, 1));
     world.run(2_000);
-    let facts: Vec<_> = world.worker_ids().iter().map(|id| world.worker_info(id)).collect();
+    let facts: Vec<_> = world
+        .worker_ids()
+        .iter()
+        .map(|id| world.worker_info(id))
+        .collect();
     for fact in &facts {
         world.deliver_event(0, Event::Worker(WorkerEvent::Gone(fact.id.clone())));
     }
@@ -281,7 +285,9 @@
     world.run(50);
     let worker_ids = world.worker_ids();
     let on = |world: &World, host: &str| {
-        let mut ids = worker_ids.iter().filter(|id| world.worker_info(id).host == host);
+        let mut ids = worker_ids
+            .iter()
+            .filter(|id| world.worker_info(id).host == host);
         ids.next().cloned().expect("a worker is up on the host")
     };
     let young = on(&world, &old.host);
--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -48,7 +48,11 @@
         }
         world.run(60_000);
         for id in &jobs {
-            assert_eq!(world.recorded_state(id), JobState::Completed, "seed {seed}: {id}");
+            assert_eq!(
+                world.recorded_state(id),
+                JobState::Completed,
+                "seed {seed}: {id}"
+            );
         }
         assert_eq!(world.running("lasts"), 4, "seed {seed}");
     }
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -262,7 +262,9 @@
         let mut world = World::new(seed, 3, 0);
         world.run(SETTLE_MS);
         world.restart_all();
-        world.unavailable_parts.insert("a part of intake".to_string());
+        world
+            .unavailable_parts
+            .insert("a part of intake".to_string());
         for n in 0..10 {
             world.submit(&format!("job-{n}"), job(1, 1_000, 200));
         }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -6,15 +6,15 @@
 
 mod callers;
 mod calm;
-mod carry;
 mod crash;
+mod effects;
 mod entries;
 mod extras;
-mod happenings;
 mod jobs;
-mod once;
 mod restart;
+mod start_history;
 mod store;
+mod timed_events;
 mod workers;
 
 use std::cmp::Reverse;
@@ -41,9 +41,9 @@
     WorkerInfo,
 };
 
-use happenings::{LateOrder, Queued, TimedEvent};
+use timed_events::{LateOrder, Queued, TimedEvent};
 
-pub(crate) use jobs::{config, job, lasting, timed, listed_worker};
+pub(crate) use jobs::{config, job, lasting, listed_worker, timed};
 
 /// Name of the only pool.
 pub(crate) const POOL: &str = "pool";
@@ -240,7 +240,7 @@
     /// Probability that an order is delayed, in thousandths, and the generator that draws the delay.
     late_orders: Option<(u32, Rng)>,
     /// Starts and ends, for the check that work is done once.
-    once: once::StartHistory,
+    once: start_history::StartHistory,
     failed_runs: HashMap<TaskName, HashSet<u32>>,
     /// Lasting tasks that orders ended and that are not at work again yet.
     ordered_away: HashSet<TaskName>,
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -333,7 +333,7 @@
         if std::env::var_os("ROCKWICK_SEED").is_some() {
             println!("{} {id} ends {task:?} run {run}: {kind:?}", self.now_ms);
         }
-        let at = once::EndState {
+        let at = start_history::EndState {
             ms: self.now_ms,
             starts: self.starts,
             lapses: w.lapses,
