--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -1,4 +1,5 @@
-//! Callers on open connections: they hand in jobs, ask for them, cancel them, and check what they are told.
+//! Simulated callers: each submits, queries and cancels jobs at random entries over kept-alive connections, and
+//! checks the answers. The soak runs one per thread, and uses one itself for its own checks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,66 +13,66 @@
 use rockwick::http::{Answer, Client, Trouble};
 use serde_json::Value;
 
-use super::calm::Calm;
+use super::disturbances::Disturbances;
 use super::shapes::Shapes;
 use standin::fleet::Fleet;
 
-/// How long a caller waits for an answer.
+/// Deadline that a caller sends with each call.
 const DEADLINE_MS: u64 = 3_000;
 
-/// Sendings of one job, at different entries.
-const TRIES: u32 = 6;
+/// Largest number of times that a caller sends a job, each time to a random entry.
+const ATTEMPTS_MAX: u32 = 6;
 
-/// What became of calls.
+/// Counts the outcomes of jobs and calls.
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
-    /// Jobs that were accepted.
+    /// Jobs that an entry accepted.
     pub(crate) accepted: AtomicU64,
-    /// Jobs whose every sending was refused.
+    /// Jobs that were refused at every attempt.
     pub(crate) refused: AtomicU64,
-    /// Jobs of which the caller does not know.
+    /// Jobs with at least one unclear attempt and no acceptance.
     pub(crate) unknown: AtomicU64,
-    /// Calls without an answer.
+    /// Calls that got no answer.
     pub(crate) unanswered: AtomicU64,
-    /// Jobs that were shown as completed.
+    /// Jobs that an entry reported as completed.
     pub(crate) completed: AtomicU64,
 }
 
-/// A job that was accepted.
+/// Describes an accepted job.
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
-    /// Its id.
+pub(crate) struct AcceptedJob {
+    /// Id of the job.
     pub(crate) id: String,
-    /// Its tasks by name.
+    /// Names of all its tasks.
     pub(crate) tasks: Vec<String>,
-    /// It lasts until it is cancelled.
-    pub(crate) lasts: bool,
-    /// A cancel of it was sent.
+    /// Whether it runs until it is cancelled.
+    pub(crate) is_long_running: bool,
+    /// Whether a caller has sent a cancel for it.
     pub(crate) is_cancelled: bool,
 }
 
-/// What callers share.
+/// Holds what all callers share.
 #[derive(Clone)]
 pub(crate) struct Callers {
-    /// The platform, which checks.
+    /// Stand-in platform, which checks the promises.
     pub(crate) fleet: Fleet,
-    /// Entries' addresses.
+    /// Addresses of the entries, by number.
     pub(crate) entries: Vec<SocketAddr>,
-    /// Which entries were left alone of late.
-    pub(crate) calm: Arc<Calm>,
+    /// Records when each entry was last disturbed by a fault.
+    pub(crate) disturbances: Arc<Disturbances>,
     /// Accepted jobs that are not known to have ended.
-    pub(crate) open: Arc<Mutex<Vec<Known>>>,
-    /// What became of calls.
+    pub(crate) open: Arc<Mutex<Vec<AcceptedJob>>>,
+    /// Outcomes of jobs and calls.
     pub(crate) counts: Arc<Counts>,
-    /// Set when the day is over.
+    /// Set when the callers are to stop.
     pub(crate) is_over: Arc<AtomicBool>,
-    /// One job in so many is timed; none at 0.
+    /// One job in this many has a schedule; none if 0.
     pub(crate) timed: u32,
 }
 
-/// One caller's connections.
+/// Holds one caller's connections and random draws.
 pub(crate) struct Caller {
-    all: Callers,
+    shared: Callers,
     rng: Rng,
     shapes: Shapes,
     clients: HashMap<usize, Client>,
@@ -80,11 +81,11 @@
 }
 
 impl Caller {
-    /// The caller of that number.
-    pub(crate) fn new(all: Callers, seed: u64, number: u64) -> Self {
+    /// Creates the caller with this number; the number is part of its seed and of its job ids.
+    pub(crate) fn new(shared: Callers, seed: u64, number: u64) -> Self {
         Self {
-            shapes: Shapes::new(seed ^ (number << 32), all.timed),
-            all,
+            shapes: Shapes::new(seed ^ (number << 32), shared.timed),
+            shared,
             rng: Rng::with_seed(seed ^ (number << 32)),
             clients: HashMap::new(),
             number,
@@ -92,20 +93,20 @@
         }
     }
 
-    /// Calls until the day is over.
+    /// Makes random calls until `is_over` is set.
     pub(crate) fn run(mut self) {
-        while !self.all.is_over.load(Ordering::SeqCst) {
+        while !self.shared.is_over.load(Ordering::SeqCst) {
             match self.rng.u32(..10) {
-                0..=3 => self.submit(),
-                4..=8 => self.look(),
-                _ => self.cancel(),
+                0..=3 => self.submit_job(),
+                4..=8 => self.query_any_job(),
+                _ => self.cancel_any_job(),
             }
             std::thread::sleep(Duration::from_millis(self.rng.u64(5..60)));
         }
     }
 
     fn call(&mut self, entry: usize, method: Method, path: &str, body: &Value) -> Option<Answer> {
-        let address = self.all.entries[entry];
+        let address = self.shared.entries[entry];
         let client = self
             .clients
             .entry(entry)
@@ -121,47 +122,51 @@
         match result {
             Ok(answer) => Some(answer),
             Err(trouble) => {
-                self.all.counts.unanswered.fetch_add(1, Ordering::Relaxed);
-                self.check_cut(entry, began, trouble, path);
+                self.shared
+                    .counts
+                    .unanswered
+                    .fetch_add(1, Ordering::Relaxed);
+                self.check_unanswered(entry, began, trouble, path);
                 None
             }
         }
     }
 
-    /// An entry that was only told to stop, or left alone, answers what it has read.
-    fn check_cut(&self, entry: usize, began: Instant, trouble: Trouble, path: &str) {
+    /// Reports a broken promise if an undisturbed entry, or one that is stopping in an orderly way, did not answer a
+    /// request that it had read.
+    fn check_unanswered(&self, entry: usize, began: Instant, trouble: Trouble, path: &str) {
         let is_sent = trouble.sent() == rockwick::http::Sent::Some;
-        // An idle connection may close just as a request is sent on it.
+        // An idle connection may be closed at the moment a request is sent on it.
         let is_read = began.elapsed() > Duration::from_millis(200);
-        if is_sent && is_read && self.all.calm.was_calm(entry, began) {
+        if is_sent && is_read && self.shared.disturbances.is_undisturbed_since(entry, began) {
             let what = format!("{path} at entry {entry} got no answer: {trouble:?}");
-            self.all.fleet.broken(what);
+            self.shared.fleet.broken(what);
         }
     }
 
-    fn any_entry(&mut self) -> usize {
-        self.rng.usize(..self.all.entries.len())
+    fn pick_entry(&mut self) -> usize {
+        self.rng.usize(..self.shared.entries.len())
     }
 
-    fn submit(&mut self) {
+    fn submit_job(&mut self) {
         self.sent += 1;
         let id = format!("{:04x}{:012x}", self.number, self.sent);
-        let lasts = self.rng.u32(..25) == 0;
+        let is_long_running = self.rng.u32(..25) == 0;
         let tasks = self.rng.u64(1..5);
-        let shape = self.shapes.draw(&id, tasks, lasts);
-        self.all.fleet.expect(&id, &shape.text);
+        let shape = self.shapes.draw(&id, tasks, is_long_running);
+        self.shared.fleet.expect(&id, &shape.text);
         let mut is_unknown = false;
-        for _ in 0..TRIES {
-            let entry = self.any_entry();
+        for _ in 0..ATTEMPTS_MAX {
+            let entry = self.pick_entry();
             let answer = self.call(entry, Method::Post, &format!("/q/{id}"), &shape.body);
             match answer.map(|a| a.status) {
                 Some(200..=299) => {
-                    self.accepted(id, shape.tasks, lasts);
+                    self.add_open_job(id, shape.tasks, is_long_running);
                     return;
                 }
                 Some(429 | 503) => {}
                 Some(404 | 409 | 410) => {
-                    self.all
+                    self.shared
                         .fleet
                         .broken(format!("{id} is not taken as a job of its queue"));
                 }
@@ -170,60 +175,60 @@
             std::thread::sleep(Duration::from_millis(self.rng.u64(50..400)));
         }
         if is_unknown {
-            self.all.counts.unknown.fetch_add(1, Ordering::Relaxed);
+            self.shared.counts.unknown.fetch_add(1, Ordering::Relaxed);
         } else {
-            self.all.counts.refused.fetch_add(1, Ordering::Relaxed);
-            self.all.fleet.refused(&id);
+            self.shared.counts.refused.fetch_add(1, Ordering::Relaxed);
+            self.shared.fleet.refused(&id);
         }
     }
 
-    fn accepted(&mut self, id: String, tasks: Vec<String>, lasts: bool) {
-        self.all.counts.accepted.fetch_add(1, Ordering::Relaxed);
-        let known = Known {
+    fn add_open_job(&mut self, id: String, tasks: Vec<String>, is_long_running: bool) {
+        self.shared.counts.accepted.fetch_add(1, Ordering::Relaxed);
+        let job = AcceptedJob {
             id,
             tasks,
-            lasts,
+            is_long_running,
             is_cancelled: false,
         };
-        lock(&self.all.open).push(known);
+        lock(&self.shared.open).push(job);
     }
 
-    fn any_open(&mut self) -> Option<Known> {
-        let open = lock(&self.all.open);
+    fn pick_open(&mut self) -> Option<AcceptedJob> {
+        let open = lock(&self.shared.open);
         (!open.is_empty()).then(|| open[self.rng.usize(..open.len())].clone())
     }
 
-    fn look(&mut self) {
-        let Some(known) = self.any_open() else { return };
-        let entry = self.any_entry();
-        self.state(entry, &known);
+    fn query_any_job(&mut self) {
+        let Some(job) = self.pick_open() else { return };
+        let entry = self.pick_entry();
+        self.query_job(entry, &job);
     }
 
-    /// Asks for a job and checks the answer; says its state.
-    pub(crate) fn state(&mut self, entry: usize, known: &Known) -> Option<String> {
-        let path = format!("/q/{}", known.id);
+    /// Queries a job at an entry and checks the answer; returns the job's state.
+    pub(crate) fn query_job(&mut self, entry: usize, job: &AcceptedJob) -> Option<String> {
+        let path = format!("/q/{}", job.id);
         let answer = self.call(entry, Method::Get, &path, &Value::Null)?;
         if answer.status == 410 {
-            self.all
+            self.shared
                 .fleet
-                .broken(format!("{} was accepted, and is not known", known.id));
+                .broken(format!("{} was accepted, and is not known", job.id));
             return None;
         }
         let body: Value = answer.json()?;
         let state = body["state"].as_str()?.to_string();
         match state.as_str() {
             "completed" => {
-                self.all.fleet.shown_completed(&known.id, &known.tasks);
-                self.all.counts.completed.fetch_add(1, Ordering::Relaxed);
-                lock(&self.all.open).retain(|k| k.id != known.id);
+                self.shared.fleet.shown_completed(&job.id, &job.tasks);
+                self.shared.counts.completed.fetch_add(1, Ordering::Relaxed);
+                lock(&self.shared.open).retain(|k| k.id != job.id);
             }
             "failed" => self
-                .all
+                .shared
                 .fleet
-                .broken(format!("{} is shown as failed", known.id)),
-            "cancelled" if !self.is_cancelled(&known.id) => {
-                let what = format!("{} is shown as cancelled by nobody", known.id);
-                self.all.fleet.broken(what);
+                .broken(format!("{} is shown as failed", job.id)),
+            "cancelled" if !self.is_cancelled(&job.id) => {
+                let what = format!("{} is shown as cancelled by nobody", job.id);
+                self.shared.fleet.broken(what);
             }
             _ => {}
         }
@@ -231,34 +236,34 @@
     }
 
     fn is_cancelled(&self, id: &str) -> bool {
-        let open = lock(&self.all.open);
+        let open = lock(&self.shared.open);
         open.iter()
             .find(|k| k.id == id)
             .is_none_or(|k| k.is_cancelled)
     }
 
-    fn cancel(&mut self) {
-        if let Some(known) = self.any_open() {
-            let entry = self.any_entry();
-            self.cancel_at(entry, &known.id);
+    fn cancel_any_job(&mut self) {
+        if let Some(job) = self.pick_open() {
+            let entry = self.pick_entry();
+            self.cancel_job(entry, &job.id);
         }
     }
 
-    /// Cancels a job; says whether that was acknowledged.
-    pub(crate) fn cancel_at(&mut self, entry: usize, id: &str) -> bool {
-        for known in lock(&self.all.open).iter_mut().filter(|k| k.id == id) {
-            known.is_cancelled = true;
+    /// Cancels a job at an entry; returns whether the cancel was acknowledged.
+    pub(crate) fn cancel_job(&mut self, entry: usize, id: &str) -> bool {
+        for job in lock(&self.shared.open).iter_mut().filter(|k| k.id == id) {
+            job.is_cancelled = true;
         }
         let answer = self.call(entry, Method::Delete, &format!("/q/{id}"), &Value::Null);
         let is_done = answer.is_some_and(|a| a.status == 200);
         if is_done {
-            self.all.fleet.cancelled(id);
-            lock(&self.all.open).retain(|k| k.id != id);
+            self.shared.fleet.cancelled(id);
+            lock(&self.shared.open).retain(|k| k.id != id);
         }
         is_done
     }
 
-    /// What an entry says to a queue: there, or not.
+    /// Returns whether an entry knows a queue; `None` if it gave no clear answer.
     pub(crate) fn has_queue(&mut self, entry: usize, queue: &str) -> Option<bool> {
         let answer = self.call(entry, Method::Get, &format!("/{queue}/"), &Value::Null)?;
         match answer.status {
@@ -269,7 +274,7 @@
     }
 }
 
-/// Locks, whoever panicked before.
+/// Locks a mutex, also after a panic of another holder.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/standin/src/soak/entry.rs
+++ b/standin/src/soak/entry.rs
@@ -1,4 +1,5 @@
-//! Entries as separate processes: started, paused, told to stop, killed, started again.
+//! Runs entries as separate processes: starts, signals and reaps them. Owns the child processes and their ports;
+//! the fault injector calls it.
 
 use std::fs::{File, OpenOptions};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -9,34 +10,36 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-/// After SIGTERM a process must be gone by then; the platform kills it after 6 s.
+/// Longest time for a process to exit after SIGTERM. The platform kills it after 6 s.
 const GRACE_MS: u64 = 6_500;
 
-/// One entry.
+/// Holds one entry and its process, if one runs.
 pub(crate) struct Entry {
-    /// Its name.
+    /// Name of the entry.
     pub(crate) name: String,
-    /// Where callers reach it.
+    /// Address where it takes callers' requests.
     pub(crate) callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// Address of its readiness endpoint.
     pub(crate) ready: SocketAddr,
     store: SocketAddr,
     log: PathBuf,
     child: Option<Child>,
-    /// Processes started so far.
+    /// Number of processes started so far.
     pub(crate) starts: u64,
-    told_to_stop: Option<Instant>,
+    stop_sent: Option<Instant>,
 }
 
-/// Ports for entries. Those given out stay bound until all are: freed at once, one may be given out twice.
+/// Hands out ports for entries. All listeners stay bound until the last port is handed out, because a port that is
+/// freed at once may be handed out twice.
 #[derive(Default)]
 pub(crate) struct Ports {
     bound: Vec<TcpListener>,
 }
 
 impl Ports {
-    /// A port that the system just gave out; bound by the process a moment later, and again at each restart. The
-    /// address is this soak's own, so that no connection that goes out takes the port meanwhile.
+    /// Returns an address with a port that the system has just assigned. The entry's process binds it later, and again
+    /// at each restart. The loopback address is derived from the soak's process id, so that no outgoing connection
+    /// takes the port in between.
     fn next(&mut self) -> std::io::Result<SocketAddr> {
         let [high, low, ..] = std::process::id().to_be_bytes()[2..] else {
             return Err(std::io::ErrorKind::InvalidData.into());
@@ -49,7 +52,7 @@
 }
 
 impl Entry {
-    /// An entry that is not started yet, and reaches the platform at `store`.
+    /// Creates an entry without a process; it will reach the platform at `store`.
     pub(crate) fn new(
         name: &str,
         store: SocketAddr,
@@ -64,11 +67,11 @@
             log: logs.join(format!("{name}.log")),
             child: None,
             starts: 0,
-            told_to_stop: None,
+            stop_sent: None,
         })
     }
 
-    /// Starts its process, if none runs.
+    /// Starts the process, if none runs.
     pub(crate) fn start(&mut self, binary: &Path) -> std::io::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -87,36 +90,36 @@
             .spawn()?;
         self.child = Some(child);
         self.starts += 1;
-        self.told_to_stop = None;
+        self.stop_sent = None;
         Ok(())
     }
 
-    /// Sends a signal to its process, if one runs.
+    /// Sends a signal to the process, if one runs.
     pub(crate) fn signal(&mut self, signal: Signal) {
         let Some(child) = &self.child else { return };
         match signal {
             Signal::SIGTERM => {
-                self.told_to_stop.get_or_insert_with(Instant::now);
+                self.stop_sent.get_or_insert_with(Instant::now);
             }
-            // It could not see the signal while it stood still: its time runs from now on.
-            Signal::SIGCONT => self.told_to_stop = self.told_to_stop.map(|_| Instant::now()),
+            // A suspended process cannot handle SIGTERM, so its grace period starts when it resumes.
+            Signal::SIGCONT => self.stop_sent = self.stop_sent.map(|_| Instant::now()),
             _ => {}
         }
-        // It may have ended by itself: `ended` finds that out.
+        // The process may have exited by itself; `reap` finds that out.
         let _ = kill(Pid::from_raw(child.id() as i32), signal);
     }
 
-    /// Takes note of an end of the process; says what was wrong with it, if something was.
-    pub(crate) fn ended(&mut self, was_killed: bool) -> Option<String> {
+    /// Reaps the process if it has exited; returns what was wrong with its exit, or that it is overdue.
+    pub(crate) fn reap(&mut self, was_killed: bool) -> Option<String> {
         let child = self.child.as_mut()?;
         match child.try_wait() {
             Ok(Some(status)) => {
                 self.child = None;
-                let is_planned = was_killed || (self.told_to_stop.is_some() && status.success());
+                let is_planned = was_killed || (self.stop_sent.is_some() && status.success());
                 (!is_planned).then(|| format!("{} ended by itself: {status}", self.name))
             }
             Ok(None) => {
-                let since = self.told_to_stop?;
+                let since = self.stop_sent?;
                 let is_late = since.elapsed() > Duration::from_millis(GRACE_MS);
                 is_late.then(|| format!("{} still runs {GRACE_MS} ms after SIGTERM", self.name))
             }
@@ -124,8 +127,8 @@
         }
     }
 
-    /// Whether a process runs.
-    pub(crate) fn runs(&self) -> bool {
+    /// Returns whether a process runs.
+    pub(crate) fn is_running(&self) -> bool {
         self.child.is_some()
     }
 }
@@ -133,7 +136,7 @@
 impl Drop for Entry {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // The soak is over: only what it started is ended, by its id.
+            // Ends only the process that this entry started, by its id.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/standin/src/soak/faults.rs
+++ b/standin/src/soak/faults.rs
@@ -1,299 +1,302 @@
-//! The faults of a day: drawn by the seed, in series and overlapping, each ended after its time.
+//! Fault injection for the soak: draws faults from the seed, starts them one after the other so that they may
+//! overlap, and ends each when its time is over. The main loop of the soak calls it.
 
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
 use nix::sys::signal::Signal;
 
-use super::proxy::Trouble;
-use super::rare::{parts_from, Rare, Rares};
-use super::Stage;
+use super::proxy::LinkFault;
+use super::rare::{partitions_from, RareFault, RareFaults};
+use super::Cluster;
 use standin::fleet::{HallCut, OrderFault, StoreFault};
 
-/// With one in so many faults, all open connections go silent, too: a few times in a day of 10 s.
+/// One fault in this many also silences all open connections: a few times in a run of 10 s.
 const SILENCE_ONE_IN: u32 = 6;
 
-/// A host whose worker left has the next one after so long.
+/// Time until a host whose worker has left starts its next worker.
 const BACK_MS: u64 = 1_000;
 
-/// What ends a fault.
+/// Names the action that ends a fault; a number is that of the entry or host.
 #[derive(Clone, Copy, Debug)]
-enum Undo {
-    Wake(usize),
-    Start(usize),
-    MendStorePath(usize),
-    MendWorkerPath(usize),
-    MendStore,
-    MendOrders,
-    MendParts,
-    JoinHalls,
-    List(usize),
-    End(usize),
-    NewIds,
+enum Recovery {
+    ResumeEntry(usize),
+    StartEntry(usize),
+    RestoreStorePath(usize),
+    RestoreWorkerPath(usize),
+    RestoreStore,
+    RestoreOrders,
+    RestorePartitions,
+    ReconnectHalls,
+    RelistWorker(usize),
+    CrashWorker(usize),
+    UseNewIds,
 }
 
-/// Faults that are under way.
+/// Holds the faults in progress and the random draws for the next ones.
 pub(crate) struct Faults {
     rng: Rng,
-    /// Draws of their own: seeds that failed before there were such faults play the others as they did.
-    silences: Rng,
-    rares: Rares,
-    /// The owner is to stand still for so long once a renewal of it is on its way.
-    freeze_ms: Option<u64>,
-    due: Vec<(Instant, Undo)>,
+    /// Separate generator, so that saved seeds draw the other faults as before.
+    silence_rng: Rng,
+    rares: RareFaults,
+    /// Time to suspend the owner for, once the answer to its renewal is on its way.
+    suspend_ms: Option<u64>,
+    due: Vec<(Instant, Recovery)>,
     killed: Vec<bool>,
-    /// What happened, a line each.
-    pub(crate) told: Vec<String>,
+    /// One line per event, for the report.
+    pub(crate) events: Vec<String>,
     waves: u64,
     began: Instant,
 }
 
 impl Faults {
-    /// None yet.
+    /// Creates the injector, with no fault in progress.
     pub(crate) fn new(seed: u64, entries: usize) -> Self {
         Self {
             rng: Rng::with_seed(seed),
-            silences: Rng::with_seed(!seed),
-            rares: Rares::new(seed),
-            freeze_ms: None,
+            silence_rng: Rng::with_seed(!seed),
+            rares: RareFaults::new(seed),
+            suspend_ms: None,
             due: Vec::new(),
             killed: vec![false; entries],
-            told: Vec::new(),
+            events: Vec::new(),
             waves: 0,
             began: Instant::now(),
         }
     }
 
-    fn later(&mut self, ms: u64, undo: Undo) {
+    fn end_after(&mut self, ms: u64, recovery: Recovery) {
         self.due
-            .push((Instant::now() + Duration::from_millis(ms), undo));
+            .push((Instant::now() + Duration::from_millis(ms), recovery));
     }
 
-    fn tell(&mut self, what: String) {
+    fn record(&mut self, what: String) {
         let at_ms = self.began.elapsed().as_millis();
-        self.told.push(format!("{at_ms} ms: {what}"));
+        self.events.push(format!("{at_ms} ms: {what}"));
     }
 
-    /// Pause until the next fault.
+    /// Draws the pause until the next fault.
     pub(crate) fn pause(&mut self) -> Duration {
         Duration::from_millis(self.rng.u64(50..1_500))
     }
 
-    /// Waves that were asked for.
+    /// Returns the number of waves that were requested.
     pub(crate) fn waves(&self) -> u64 {
         self.waves
     }
 
-    /// Brings one fault.
-    pub(crate) fn strike(&mut self, stage: &mut Stage) {
-        let n = self.rng.usize(..stage.entries.len());
+    /// Injects the next fault, and the rare faults that are drawn with it.
+    pub(crate) fn inject_next(&mut self, cluster: &mut Cluster) {
+        let n = self.rng.usize(..cluster.entries.len());
         let ms = self.rng.u64(200..5_000);
-        if self.silences.u32(..SILENCE_ONE_IN) == 0 {
-            self.deafen(stage);
+        if self.silence_rng.u32(..SILENCE_ONE_IN) == 0 {
+            self.silence_connections(cluster);
         }
-        for (rare, ms) in self.rares.draw() {
-            self.bring(stage, rare, ms);
+        for (rare_fault, ms) in self.rares.draw() {
+            self.inject_rare(cluster, rare_fault, ms);
         }
         match self.rng.u32(..13) {
-            0 => self.kill(stage, n, ms),
+            0 => self.kill(cluster, n, ms),
             1 => {
-                for n in 0..stage.entries.len() {
-                    self.kill(stage, n, ms.min(1_500));
+                for n in 0..cluster.entries.len() {
+                    self.kill(cluster, n, ms.min(1_500));
                 }
             }
-            2 => self.freeze(stage, n, ms),
-            3 | 4 => self.stop(stage, n),
-            5 | 6 => self.store_path(stage, n, ms),
-            7 | 8 => self.worker_path(stage, ms),
-            9 => self.store(stage, ms),
+            2 => self.suspend(cluster, n, ms),
+            3 | 4 => self.stop(cluster, n),
+            5 | 6 => self.break_store_path(cluster, n, ms),
+            7 | 8 => self.break_worker_path(cluster, ms),
+            9 => self.inject_store_fault(cluster, ms),
             10 => {
                 let fault = OrderFault {
                     lost: self.rng.u32(..30),
                     late: self.rng.u32(..30),
                     ..OrderFault::default()
                 };
-                stage.fleet.set_order_fault(fault);
-                self.tell(format!("{fault:?} for {ms} ms"));
-                self.later(ms, Undo::MendOrders);
+                cluster.fleet.set_order_fault(fault);
+                self.record(format!("{fault:?} for {ms} ms"));
+                self.end_after(ms, Recovery::RestoreOrders);
             }
             11 => {
-                let host = self.rng.usize(..stage.workers.len());
-                stage.fleet.crash(host, ms);
-                self.tell(format!("host {host} crashes, back after {ms} ms"));
+                let host = self.rng.usize(..cluster.workers.len());
+                cluster.fleet.crash(host, ms);
+                self.record(format!("host {host} crashes, back after {ms} ms"));
             }
             _ => {
-                stage.change_config();
-                self.tell(format!("configuration {}", stage.version));
+                cluster.change_config();
+                self.record(format!("configuration {}", cluster.version));
                 if self.waves < 3 && self.rng.bool() {
                     self.waves += 1;
                     let most = self.rng.usize(1..4);
-                    stage.fleet.begin_wave(self.waves, 30, most);
-                    self.tell(format!("wave {}, {most} at once", self.waves));
+                    cluster.fleet.begin_wave(self.waves, 30, most);
+                    self.record(format!("wave {}, {most} at once", self.waves));
                 }
             }
         }
     }
 
-    /// Brings one that came later than the others.
-    fn bring(&mut self, stage: &mut Stage, rare: Rare, ms: u64) {
-        self.tell(format!("{rare:?} for {ms} ms"));
-        match rare {
-            Rare::Dawn(fault) => {
-                for n in 0..stage.entries.len() {
-                    self.kill(stage, n, 0);
+    /// Injects a rare fault for `ms` milliseconds.
+    fn inject_rare(&mut self, cluster: &mut Cluster, rare_fault: RareFault, ms: u64) {
+        self.record(format!("{rare_fault:?} for {ms} ms"));
+        match rare_fault {
+            RareFault::Dawn(fault) => {
+                for n in 0..cluster.entries.len() {
+                    self.kill(cluster, n, 0);
                 }
-                self.break_store(stage, fault, ms);
+                self.break_store(cluster, fault, ms);
             }
-            Rare::Bounce(fault) => {
-                if let Some(n) = stage.owner() {
-                    self.kill(stage, n, 0);
+            RareFault::Bounce(fault) => {
+                if let Some(n) = cluster.owner() {
+                    self.kill(cluster, n, 0);
                 }
-                self.hold_up(stage, fault, ms);
+                self.delay_orders(cluster, fault, ms);
             }
-            Rare::HalfCut(fault) => {
-                let host = ms as usize % stage.workers.len();
-                stage.workers[host].set(Trouble::OneWay);
-                self.later(ms, Undo::MendWorkerPath(host));
-                self.hold_up(stage, fault, ms);
+            RareFault::HalfCut(fault) => {
+                let host = ms as usize % cluster.workers.len();
+                cluster.workers[host].set(LinkFault::OneWay);
+                self.end_after(ms, Recovery::RestoreWorkerPath(host));
+                self.delay_orders(cluster, fault, ms);
             }
-            Rare::Belated => self.break_store(stage, StoreFault::Belated, ms),
-            Rare::FrozenRenewal => {
-                self.freeze_ms = Some(ms);
-                stage.fleet.trap_renewal();
+            RareFault::Belated => self.break_store(cluster, StoreFault::Belated, ms),
+            RareFault::FrozenRenewal => {
+                self.suspend_ms = Some(ms);
+                cluster.fleet.trap_renewal();
             }
-            Rare::Reborn(listed_ms) => {
-                let host = ms as usize % stage.workers.len();
-                stage.fleet.crash_listed(host, ms % 50, listed_ms);
+            RareFault::Reborn(listed_ms) => {
+                let host = ms as usize % cluster.workers.len();
+                cluster.fleet.crash_listed(host, ms % 50, listed_ms);
             }
-            Rare::Halls(cut) => self.cut_halls(stage, cut, ms),
-            Rare::OwnerAlone => {
-                self.cut_halls(stage, HallCut::BothWays, ms);
-                for n in stage.hall_of_owner() {
-                    stage.calm.disturb(n, ms);
-                    stage.store_paths[n].set(Trouble::Silence);
-                    self.later(ms, Undo::MendStorePath(n));
+            RareFault::Halls(cut) => self.cut_halls(cluster, cut, ms),
+            RareFault::OwnerAlone => {
+                self.cut_halls(cluster, HallCut::BothWays, ms);
+                for n in cluster.hall_of_owner() {
+                    cluster.disturbances.disturb(n, ms);
+                    cluster.store_paths[n].set(LinkFault::Silence);
+                    self.end_after(ms, Recovery::RestoreStorePath(n));
                 }
             }
-            Rare::Parts(first) => {
-                stage.calm.disturb_all(ms);
-                stage.fleet.set_parts_away(&parts_from(first));
-                self.later(ms, Undo::MendParts);
+            RareFault::Parts(first) => {
+                cluster.disturbances.disturb_all(ms);
+                cluster.fleet.set_parts_away(&partitions_from(first));
+                self.end_after(ms, Recovery::RestorePartitions);
             }
-            Rare::Handover => {
-                if let Some(n) = stage.owner() {
-                    self.stop(stage, n);
+            RareFault::Handover => {
+                if let Some(n) = cluster.owner() {
+                    self.stop(cluster, n);
                 }
             }
-            Rare::Lapse(back_ms) => {
-                self.break_store(stage, StoreFault::Busy, ms);
-                for host in 0..stage.workers.len() {
-                    stage.fleet.unlist(host);
-                    self.later(ms + back_ms, Undo::List(host));
+            RareFault::Lapse(back_ms) => {
+                self.break_store(cluster, StoreFault::Busy, ms);
+                for host in 0..cluster.workers.len() {
+                    cluster.fleet.unlist(host);
+                    self.end_after(ms + back_ms, Recovery::RelistWorker(host));
                 }
             }
-            Rare::Withdrawn => {
-                let host = ms as usize % stage.workers.len();
-                stage.fleet.unlist(host);
-                self.later(ms, Undo::End(host));
+            RareFault::Withdrawn => {
+                let host = ms as usize % cluster.workers.len();
+                cluster.fleet.unlist(host);
+                self.end_after(ms, Recovery::CrashWorker(host));
             }
-            Rare::Restarts(count, back_ms) => {
+            RareFault::Restarts(count, back_ms) => {
                 let first = ms as usize;
-                for n in 0..count.min(stage.workers.len()) {
-                    stage
+                for n in 0..count.min(cluster.workers.len()) {
+                    cluster
                         .fleet
-                        .restart((first + n) % stage.workers.len(), back_ms);
+                        .restart((first + n) % cluster.workers.len(), back_ms);
                 }
             }
-            Rare::KeptIds => {
-                stage.fleet.set_keeps_ids(true);
-                self.later(ms, Undo::NewIds);
+            RareFault::KeptIds => {
+                cluster.fleet.set_keeps_ids(true);
+                self.end_after(ms, Recovery::UseNewIds);
             }
         }
     }
 
-    fn break_store(&mut self, stage: &mut Stage, fault: StoreFault, ms: u64) {
-        stage.calm.disturb_all(ms);
-        stage.fleet.set_fault(fault);
-        self.later(ms, Undo::MendStore);
+    fn break_store(&mut self, cluster: &mut Cluster, fault: StoreFault, ms: u64) {
+        cluster.disturbances.disturb_all(ms);
+        cluster.fleet.set_fault(fault);
+        self.end_after(ms, Recovery::RestoreStore);
     }
 
-    fn hold_up(&mut self, stage: &mut Stage, fault: OrderFault, ms: u64) {
-        stage.fleet.set_order_fault(fault);
-        self.later(ms, Undo::MendOrders);
+    fn delay_orders(&mut self, cluster: &mut Cluster, fault: OrderFault, ms: u64) {
+        cluster.fleet.set_order_fault(fault);
+        self.end_after(ms, Recovery::RestoreOrders);
     }
 
-    fn cut_halls(&mut self, stage: &mut Stage, cut: HallCut, ms: u64) {
-        stage.fleet.set_hall_cut(cut);
-        self.later(ms, Undo::JoinHalls);
+    fn cut_halls(&mut self, cluster: &mut Cluster, cut: HallCut, ms: u64) {
+        cluster.fleet.set_hall_cut(cut);
+        self.end_after(ms, Recovery::ReconnectHalls);
     }
 
-    /// Stops the owner where a renewal that was lain in wait for is on its way.
-    fn spring(&mut self, stage: &mut Stage) {
-        if self.freeze_ms.is_none() || !stage.fleet.has_trapped() {
+    /// Suspends the owner if the answer to its trapped renewal is on its way.
+    fn suspend_at_renewal(&mut self, cluster: &mut Cluster) {
+        if self.suspend_ms.is_none() || !cluster.fleet.has_trapped() {
             return;
         }
-        if let (Some(n), Some(ms)) = (stage.owner(), self.freeze_ms.take()) {
-            self.freeze(stage, n, ms);
+        if let (Some(n), Some(ms)) = (cluster.owner(), self.suspend_ms.take()) {
+            self.suspend(cluster, n, ms);
         }
     }
 
-    fn kill(&mut self, stage: &mut Stage, n: usize, down_ms: u64) {
-        stage.calm.disturb(n, down_ms);
-        stage.entries[n].signal(Signal::SIGKILL);
+    fn kill(&mut self, cluster: &mut Cluster, n: usize, down_ms: u64) {
+        cluster.disturbances.disturb(n, down_ms);
+        cluster.entries[n].signal(Signal::SIGKILL);
         self.killed[n] = true;
-        self.tell(format!("entry {n} is killed, down for {down_ms} ms"));
-        self.later(down_ms, Undo::Start(n));
+        self.record(format!("entry {n} is killed, down for {down_ms} ms"));
+        self.end_after(down_ms, Recovery::StartEntry(n));
     }
 
-    fn freeze(&mut self, stage: &mut Stage, n: usize, ms: u64) {
-        stage.calm.disturb(n, ms);
-        stage.entries[n].signal(Signal::SIGSTOP);
-        self.tell(format!("entry {n} stands still for {ms} ms"));
-        self.later(ms, Undo::Wake(n));
+    fn suspend(&mut self, cluster: &mut Cluster, n: usize, ms: u64) {
+        cluster.disturbances.disturb(n, ms);
+        cluster.entries[n].signal(Signal::SIGSTOP);
+        self.record(format!("entry {n} stands still for {ms} ms"));
+        self.end_after(ms, Recovery::ResumeEntry(n));
     }
 
-    /// Planned: the entry must answer what it has read.
-    fn stop(&mut self, stage: &mut Stage, n: usize) {
-        stage.entries[n].signal(Signal::SIGTERM);
-        self.tell(format!("entry {n} is told to stop"));
+    /// Stops an entry in an orderly way; it must still answer the requests that it has read.
+    fn stop(&mut self, cluster: &mut Cluster, n: usize) {
+        cluster.entries[n].signal(Signal::SIGTERM);
+        self.record(format!("entry {n} is told to stop"));
     }
 
-    fn trouble(&mut self) -> Trouble {
+    fn draw_link_fault(&mut self) -> LinkFault {
         match self.rng.u32(..4) {
-            0 => Trouble::Delay(self.rng.u64(20..400)),
-            1 => Trouble::Silence,
-            2 => Trouble::OneWay,
-            _ => Trouble::Reset,
+            0 => LinkFault::Delay(self.rng.u64(20..400)),
+            1 => LinkFault::Silence,
+            2 => LinkFault::OneWay,
+            _ => LinkFault::Reset,
         }
     }
 
-    fn store_path(&mut self, stage: &mut Stage, n: usize, ms: u64) {
-        let trouble = self.trouble();
-        stage.calm.disturb(n, ms);
-        stage.store_paths[n].set(trouble);
-        self.tell(format!("entry {n} to the store: {trouble:?} for {ms} ms"));
-        self.later(ms, Undo::MendStorePath(n));
+    fn break_store_path(&mut self, cluster: &mut Cluster, n: usize, ms: u64) {
+        let link_fault = self.draw_link_fault();
+        cluster.disturbances.disturb(n, ms);
+        cluster.store_paths[n].set(link_fault);
+        self.record(format!(
+            "entry {n} to the store: {link_fault:?} for {ms} ms"
+        ));
+        self.end_after(ms, Recovery::RestoreStorePath(n));
     }
 
-    fn worker_path(&mut self, stage: &mut Stage, ms: u64) {
-        let host = self.rng.usize(..stage.workers.len());
-        let trouble = self.trouble();
-        stage.workers[host].set(trouble);
-        self.tell(format!("host {host}: {trouble:?} for {ms} ms"));
-        self.later(ms, Undo::MendWorkerPath(host));
+    fn break_worker_path(&mut self, cluster: &mut Cluster, ms: u64) {
+        let host = self.rng.usize(..cluster.workers.len());
+        let link_fault = self.draw_link_fault();
+        cluster.workers[host].set(link_fault);
+        self.record(format!("host {host}: {link_fault:?} for {ms} ms"));
+        self.end_after(ms, Recovery::RestoreWorkerPath(host));
     }
 
-    /// Every connection that is open between entries, the store and workers falls silent for good.
-    fn deafen(&mut self, stage: &mut Stage) {
-        stage.calm.disturb_all(0);
-        let paths = stage.store_paths.iter().chain(&stage.workers);
+    /// Silences every open connection between entries, the store and workers for good.
+    fn silence_connections(&mut self, cluster: &mut Cluster) {
+        cluster.disturbances.disturb_all(0);
+        let paths = cluster.store_paths.iter().chain(&cluster.workers);
         for path in paths {
-            path.set(Trouble::Deaf);
+            path.set(LinkFault::Deaf);
         }
-        self.tell("all open connections go silent".to_string());
+        self.record("all open connections go silent".to_string());
     }
 
-    fn store(&mut self, stage: &mut Stage, ms: u64) {
+    fn inject_store_fault(&mut self, cluster: &mut Cluster, ms: u64) {
         let fault = match self.rng.u32(..5) {
             0 => StoreFault::Busy,
             1 => StoreFault::Mute,
@@ -301,57 +304,61 @@
             3 => StoreFault::Slow(self.rng.u64(20..250)),
             _ => StoreFault::Lossy,
         };
-        stage.calm.disturb_all(ms);
-        stage.fleet.set_fault(fault);
-        self.tell(format!("store: {fault:?} for {ms} ms"));
-        self.later(ms, Undo::MendStore);
+        cluster.disturbances.disturb_all(ms);
+        cluster.fleet.set_fault(fault);
+        self.record(format!("store: {fault:?} for {ms} ms"));
+        self.end_after(ms, Recovery::RestoreStore);
     }
 
-    /// Ends faults whose time is over, and starts processes that have ended.
-    pub(crate) fn tend(&mut self, stage: &mut Stage) -> std::io::Result<()> {
+    /// Ends faults whose time is over, and restarts entries whose process has exited.
+    pub(crate) fn tick(&mut self, cluster: &mut Cluster) -> std::io::Result<()> {
         let now = Instant::now();
         let (over, rest) = self.due.drain(..).partition(|(at, _)| *at <= now);
         self.due = rest;
-        self.undo(stage, over)?;
-        self.spring(stage);
-        for n in 0..stage.entries.len() {
-            if let Some(what) = stage.entries[n].ended(self.killed[n]) {
-                stage.fleet.broken(what);
+        self.end_faults(cluster, over)?;
+        self.suspend_at_renewal(cluster);
+        for n in 0..cluster.entries.len() {
+            if let Some(what) = cluster.entries[n].reap(self.killed[n]) {
+                cluster.fleet.broken(what);
             }
-            let is_due = |(_, undo): &(Instant, Undo)| matches!(undo, Undo::Start(m) if *m == n);
-            if !stage.entries[n].runs() && !self.due.iter().any(is_due) {
+            let is_due = |(_, recovery): &(Instant, Recovery)| matches!(recovery, Recovery::StartEntry(m) if *m == n);
+            if !cluster.entries[n].is_running() && !self.due.iter().any(is_due) {
                 self.killed[n] = false;
-                stage.entries[n].start(&stage.binary)?;
+                cluster.entries[n].start(&cluster.binary)?;
             }
         }
         Ok(())
     }
 
-    /// Ends all faults.
-    pub(crate) fn end(&mut self, stage: &mut Stage) -> std::io::Result<()> {
+    /// Ends all faults at once.
+    pub(crate) fn end_all(&mut self, cluster: &mut Cluster) -> std::io::Result<()> {
         let all = std::mem::take(&mut self.due);
-        // Nobody looks for the end of a freeze that begins in the calm.
-        self.freeze_ms = None;
-        self.undo(stage, all)?;
-        self.tell("calm".to_string());
+        // A suspension that begins after the last fault would never be ended.
+        self.suspend_ms = None;
+        self.end_faults(cluster, all)?;
+        self.record("calm".to_string());
         Ok(())
     }
 
-    fn undo(&mut self, stage: &mut Stage, over: Vec<(Instant, Undo)>) -> std::io::Result<()> {
-        for (_, undo) in over {
-            match undo {
-                Undo::Wake(n) => stage.entries[n].signal(Signal::SIGCONT),
-                // `tend` starts what does not run.
-                Undo::Start(_) => {}
-                Undo::MendStorePath(n) => stage.store_paths[n].set(Trouble::None),
-                Undo::MendWorkerPath(n) => stage.workers[n].set(Trouble::None),
-                Undo::MendStore => stage.fleet.set_fault(StoreFault::None),
-                Undo::MendParts => stage.fleet.set_parts_away(&[]),
-                Undo::List(host) => stage.fleet.relist(host),
-                Undo::End(host) => stage.fleet.crash(host, BACK_MS),
-                Undo::NewIds => stage.fleet.set_keeps_ids(false),
-                Undo::JoinHalls => stage.fleet.set_hall_cut(HallCut::None),
-                Undo::MendOrders => stage.fleet.set_order_fault(OrderFault::default()),
+    fn end_faults(
+        &mut self,
+        cluster: &mut Cluster,
+        over: Vec<(Instant, Recovery)>,
+    ) -> std::io::Result<()> {
+        for (_, recovery) in over {
+            match recovery {
+                Recovery::ResumeEntry(n) => cluster.entries[n].signal(Signal::SIGCONT),
+                // `tick` starts every entry that does not run.
+                Recovery::StartEntry(_) => {}
+                Recovery::RestoreStorePath(n) => cluster.store_paths[n].set(LinkFault::None),
+                Recovery::RestoreWorkerPath(n) => cluster.workers[n].set(LinkFault::None),
+                Recovery::RestoreStore => cluster.fleet.set_fault(StoreFault::None),
+                Recovery::RestorePartitions => cluster.fleet.set_parts_away(&[]),
+                Recovery::RelistWorker(host) => cluster.fleet.relist(host),
+                Recovery::CrashWorker(host) => cluster.fleet.crash(host, BACK_MS),
+                Recovery::UseNewIds => cluster.fleet.set_keeps_ids(false),
+                Recovery::ReconnectHalls => cluster.fleet.set_hall_cut(HallCut::None),
+                Recovery::RestoreOrders => cluster.fleet.set_order_fault(OrderFault::default()),
             }
         }
         Ok(())
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -1,8 +1,9 @@
-//! `standin soak`: real entries as separate processes under random faults from outside, with the promises
-//! checked while it runs, from what callers and workers see.
+//! `standin soak`: runs real entries as separate processes, injects random faults from outside, and checks
+//! rockwick's promises by what callers and workers observe. Owns the processes, the relays and the callers of
+//! one seed. Called by the `soak` command, which the test suite runs.
 
 mod callers;
-mod calm;
+mod disturbances;
 mod entry;
 mod faults;
 mod proxy;
@@ -18,32 +19,32 @@
 use rockwick::runtime::Runtime;
 use serde_json::{json, Value};
 
-use callers::{lock, Caller, Callers, Known};
-use calm::Calm;
+use callers::{lock, AcceptedJob, Caller, Callers};
+use disturbances::Disturbances;
 use entry::{Entry, Ports};
 use faults::Faults;
 use proxy::Proxy;
 use standin::fleet::Fleet;
 
-/// The only pool.
+/// Name of the only pool.
 const POOL: &str = "pool";
 
-/// What a task takes.
+/// Run time of a task whose text states none.
 const WORK_MS: u64 = 250;
 
-/// After the last fault, everything must be settled within so long.
+/// Longest time, after the last fault, for all jobs to end and all waves to complete.
 const SETTLE_MS: u64 = 60_000;
 
-/// A change of the configuration is in force within so long at an entry that was left alone.
+/// Longest time for an undisturbed entry to apply a configuration change.
 const CONFIG_MS: u64 = 2_500;
 
-/// Broken promises of a seed that are printed; the report has all.
+/// Largest number of broken promises printed per seed; the report lists all of them.
 const BROKEN_SHOWN: usize = 10;
 
-/// Threads for relays.
+/// Threads that run the relays.
 const RELAY_THREADS: usize = 2;
 
-/// The command's flags.
+/// Holds the flags of `standin soak`.
 #[derive(Clone, Debug)]
 pub(crate) struct Args {
     seed: u64,
@@ -58,43 +59,46 @@
     report: Option<PathBuf>,
 }
 
-/// The parser of the command's flags.
+/// Returns the parser of the flags of `standin soak`.
 pub(crate) fn args() -> impl Parser<Args> {
     let seed = long("seed")
-        .help("The first seed")
+        .help("First seed to run")
         .argument("N")
         .fallback(1);
     let seeds = long("seeds")
-        .help("How many seeds, one after the other")
+        .help("Number of seeds to run, one after the other")
         .argument("N")
         .fallback(1);
     let seconds = long("seconds")
-        .help("How long faults come for each seed")
+        .help("Seconds of fault injection per seed")
         .argument("S")
         .fallback(20);
     let entries = long("entries")
-        .help("Entries, a process each")
+        .help("Number of entries, one process each")
         .argument("N")
         .fallback(4);
-    let workers = long("workers").help("Workers").argument("N").fallback(6);
+    let workers = long("workers")
+        .help("Number of workers")
+        .argument("N")
+        .fallback(6);
     let callers = long("callers")
-        .help("Callers, a thread each")
+        .help("Number of callers, one thread each")
         .argument("N")
         .fallback(6);
     let timed = long("timed")
-        .help("One job in so many is timed, its rounds overlapping; none at 0")
+        .help("Give one job in N a schedule with overlapping rounds; 0 for none")
         .argument("N")
         .fallback(0);
     let logs = long("logs")
-        .help("Folder for the entries' logs; those of seeds that held are removed")
+        .help("Directory for the entries' logs; logs of passing seeds are removed")
         .argument("DIR")
         .fallback(std::env::temp_dir().join("rockwick-soak"));
     let binary = long("binary")
-        .help("The program; beside this one by default")
+        .help("Path of the rockwick binary; by default the one beside this binary")
         .argument("PATH")
         .optional();
     let report = long("report")
-        .help("Where the report goes, as JSON")
+        .help("File to write the JSON report to")
         .argument("FILE")
         .optional();
     construct!(Args {
@@ -111,20 +115,20 @@
     })
 }
 
-/// All that faults can reach.
-pub(crate) struct Stage {
+/// Holds everything that faults can act on: the entries, the stand-in platform and the relays between them.
+pub(crate) struct Cluster {
     binary: PathBuf,
     fleet: Fleet,
     entries: Vec<Entry>,
     store_paths: Vec<Proxy>,
     workers: Vec<Proxy>,
-    calm: Arc<Calm>,
-    /// The configuration's version: so many queues beside the first.
+    disturbances: Arc<Disturbances>,
+    /// Version of the configuration; version N has N - 1 queues besides the first.
     version: u64,
     changed: Instant,
 }
 
-impl Stage {
+impl Cluster {
     fn new(args: &Args, seed: u64) -> std::io::Result<Self> {
         let runtime = Runtime::new("relay", RELAY_THREADS)?;
         let fleet = Fleet::start(POOL, args.workers, WORK_MS)?;
@@ -132,7 +136,7 @@
         fleet.draw_clocks();
         let logs = args.logs.join(seed.to_string());
         std::fs::create_dir_all(&logs)?;
-        // A build while the soak runs must not change the program under it.
+        // Runs a copy, so that a build during the soak does not replace the program under test.
         let binary = logs.join("rockwick");
         std::fs::copy(program(args)?, &binary)?;
         let mut workers = Vec::new();
@@ -157,19 +161,19 @@
             entries,
             store_paths,
             workers,
-            calm: Arc::new(Calm::new(args.entries)),
+            disturbances: Arc::new(Disturbances::new(args.entries)),
             version: 1,
             changed: Instant::now(),
         })
     }
 
-    /// The entry that owns the pool, by number.
+    /// Returns the number of the entry that owns the pool.
     fn owner(&self) -> Option<usize> {
         let name = self.fleet.owner()?;
         self.entries.iter().position(|entry| entry.name == name)
     }
 
-    /// The entries of its hall: those of even numbers are in one, the others in the other.
+    /// Returns the entries in the owner's hall. Entries with even numbers are in one hall, the others in the other.
     fn hall_of_owner(&self) -> Vec<usize> {
         let Some(owner) = self.owner() else {
             return Vec::new();
@@ -193,45 +197,52 @@
     }
 }
 
-/// The newest configuration that an entry has shown, by its process.
-struct Shown {
+/// Holds the newest configuration version that an entry's process has shown.
+struct SeenConfig {
     version: u64,
     process: u64,
 }
 
-/// Looks what configuration entries go by: never back, and the newest one in time.
-fn check_config(stage: &Stage, caller: &mut Caller, shown: &mut [Shown], starts: &[u64]) {
-    if stage.version < 2 {
+/// Checks the configuration of each entry: a process never goes back to an older version, and an undisturbed
+/// entry applies the newest one within `CONFIG_MS`.
+fn check_config(cluster: &Cluster, caller: &mut Caller, seen: &mut [SeenConfig], starts: &[u64]) {
+    if cluster.version < 2 {
         return;
     }
     let asked = Instant::now();
-    for n in 0..stage.entries.len() {
-        if shown[n].process != starts[n] {
-            shown[n] = Shown {
+    for n in 0..cluster.entries.len() {
+        if seen[n].process != starts[n] {
+            seen[n] = SeenConfig {
                 version: 1,
                 process: starts[n],
             };
         }
-        let newest = stage.version - 1;
-        let in_force = stage.changed.elapsed() > Duration::from_millis(CONFIG_MS);
-        let was_calm = stage.calm.was_calm(n, stage.changed) && stage.calm.was_calm(n, asked);
+        let newest = cluster.version - 1;
+        let in_force = cluster.changed.elapsed() > Duration::from_millis(CONFIG_MS);
+        let is_undisturbed_since = cluster
+            .disturbances
+            .is_undisturbed_since(n, cluster.changed)
+            && cluster.disturbances.is_undisturbed_since(n, asked);
         match caller.has_queue(n, &format!("x{newest}")) {
-            Some(true) => shown[n].version = stage.version,
-            Some(false) if shown[n].version == stage.version => {
-                let what = format!("entry {n} went back behind configuration {}", stage.version);
-                stage.fleet.broken(what);
+            Some(true) => seen[n].version = cluster.version,
+            Some(false) if seen[n].version == cluster.version => {
+                let what = format!(
+                    "entry {n} went back behind configuration {}",
+                    cluster.version
+                );
+                cluster.fleet.broken(what);
             }
-            Some(false) if in_force && was_calm => {
-                let what = format!("configuration {} is not in force at {n}", stage.version);
-                stage.fleet.broken(what);
+            Some(false) if in_force && is_undisturbed_since => {
+                let what = format!("configuration {} is not in force at {n}", cluster.version);
+                cluster.fleet.broken(what);
             }
             _ => {}
         }
     }
 }
 
-/// How a seed went.
-struct Verdict {
+/// Holds the outcome of one seed.
+struct SeedResult {
     seed: u64,
     broken: Vec<String>,
     faults: Vec<String>,
@@ -239,15 +250,15 @@
     took: Duration,
 }
 
-fn play(args: &Args, seed: u64) -> std::io::Result<Verdict> {
+fn run_seed(args: &Args, seed: u64) -> std::io::Result<SeedResult> {
     let began = Instant::now();
-    let mut stage = Stage::new(args, seed)?;
+    let mut cluster = Cluster::new(args, seed)?;
     let mut faults = Faults::new(seed, args.entries);
-    faults.tend(&mut stage)?;
-    let all = Callers {
-        fleet: stage.fleet.clone(),
-        entries: stage.entries.iter().map(|e| e.callers).collect(),
-        calm: Arc::clone(&stage.calm),
+    faults.tick(&mut cluster)?;
+    let shared = Callers {
+        fleet: cluster.fleet.clone(),
+        entries: cluster.entries.iter().map(|e| e.callers).collect(),
+        disturbances: Arc::clone(&cluster.disturbances),
         open: Arc::default(),
         counts: Arc::default(),
         is_over: Arc::new(AtomicBool::new(false)),
@@ -255,125 +266,126 @@
     };
     let threads: Vec<_> = (1..=args.callers)
         .map(|n| {
-            let caller = Caller::new(all.clone(), seed, n);
+            let caller = Caller::new(shared.clone(), seed, n);
             std::thread::spawn(move || caller.run())
         })
         .collect();
-    let mut asker = Caller::new(all.clone(), seed, 0);
+    let mut checker = Caller::new(shared.clone(), seed, 0);
     let until = Instant::now() + Duration::from_secs(args.seconds);
     let mut next = Instant::now() + faults.pause();
-    let mut shown: Vec<Shown> = Vec::new();
-    shown.resize_with(args.entries, || Shown {
+    let mut seen: Vec<SeenConfig> = Vec::new();
+    seen.resize_with(args.entries, || SeenConfig {
         version: 1,
         process: 0,
     });
     while Instant::now() < until {
         if Instant::now() >= next {
-            faults.strike(&mut stage);
+            faults.inject_next(&mut cluster);
             next = Instant::now() + faults.pause();
         }
-        faults.tend(&mut stage)?;
-        let starts: Vec<u64> = stage.entries.iter().map(|e| e.starts).collect();
-        check_config(&stage, &mut asker, &mut shown, &starts);
+        faults.tick(&mut cluster)?;
+        let starts: Vec<u64> = cluster.entries.iter().map(|e| e.starts).collect();
+        check_config(&cluster, &mut checker, &mut seen, &starts);
         std::thread::sleep(Duration::from_millis(20));
     }
-    faults.end(&mut stage)?;
-    all.is_over.store(true, Ordering::SeqCst);
+    faults.end_all(&mut cluster)?;
+    shared.is_over.store(true, Ordering::SeqCst);
     for thread in threads {
         if thread.join().is_err() {
-            stage
+            cluster
                 .fleet
                 .broken("a caller of the soak panicked".to_string());
         }
     }
-    settle(&mut stage, &mut faults, &mut asker, &all)?;
-    let counts = &all.counts;
-    Ok(Verdict {
+    settle(&mut cluster, &mut faults, &mut checker, &shared)?;
+    let counts = &shared.counts;
+    Ok(SeedResult {
         seed,
-        broken: stage.fleet.all_broken(),
+        broken: cluster.fleet.all_broken(),
         counts: json!({
             "accepted": counts.accepted.load(Ordering::Relaxed),
             "refused": counts.refused.load(Ordering::Relaxed),
             "unknown": counts.unknown.load(Ordering::Relaxed),
             "unanswered": counts.unanswered.load(Ordering::Relaxed),
             "completed": counts.completed.load(Ordering::Relaxed),
-            "starts": stage.fleet.starts(),
+            "starts": cluster.fleet.starts(),
             "waves": faults.waves(),
         }),
-        faults: std::mem::take(&mut faults.told),
+        faults: std::mem::take(&mut faults.events),
         took: began.elapsed(),
     })
 }
 
-/// After the last fault: every job comes to its end, every wave is done, what lasts is at work.
+/// Waits after the last fault until every job has ended, every wave is completed and every long-running job has
+/// been seen running; reports a broken promise after `SETTLE_MS`.
 fn settle(
-    stage: &mut Stage,
+    cluster: &mut Cluster,
     faults: &mut Faults,
-    asker: &mut Caller,
-    all: &Callers,
+    checker: &mut Caller,
+    shared: &Callers,
 ) -> std::io::Result<()> {
     let until = Instant::now() + Duration::from_millis(SETTLE_MS);
-    let mut cancelled: Vec<Known> = Vec::new();
+    let mut cancelled: Vec<AcceptedJob> = Vec::new();
     loop {
-        faults.tend(stage)?;
-        let open: Vec<Known> = lock(&all.open).clone();
-        let waves = (1..=faults.waves()).all(|w| stage.fleet.wave_completed(w));
-        if open.is_empty() && waves && cancelled.iter().all(|k| is_gone(stage, k)) {
+        faults.tick(cluster)?;
+        let open: Vec<AcceptedJob> = lock(&shared.open).clone();
+        let waves = (1..=faults.waves()).all(|w| cluster.fleet.wave_completed(w));
+        if open.is_empty() && waves && cancelled.iter().all(|k| has_no_runs(cluster, k)) {
             return Ok(());
         }
         if Instant::now() >= until {
             let left: Vec<&String> = open.iter().map(|k| &k.id).collect();
             let what = format!("not settled: jobs {left:?}, waves done: {waves}");
-            stage.fleet.broken(what);
+            cluster.fleet.broken(what);
             return Ok(());
         }
-        for known in open {
-            let at_work = stage.fleet.running_of(&known.id) == known.tasks.len();
-            if known.is_cancelled || (known.lasts && at_work) {
-                if asker.cancel_at(0, &known.id) {
-                    cancelled.push(known);
+        for job in open {
+            let at_work = cluster.fleet.running_of(&job.id) == job.tasks.len();
+            if job.is_cancelled || (job.is_long_running && at_work) {
+                if checker.cancel_job(0, &job.id) {
+                    cancelled.push(job);
                 }
                 continue;
             }
-            asker.state(0, &known);
+            checker.query_job(0, &job);
         }
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-fn is_gone(stage: &Stage, known: &Known) -> bool {
-    stage.fleet.running_of(&known.id) == 0
+fn has_no_runs(cluster: &Cluster, job: &AcceptedJob) -> bool {
+    cluster.fleet.running_of(&job.id) == 0
 }
 
-/// Plays all seeds; fails if any promise was broken.
+/// Runs all seeds and writes the report; returns an error if a promise was broken.
 pub(crate) fn run(args: Args) -> Result<(), String> {
-    let mut verdicts = Vec::new();
+    let mut results = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
-        let verdict = play(&args, seed).map_err(|e| format!("seed {seed}: {e}"))?;
+        let result = run_seed(&args, seed).map_err(|e| format!("seed {seed}: {e}"))?;
         let logs = args.logs.join(seed.to_string());
-        if verdict.broken.is_empty() {
+        if result.broken.is_empty() {
             std::fs::remove_dir_all(&logs).map_err(|e| format!("{}: {e}", logs.display()))?;
         }
         println!(
             "seed {seed}: {} in {:.1} s, {} faults, {}",
-            if verdict.broken.is_empty() {
+            if result.broken.is_empty() {
                 "held"
             } else {
                 "BROKEN"
             },
-            verdict.took.as_secs_f64(),
-            verdict.faults.len(),
-            verdict.counts
+            result.took.as_secs_f64(),
+            result.faults.len(),
+            result.counts
         );
-        for what in verdict.broken.iter().take(BROKEN_SHOWN) {
+        for what in result.broken.iter().take(BROKEN_SHOWN) {
             println!("  {what} (logs: {})", logs.display());
         }
-        verdicts.push(verdict);
+        results.push(result);
     }
-    let failed = verdicts.iter().filter(|v| !v.broken.is_empty()).count();
-    println!("{} seeds, {failed} broken", verdicts.len());
+    let failed = results.iter().filter(|v| !v.broken.is_empty()).count();
+    println!("{} seeds, {failed} broken", results.len());
     if let Some(path) = &args.report {
-        let rows: Vec<Value> = verdicts
+        let rows: Vec<Value> = results
             .iter()
             .map(|v| {
                 json!({"seed": v.seed, "broken": v.broken, "faults": v.faults, "counts": v.counts,
--- a/standin/src/soak/proxy.rs
+++ b/standin/src/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A TCP relay on loopback whose connections can be delayed, reset, silenced, cut one way or made deaf.
+//! A TCP relay on loopback whose connections can be delayed, reset or silenced. The soak puts one before the store
+//! for each entry and one before each worker; fault injection sets what happens to their traffic.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,87 +10,87 @@
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::{Async, Timer};
 
-/// How often a connection that is held up looks whether it may go on.
-const LOOK_MS: u64 = 20;
+/// Interval at which a blocked connection checks whether it may go on.
+const POLL_MS: u64 = 20;
 
-/// Bytes that are passed on at a time.
-const PIECE_BYTES: usize = 16 << 10;
+/// Largest number of bytes that are relayed at once.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// What befalls everything that goes through.
+/// Names the fault that applies to all traffic of a relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Trouble {
-    /// Nothing.
+pub(crate) enum LinkFault {
+    /// No fault.
     #[default]
     None,
-    /// Each piece is held up for so many milliseconds.
+    /// Delays each chunk by this number of milliseconds.
     Delay(u64),
-    /// Nothing goes either way; connections stay open.
+    /// Relays nothing in either direction; connections stay open.
     Silence,
-    /// Nothing comes back.
+    /// Relays nothing from the target back to the client.
     OneWay,
-    /// Connections are closed as soon as something moves on them, new ones at once.
+    /// Closes open connections, and new ones when they are accepted.
     Reset,
-    /// Connections that are open now never pass anything on again; new ones work.
+    /// Silences the connections that are open now for good; new ones work.
     Deaf,
 }
 
-impl Trouble {
-    /// As one number, to be shared.
+impl LinkFault {
+    /// Encodes the fault as one number, to be held in an atomic.
     fn encode(self) -> u64 {
         match self {
-            Trouble::None => 0,
-            Trouble::Silence => 1,
-            Trouble::OneWay => 2,
-            Trouble::Reset => 3,
-            Trouble::Deaf => 4,
-            Trouble::Delay(ms) => 16 + ms,
+            LinkFault::None => 0,
+            LinkFault::Silence => 1,
+            LinkFault::OneWay => 2,
+            LinkFault::Reset => 3,
+            LinkFault::Deaf => 4,
+            LinkFault::Delay(ms) => 16 + ms,
         }
     }
 
     fn decode(number: u64) -> Self {
         match number {
-            0 => Trouble::None,
-            1 => Trouble::Silence,
-            2 => Trouble::OneWay,
-            3 => Trouble::Reset,
-            4 => Trouble::Deaf,
-            ms => Trouble::Delay(ms - 16),
+            0 => LinkFault::None,
+            1 => LinkFault::Silence,
+            2 => LinkFault::OneWay,
+            3 => LinkFault::Reset,
+            4 => LinkFault::Deaf,
+            ms => LinkFault::Delay(ms - 16),
         }
     }
 }
 
-/// The relay.
+/// Relays connections to one target.
 #[derive(Clone)]
 pub(crate) struct Proxy {
-    /// Where it takes connections.
+    /// Address where it accepts connections.
     pub(crate) address: SocketAddr,
-    trouble: Arc<AtomicU64>,
-    /// Rises each time that the connections open at that moment go deaf.
+    fault: Arc<AtomicU64>,
+    /// Increases each time that the open connections are silenced for good.
     generation: Arc<AtomicU64>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Proxy {
-    /// A relay to `target`.
+    /// Starts a relay to `target` on a port that the system assigns.
     pub(crate) fn start(runtime: Runtime, target: SocketAddr) -> std::io::Result<Self> {
         let listener = Async::new(TcpListener::bind("127.0.0.1:0")?)?;
         let proxy = Self {
             address: listener.get_ref().local_addr()?,
-            trouble: Arc::default(),
+            fault: Arc::default(),
             generation: Arc::default(),
             open: Arc::default(),
         };
         let relay = proxy.clone();
         runtime.run(async move {
             while let Ok((from, _)) = listener.accept().await {
-                if relay.trouble() == Trouble::Reset {
+                if relay.fault() == LinkFault::Reset {
                     continue;
                 }
                 let relay = relay.clone();
                 runtime.run(async move {
-                    // Whoever connects to a dead port sees its connection closed.
+                    // If the target refuses, the client's connection is closed.
                     if let Ok(to) = Async::<TcpStream>::connect(target).await {
-                        relay.join(from, to).await;
+                        relay.relay_between(from, to).await;
                     }
                 });
             }
@@ -97,77 +98,83 @@
         Ok(proxy)
     }
 
-    fn trouble(&self) -> Trouble {
-        Trouble::decode(self.trouble.load(Ordering::SeqCst))
+    fn fault(&self) -> LinkFault {
+        LinkFault::decode(self.fault.load(Ordering::SeqCst))
     }
 
-    /// Brings trouble, or ends it with [`Trouble::None`].
-    pub(crate) fn set(&self, trouble: Trouble) {
-        if trouble == Trouble::Deaf {
+    /// Sets the fault, or ends it with [`LinkFault::None`].
+    pub(crate) fn set(&self, fault: LinkFault) {
+        if fault == LinkFault::Deaf {
             self.generation.fetch_add(1, Ordering::SeqCst);
         }
-        self.trouble.store(trouble.encode(), Ordering::SeqCst);
-        if trouble != Trouble::Reset {
+        self.fault.store(fault.encode(), Ordering::SeqCst);
+        if fault != LinkFault::Reset {
             return;
         }
-        for stream in self.held().drain(..) {
-            // A connection that is closed already needs no reset.
+        for stream in self.open_streams().drain(..) {
+            // Fails if the connection is closed already, which needs no reset.
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    fn held(&self) -> std::sync::MutexGuard<'_, Vec<TcpStream>> {
+    fn open_streams(&self) -> std::sync::MutexGuard<'_, Vec<TcpStream>> {
         self.open.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    async fn join(&self, from: Async<TcpStream>, to: Async<TcpStream>) {
+    async fn relay_between(&self, from: Async<TcpStream>, to: Async<TcpStream>) {
         for stream in [&from, &to] {
             if let Ok(clone) = stream.get_ref().try_clone() {
-                self.held().push(clone);
+                self.open_streams().push(clone);
             }
         }
-        let born = self.generation.load(Ordering::SeqCst);
-        let there = self.pump(&from, &to, false, born);
-        let back = self.pump(&to, &from, true, born);
-        smol::future::or(there, back).await;
-        // One side is done: so is the other.
+        let opened_generation = self.generation.load(Ordering::SeqCst);
+        let forward = self.copy(&from, &to, false, opened_generation);
+        let backward = self.copy(&to, &from, true, opened_generation);
+        smol::future::or(forward, backward).await;
+        // When one direction ends, both ends of the connection are closed.
         let _ = from.get_ref().shutdown(std::net::Shutdown::Both);
         let _ = to.get_ref().shutdown(std::net::Shutdown::Both);
         let closed = |s: &TcpStream| s.peer_addr().is_err();
-        self.held().retain(|s| !closed(s));
+        self.open_streams().retain(|s| !closed(s));
     }
 
-    async fn pump(&self, from: &Async<TcpStream>, to: &Async<TcpStream>, is_back: bool, born: u64) {
+    async fn copy(
+        &self,
+        from: &Async<TcpStream>,
+        to: &Async<TcpStream>,
+        is_back: bool,
+        opened_generation: u64,
+    ) {
         let (mut from, mut to) = (from, to);
-        let mut piece = vec![0; PIECE_BYTES];
-        while let Ok(n) = from.read(&mut piece).await {
-            if n == 0 || !self.let_through(is_back, born).await {
+        let mut chunk = vec![0; CHUNK_BYTES];
+        while let Ok(n) = from.read(&mut chunk).await {
+            if n == 0 || !self.may_pass(is_back, opened_generation).await {
                 return;
             }
-            if to.write_all(&piece[..n]).await.is_err() {
+            if to.write_all(&chunk[..n]).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Waits as the trouble asks for; says whether the connection lives on. A deaf one waits for ever: whoever
-    /// closes it first ends both ways.
-    async fn let_through(&self, is_back: bool, born: u64) -> bool {
+    /// Waits while the fault blocks this direction; returns whether the connection goes on. A silenced connection waits
+    /// until one of its peers closes it.
+    async fn may_pass(&self, is_back: bool, opened_generation: u64) -> bool {
         loop {
-            if self.generation.load(Ordering::SeqCst) != born {
-                Timer::after(Duration::from_millis(LOOK_MS)).await;
+            if self.generation.load(Ordering::SeqCst) != opened_generation {
+                Timer::after(Duration::from_millis(POLL_MS)).await;
                 continue;
             }
-            match self.trouble() {
-                Trouble::None | Trouble::Deaf => return true,
-                Trouble::Reset => return false,
-                Trouble::OneWay if !is_back => return true,
-                Trouble::Delay(ms) => {
+            match self.fault() {
+                LinkFault::None | LinkFault::Deaf => return true,
+                LinkFault::Reset => return false,
+                LinkFault::OneWay if !is_back => return true,
+                LinkFault::Delay(ms) => {
                     Timer::after(Duration::from_millis(ms)).await;
                     return true;
                 }
-                Trouble::Silence | Trouble::OneWay => {
-                    Timer::after(Duration::from_millis(LOOK_MS)).await;
+                LinkFault::Silence | LinkFault::OneWay => {
+                    Timer::after(Duration::from_millis(POLL_MS)).await;
                 }
             }
         }
--- a/standin/src/soak/rare.rs
+++ b/standin/src/soak/rare.rs
@@ -1,5 +1,5 @@
-//! Faults that came later than those of [`super::faults`]: each is drawn by a generator of its own, so that seeds that
-//! failed before play the older ones as they did.
+//! Rare faults, injected beside those of [`super::faults`], which calls this module. Each kind has its own random
+//! generator, so that a new kind does not change what saved seeds draw.
 
 use fastrand::Rng;
 
@@ -8,52 +8,54 @@
 
 use super::POOL;
 
-/// With one in so many of the older faults, each of these comes, too: once or twice in a day of 20 s.
+/// Each kind comes with one in this many of the other faults: once or twice in a run of 20 s.
 const ONE_IN: u32 = 20;
 
-/// One that comes beside the older faults.
+/// Names a rare fault; the values are its parameters.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Rare {
-    /// All entries are killed and started at once, while the store turns most calls away.
+pub(crate) enum RareFault {
+    /// Kills and restarts all entries at once, while the store refuses most calls.
     Dawn(StoreFault),
-    /// The owner is killed and started at once, while its orders are late.
+    /// Kills the owner and restarts it at once, while its orders are delayed.
     Bounce(OrderFault),
-    /// A worker hears and is not heard, and holds reach all workers late.
+    /// Blocks the answers of one worker, and delays lease renewals to all workers.
     HalfCut(OrderFault),
-    /// Writes of the store are done and not answered, seconds later.
+    /// Makes the store apply some writes seconds late, without an answer.
     Belated,
-    /// The owner stands still while the answer to its renewal is on its way.
+    /// Suspends the owner while the answer to its renewal is on its way.
     FrozenRenewal,
-    /// A worker crashes, and its host has another life at once, while the former one stays in the list for so long.
+    /// Crashes a worker; its host starts another instance at once, and the former one stays listed for this number of
+    /// milliseconds.
     Reborn(u64),
-    /// Orders do not pass between the halls.
+    /// Cuts orders, or their answers, between the halls.
     Halls(HallCut),
-    /// The same, and the owner's hall does not reach the store.
+    /// Cuts orders between the halls, and the owner's hall from the store.
     OwnerAlone,
-    /// Some of the pool's partitions refuse all calls.
+    /// Makes the pool's partitions from this shard on refuse all calls.
     Parts(usize),
-    /// The owner is told to stop.
+    /// Sends SIGTERM to the owner.
     Handover,
-    /// The store is away, and all workers lapse from its list meanwhile; they are back so long after it is.
+    /// Makes the store refuse all calls while all workers leave its list; they return this number of milliseconds
+    /// after the store does.
     Lapse(u64),
-    /// A worker leaves the list without a word, serves on for a while and is gone.
+    /// Takes a worker off the list while it still serves, and crashes it later.
     Withdrawn,
-    /// So many workers crash at once, and start again under their ids so much later.
+    /// Crashes this number of workers at once; they restart under their ids after this number of milliseconds.
     Restarts(usize, u64),
-    /// Lives that end, by a crash or an upkeep, come again under their ids.
+    /// Makes workers that end, by a crash or by maintenance, restart under their ids.
     KeptIds,
 }
 
-/// How many kinds there are.
+/// Number of kinds; halls cut one way and both ways count as one.
 const KINDS: usize = 14;
 
-/// The generators.
-pub(crate) struct Rares {
+/// Holds the random generators.
+pub(crate) struct RareFaults {
     rngs: Vec<Rng>,
 }
 
-impl Rares {
-    /// One generator for each kind.
+impl RareFaults {
+    /// Creates one generator for each kind.
     pub(crate) fn new(seed: u64) -> Self {
         let of =
             |kind: usize| Rng::with_seed((seed ^ 0x5EED_FA17).rotate_left(5 * kind as u32 + 3));
@@ -62,46 +64,46 @@
         }
     }
 
-    /// What comes now, and for how long.
-    pub(crate) fn draw(&mut self) -> Vec<(Rare, u64)> {
+    /// Draws the rare faults to inject now, each with its duration in milliseconds.
+    pub(crate) fn draw(&mut self) -> Vec<(RareFault, u64)> {
         let mut all = Vec::new();
         for (kind, rng) in self.rngs.iter_mut().enumerate() {
             if rng.u32(..ONE_IN) == 0 {
-                let rare = of_kind(kind, rng);
-                all.push((rare, rng.u64(1_000..8_000)));
+                let rare_fault = draw_kind(kind, rng);
+                all.push((rare_fault, rng.u64(1_000..8_000)));
             }
         }
         all
     }
 }
 
-fn of_kind(kind: usize, rng: &mut Rng) -> Rare {
+fn draw_kind(kind: usize, rng: &mut Rng) -> RareFault {
     match kind {
-        0 => Rare::Dawn(StoreFault::Choosy(rng.u32(60..95))),
-        1 => Rare::Bounce(OrderFault {
+        0 => RareFault::Dawn(StoreFault::Choosy(rng.u32(60..95))),
+        1 => RareFault::Bounce(OrderFault {
             very_late: rng.u32(20..60),
             ..OrderFault::default()
         }),
-        2 => Rare::HalfCut(OrderFault {
+        2 => RareFault::HalfCut(OrderFault {
             late_holds: rng.u32(20..80),
             ..OrderFault::default()
         }),
-        3 => Rare::Belated,
-        4 => Rare::FrozenRenewal,
-        5 => Rare::Reborn(rng.u64(..5_000)),
-        6 if rng.bool() => Rare::Halls(HallCut::BothWays),
-        6 => Rare::Halls(HallCut::Answers),
-        7 => Rare::OwnerAlone,
-        8 => Rare::Parts(rng.usize(1..SHARDS)),
-        9 => Rare::Handover,
-        10 => Rare::Lapse(rng.u64(..2_000)),
-        11 => Rare::Withdrawn,
-        12 => Rare::Restarts(rng.usize(1..5), rng.u64(20..3_000)),
-        _ => Rare::KeptIds,
+        3 => RareFault::Belated,
+        4 => RareFault::FrozenRenewal,
+        5 => RareFault::Reborn(rng.u64(..5_000)),
+        6 if rng.bool() => RareFault::Halls(HallCut::BothWays),
+        6 => RareFault::Halls(HallCut::Answers),
+        7 => RareFault::OwnerAlone,
+        8 => RareFault::Parts(rng.usize(1..SHARDS)),
+        9 => RareFault::Handover,
+        10 => RareFault::Lapse(rng.u64(..2_000)),
+        11 => RareFault::Withdrawn,
+        12 => RareFault::Restarts(rng.usize(1..5), rng.u64(20..3_000)),
+        _ => RareFault::KeptIds,
     }
 }
 
-/// The partitions of the pool's shards, from one on.
-pub(crate) fn parts_from(first: usize) -> Vec<String> {
+/// Returns the partitions of the pool's shards from number `first` on.
+pub(crate) fn partitions_from(first: usize) -> Vec<String> {
     (first..SHARDS).map(|n| shard_part(POOL, n)).collect()
 }
