--- a/standin/src/fleet/clocks.rs
+++ b/standin/src/fleet/clocks.rs
@@ -1,46 +1,47 @@
-//! Workers' own clocks: each life counts from a moment of its own, and some run slow.
+//! Clocks of workers: each instance's clock starts from its own value, and some run slow. The worker code of the
+//! stand-in platform converts between these clocks and its own.
 
-/// A clock may be slow by so much, in percent: what the platform's pages allow.
+/// Largest rate error of a worker's clock in percent; the platform allows this much.
 const SLOW_MAX_PERCENT: u64 = 2;
 
-/// The latest moment at which a life's clock may begin to count.
+/// Largest value from which a worker's clock may start.
 const BASE_MAX_MS: u64 = 10_000_000;
 
-/// A life's clock; by default the platform's own.
+/// Holds the clock of one instance; the default is the platform's own clock.
 #[derive(Clone, Copy, Default)]
 pub(super) struct WorkerClock {
     base_ms: u64,
-    born_ms: u64,
+    started_ms: u64,
     slow_percent: u64,
 }
 
 impl WorkerClock {
-    /// A clock that begins to count now.
-    pub(super) fn draw(rng: &mut fastrand::Rng, now_ms: u64) -> Self {
+    /// Draws a clock that starts now from a random value and at a random rate.
+    pub(super) fn random(rng: &mut fastrand::Rng, now_ms: u64) -> Self {
         Self {
             base_ms: rng.u64(..BASE_MAX_MS),
-            born_ms: now_ms,
+            started_ms: now_ms,
             slow_percent: rng.u64(..=SLOW_MAX_PERCENT),
         }
     }
 
-    /// A clock that counts from 0 now.
-    pub(super) fn anew(now_ms: u64) -> Self {
+    /// Returns a clock that starts now from 0 at the right rate.
+    pub(super) fn from_zero(now_ms: u64) -> Self {
         Self {
-            born_ms: now_ms,
+            started_ms: now_ms,
             ..Self::default()
         }
     }
 
-    /// What it shows.
-    pub(super) fn shows(self, now_ms: u64) -> u64 {
-        let lived_ms = now_ms - self.born_ms;
-        self.base_ms + lived_ms * (100 - self.slow_percent) / 100
+    /// Returns what this clock shows at a time of the platform's clock.
+    pub(super) fn local_ms(self, now_ms: u64) -> u64 {
+        let elapsed_ms = now_ms - self.started_ms;
+        self.base_ms + elapsed_ms * (100 - self.slow_percent) / 100
     }
 
-    /// When it will show `at_ms`; now where it has.
-    pub(super) fn reaches(self, at_ms: u64, now_ms: u64) -> u64 {
-        let left_ms = at_ms.saturating_sub(self.shows(now_ms));
+    /// Returns the platform's time at which this clock will show `at_ms`, or `now_ms` if it already has.
+    pub(super) fn platform_ms_at(self, at_ms: u64, now_ms: u64) -> u64 {
+        let left_ms = at_ms.saturating_sub(self.local_ms(now_ms));
         now_ms + left_ms * 100 / (100 - self.slow_percent)
     }
 }
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -1,15 +1,15 @@
-//! A small platform of workers over HTTP, for tests and the soak: row store with its feed, workers with
-//! leases, hosts.
+//! A small stand-in platform over HTTP, for tests and the soak: a row store with a feed of changes, workers with
+//! leases, and hosts.
 //!
-//! It speaks what the adapter in `platform/` expects, takes faults on command and notes each promise that it
-//! sees broken. It knows one pool of workers.
+//! It speaks the protocol that the adapter in `platform/` expects, injects faults on command, and records each
+//! promise of rockwick that it sees broken. It serves a single pool of workers.
 
 mod clocks;
+mod order_faults;
 mod promises;
 mod restarts;
 mod runs;
 mod store;
-mod trouble;
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -24,96 +24,97 @@
 use smol::{Async, Timer};
 
 use clocks::WorkerClock;
+use order_faults::Trap;
 use promises::Promises;
-use trouble::Trap;
 
-/// How often a call that waits looks again.
-const LOOK_MS: u64 = 5;
+/// Interval at which a waiting call checks again.
+const POLL_MS: u64 = 5;
 
-/// A call that gets no answer is held for so long: longer than anybody waits for one.
+/// Time that a call without an answer is held open: longer than any caller waits.
 const UNANSWERED_MS: u64 = 5_000;
 
-/// What an upkeep takes.
+/// Duration of a host's maintenance.
 const UPKEEP_MS: u64 = 600;
 
-/// What is wrong with the store.
+/// Names a fault of the row store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It refuses all calls and does nothing.
+    /// Refuses all calls.
     Busy,
-    /// It does what it is told and never answers.
+    /// Applies all calls and answers none.
     Mute,
-    /// Its history is gone.
+    /// Has lost its history: the feed answers 410.
     Forgetful,
-    /// Its answers take so many milliseconds longer.
+    /// Delays every call by this number of milliseconds.
     Slow(u64),
-    /// A part's writes are taken in turn, so many milliseconds each; whoever would wait over a second is refused.
+    /// Applies the writes to a partition one after the other, this number of milliseconds each; refuses a write that
+    /// would wait longer than a second.
     Turns(u64),
-    /// One write in three is done and not answered.
+    /// Applies one write in three without an answer.
     Lossy,
-    /// So many calls of a hundred are refused, and not done.
+    /// Refuses this percentage of calls.
     Choosy(u32),
-    /// One write in three is not answered, and done 1 to 6 s later if its condition still holds.
+    /// Applies one write in three 1 to 6 s late, if its condition still holds then, and does not answer it.
     Belated,
 }
 
-/// What befalls orders to workers, in percent.
+/// Holds the faults of orders to workers, as percentages of orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OrderFault {
-    /// Orders that get no answer and are carried out 5 s later: as good as lost to whoever sent them.
+    /// Orders that are executed 5 s late without an answer: lost, as far as the sender can tell.
     pub lost: u32,
-    /// Orders that get no answer and are carried out 1 to 4 s later.
+    /// Orders that are executed 1 to 4 s late without an answer.
     pub late: u32,
-    /// The same, up to 12 s later.
+    /// Orders other than lease renewals that are executed up to 12 s late without an answer.
     pub very_late: u32,
-    /// Holds that get no answer and are carried out up to 12 s later.
+    /// Lease renewals that are executed up to 12 s late without an answer.
     pub late_holds: u32,
 }
 
-/// What befalls orders between the two halls.
+/// Names a fault of orders between the two halls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HallCut {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// They do not arrive.
+    /// Orders do not arrive.
     BothWays,
-    /// They are carried out, and their answers are lost.
+    /// Orders are executed, and their answers are lost.
     Answers,
 }
 
-/// A row: base64 text and version; no text where it was removed.
+/// Holds a row's base64 value and version; the value is `None` once the row is removed.
 #[derive(Clone, Debug)]
 struct Stored {
     value: Option<String>,
     ver: u64,
 }
 
-/// A run on a worker.
+/// Holds a run on a worker.
 #[derive(Clone, Debug)]
 struct Run {
     run: u64,
     ends_ms: Option<u64>,
 }
 
-/// A worker's life.
+/// Holds one instance of a worker.
 #[derive(Default)]
 struct Worker {
-    /// Its number among all lives.
+    /// Number among all instances started so far; an id that is used again gets a new one.
     serial: u64,
-    /// Unix time of its start.
+    /// Start time that it states, as Unix time.
     born_ms: u64,
     clock: WorkerClock,
-    fence: u64,
+    fencing_token: u64,
     lease_until_ms: u64,
-    /// When the lease before the last renewal had lapsed, if it had.
+    /// When the lease last lapsed before its last renewal, if it ever did.
     lapsed_ms: Option<u64>,
     running: BTreeMap<String, Run>,
-    /// Runs up to this one were stopped or have ended here.
-    barred: HashMap<String, u64>,
+    /// For each task, the highest run that was stopped or has ended here; runs up to it may not start.
+    barred_through: HashMap<String, u64>,
     ended: Vec<Value>,
     next_end: u64,
     starts: u64,
@@ -121,11 +122,11 @@
 
 struct Host {
     name: String,
-    /// Where its worker takes orders, as it states.
+    /// Address that its worker announces for orders.
     address: SocketAddr,
-    /// The life of its worker; none while it is down.
-    life: Option<String>,
-    /// The wave that it is out for.
+    /// Id of the worker instance that runs on it; `None` while it is down.
+    instance: Option<String>,
+    /// Wave whose maintenance it is down for.
     out_for: Option<u64>,
 }
 
@@ -139,34 +140,34 @@
     operator_calls_refused: u64,
     feed_rows_max: usize,
     feed_page_ms: u64,
-    /// When a part has done the writes that came so far.
+    /// When each partition will have applied the writes received so far, under [`StoreFault::Turns`].
     busy_until: BTreeMap<String, Instant>,
     order_fault: OrderFault,
     hall_cut: HallCut,
-    /// Entries by the epochs that they won.
+    /// Owners by epoch: the entry that took the pool at that revision.
     owners: BTreeMap<u64, String>,
-    /// The next renewal of the pool's lease is answered late, and told.
+    /// Set while the next renewal of the pool's lease is to be answered late and reported.
     renewal_trap: Option<Trap>,
     rng: fastrand::Rng,
-    /// Draws of what came later, so that older seeds play as they did.
+    /// Separate generator for newer faults, so that saved seeds draw the older ones as before.
     late_rng: fastrand::Rng,
-    /// Draws of when lives say that they were born.
+    /// Separate generator for the start times that instances state.
     births: fastrand::Rng,
-    /// Lives have clocks of their own, some of them slow.
+    /// Whether instances have clocks of their own, some of them slow.
     has_clocks: bool,
-    /// The last life of each id, ended ones included.
+    /// The last instance of each id, ended ones included.
     workers: BTreeMap<String, Worker>,
-    /// Lives that end come again under their ids.
+    /// Whether instances that end restart under their ids.
     keeps_ids: bool,
     hosts: Vec<Host>,
-    lives: u64,
+    instances_started: u64,
     upkeeps: Vec<String>,
-    /// Hosts that were through a wave.
-    upkept: BTreeMap<u64, BTreeSet<String>>,
+    /// Hosts that each wave has taken through maintenance.
+    maintained: BTreeMap<u64, BTreeSet<String>>,
     promises: Promises,
 }
 
-/// The platform, as tests hold it.
+/// Handle to the stand-in platform; clones share its state.
 #[derive(Clone)]
 pub struct Fleet {
     state: Arc<Mutex<State>>,
@@ -174,12 +175,12 @@
     began: Instant,
     pool: String,
     work_ms: u64,
-    /// Where the store, and orders to hosts, are.
+    /// Address of the store, which also takes orders to hosts.
     pub address: SocketAddr,
 }
 
 impl Fleet {
-    /// Serves the store and so many workers of a pool on ports of the system's choice.
+    /// Serves the store and `workers` workers of a pool on ports that the system assigns.
     pub fn start(pool: &str, workers: usize, work_ms: u64) -> std::io::Result<Self> {
         let runtime = Runtime::new("fleet", 1)?;
         let listener = Async::new(TcpListener::bind("127.0.0.1:0")?)?;
@@ -197,11 +198,11 @@
             let host = Host {
                 name: format!("m-{n}"),
                 address: listener.get_ref().local_addr()?,
-                life: None,
+                instance: None,
                 out_for: None,
             };
             fleet.lock().hosts.push(host);
-            fleet.new_life(n);
+            fleet.start_new_instance(n);
             fleet.listen(listener, Some(n));
         }
         Ok(fleet)
@@ -215,7 +216,7 @@
         self.began.elapsed().as_millis() as u64
     }
 
-    /// Seeds what goes wrong by chance.
+    /// Seeds the random faults.
     pub fn set_seed(&self, seed: u64) {
         let mut state = self.lock();
         state.rng = fastrand::Rng::with_seed(seed);
@@ -223,12 +224,12 @@
         state.births = fastrand::Rng::with_seed(seed.rotate_left(29));
     }
 
-    /// Writes a row as the operator or a worker would.
+    /// Writes a row without a condition, as the operator or a worker would.
     pub fn put(&self, table: &str, part: &str, key: &str, value: &Value) {
         self.put_bytes(table, part, key, value.to_string().as_bytes());
     }
 
-    /// Writes any bytes.
+    /// Writes a row whose value is any bytes.
     pub fn put_bytes(&self, table: &str, part: &str, key: &str, bytes: &[u8]) {
         self.write(table, part, key, Some(store::base64(bytes)));
     }
@@ -237,17 +238,17 @@
         let mut state = self.lock();
         state.ver += 1;
         let ver = state.ver;
-        let place = (table.to_string(), part.to_string(), key.to_string());
-        state.rows.insert(place, Stored { value, ver });
+        let row_key = (table.to_string(), part.to_string(), key.to_string());
+        state.rows.insert(row_key, Stored { value, ver });
     }
 
-    /// A configuration with one queue under `/q/` of host `queue.example`.
+    /// Writes a configuration with one queue under `/q/` of host `queue.example`.
     pub fn configure(&self, version: u64, pool: &str) {
-        self.configure_more(version, pool, 0);
+        self.configure_queues(version, pool, 0);
     }
 
-    /// The same, and so many more queues under `/x1/`, `/x2/` and so on.
-    pub fn configure_more(&self, version: u64, pool: &str, more: u64) {
+    /// Writes the same configuration with `more` further queues under `/x1/`, `/x2/` and so on.
+    pub fn configure_queues(&self, version: u64, pool: &str, more: u64) {
         let route = |name: String| {
             json!({"name": name, "host": "queue.example", "path_prefix": format!("/{name}/"),
                 "service": pool, "priority": 0, "max_attempts": 3, "stretch": 1.6,
@@ -267,8 +268,8 @@
         self.put("op", "", "config", &config);
     }
 
-    /// A configuration with a queue for accounts under `/q/` and a public one under `/open/`, and these accounts: names
-    /// and keys.
+    /// Writes a configuration with a queue for accounts under `/q/`, a public queue under `/open/`, and these accounts,
+    /// given as names and keys.
     pub fn configure_accounts(&self, version: u64, pool: &str, accounts: &[(&str, &[&str])]) {
         let route = |name: &str, is_public: bool| {
             json!({"name": name, "host": "queue.example", "path_prefix": format!("/{name}/"),
@@ -289,34 +290,34 @@
         self.put("op", "", "config", &config);
     }
 
-    /// Breaks the store, or mends it.
+    /// Sets the store's fault, or ends it with [`StoreFault::None`].
     pub fn set_fault(&self, fault: StoreFault) {
         self.lock().fault = fault;
     }
 
-    /// Makes these partitions refuse all calls, and no others.
+    /// Makes exactly these partitions refuse all calls.
     pub fn set_parts_away(&self, parts: &[String]) {
         self.lock().parts_away = parts.iter().cloned().collect();
     }
 
-    /// Makes the partition of the operator's word refuse all calls, and no others.
+    /// Makes the operator's table refuse all reads, or serve them again.
     pub fn set_operator_away(&self, is_away: bool) {
         self.lock().is_operator_away = is_away;
     }
 
-    /// Calls that it refused.
+    /// Returns the number of calls that the operator's table has refused.
     pub fn operator_calls_refused(&self) -> u64 {
         self.lock().operator_calls_refused
     }
 
-    /// Lets an answer of the feed bring so many changes at the most, each after so many milliseconds.
+    /// Limits an answer of the feed to `rows_max` changes, and delays it by `page_ms`; 0 rows for no limit.
     pub fn set_feed_pages(&self, rows_max: usize, page_ms: u64) {
         let mut state = self.lock();
         state.feed_rows_max = rows_max;
         state.feed_page_ms = page_ms;
     }
 
-    /// Starts that all workers accepted.
+    /// Returns the number of starts that all workers have accepted.
     pub fn starts(&self) -> u64 {
         self.lock().workers.values().map(|w| w.starts).sum()
     }
@@ -325,7 +326,7 @@
         Timer::after(Duration::from_millis(UNANSWERED_MS)).await;
     }
 
-    /// Serves the store, or one host's worker.
+    /// Serves the store, or the worker of one host.
     fn listen(&self, listener: Async<TcpListener>, host: Option<usize>) {
         let fleet = self.clone();
         self.runtime.run(async move {
--- a/standin/src/fleet/restarts.rs
+++ b/standin/src/fleet/restarts.rs
@@ -1,4 +1,5 @@
-//! Workers that start again under the id that they had, and know nothing of before.
+//! Workers that restart under the same id without any state of their former instance. Faults of the soak and ends of
+//! instances lead here.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,24 +7,24 @@
 
 use super::{Fleet, State};
 
-/// A wall clock is off by so much at the most.
+/// Largest error of a worker's wall clock.
 const CLOCK_STEP_MS: u64 = 3_000;
 
 impl State {
-    /// Names a life where an id may have had several.
-    pub(super) fn label(&self, life: &str) -> String {
-        let serial = self.workers.get(life).map_or(0, |w| w.serial);
-        format!("{life}#{serial}")
+    /// Returns a name for an instance that stays unique when its id is used again.
+    pub(super) fn label(&self, instance: &str) -> String {
+        let serial = self.workers.get(instance).map_or(0, |w| w.serial);
+        format!("{instance}#{serial}")
     }
 
-    /// The number of the life that is up on a host; 0 for none.
+    /// Returns the number of the instance that runs on a host; 0 for none.
     pub(super) fn serial_on(&self, n: usize) -> u64 {
-        let life = self.hosts[n].life.as_ref();
-        let worker = life.and_then(|life| self.workers.get(life));
+        let instance = self.hosts[n].instance.as_ref();
+        let worker = instance.and_then(|instance| self.workers.get(instance));
         worker.map_or(0, |w| w.serial)
     }
 
-    /// When a life that starts now says that it was born: its wall clock may have been set back.
+    /// Draws the start time that an instance started now states: its wall clock may have been set back.
     pub(super) fn born_ms(&mut self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let now_ms = since.unwrap_or_default().as_millis() as u64;
@@ -32,24 +33,24 @@
 }
 
 impl Fleet {
-    /// A host's worker crashes, and starts again under its id so much later.
+    /// Crashes a host's worker, and restarts it under its id after `back_ms`.
     pub fn restart(&self, n: usize, back_ms: u64) {
-        let life = self.lock().end_life(n, self.clock_ms());
-        if let Some(life) = life {
-            self.start_again(n, life, back_ms);
+        let instance = self.lock().end_instance(n, self.clock_ms());
+        if let Some(instance) = instance {
+            self.restart_after(n, instance, back_ms);
         }
     }
 
-    /// Lives that end from now on come again under their ids, or under new ones.
+    /// Sets whether instances that end from now on restart under their ids or under new ones.
     pub fn set_keeps_ids(&self, keeps_ids: bool) {
         self.lock().keeps_ids = keeps_ids;
     }
 
-    pub(super) fn start_again(&self, n: usize, life: String, after_ms: u64) {
+    pub(super) fn restart_after(&self, n: usize, instance: String, after_ms: u64) {
         let fleet = self.clone();
         self.runtime.run(async move {
             Timer::after(Duration::from_millis(after_ms)).await;
-            fleet.begin_life(n, life);
+            fleet.start_instance(n, instance);
         });
     }
 }
--- a/standin/src/fleet/runs.rs
+++ b/standin/src/fleet/runs.rs
@@ -1,62 +1,63 @@
-//! Every start of a task and every end as done, so that a start can be judged by what is noted later.
+//! Records every start of a task and every end as done, so that a start can be checked against ends that an owner
+//! acknowledges later. The promise checks own it.
 
 use std::collections::BTreeMap;
 
-/// A start that a worker carried out.
+/// Holds a start that a worker executed.
 #[derive(Clone, Debug)]
 pub(super) struct Start {
-    /// When.
+    /// Time of the start, on the platform's clock.
     pub(super) at_ms: u64,
-    /// Where: the id.
-    pub(super) life: String,
-    /// Where: the life.
+    /// Id of the worker instance.
+    pub(super) instance: String,
+    /// Name of the worker instance, unique when an id is used again.
     pub(super) label: String,
-    /// Its run.
+    /// Number of the run.
     pub(super) run: u64,
-    /// Epoch of the owner that ordered it.
-    pub(super) fence: u64,
+    /// Fencing token of the owner that ordered it.
+    pub(super) fencing_token: u64,
 }
 
-/// A run that ended as done.
+/// Holds a run that ended as done.
 #[derive(Clone, Debug)]
 struct Done {
     at_ms: u64,
-    life: String,
+    instance: String,
     run: u64,
-    /// When the end was taken note of, its worker's lease unbroken since.
-    noted_ms: Option<u64>,
+    /// When an owner acknowledged the end, if the worker's lease had not lapsed since the end.
+    acknowledged_ms: Option<u64>,
 }
 
-/// What happened to one task.
+/// Holds the starts and ends of one task.
 #[derive(Default)]
 struct History {
     starts: Vec<Start>,
     done: Vec<Done>,
 }
 
-/// What happened to all tasks.
+/// Holds the starts and ends of all tasks.
 #[derive(Default)]
 pub(super) struct Runs {
     by_task: BTreeMap<String, History>,
 }
 
 impl Done {
-    /// What is wrong with a start, if this end stands for good.
+    /// Returns what is wrong with a start, if this end was acknowledged and comes before the start.
     fn forbids(&self, task: &str, start: &Start) -> Option<String> {
-        let noted_ms = self.noted_ms?;
+        let acknowledged_ms = self.acknowledged_ms?;
         if start.at_ms <= self.at_ms {
             return None;
         }
         Some(format!(
-            "{} ms: {task} run {} starts on {} under epoch {}, after run {} was done on {} at {} ms, noted at {noted_ms} ms",
-            start.at_ms, start.run, start.label, start.fence, self.run, self.life, self.at_ms
+            "{} ms: {task} run {} starts on {} under epoch {}, after run {} was done on {} at {} ms, noted at {acknowledged_ms} ms",
+            start.at_ms, start.run, start.label, start.fencing_token, self.run, self.instance, self.at_ms
         ))
     }
 }
 
 impl Runs {
-    /// A worker carries out a start; says what is wrong with that.
-    pub(super) fn started(&mut self, task: &str, start: Start) -> Vec<String> {
+    /// Records a start that a worker executes; returns what is wrong with it.
+    pub(super) fn record_start(&mut self, task: &str, start: Start) -> Vec<String> {
         let history = self.by_task.entry(task.to_string()).or_default();
         let wrong = history.done.iter().filter_map(|d| d.forbids(task, &start));
         let wrong = wrong.collect();
@@ -64,22 +65,23 @@
         wrong
     }
 
-    /// A run ended as done.
-    pub(super) fn done(&mut self, task: &str, life: &str, run: u64, at_ms: u64) {
+    /// Records that a run ended as done.
+    pub(super) fn record_done(&mut self, task: &str, instance: &str, run: u64, at_ms: u64) {
         let history = self.by_task.entry(task.to_string()).or_default();
         history.done.push(Done {
             at_ms,
-            life: life.to_string(),
+            instance: instance.to_string(),
             run,
-            noted_ms: None,
+            acknowledged_ms: None,
         });
     }
 
-    /// An end as done is taken note of; `lapsed_ms` is when its worker's lease last lapsed. Says which starts were wrong.
-    pub(super) fn noted(
+    /// Records that an owner acknowledged an end as done; `lapsed_ms` is when the worker's lease last lapsed. Returns
+    /// what is wrong with starts after that end.
+    pub(super) fn record_acknowledged_end(
         &mut self,
         task: &str,
-        life: &str,
+        instance: &str,
         run: u64,
         lapsed_ms: Option<u64>,
         now_ms: u64,
@@ -87,14 +89,14 @@
         let Some(history) = self.by_task.get_mut(task) else {
             return Vec::new();
         };
-        let of_run = |d: &&mut Done| d.life == life && d.run == run;
+        let of_run = |d: &&mut Done| d.instance == instance && d.run == run;
         let Some(done) = history.done.iter_mut().find(of_run) else {
             return Vec::new();
         };
         if lapsed_ms.is_some_and(|at| at >= done.at_ms) {
             return Vec::new();
         }
-        done.noted_ms = Some(now_ms);
+        done.acknowledged_ms = Some(now_ms);
         let starts = history.starts.iter();
         starts.filter_map(|s| done.forbids(task, s)).collect()
     }
--- a/standin/src/fleet/store.rs
+++ b/standin/src/fleet/store.rs
@@ -1,4 +1,5 @@
-//! The row store: conditional transactions, ranges, changes.
+//! The row store of the stand-in platform: conditional transactions, range reads and the feed of changes, with the
+//! store's faults. The store's listener calls it.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -9,13 +10,13 @@
 use serde_json::{json, Value};
 use smol::Timer;
 
-use super::{Fleet, State, StoreFault, Stored, LOOK_MS};
+use super::{Fleet, State, StoreFault, Stored, POLL_MS};
 
-/// The partition that a transaction names.
+/// Returns the partition of a transaction's first row.
 fn part_of(body: &[u8]) -> String {
     let tx: Value = serde_json::from_slice(body).unwrap_or_default();
-    let rows = ["put", "remove", "expected_revision"].map(|name| list(&tx[name]));
-    let part = rows.iter().flatten().next().map(|row| place(row).1);
+    let rows = ["put", "remove", "expected_revision"].map(|name| items(&tx[name]));
+    let part = rows.iter().flatten().next().map(|row| row_key(row).1);
     part.unwrap_or_default()
 }
 
@@ -52,7 +53,7 @@
             return answer(503, "application/json", Vec::new());
         }
         if let (StoreFault::Turns(ms), "/rows-tx") = (fault, path.as_str()) {
-            if !self.turn(part, ms).await {
+            if !self.wait_turn(part, ms).await {
                 return answer(429, "application/json", Vec::new());
             }
         }
@@ -83,8 +84,9 @@
         res
     }
 
-    /// Waits until the part that a transaction names has done those before it; says whether it is taken.
-    async fn turn(&self, part: String, ms: u64) -> bool {
+    /// Waits until the partition has applied the writes before this one; returns false if that would take more than a
+    /// second.
+    async fn wait_turn(&self, part: String, ms: u64) -> bool {
         let now = Instant::now();
         let done = {
             let mut state = self.lock();
@@ -104,19 +106,19 @@
         let Ok(tx) = serde_json::from_slice::<Value>(body) else {
             return answer(400, "application/json", Vec::new());
         };
-        let (res, is_held_up) = self.commit(&tx);
-        if is_held_up {
-            self.hold_up().await;
+        let (res, is_delayed) = self.commit(&tx);
+        if is_delayed {
+            self.delay_answer().await;
         }
         res
     }
 
-    /// Does a transaction if its condition holds; says whether its answer is to be held up.
+    /// Applies a transaction if its condition holds; returns also whether to delay its answer.
     fn commit(&self, tx: &Value) -> (Response, bool) {
         let mut state = self.lock();
-        let guards = list(&tx["expected_revision"]);
+        let guards = items(&tx["expected_revision"]);
         let ver_of = |state: &State, g: &Value| {
-            let stored = state.rows.get(&place(g)).filter(|s| s.value.is_some());
+            let stored = state.rows.get(&row_key(g)).filter(|s| s.value.is_some());
             stored.map_or(0, |s| s.ver)
         };
         if guards
@@ -125,22 +127,24 @@
         {
             let rows: Vec<Value> = guards
                 .iter()
-                .map(|g| row(&place(g), state.rows.get(&place(g))))
+                .map(|g| row(&row_key(g), state.rows.get(&row_key(g))))
                 .collect();
             let body = json!({"rows": rows, "ver": state.ver, "now_ms": 1});
             return (json(412, &body), false);
         }
         state.ver += 1;
         let ver = state.ver;
-        for put in list(&tx["put"]) {
+        for put in items(&tx["put"]) {
             let value = put["value"].as_str().map(str::to_string);
-            state.rows.insert(place(&put), Stored { value, ver });
+            state.rows.insert(row_key(&put), Stored { value, ver });
         }
-        for gone in list(&tx["remove"]) {
-            state.rows.insert(place(&gone), Stored { value: None, ver });
+        for gone in items(&tx["remove"]) {
+            state
+                .rows
+                .insert(row_key(&gone), Stored { value: None, ver });
         }
-        let is_held_up = state.note_owners(&list(&tx["put"]), &self.pool, ver);
-        (json(200, &json!({"ver": ver, "now_ms": 1})), is_held_up)
+        let is_delayed = state.record_owners(&items(&tx["put"]), &self.pool, ver);
+        (json(200, &json!({"ver": ver, "now_ms": 1})), is_delayed)
     }
 
     fn read(&self, incoming: &Incoming) -> Response {
@@ -154,11 +158,11 @@
                 && k.2 >= q("from")
                 && (until.is_empty() || k.2 < until)
         };
-        let there = state
+        let present = state
             .rows
             .iter()
             .filter(|(k, s)| of(k) && s.value.is_some());
-        let mut rows: Vec<Value> = there.map(|(k, s)| row(k, Some(s))).collect();
+        let mut rows: Vec<Value> = present.map(|(k, s)| row(k, Some(s))).collect();
         let more = rows.len() > limit;
         rows.truncate(limit);
         json(
@@ -187,11 +191,11 @@
                 let ver = self.page(&mut rows, ver).await;
                 return json(200, &json!({"rows": rows, "ver": ver, "now_ms": 1}));
             }
-            Timer::after(Duration::from_millis(LOOK_MS)).await;
+            Timer::after(Duration::from_millis(POLL_MS)).await;
         }
     }
 
-    /// Cuts changes to what one answer may bring; gives where to go on.
+    /// Limits changes to one page; returns the version to continue from.
     async fn page(&self, rows: &mut Vec<Value>, ver: u64) -> u64 {
         let (rows_max, page_ms) = {
             let state = self.lock();
@@ -212,28 +216,31 @@
     fn parts(&self, incoming: &Incoming) -> Response {
         const PAGE: usize = 1_000;
         let table = query(incoming, "table");
-        let behind = query(incoming, "depends_on");
+        let after_part = query(incoming, "depends_on");
         let state = self.lock();
         let of_table = state.rows.keys().filter(|k| k.0 == table);
         let parts: BTreeSet<&String> = of_table.map(|k| &k.1).collect();
-        let page = parts.into_iter().filter(|part| **part > behind).take(PAGE);
+        let page = parts
+            .into_iter()
+            .filter(|part| **part > after_part)
+            .take(PAGE);
         json(200, &json!({"parts": page.collect::<Vec<_>>()}))
     }
 }
 
-fn list(value: &Value) -> Vec<Value> {
+fn items(value: &Value) -> Vec<Value> {
     value.as_array().cloned().unwrap_or_default()
 }
 
-fn place(of: &Value) -> (String, String, String) {
+fn row_key(of: &Value) -> (String, String, String) {
     let text = |name: &str| of[name].as_str().unwrap_or("").to_string();
     (text("table"), text("part"), text("key"))
 }
 
-fn row(place: &(String, String, String), stored: Option<&Stored>) -> Value {
+fn row(row_key: &(String, String, String), stored: Option<&Stored>) -> Value {
     let value = stored.and_then(|s| s.value.clone());
     let ver = stored.filter(|s| s.value.is_some()).map_or(0, |s| s.ver);
-    json!({"table": place.0, "part": place.1, "key": place.2, "value": value, "ver": ver,
+    json!({"table": row_key.0, "part": row_key.1, "key": row_key.2, "value": value, "ver": ver,
         "gone": value.is_none()})
 }
 
@@ -245,7 +252,7 @@
         .unwrap_or_default()
 }
 
-/// Base64 with padding, as the store's values are.
+/// Encodes bytes as base64 with padding, the format of the store's values.
 pub(super) fn base64(bytes: &[u8]) -> String {
     const SIGNS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
     let mut text = String::new();
--- a/standin/src/fleet/workers.rs
+++ b/standin/src/fleet/workers.rs
@@ -1,4 +1,5 @@
-//! Workers and hosts: orders, leases, accounts, and what may befall them.
+//! Workers and hosts of the stand-in platform: executes orders, keeps leases, reports runs, and takes hosts down for
+//! maintenance. The listeners call it for each request; tests and the soak call it to crash or unlist workers.
 
 use std::time::{Duration, Instant};
 
@@ -9,21 +10,21 @@
 use smol::Timer;
 
 use super::clocks::WorkerClock;
+use super::order_faults::OrderDelivery;
 use super::runs::Start;
-use super::trouble::Fate;
-use super::{Fleet, Run, State, Worker, LOOK_MS, UPKEEP_MS};
+use super::{Fleet, Run, State, Worker, POLL_MS, UPKEEP_MS};
 
-/// An order that got no answer by then is given up by its sender.
+/// Time after which the sender of an order stops waiting for its answer.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A lease that a worker takes at most.
+/// Longest lease that a worker accepts.
 const LEASE_MAX_MS: u64 = 10_000;
 
-/// Room of a worker, in thousandths of a core.
-const ROOM_MILLI: u64 = 16_000;
+/// Capacity of a worker, in thousandths of a core.
+const CAPACITY_MILLI: u64 = 16_000;
 
 impl Worker {
-    /// When its lease last lapsed, as of now.
+    /// Returns when its lease last lapsed; `None` if it never has.
     fn lapsed_at(&self, now_ms: u64) -> Option<u64> {
         match self.lease_until_ms <= now_ms {
             true => Some(self.lease_until_ms),
@@ -33,9 +34,9 @@
 }
 
 impl State {
-    /// Ends runs of a life that are over by their work or by its lease.
-    fn settle(&mut self, life: &str, now_ms: u64) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    /// Ends the runs of an instance whose work is finished or whose lease has lapsed.
+    fn end_finished_runs(&mut self, instance: &str, now_ms: u64) {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         let lease_ms = worker.lease_until_ms;
@@ -50,60 +51,64 @@
             .collect();
         for (task, run, how) in over {
             let work_ms = run.ends_ms.unwrap_or(lease_ms);
-            self.end(life, &task, run.run, how, work_ms.min(lease_ms));
+            self.end_run(instance, &task, run.run, how, work_ms.min(lease_ms));
         }
     }
 
-    fn settle_all(&mut self, now_ms: u64) {
-        let lives: Vec<String> = self.hosts.iter().filter_map(|h| h.life.clone()).collect();
-        for life in lives {
-            self.settle(&life, now_ms);
+    fn end_all_finished_runs(&mut self, now_ms: u64) {
+        let instances: Vec<String> = self
+            .hosts
+            .iter()
+            .filter_map(|h| h.instance.clone())
+            .collect();
+        for instance in instances {
+            self.end_finished_runs(&instance, now_ms);
         }
     }
 
-    fn end(&mut self, life: &str, task: &str, run: u64, how: &str, at_ms: u64) {
-        let Some(worker) = self.workers.get_mut(life) else {
+    fn end_run(&mut self, instance: &str, task: &str, run: u64, how: &str, at_ms: u64) {
+        let Some(worker) = self.workers.get_mut(instance) else {
             return;
         };
         worker.running.remove(task);
-        let barred = worker.barred.entry(task.to_string()).or_default();
-        *barred = (*barred).max(run);
+        let barred_through = worker.barred_through.entry(task.to_string()).or_default();
+        *barred_through = (*barred_through).max(run);
         worker.next_end += 1;
         let row = json!([worker.next_end, task, run, how, ""]);
         worker.ended.push(row);
-        let label = self.label(life);
-        self.promises.note_end(task, how, (&label, run), at_ms);
+        let label = self.label(instance);
+        self.promises.record_end(task, how, (&label, run), at_ms);
     }
 
-    /// A host's worker ends, with all that runs there.
-    pub(super) fn end_life(&mut self, n: usize, now_ms: u64) -> Option<String> {
-        let life = self.hosts[n].life.take()?;
-        self.settle(&life, now_ms);
-        if let Some(worker) = self.workers.get_mut(&life) {
+    /// Ends the worker instance on a host, with all its runs; returns its id.
+    pub(super) fn end_instance(&mut self, n: usize, now_ms: u64) -> Option<String> {
+        let instance = self.hosts[n].instance.take()?;
+        self.end_finished_runs(&instance, now_ms);
+        if let Some(worker) = self.workers.get_mut(&instance) {
             worker.running.clear();
         }
-        Some(life)
+        Some(instance)
     }
 }
 
 impl Fleet {
-    /// A worker's new life on a host.
-    pub(super) fn new_life(&self, n: usize) {
-        let life = format!("i-{}", self.lock().lives);
-        self.begin_life(n, life);
+    /// Starts a worker instance with a new id on a host.
+    pub(super) fn start_new_instance(&self, n: usize) {
+        let instance = format!("i-{}", self.lock().instances_started);
+        self.start_instance(n, instance);
     }
 
-    /// A life of this id begins on a host.
-    pub(super) fn begin_life(&self, n: usize, life: String) {
+    /// Starts a worker instance with this id on a host, and lists it.
+    pub(super) fn start_instance(&self, n: usize, instance: String) {
         let row = {
             let mut state = self.lock();
-            state.lives += 1;
-            let serial = state.lives;
+            state.instances_started += 1;
+            let serial = state.instances_started;
             let now_ms = self.clock_ms();
-            let starts = state.workers.get(&life).map(|earlier| earlier.starts);
+            let starts = state.workers.get(&instance).map(|earlier| earlier.starts);
             let clock = match (starts, state.has_clocks) {
-                (Some(_), _) => WorkerClock::anew(now_ms),
-                (None, true) => WorkerClock::draw(&mut state.late_rng, now_ms),
+                (Some(_), _) => WorkerClock::from_zero(now_ms),
+                (None, true) => WorkerClock::random(&mut state.late_rng, now_ms),
                 (None, false) => WorkerClock::default(),
             };
             let born_ms = state.born_ms();
@@ -114,94 +119,100 @@
                 starts: starts.unwrap_or(0),
                 ..Worker::default()
             };
-            state.workers.insert(life.clone(), worker);
+            state.workers.insert(instance.clone(), worker);
             let host = &mut state.hosts[n];
-            host.life = Some(life.clone());
+            host.instance = Some(instance.clone());
             host.out_for = None;
             entry(&self.pool, &host.name, &host.address.to_string(), born_ms)
         };
-        self.put("servers", "", &life, &row);
+        self.put("servers", "", &instance, &row);
     }
 
-    /// States another address for a host's worker, such as a relay's before it.
+    /// Lists a host's worker with another address, such as that of a relay before it.
     pub fn announce(&self, n: usize, address: std::net::SocketAddr) {
         let mut state = self.lock();
         state.hosts[n].address = address;
         let host = &state.hosts[n];
-        let worker = host.life.as_ref().and_then(|life| state.workers.get(life));
+        let worker = host
+            .instance
+            .as_ref()
+            .and_then(|instance| state.workers.get(instance));
         let born_ms = worker.map_or(0, |w| w.born_ms);
         let row = entry(&self.pool, &host.name, &address.to_string(), born_ms);
-        let life = host.life.clone();
+        let instance = host.instance.clone();
         drop(state);
-        if let Some(life) = life {
-            self.put("servers", "", &life, &row);
+        if let Some(instance) = instance {
+            self.put("servers", "", &instance, &row);
         }
     }
 
-    /// A host's worker leaves the list, and serves on.
+    /// Takes a host's worker off the list; it continues to serve.
     pub fn unlist(&self, n: usize) {
-        let life = self.lock().hosts[n].life.clone();
-        if let Some(life) = life {
-            self.write("servers", "", &life, None);
+        let instance = self.lock().hosts[n].instance.clone();
+        if let Some(instance) = instance {
+            self.write("servers", "", &instance, None);
         }
     }
 
-    /// A host's worker is in the list again.
+    /// Puts a host's worker back on the list.
     pub fn relist(&self, n: usize) {
         let address = self.worker_address(n);
         self.announce(n, address);
     }
 
-    /// Where a host's worker takes orders.
+    /// Returns the address that a host's worker announces for orders.
     pub fn worker_address(&self, n: usize) -> std::net::SocketAddr {
         self.lock().hosts[n].address
     }
 
-    /// A host's worker crashes; another life comes so much later.
+    /// Crashes a host's worker; another instance starts after `back_ms`.
     pub fn crash(&self, n: usize, back_ms: u64) {
         self.crash_listed(n, back_ms, 0);
     }
 
-    /// The same; the life that is over stays in the list for so long beside the next one.
+    /// Crashes a host's worker; another instance starts after `back_ms`, and the former one stays listed beside it for
+    /// `listed_ms`.
     pub fn crash_listed(&self, n: usize, back_ms: u64, listed_ms: u64) {
-        let life = self.lock().end_life(n, self.clock_ms());
-        if let Some(life) = life {
-            self.come_back(n, life, back_ms, listed_ms);
+        let instance = self.lock().end_instance(n, self.clock_ms());
+        if let Some(instance) = instance {
+            self.replace_instance(n, instance, back_ms, listed_ms);
         }
     }
 
-    fn come_back(&self, n: usize, life: String, after_ms: u64, listed_ms: u64) {
+    fn replace_instance(&self, n: usize, instance: String, after_ms: u64, listed_ms: u64) {
         if self.lock().keeps_ids {
-            self.start_again(n, life, after_ms);
+            self.restart_after(n, instance, after_ms);
             return;
         }
         let fleet = self.clone();
         self.runtime.run(async move {
             Timer::after(Duration::from_millis(after_ms)).await;
-            fleet.new_life(n);
+            fleet.start_new_instance(n);
             Timer::after(Duration::from_millis(listed_ms)).await;
-            fleet.write("servers", "", &life, None);
+            fleet.write("servers", "", &instance, None);
         });
     }
 
-    /// Tasks that run now.
+    /// Returns the number of tasks that run now.
     pub fn running(&self) -> usize {
         let mut state = self.lock();
-        state.settle_all(self.clock_ms());
-        let lives = state.hosts.iter().filter_map(|h| h.life.as_ref());
-        lives.map(|life| state.workers[life].running.len()).sum()
+        state.end_all_finished_runs(self.clock_ms());
+        let instances = state.hosts.iter().filter_map(|h| h.instance.as_ref());
+        instances
+            .map(|instance| state.workers[instance].running.len())
+            .sum()
     }
 
-    /// Tasks of a job that run now.
-    pub fn running_of(&self, job: &str) -> usize {
+    /// Returns the number of a job's tasks that run now.
+    pub fn running_tasks_of(&self, job: &str) -> usize {
         let mut state = self.lock();
-        state.settle_all(self.clock_ms());
-        let lives = state.hosts.iter().filter_map(|h| h.life.as_ref());
-        let tasks = lives.flat_map(|life| state.workers[life].running.keys());
+        state.end_all_finished_runs(self.clock_ms());
+        let instances = state.hosts.iter().filter_map(|h| h.instance.as_ref());
+        let tasks = instances.flat_map(|instance| state.workers[instance].running.keys());
         tasks.filter(|task| task.starts_with(job)).count()
     }
 
-    /// Hosts that were ordered down, in order.
+    /// Returns the hosts that were ordered into maintenance, in order of the orders.
     pub fn upkeeps(&self) -> Vec<String> {
         self.lock().upkeeps.clone()
     }
@@ -210,8 +221,8 @@
         if path == "/machines" {
             let state = self.lock();
             let of = |h: &super::Host| {
-                let name = if h.life.is_some() { "up" } else { "upkeep" };
-                let id = h.life.clone().unwrap_or_default();
+                let name = if h.instance.is_some() { "up" } else { "upkeep" };
+                let id = h.instance.clone().unwrap_or_default();
                 json!({"machine": h.name, "pool": self.pool, "state": name, "id": id})
             };
             let hosts: Vec<Value> = state.hosts.iter().map(of).collect();
@@ -227,107 +238,111 @@
         let Some(n) = self.lock().hosts.iter().position(|h| h.name == name) else {
             return answer(400, "application/json", Vec::new());
         };
-        self.upkeep(n, wave)
+        self.maintain(n, wave)
     }
 
-    fn upkeep(&self, n: usize, wave: u64) -> Response {
+    fn maintain(&self, n: usize, wave: u64) -> Response {
         let mut state = self.lock();
         let name = state.hosts[n].name.clone();
         if state
-            .upkept
+            .maintained
             .get(&wave)
             .is_some_and(|done| done.contains(&name))
         {
             return json(200, &json!({}));
         }
-        let Some(life) = state.end_life(n, self.clock_ms()) else {
+        let Some(instance) = state.end_instance(n, self.clock_ms()) else {
             return json(409, &json!({"reason": "busy"}));
         };
         state.hosts[n].out_for = Some(wave);
         state.upkeeps.push(name.clone());
-        state.upkept.entry(wave).or_default().insert(name);
+        state.maintained.entry(wave).or_default().insert(name);
         state.check_out(wave);
         drop(state);
-        self.come_back(n, life, UPKEEP_MS, 0);
+        self.replace_instance(n, instance, UPKEEP_MS, 0);
         json(200, &json!({}))
     }
 
     pub(super) async fn order(&self, n: usize, incoming: &Incoming) -> Response {
         let body: Value = serde_json::from_slice(&incoming.body).unwrap_or_default();
-        let is_hold = incoming.head.url().path() == "/hold";
-        let fence = body["fencing_token"].as_u64().unwrap_or(0);
-        let (fate, serial) = {
+        let is_renewal = incoming.head.url().path() == "/hold";
+        let fencing_token = body["fencing_token"].as_u64().unwrap_or(0);
+        let (delivery, serial) = {
             let mut state = self.lock();
-            (state.fate(n, is_hold, fence), state.serial_on(n))
+            (
+                state.draw_delivery(n, is_renewal, fencing_token),
+                state.serial_on(n),
+            )
         };
-        match fate {
-            Fate::Usual => return self.carry_out(n, incoming, &body).await,
-            Fate::Lost => {
+        match delivery {
+            OrderDelivery::Normal => return self.carry_out(n, incoming, &body).await,
+            OrderDelivery::Lost => {
                 self.unanswered().await;
                 return answer(503, "application/json", Vec::new());
             }
-            Fate::Late(after) => {
+            OrderDelivery::Delayed(after) => {
                 Timer::after(after).await;
-                // What a process took ends with it; what is still on its way meets whichever life is there.
+                // An order that a process had received is lost when that process ends. A delay within the sender's
+                // timeout counts as time on the way, so the order reaches whichever instance runs then.
                 if after > ORDER_TIMEOUT && self.lock().serial_on(n) != serial {
                     self.unanswered().await;
                     return answer(503, "application/json", Vec::new());
                 }
             }
-            Fate::Unheard => {}
+            OrderDelivery::AnswerLost => {}
         }
-        // Nobody reads the answer: whoever sent the order gave up.
+        // The sender has stopped waiting, so the order gets no answer.
         let res = self.carry_out(n, incoming, &body).await;
         self.unanswered().await;
         res
     }
 
     async fn carry_out(&self, n: usize, incoming: &Incoming, body: &Value) -> Response {
-        let Some(life) = self.lock().hosts[n].life.clone() else {
+        let Some(instance) = self.lock().hosts[n].instance.clone() else {
             self.unanswered().await;
             return answer(503, "application/json", Vec::new());
         };
         let named = incoming.header("Rockwick-Expected-Instance");
-        if named.is_some_and(|want| want != life) {
+        if named.is_some_and(|want| want != instance) {
             return answer(421, "application/json", Vec::new());
         }
-        let fence = body["fencing_token"].as_u64().unwrap_or(0);
+        let fencing_token = body["fencing_token"].as_u64().unwrap_or(0);
         {
             let mut state = self.lock();
-            state.settle_all(self.clock_ms());
-            let Some(worker) = state.workers.get_mut(&life) else {
+            state.end_all_finished_runs(self.clock_ms());
+            let Some(worker) = state.workers.get_mut(&instance) else {
                 return answer(421, "application/json", Vec::new());
             };
-            if fence < worker.fence {
-                let shows_ms = worker.clock.shows(self.clock_ms());
+            if fencing_token < worker.fencing_token {
+                let shows_ms = worker.clock.local_ms(self.clock_ms());
                 return refusal("fence", shows_ms);
             }
-            worker.fence = fence;
+            worker.fencing_token = fencing_token;
             worker.lapsed_ms = worker.lapsed_at(self.clock_ms());
             let until_ms = body["deadline_ms"].as_u64().unwrap_or(0);
             let now_ms = self.clock_ms();
-            let until_ms = worker.clock.reaches(until_ms, now_ms);
+            let until_ms = worker.clock.platform_ms_at(until_ms, now_ms);
             let until_ms = until_ms.min(now_ms + LEASE_MAX_MS);
             worker.lease_until_ms = worker.lease_until_ms.max(until_ms);
         }
         match (incoming.head.method(), incoming.head.url().path()) {
-            (Method::Post, "/run-start") => self.run_start(&life, body),
-            (Method::Post, "/run-stop") => self.run_stop(&life, body),
-            (Method::Post, "/hold") => self.hold(&life, body).await,
+            (Method::Post, "/run-start") => self.run_start(&instance, body),
+            (Method::Post, "/run-stop") => self.run_stop(&instance, body),
+            (Method::Post, "/hold") => self.renew_lease(&instance, body).await,
             _ => answer(404, "application/json", Vec::new()),
         }
     }
 
-    fn run_start(&self, life: &str, body: &Value) -> Response {
+    fn run_start(&self, instance: &str, body: &Value) -> Response {
         let now_ms = self.clock_ms();
         let spec = body["spec"].as_str().unwrap_or("");
         let task = body["task"].as_str().unwrap_or("").to_string();
         let run = body["run"].as_u64().unwrap_or(0);
         let mut state = self.lock();
-        let Some(worker) = state.workers.get(life) else {
+        let Some(worker) = state.workers.get(instance) else {
             return answer(421, "application/json", Vec::new());
         };
-        let clock_ms = worker.clock.shows(now_ms);
+        let clock_ms = worker.clock.local_ms(now_ms);
         if body["deadline_ms"].as_u64().unwrap_or(0) <= clock_ms {
             return refusal("late", clock_ms);
         }
@@ -335,91 +350,92 @@
             return json(200, &json!({"clock_ms": clock_ms}));
         }
         if worker
-            .barred
+            .barred_through
             .get(&task)
-            .is_some_and(|barred| run <= *barred)
+            .is_some_and(|barred_through| run <= *barred_through)
         {
             return refusal("old", clock_ms);
         }
-        // Tasks of the stand-in's callers take half a core.
-        if (worker.running.len() as u64 + 1) * 500 > ROOM_MILLI {
+        // Tasks of the stand-in's callers take half a core each.
+        if (worker.running.len() as u64 + 1) * 500 > CAPACITY_MILLI {
             return refusal("room", clock_ms);
         }
         let start = Start {
             at_ms: now_ms,
-            life: life.to_string(),
-            label: state.label(life),
+            instance: instance.to_string(),
+            label: state.label(instance),
             run,
-            fence: body["fencing_token"].as_u64().unwrap_or(0),
+            fencing_token: body["fencing_token"].as_u64().unwrap_or(0),
         };
         state.check_start(&task, spec, start);
         let work_ms = stated_work_ms(spec).unwrap_or(self.work_ms);
         let ends_ms = (!spec.contains("lasts")).then_some(now_ms + work_ms);
-        if let Some(worker) = state.workers.get_mut(life) {
+        if let Some(worker) = state.workers.get_mut(instance) {
             worker.running.insert(task, Run { run, ends_ms });
             worker.starts += 1;
         }
         json(200, &json!({"clock_ms": clock_ms}))
     }
 
-    fn run_stop(&self, life: &str, body: &Value) -> Response {
+    fn run_stop(&self, instance: &str, body: &Value) -> Response {
         let mut state = self.lock();
         let task = body["task"].as_str().unwrap_or("").to_string();
         let run = body["run"].as_u64().unwrap_or(0);
-        if let Some(worker) = state.workers.get_mut(life) {
+        if let Some(worker) = state.workers.get_mut(instance) {
             let there = worker.running.get(&task).is_some_and(|r| r.run == run);
-            let barred = worker.barred.entry(task.clone()).or_default();
-            *barred = (*barred).max(run);
+            let barred_through = worker.barred_through.entry(task.clone()).or_default();
+            *barred_through = (*barred_through).max(run);
             if there {
-                state.end(life, &task, run, "stopped", self.clock_ms());
+                state.end_run(instance, &task, run, "stopped", self.clock_ms());
             }
         }
-        let clock = state.workers.get(life).map(|w| w.clock);
-        let clock_ms = clock.unwrap_or_default().shows(self.clock_ms());
+        let clock = state.workers.get(instance).map(|w| w.clock);
+        let clock_ms = clock.unwrap_or_default().local_ms(self.clock_ms());
         json(200, &json!({"clock_ms": clock_ms}))
     }
 
-    async fn hold(&self, life: &str, body: &Value) -> Response {
+    async fn renew_lease(&self, instance: &str, body: &Value) -> Response {
         let wait_ms = body["wait_ms"].as_u64().unwrap_or(0);
         let seen = body["last_seen"].as_u64().unwrap_or(0);
         let until = Instant::now() + Duration::from_millis(wait_ms);
-        let label = self.lock().label(life);
+        let label = self.lock().label(instance);
         loop {
-            if self.lock().label(life) != label {
+            if self.lock().label(instance) != label {
                 self.unanswered().await;
                 return answer(503, "application/json", Vec::new());
             }
-            if let Some(res) = self.account(life, seen, Instant::now() >= until) {
+            if let Some(res) = self.report_runs(instance, seen, Instant::now() >= until) {
                 return res;
             }
-            Timer::after(Duration::from_millis(LOOK_MS)).await;
+            Timer::after(Duration::from_millis(POLL_MS)).await;
         }
     }
 
-    /// The worker's account, if there is an end to tell or `at_once` asks for it.
-    fn account(&self, life: &str, seen: u64, at_once: bool) -> Option<Response> {
+    /// Returns the worker's report, if there is an end to report or `at_once` is set; drops the ends up to `seen`.
+    fn report_runs(&self, instance: &str, seen: u64, at_once: bool) -> Option<Response> {
         let now_ms = self.clock_ms();
         let mut state = self.lock();
-        state.settle(life, now_ms);
-        let worker = state.workers.get_mut(life)?;
+        state.end_finished_runs(instance, now_ms);
+        let worker = state.workers.get_mut(instance)?;
         let is_seen = |e: &Value| e[0].as_u64().unwrap_or(0) <= seen;
-        let (noted, rest): (Vec<Value>, Vec<Value>) = worker.ended.drain(..).partition(is_seen);
+        let (acknowledged, rest): (Vec<Value>, Vec<Value>) =
+            worker.ended.drain(..).partition(is_seen);
         worker.ended = rest;
         let ended = worker.ended.clone();
         let lapsed_ms = worker.lapsed_at(now_ms);
         let born_ms = worker.born_ms;
-        let clock_ms = worker.clock.shows(now_ms);
+        let clock_ms = worker.clock.local_ms(now_ms);
         let running = worker.running.iter();
         let running: Vec<Value> = running
             .map(|(task, r)| json!([task, r.run, "", 100, 0]))
             .collect();
-        let label = state.label(life);
-        for end in noted {
+        let label = state.label(instance);
+        for end in acknowledged {
             let text = |n: usize| end[n].as_str().unwrap_or("").to_string();
             let of = (&*label, end[2].as_u64().unwrap_or(0));
             let (task, how) = (text(1), text(3));
             let promises = &mut state.promises;
-            promises.note_seen(&task, &how, of, lapsed_ms, now_ms);
+            promises.acknowledge_end(&task, &how, of, lapsed_ms, now_ms);
         }
         if ended.is_empty() && !at_once {
             return None;
@@ -434,7 +450,7 @@
     json(409, &json!({"clock_ms": clock_ms, "reason": reason}))
 }
 
-/// How long a task takes by its own text: the number behind `ms=`.
+/// Returns the run time that a task's text states behind `ms=`.
 fn stated_work_ms(spec: &str) -> Option<u64> {
     let stated = spec.split(' ').find_map(|word| word.strip_prefix("ms="))?;
     stated.parse().ok()
@@ -442,6 +458,6 @@
 
 fn entry(pool: &str, host: &str, address: &str, born_ms: u64) -> Value {
     json!({"service": pool, "address": address, "zone": "hall", "state": "ready", "machine": host,
-        "capacity": {"cpu": ROOM_MILLI, "mem_mb": 32_768, "gpu": 0}, "labels": ["a", "r1"],
+        "capacity": {"cpu": CAPACITY_MILLI, "mem_mb": 32_768, "gpu": 0}, "labels": ["a", "r1"],
         "sequence": 1, "born": born_ms})
 }
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -140,7 +140,7 @@
         let is_read = began.elapsed() > Duration::from_millis(200);
         if is_sent && is_read && self.shared.disturbances.is_undisturbed_since(entry, began) {
             let what = format!("{path} at entry {entry} got no answer: {trouble:?}");
-            self.shared.fleet.broken(what);
+            self.shared.fleet.report_broken(what);
         }
     }
 
@@ -154,7 +154,7 @@
         let is_long_running = self.rng.u32(..25) == 0;
         let tasks = self.rng.u64(1..5);
         let shape = self.shapes.draw(&id, tasks, is_long_running);
-        self.shared.fleet.expect(&id, &shape.text);
+        self.shared.fleet.expect_job(&id, &shape.text);
         let mut is_unknown = false;
         for _ in 0..ATTEMPTS_MAX {
             let entry = self.pick_entry();
@@ -168,7 +168,7 @@
                 Some(404 | 409 | 410) => {
                     self.shared
                         .fleet
-                        .broken(format!("{id} is not taken as a job of its queue"));
+                        .report_broken(format!("{id} is not taken as a job of its queue"));
                 }
                 _ => is_unknown = true,
             }
@@ -178,7 +178,7 @@
             self.shared.counts.unknown.fetch_add(1, Ordering::Relaxed);
         } else {
             self.shared.counts.refused.fetch_add(1, Ordering::Relaxed);
-            self.shared.fleet.refused(&id);
+            self.shared.fleet.record_refused(&id);
         }
     }
 
@@ -211,24 +211,24 @@
         if answer.status == 410 {
             self.shared
                 .fleet
-                .broken(format!("{} was accepted, and is not known", job.id));
+                .report_broken(format!("{} was accepted, and is not known", job.id));
             return None;
         }
         let body: Value = answer.json()?;
         let state = body["state"].as_str()?.to_string();
         match state.as_str() {
             "completed" => {
-                self.shared.fleet.shown_completed(&job.id, &job.tasks);
+                self.shared.fleet.check_completed(&job.id, &job.tasks);
                 self.shared.counts.completed.fetch_add(1, Ordering::Relaxed);
                 lock(&self.shared.open).retain(|k| k.id != job.id);
             }
             "failed" => self
                 .shared
                 .fleet
-                .broken(format!("{} is shown as failed", job.id)),
+                .report_broken(format!("{} is shown as failed", job.id)),
             "cancelled" if !self.is_cancelled(&job.id) => {
                 let what = format!("{} is shown as cancelled by nobody", job.id);
-                self.shared.fleet.broken(what);
+                self.shared.fleet.report_broken(what);
             }
             _ => {}
         }
@@ -257,7 +257,7 @@
         let answer = self.call(entry, Method::Delete, &format!("/q/{id}"), &Value::Null);
         let is_done = answer.is_some_and(|a| a.status == 200);
         if is_done {
-            self.shared.fleet.cancelled(id);
+            self.shared.fleet.record_cancelled(id);
             lock(&self.shared.open).retain(|k| k.id != id);
         }
         is_done
--- a/standin/src/soak/faults.rs
+++ b/standin/src/soak/faults.rs
@@ -230,7 +230,7 @@
 
     /// Suspends the owner if the answer to its trapped renewal is on its way.
     fn suspend_at_renewal(&mut self, cluster: &mut Cluster) {
-        if self.suspend_ms.is_none() || !cluster.fleet.has_trapped() {
+        if self.suspend_ms.is_none() || !cluster.fleet.take_trapped_renewal() {
             return;
         }
         if let (Some(n), Some(ms)) = (cluster.owner(), self.suspend_ms.take()) {
@@ -319,7 +319,7 @@
         self.suspend_at_renewal(cluster);
         for n in 0..cluster.entries.len() {
             if let Some(what) = cluster.entries[n].reap(self.killed[n]) {
-                cluster.fleet.broken(what);
+                cluster.fleet.report_broken(what);
             }
             let is_due = |(_, recovery): &(Instant, Recovery)| matches!(recovery, Recovery::StartEntry(m) if *m == n);
             if !cluster.entries[n].is_running() && !self.due.iter().any(is_due) {
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -133,7 +133,7 @@
         let runtime = Runtime::new("relay", RELAY_THREADS)?;
         let fleet = Fleet::start(POOL, args.workers, WORK_MS)?;
         fleet.set_seed(seed);
-        fleet.draw_clocks();
+        fleet.use_own_clocks();
         let logs = args.logs.join(seed.to_string());
         std::fs::create_dir_all(&logs)?;
         // Runs a copy, so that a build during the soak does not replace the program under test.
@@ -154,7 +154,7 @@
             entries.push(Entry::new(&name, proxy.address, &logs, &mut ports)?);
             store_paths.push(proxy);
         }
-        fleet.configure_more(1, POOL, 0);
+        fleet.configure_queues(1, POOL, 0);
         Ok(Self {
             binary,
             fleet,
@@ -186,7 +186,7 @@
         self.version += 1;
         self.changed = Instant::now();
         self.fleet
-            .configure_more(self.version, POOL, self.version - 1);
+            .configure_queues(self.version, POOL, self.version - 1);
     }
 }
 
@@ -230,11 +230,11 @@
                     "entry {n} went back behind configuration {}",
                     cluster.version
                 );
-                cluster.fleet.broken(what);
+                cluster.fleet.report_broken(what);
             }
             Some(false) if in_force && is_undisturbed_since => {
                 let what = format!("configuration {} is not in force at {n}", cluster.version);
-                cluster.fleet.broken(what);
+                cluster.fleet.report_broken(what);
             }
             _ => {}
         }
@@ -294,7 +294,7 @@
         if thread.join().is_err() {
             cluster
                 .fleet
-                .broken("a caller of the soak panicked".to_string());
+                .report_broken("a caller of the soak panicked".to_string());
         }
     }
     settle(&mut cluster, &mut faults, &mut checker, &shared)?;
@@ -336,11 +336,11 @@
         if Instant::now() >= until {
             let left: Vec<&String> = open.iter().map(|k| &k.id).collect();
             let what = format!("not settled: jobs {left:?}, waves done: {waves}");
-            cluster.fleet.broken(what);
+            cluster.fleet.report_broken(what);
             return Ok(());
         }
         for job in open {
-            let at_work = cluster.fleet.running_of(&job.id) == job.tasks.len();
+            let at_work = cluster.fleet.running_tasks_of(&job.id) == job.tasks.len();
             if job.is_cancelled || (job.is_long_running && at_work) {
                 if checker.cancel_job(0, &job.id) {
                     cancelled.push(job);
@@ -354,7 +354,7 @@
 }
 
 fn has_no_runs(cluster: &Cluster, job: &AcceptedJob) -> bool {
-    cluster.fleet.running_of(&job.id) == 0
+    cluster.fleet.running_tasks_of(&job.id) == 0
 }
 
 /// Runs all seeds and writes the report; returns an error if a promise was broken.
