--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! What single decisions cost as pools and configurations grow: a task's place, a look of the entry that orders
-//! hosts, the queue and account of a call.
+//! Benchmarks of single decisions against the size of pools and configurations: placing a task, one pass of the host
+//! controller, and finding the queue and the account of a request.
 //!
-//! `cargo bench --bench decisions`; the table of docs/MEASURES.md comes from it.
+//! Run with `cargo bench --bench decisions`. The table in docs/MEASURES.md is its output.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -79,11 +79,11 @@
     }
 }
 
-fn job(id: &str) -> StoredRow {
-    job_of(id, 1, 2_300)
+fn task_row(id: &str) -> StoredRow {
+    job_row(id, 1, 2_300)
 }
 
-fn job_of(id: &str, count: u16, cpu_milli: u64) -> StoredRow {
+fn job_row(id: &str, count: u16, cpu_milli: u64) -> StoredRow {
     let spec = JobSpec {
         queue: "queue".to_string(),
         account: None,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Books of a pool whose workers are two thirds full, and one task that waits.
-fn pool_state(workers: usize) -> PoolState {
+/// Returns the state of a pool whose workers are two thirds full, with one waiting task.
+fn loaded_pool(workers: usize) -> PoolState {
     let mut pool_state = PoolState::default();
     for n in 0..workers {
         let fact = WorkerFact {
@@ -140,23 +140,23 @@
         worker.take(TaskKey::default(), taken);
         pool_state.update_free_index(key);
     }
-    decide(|ctx| load::apply_intake(&mut pool_state, &job("a"), &config(), 1, ctx));
+    decide(|ctx| load::apply_intake(&mut pool_state, &task_row("a"), &config(), 1, ctx));
     pool_state
 }
 
-/// One task gets its place.
+/// Places one task.
 #[divan::bench(args = SIZES)]
 fn place_task(bencher: Bencher<'_, '_>, workers: usize) {
     bencher
-        .with_inputs(|| pool_state(workers))
+        .with_inputs(|| loaded_pool(workers))
         .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
 }
 
-/// One task waits, with no room for it anywhere.
+/// Tries to place one task for which no worker has enough free capacity.
 #[divan::bench(args = SIZES)]
 fn place_task_in_vain(bencher: Bencher<'_, '_>, workers: usize) {
     let full = || {
-        let mut pool_state = pool_state(workers);
+        let mut pool_state = loaded_pool(workers);
         let keys: Vec<_> = pool_state.workers.keys().collect();
         for key in keys {
             pool_state.workers[key].used.cpu_milli = 16_000;
@@ -169,36 +169,36 @@
         .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
 }
 
-/// Books with a queue of 2,000 tasks, with no room for one of them anywhere.
-fn queued(workers: usize) -> PoolState {
-    let mut pool_state = pool_state(workers);
-    let row = job_of("queue", 2_000, 16_100);
+/// Returns the state of a pool with 2,000 queued tasks, none of which fits on any worker.
+fn loaded_pool_with_queue(workers: usize) -> PoolState {
+    let mut pool_state = loaded_pool(workers);
+    let row = job_row("queue", 2_000, 16_100);
     decide(|ctx| load::apply_intake(&mut pool_state, &row, &config(), 1, ctx));
     pool_state
 }
 
-/// A long queue waits in vain, and is looked at for the first time.
+/// Scans a long queue of tasks that fit nowhere, for the first time.
 #[divan::bench(args = SIZES)]
 fn place_queue_in_vain(bencher: Bencher<'_, '_>, workers: usize) {
     bencher
-        .with_inputs(|| queued(workers))
+        .with_inputs(|| loaded_pool_with_queue(workers))
         .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
 }
 
-/// The same, looked at again at once.
+/// Scans the same queue a second time, with nothing changed since.
 #[divan::bench(args = SIZES)]
 fn place_queue_again(bencher: Bencher<'_, '_>, workers: usize) {
-    let looked_at = || {
-        let mut pool_state = queued(workers);
+    let scanned = || {
+        let mut pool_state = loaded_pool_with_queue(workers);
         decide(|ctx| place::place(&mut pool_state, ctx));
         pool_state
     };
     bencher
-        .with_inputs(looked_at)
+        .with_inputs(scanned)
         .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
 }
 
-/// A peak begins: one pool lacks half of the hosts, the others offer a quarter of them all.
+/// Reconciles hosts at the start of a load peak: one pool lacks half of all hosts, the others offer a quarter.
 #[divan::bench(args = SIZES)]
 fn look_at_hosts(bencher: Bencher<'_, '_>, workers: usize) {
     let config = config();
@@ -229,7 +229,7 @@
             heard_ms: NOW_MS,
         })
         .collect();
-    let look = Inputs {
+    let inputs = Inputs {
         config: &config,
         needs: &needs,
         pool: "pool-4",
@@ -238,7 +238,7 @@
     let controller = || {
         let new = |ctx: &mut Ctx<'_>| {
             let mut controller = HostController::new(&[], &FormerOrders::default(), true, ctx);
-            hosts::reconcile(&mut controller, &BTreeMap::new(), &look, ctx);
+            hosts::reconcile(&mut controller, &BTreeMap::new(), &inputs, ctx);
             hosts::list_read(&mut controller, list.clone());
             controller
         };
@@ -247,12 +247,12 @@
     bencher
         .with_inputs(controller)
         .bench_local_refs(|controller| {
-            decide(|ctx| hosts::reconcile(controller, &BTreeMap::new(), &look, ctx))
+            decide(|ctx| hosts::reconcile(controller, &BTreeMap::new(), &inputs, ctx))
         });
 }
 
-/// As many queues over seven host names, and as many accounts of two keys.
-fn routed(count: usize) -> FleetConfig {
+/// Returns a configuration with `count` queues over seven host names, and `count` accounts with two keys each.
+fn routing_config(count: usize) -> FleetConfig {
     let queue = |n: usize| QueueConfig {
         name: format!("queue-{n}"),
         host: format!("host-{}", n % 7),
@@ -277,20 +277,20 @@
     }
 }
 
-/// The queue and the account of a call, by the indexes.
+/// Finds the queue and the account of a request by the indexes.
 #[divan::bench(args = [10, 150, 1_500])]
 fn call_routed(bencher: Bencher<'_, '_>, count: usize) {
-    let routing = Routing::new(Arc::new(routed(count)));
+    let routing = Routing::new(Arc::new(routing_config(count)));
     bencher.bench_local(|| {
         let queue = routing.queue("host-1", "/p8/00000000000000aa");
         (queue.is_some(), routing.account("b7").is_some())
     });
 }
 
-/// The queue of a call, by a walk over all: how it was done before.
+/// Finds the queue of a request by a scan over all queues, as a baseline for the indexes.
 #[divan::bench(args = [10, 150, 1_500])]
 fn call_walked(bencher: Bencher<'_, '_>, count: usize) {
-    let config = routed(count);
+    let config = routing_config(count);
     bencher.bench_local(|| {
         let path = "/p8/00000000000000aa";
         let fits = |q: &&QueueConfig| q.host == "host-1" && path.starts_with(&q.path_prefix);
@@ -299,9 +299,9 @@
     });
 }
 
-/// The indexes of a new configuration.
+/// Builds the indexes of a new configuration.
 #[divan::bench(args = [10, 150, 1_500])]
 fn routing_built(bencher: Bencher<'_, '_>, count: usize) {
-    let config = Arc::new(routed(count));
+    let config = Arc::new(routing_config(count));
     bencher.bench_local(|| Routing::new(Arc::clone(&config)));
 }
--- a/standin/src/backend.rs
+++ b/standin/src/backend.rs
@@ -1,4 +1,5 @@
-//! A backend server: slots, refusals, and every way of answering badly. It remembers each run.
+//! Stand-in backend server with a limited number of slots, which refuses requests, answers in faulty ways on command
+//! and records each run. Run by the `backend` command, which the end-to-end tests start.
 
 use rockwick::util::lock;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use smol::{Async, Timer};
 
-/// A hanging exchange is given up after so long, so that nothing is left behind.
+/// Time after which a hanging exchange is closed, so that no connection is left behind.
 const HANG_MS: Millis = 120_000;
 
 #[derive(Clone)]
@@ -32,28 +33,31 @@
 
 pub(crate) fn args() -> impl Parser<Args> {
     let listen = long("listen")
-        .help("Where to listen")
+        .help("Address to listen on")
         .argument("IP:PORT")
         .optional();
     let id = long("id")
-        .help("Name in answers")
+        .help("Name that answers carry")
         .argument("ID")
         .fallback("backend".to_string());
     let slots = long("slots")
-        .help("Requests worked on at once")
+        .help("Largest number of requests handled at once")
         .argument("N")
         .fallback(8);
     let connections = long("connections")
-        .help("Connections accepted")
+        .help("Largest number of open connections")
         .argument("N")
         .fallback(64);
     let work_ms = long("work-ms")
-        .help("Time one request takes")
+        .help("Milliseconds that one request takes")
         .argument("MS")
         .fallback(0);
-    let threads = long("threads").help("Threads").argument("N").fallback(2);
+    let threads = long("threads")
+        .help("Number of threads")
+        .argument("N")
+        .fallback(2);
     let fleet = long("fleet")
-        .help("Run every backend server of this fleet file instead")
+        .help("Fleet file whose backend servers are run")
         .argument("FILE")
         .optional();
     construct!(Args {
@@ -67,38 +71,38 @@
     })
 }
 
-/// How requests are answered; the header `X-Fault` overrides it for one request.
+/// Names how requests are answered; the header `X-Fault` overrides it for one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Fault {
-    /// As it should be.
+    /// Answers correctly.
     #[default]
     None,
-    /// A server error after the work.
+    /// Answers 500 after the work.
     Fail,
-    /// No answer at all.
+    /// Gives no answer.
     Hang,
-    /// Fewer bytes than announced, then the connection is closed.
+    /// Sends fewer bytes than announced, then closes the connection.
     Short,
-    /// Closed before any byte of the answer.
+    /// Closes the connection before any byte of the answer.
     Close,
-    /// Neither length nor chunking.
+    /// Sends neither a length nor chunks; the end of the connection ends the answer.
     CloseDelimited,
-    /// A whole answer and bytes behind it.
+    /// Sends a whole answer and stray bytes after it.
     Stray,
-    /// Two whole answers.
+    /// Sends two whole answers.
     Double,
-    /// Two lengths.
+    /// Sends two different content lengths.
     TwoLengths,
-    /// An interim answer first.
+    /// Sends an interim answer (103) first.
     Interim,
-    /// No HTTP.
+    /// Sends something that is not HTTP.
     Garbage,
-    /// Chunked, and whole.
+    /// Sends a whole answer in chunks.
     Chunked,
-    /// Chunked, and cut.
+    /// Sends an answer in chunks and cuts it within a chunk.
     CutChunk,
-    /// Refused before running.
+    /// Refuses the request before running it.
     Refuse,
 }
 
@@ -109,13 +113,13 @@
     work_ms: Millis,
 }
 
-/// One run that was begun.
+/// Records one run that was started.
 #[derive(Clone, Debug, Serialize)]
 struct RunLine {
     request: String,
     key: String,
     mark: String,
-    /// The caller's token, which should never arrive here.
+    /// Authorization header; the caller's token must never arrive here.
     token: String,
     at_ms: Millis,
 }
@@ -143,24 +147,24 @@
     last_run_ms: AtomicU64,
 }
 
-/// Runs remembered; load tests only count.
+/// Largest number of runs recorded; load tests only need the counts.
 const RUNS_MAX: usize = 50_000;
 
 pub(crate) fn run(args: Args) -> Result<(), String> {
     let runtime = Runtime::new("backend", args.threads).map_err(|e| e.to_string())?;
-    let mut places = Vec::new();
+    let mut servers = Vec::new();
     if let Some(file) = &args.fleet {
         for host in crate::platform::read_fleet(file)?.hosts {
             for b in &host.backends {
                 let id = format!("{}/{}", host.id, b.service);
-                places.push((b.address, id, b.slots, b.connections));
+                servers.push((b.address, id, b.slots, b.connections));
             }
         }
     }
     if let Some(listen) = args.listen {
-        places.push((listen, args.id.clone(), args.slots, args.connections));
+        servers.push((listen, args.id.clone(), args.slots, args.connections));
     }
-    for (addr, id, slots, connections) in places {
+    for (addr, id, slots, connections) in servers {
         let listener = TcpListener::bind(addr).map_err(|e| format!("{addr}: {e}"))?;
         println!(
             "listening {} {id}",
@@ -260,7 +264,7 @@
         }
     }
 
-    /// One exchange; nothing where the connection is to be closed.
+    /// Handles one request; returns `None` if the connection is to be closed.
     async fn exchange(&self, wire: &Wire, incoming: &Incoming) -> Option<()> {
         let settings = *lock(&self.settings);
         let asked = incoming.header("x-fault").map(|v| format!("\"{v}\""));
@@ -271,15 +275,15 @@
             self.refused.fetch_add(1, Ordering::SeqCst);
             return server::write(wire, refusal(), method, false).await.ok();
         }
-        self.begin(incoming);
+        self.record_run(incoming);
         let work_ms = incoming.header("x-work-ms").and_then(|v| v.parse().ok());
         let work_ms: Millis = work_ms.unwrap_or(settings.work_ms);
         if work_ms > 0 {
             Timer::after(Duration::from_millis(work_ms)).await;
         }
-        let done = self.finish(wire, incoming, fault).await;
+        let outcome = self.finish(wire, incoming, fault).await;
         self.in_flight.fetch_sub(1, Ordering::SeqCst);
-        done
+        outcome
     }
 
     fn take_slot(&self) -> bool {
@@ -292,7 +296,7 @@
         true
     }
 
-    fn begin(&self, incoming: &Incoming) {
+    fn record_run(&self, incoming: &Incoming) {
         self.begun.fetch_add(1, Ordering::SeqCst);
         self.last_run_ms.store(wall_ms(), Ordering::SeqCst);
         let header = |name| incoming.header(name).unwrap_or_default().to_string();
@@ -353,11 +357,11 @@
         };
         let mut out = wire.clone();
         out.write_all(raw.as_bytes()).await.ok()?;
-        // Those after which the connection could go on keep it open, to see whether it is used again.
+        // After these faults the connection stays open, to see whether the client uses it again.
         matches!(fault, Fault::Stray | Fault::Double | Fault::Chunked).then_some(())
     }
 
-    /// Names the server and gives back what marks the request.
+    /// Returns the body of an answer: the server's name, the request's mark and its body.
     fn body(&self, incoming: &Incoming) -> String {
         let mark = incoming.header("x-mark").unwrap_or("-");
         let text = String::from_utf8_lossy(&incoming.body);
--- a/standin/src/fleet/promises.rs
+++ b/standin/src/fleet/promises.rs
@@ -149,7 +149,7 @@
 
 impl Fleet {
     /// Records a job that a caller is about to send, with the text that its tasks carry.
-    pub fn expect_job(&self, job: &str, spec: &str) {
+    pub fn expect(&self, job: &str, spec: &str) {
         let mut state = self.lock();
         state
             .promises
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -1,4 +1,5 @@
-//! Callers at a fixed rate: open loop, timed from when a request was due.
+//! Load generator: sends requests at a fixed rate in an open loop and measures latency from the time at which each
+//! request was due. Run by the `load` command.
 
 use rockwick::util::lock;
 use std::collections::BTreeMap;
@@ -36,56 +37,62 @@
 
 pub(crate) fn args() -> impl Parser<Args> {
     let target = long("target")
-        .help("Entry to send to; several share the load")
+        .help("Entry to send to; repeat it to spread the load")
         .argument("IP:PORT")
         .some("--target is needed");
     let service = long("service")
-        .help("Service in the path")
+        .help("Service named in the path")
         .argument("S")
         .fallback("route".to_string());
     let rate = long("rate")
-        .help("Requests a second")
+        .help("Requests per second")
         .argument("R")
         .fallback(100.0);
-    let seconds = long("seconds").help("How long").argument("S").fallback(5.0);
+    let seconds = long("seconds")
+        .help("Seconds to run")
+        .argument("S")
+        .fallback(5.0);
     let callers = long("callers")
-        .help("Connections kept to each target")
+        .help("Idle connections kept per target")
         .argument("N")
         .fallback(64);
     let class = long("class")
-        .help("urgent, normal or batch")
+        .help("Class of the requests: urgent, normal or batch")
         .argument("C")
         .optional();
     let token = long("token")
-        .help("Caller token")
+        .help("Bearer token of the caller")
         .argument("T")
         .fallback("demo".to_string());
     let method = long("method")
-        .help("GET or POST")
+        .help("Method of the requests: GET or POST")
         .argument("M")
         .fallback("GET".to_string());
     let path = long("path")
-        .help("Path instead of /s/SERVICE/load")
+        .help("Path to use instead of /s/SERVICE/load")
         .argument("P")
         .optional();
     let timeout_ms = long("timeout-ms")
-        .help("Deadline")
+        .help("Milliseconds to wait for an answer")
         .argument("MS")
         .fallback(10_000);
-    let threads = long("threads").help("Threads").argument("N").fallback(2);
+    let threads = long("threads")
+        .help("Number of threads")
+        .argument("N")
+        .fallback(2);
     let seed = long("seed")
-        .help("Seed of the arrivals")
+        .help("Seed of the arrival times")
         .argument("N")
         .fallback(1);
     let direct = long("direct")
-        .help("Pair each round with one straight to this backend server")
+        .help("Backend server; pairs each round with one sent to it directly")
         .argument("IP:PORT")
         .many();
     let rounds = long("rounds")
-        .help("Rounds of a paired run")
+        .help("Number of rounds of a paired run")
         .argument("N")
         .fallback(5);
-    let json = long("json").help("Print JSON").switch();
+    let json = long("json").help("Print results as JSON").switch();
     construct!(Args {
         target,
         service,
@@ -133,7 +140,7 @@
         })
     }
 
-    fn note(&mut self, status: String, took: Duration) {
+    fn record(&mut self, status: String, took: Duration) {
         self.sent += 1;
         if status == "200" {
             self.ok += 1;
@@ -158,16 +165,16 @@
 pub(crate) fn run(args: Args) -> Result<(), String> {
     let runtime = Runtime::new("load", args.threads).map_err(|e| e.to_string())?;
     if args.direct.is_empty() {
-        let summary = smol::block_on(round(&args, &args.target, false, runtime))?;
-        print(&args, "through", &summary);
+        let summary = smol::block_on(run_round(&args, &args.target, false, runtime))?;
+        print_summary(&args, "through", &summary);
         return Ok(());
     }
     let mut ratios = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..args.rounds {
-        let bare = smol::block_on(round(&args, &args.direct, true, runtime))?;
-        let through = smol::block_on(round(&args, &args.target, false, runtime))?;
-        print(&args, "direct", &bare);
-        print(&args, "through", &through);
+        let bare = smol::block_on(run_round(&args, &args.direct, true, runtime))?;
+        let through = smol::block_on(run_round(&args, &args.target, false, runtime))?;
+        print_summary(&args, "direct", &bare);
+        print_summary(&args, "through", &through);
         ratios
             .0
             .push(through.p50_us as f64 / bare.p50_us.max(1) as f64);
@@ -178,14 +185,14 @@
     }
     println!(
         "ratio through/direct: p50 {} p99 {}; answers not 200: {:?}",
-        spread(&mut ratios.0),
-        spread(&mut ratios.1),
+        median_and_range(&mut ratios.0),
+        median_and_range(&mut ratios.1),
         ratios.2
     );
     Ok(())
 }
 
-fn spread(values: &mut [f64]) -> String {
+fn median_and_range(values: &mut [f64]) -> String {
     values.sort_by(f64::total_cmp);
     match (values.first(), values.get(values.len() / 2), values.last()) {
         (Some(min), Some(median), Some(max)) => format!("{median:.2} ({min:.2} to {max:.2})"),
@@ -193,7 +200,7 @@
     }
 }
 
-fn print(args: &Args, what: &str, s: &Summary) {
+fn print_summary(args: &Args, what: &str, s: &Summary) {
     if args.json {
         println!("{}", serde_json::to_string(s).unwrap_or_default());
         return;
@@ -204,7 +211,7 @@
     );
 }
 
-async fn round(
+async fn run_round(
     args: &Args,
     targets: &[SocketAddr],
     bare: bool,
@@ -227,9 +234,9 @@
         let call = args.clone();
         tasks.push(runtime.spawn(async move {
             let status = send(&call, &client, bare).await;
-            lock(&tally).note(status, due.elapsed());
+            lock(&tally).record(status, due.elapsed());
         }));
-        // Arrivals of independent callers: exponential gaps.
+        // Exponential gaps, as between the arrivals of independent callers.
         due_s += -(1.0 - rng.f64()).ln() / args.rate;
     }
     for task in tasks {
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what surrounds rockwick: the platform, backend servers, callers. Never shipped.
+//! Command-line stand-ins for rockwick's surroundings (the platform, backend servers, callers), experiments and the
+//! fault soak. For development only; never shipped.
 
 mod backend;
 mod load;
@@ -24,37 +25,39 @@
     let platform = platform::args()
         .map(Command::Platform)
         .to_options()
-        .descr("The platform: table, objects, host list, tasks, host orders")
+        .descr("Stand-in platform: table, objects, host list, tasks, host orders")
         .command("platform");
     let backend = backend::args()
         .map(Command::Backend)
         .to_options()
-        .descr("A backend server, or all those of a fleet file")
+        .descr("Stand-in backend server, or all backend servers of a fleet file")
         .command("backend");
     let load = load::args()
         .map(Command::Load)
         .to_options()
-        .descr("Callers at a fixed rate, open loop")
+        .descr("Load generator: requests at a fixed rate, open loop")
         .command("load");
     let waves = waves::args()
         .map(Command::Waves)
         .to_options()
-        .descr("Experiment: waves over a fake fleet, decided by the real reducer")
+        .descr("Experiment: waves over a simulated fleet, decided by the real reducer")
         .command("waves");
     let routes = routes::args()
         .map(Command::Routes)
         .to_options()
-        .descr("Experiment: routing ways side by side, discrete events")
+        .descr("Experiment: comparison of routing strategies by discrete-event simulation")
         .command("routes");
     let slopes = slopes::args()
         .map(Command::Slopes)
         .to_options()
-        .descr("Experiment: what control costs against hosts, pools, entries, accounts and jobs")
+        .descr("Experiment: cost of control by number of hosts, pools, entries, accounts and jobs")
         .command("slopes");
     let soak = soak::args()
         .map(Command::Soak)
         .to_options()
-        .descr("Fault soak: real entries as processes, faults from outside, promises checked")
+        .descr(
+            "Fault soak: real entries as processes, random faults from outside, promises checked",
+        )
         .command("soak");
     construct!([platform, backend, load, waves, routes, slopes, soak]).to_options()
 }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform: one process, everything in memory, faults on command.
+//! Stand-in platform in one process with all state in memory: table, objects, host list, tasks and host orders. Takes
+//! faults through `/control/`. Run by the `platform` command, which the end-to-end tests start.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,10 +20,10 @@
 use smol::{Async, Timer};
 use standin::rows::Rows;
 
-/// How often tasks, leases and reboots are looked at.
+/// Interval at which tasks, leases and reboots are advanced.
 const STEP_MS: Millis = 20;
 
-/// A task whose payload says nothing runs for so long.
+/// Run time of a task whose payload states none.
 const TASK_MS: Millis = 200;
 
 pub(crate) struct Args {
@@ -33,17 +34,19 @@
 }
 
 pub(crate) fn args() -> impl Parser<Args> {
-    let listen = long("listen").help("Where to listen").argument("IP:PORT");
+    let listen = long("listen")
+        .help("Address to listen on")
+        .argument("IP:PORT");
     let fleet = long("fleet")
-        .help("TOML file with the hosts")
+        .help("TOML file that lists the hosts")
         .argument("FILE")
         .optional();
     let reboot_ms = long("reboot-ms")
-        .help("How long a reboot takes")
+        .help("Milliseconds that a reboot takes")
         .argument("MS")
         .fallback(1_000);
     let list_lag_ms = long("list-lag-ms")
-        .help("How far the host list lags")
+        .help("Milliseconds until a change appears in the host list")
         .argument("MS")
         .fallback(0);
     construct!(Args {
@@ -54,25 +57,25 @@
     })
 }
 
-/// What goes wrong, set by `POST /control/faults`.
+/// Holds the injected faults, set by `POST /control/faults`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Faults {
-    /// No call is answered, none has an effect.
+    /// Whether all calls get no answer and have no effect.
     down: bool,
-    /// Every call waits so long first.
+    /// Delay of every call.
     slow_ms: Millis,
-    /// So many transactions take effect and lose their answer.
+    /// Number of further transactions that take effect without an answer.
     lose_commits: u32,
-    /// Only transactions on a row whose name begins so are lost.
+    /// Restricts `lose_commits` to transactions whose first row's key has this prefix.
     lose_prefix: String,
-    /// So many task orders take effect and lose their answer.
+    /// Number of further task orders that take effect without an answer.
     lose_task_answers: u32,
-    /// Calls of these entries are not answered and have no effect.
+    /// Entries whose calls get no answer and have no effect.
     cut: Vec<String>,
 }
 
-/// What was asked of the platform, for `GET /control/stats`.
+/// Counts calls to the platform, for `GET /control/stats`.
 #[derive(Clone, Debug, Default, Serialize)]
 struct Stats {
     reads: u64,
@@ -80,11 +83,11 @@
     conflicts: u64,
     rows_read: u64,
     peak_calls_per_s: u64,
-    /// Starts that really began a task, by job.
+    /// Starts that began a task, by job.
     starts: BTreeMap<String, u64>,
     /// Reboots by host.
     reboots: BTreeMap<String, u64>,
-    /// Reboots that hit a host with a task at work.
+    /// Tasks that were running on a host when it was rebooted.
     reboots_over_tasks: u64,
 }
 
@@ -100,17 +103,17 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Inner {
     table: Rows,
     objects: HashMap<String, Vec<u8>>,
     hosts: Vec<HostFact>,
     ended_entries: Vec<String>,
-    /// The list as callers see it, with its etag.
+    /// The host list as callers see it, with the number in its etag.
     listed: (u64, Listing),
-    relist_ms: Option<Millis>,
+    list_due_ms: Option<Millis>,
     rebooting: HashMap<String, Millis>,
     reboot_tokens: BTreeSet<String>,
-    /// The highest attempt that may not start any more, by job.
+    /// Highest attempt that may not start any more, by job.
     fenced: HashMap<String, u32>,
     tasks: HashMap<String, Task>,
     reports: BTreeMap<u64, TaskReport>,
@@ -122,13 +125,13 @@
 }
 
 struct Platform {
-    world: Mutex<World>,
+    inner: Mutex<Inner>,
     clock: Clock,
     reboot_ms: Millis,
     list_lag_ms: Millis,
 }
 
-/// What a task's payload may say, in JSON.
+/// Describes how a task behaves, as its payload may state in JSON.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Script {
@@ -167,10 +170,10 @@
     let addr = listener.local_addr().map_err(|e| e.to_string())?;
     let listener = Async::new(listener).map_err(|e| e.to_string())?;
     let platform = Arc::new(Platform {
-        world: Mutex::new(World {
+        inner: Mutex::new(Inner {
             hosts: listing.hosts.clone(),
             listed: (1, listing),
-            ..World::default()
+            ..Inner::default()
         }),
         clock: Clock::new(),
         reboot_ms: args.reboot_ms,
@@ -206,8 +209,8 @@
 }
 
 impl Platform {
-    fn world(&self) -> MutexGuard<'_, World> {
-        self.world.lock().unwrap_or_else(|e| e.into_inner())
+    fn inner(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     async fn serve(&self, stream: Async<TcpStream>) {
@@ -223,7 +226,7 @@
                 }
             };
             let path = incoming.head.url().path().to_string();
-            if !path.starts_with("/control/") && self.is_cut(&incoming).await {
+            if !path.starts_with("/control/") && self.count_and_delay_call(&incoming).await {
                 return;
             }
             let method = incoming.head.method();
@@ -238,13 +241,13 @@
         }
     }
 
-    async fn is_cut(&self, incoming: &Incoming) -> bool {
+    async fn count_and_delay_call(&self, incoming: &Incoming) -> bool {
         let agent = incoming.header("user-agent").unwrap_or_default();
         let entry = agent.strip_prefix("rockwick/").unwrap_or_default();
         let (slow_ms, cut) = {
-            let mut world = self.world();
-            world.count_call(self.clock.now_ms());
-            let f = &world.faults;
+            let mut inner = self.inner();
+            inner.count_call(self.clock.now_ms());
+            let f = &inner.faults;
             (f.slow_ms, f.down || f.cut.iter().any(|c| c == entry))
         };
         if slow_ms > 0 {
@@ -253,73 +256,73 @@
         cut
     }
 
-    /// The answer, or nothing where it is lost on the way.
+    /// Executes a call and returns its answer; `None` if the answer is lost.
     fn answer(&self, path: &str, incoming: Incoming) -> Option<Response> {
         let now_ms = self.clock.now_ms();
-        let mut world = self.world();
+        let mut inner = self.inner();
         let method = incoming.head.method();
         let query: HashMap<String, String> =
             incoming.head.url().query_pairs().into_owned().collect();
         let since = query.get("since").and_then(|s| s.parse().ok()).unwrap_or(0);
         if let Some(key) = path.strip_prefix("/table/rows/") {
-            world.stats.reads += 1;
-            return Some(match world.table.rows.get(key) {
+            inner.stats.reads += 1;
+            return Some(match inner.table.rows.get(key) {
                 Some(row) => server::json(200, row),
                 None => server::answer(404, "text/plain", vec![]),
             });
         }
         if let Some(name) = path.strip_prefix("/objects/") {
-            return Some(world.object(method, name, incoming.body));
+            return Some(inner.object(method, name, incoming.body));
         }
         if let Some(id) = path.strip_prefix("/control/hosts/") {
-            return Some(world.set_host(id, &incoming.body, now_ms + self.list_lag_ms));
+            return Some(inner.set_host(id, &incoming.body, now_ms + self.list_lag_ms));
         }
         if let Some(id) = path
             .strip_prefix("/hosts/")
             .and_then(|p| p.strip_suffix("/reboot"))
         {
             let until_ms = now_ms + self.reboot_ms;
-            return Some(world.reboot(id, &incoming.body, until_ms, now_ms + self.list_lag_ms));
+            return Some(inner.reboot(id, &incoming.body, until_ms, now_ms + self.list_lag_ms));
         }
         match path {
             "/table/changes" => {
                 let spaces = query.get("spaces").cloned().unwrap_or_default();
-                Some(world.changes(since, &spaces))
+                Some(inner.changes(since, &spaces))
             }
-            "/table/transactions" => world.transact(&incoming.body),
-            "/hosts" => Some(world.list(incoming.header("if-none-match"))),
+            "/table/transactions" => inner.transact(&incoming.body),
+            "/hosts" => Some(inner.list(incoming.header("if-none-match"))),
             "/tasks/start" => {
                 let task: TaskStart = serde_json::from_slice(&incoming.body).ok()?;
-                let answer = world.start(task, now_ms);
-                world.task_answer(answer)
+                let answer = inner.start(task, now_ms);
+                inner.task_answer(answer)
             }
             "/tasks/renew" => {
                 let tasks: Vec<TaskRef> = serde_json::from_slice(&incoming.body).ok()?;
-                world.renew(&tasks, now_ms);
-                world.task_answer(OrderAnswer::Accepted)
+                inner.renew(&tasks, now_ms);
+                inner.task_answer(OrderAnswer::Accepted)
             }
             "/tasks/stop" => {
                 let task: TaskRef = serde_json::from_slice(&incoming.body).ok()?;
-                let answer = world.stop(&task, now_ms);
-                world.task_answer(answer)
+                let answer = inner.stop(&task, now_ms);
+                inner.task_answer(answer)
             }
-            "/tasks/reports" => Some(world.reports_after(since)),
+            "/tasks/reports" => Some(inner.reports_after(since)),
             "/control/faults" if method == Method::Post => {
-                world.faults = serde_json::from_slice(&incoming.body).ok()?;
-                Some(server::json(200, &world.faults))
+                inner.faults = serde_json::from_slice(&incoming.body).ok()?;
+                Some(server::json(200, &inner.faults))
             }
             "/control/ended" => {
                 let set: SetEnded = serde_json::from_slice(&incoming.body).ok()?;
-                world.ended_entries = set.entries;
-                world.relist_ms = Some(now_ms + self.list_lag_ms);
+                inner.ended_entries = set.entries;
+                inner.list_due_ms = Some(now_ms + self.list_lag_ms);
                 Some(server::json(200, &()))
             }
-            "/control/stats" => Some(server::json(200, &world.stats)),
+            "/control/stats" => Some(server::json(200, &inner.stats)),
             "/control/reset-peak" => {
-                world.stats.peak_calls_per_s = 0;
+                inner.stats.peak_calls_per_s = 0;
                 Some(server::json(200, &()))
             }
-            "/control/rows" => Some(server::json(200, &world.table.rows)),
+            "/control/rows" => Some(server::json(200, &inner.table.rows)),
             _ => Some(server::answer(404, "text/plain", vec![])),
         }
     }
@@ -327,13 +330,13 @@
     fn step(&self) {
         let now_ms = self.clock.now_ms();
         let lag_ms = self.list_lag_ms;
-        let mut world = self.world();
-        world.step_tasks(now_ms);
-        world.step_hosts(now_ms, lag_ms);
+        let mut inner = self.inner();
+        inner.end_due_tasks(now_ms);
+        inner.end_due_reboots(now_ms, lag_ms);
     }
 }
 
-impl World {
+impl Inner {
     fn count_call(&mut self, now_ms: Millis) {
         let second = now_ms / 1_000;
         if self.this_second.0 != second {
@@ -387,7 +390,7 @@
         res
     }
 
-    fn set_host(&mut self, id: &str, body: &[u8], relist_ms: Millis) -> Response {
+    fn set_host(&mut self, id: &str, body: &[u8], list_due_ms: Millis) -> Response {
         let Ok(set) = serde_json::from_slice::<SetHost>(body) else {
             return server::answer(400, "text/plain", vec![]);
         };
@@ -395,11 +398,11 @@
             return server::answer(404, "text/plain", vec![]);
         };
         host.life = set.life;
-        self.relist_ms = Some(relist_ms);
+        self.list_due_ms = Some(list_due_ms);
         server::json(200, &())
     }
 
-    fn reboot(&mut self, id: &str, body: &[u8], until_ms: Millis, relist_ms: Millis) -> Response {
+    fn reboot(&mut self, id: &str, body: &[u8], until_ms: Millis, list_due_ms: Millis) -> Response {
         let Ok(order) = serde_json::from_slice::<Reboot>(body) else {
             return server::answer(400, "text/plain", vec![]);
         };
@@ -409,7 +412,7 @@
         };
         if self.reboot_tokens.insert(order.token) {
             host.life = Life::Gone;
-            self.relist_ms = Some(relist_ms);
+            self.list_due_ms = Some(list_due_ms);
             self.rebooting.insert(id.to_string(), until_ms);
             *self.stats.reboots.entry(id.to_string()).or_default() += 1;
             let at_work = |t: &&Task| t.host == id && t.state == TaskState::Running;
@@ -520,7 +523,7 @@
         server::json(200, &answer)
     }
 
-    fn step_tasks(&mut self, now_ms: Millis) {
+    fn end_due_tasks(&mut self, now_ms: Millis) {
         let gone: BTreeSet<String> = self
             .hosts
             .iter()
@@ -546,17 +549,17 @@
         }
     }
 
-    fn step_hosts(&mut self, now_ms: Millis, lag_ms: Millis) {
+    fn end_due_reboots(&mut self, now_ms: Millis, lag_ms: Millis) {
         for host in &mut self.hosts {
             if self.rebooting.get(&host.id).is_some_and(|t| now_ms >= *t) {
                 self.rebooting.remove(&host.id);
                 host.life = Life::Live;
                 host.boots += 1;
-                self.relist_ms = Some(now_ms + lag_ms);
+                self.list_due_ms = Some(now_ms + lag_ms);
             }
         }
-        if self.relist_ms.is_some_and(|t| now_ms >= t) {
-            self.relist_ms = None;
+        if self.list_due_ms.is_some_and(|t| now_ms >= t) {
+            self.list_due_ms = None;
             self.listed.0 += 1;
             self.listed.1 = Listing {
                 hosts: self.hosts.clone(),
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -1,7 +1,8 @@
-//! Routing ways side by side: 9 entries, 50 backend servers of 8 slots, discrete events, no noise.
+//! Experiment that compares routing strategies in a discrete-event simulation without noise: 9 entries, 50 backend
+//! servers of 8 slots. Run by the `routes` command.
 //!
-//! The way that the entry ships is driven through its own decisions (`rockwick::core::route`, `health`,
-//! `retry`); the others stand here only, to be measured against.
+//! The strategy that the entry uses runs through the entry's own code (`rockwick::core::route`, `health`, `retry`).
+//! The other strategies exist only here, as baselines.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,15 +18,15 @@
 const SLOTS: u32 = 8;
 const HALLS: usize = 4;
 
-/// Mean time of one request at a healthy backend server, exponential.
+/// Mean of the exponential service time of a request at a healthy backend server.
 const WORK_US: f64 = 20_000.0;
-/// One way between entry and backend server.
+/// One-way network delay between an entry and a backend server.
 const HOP_US: u64 = 250;
-/// A request waits no longer than this for a place.
-const PATIENCE_US: u64 = 2_000_000;
-/// What a backend server that hangs costs.
+/// Longest time that a request waits for a slot.
+const WAIT_MAX_US: u64 = 2_000_000;
+/// Time until a request to a hanging backend server fails.
 const HANG_US: u64 = 1_000_000;
-/// How old peers' digests are at most.
+/// Interval between digests of peers, and so their greatest age.
 const DIGEST_US: u64 = 1_000_000;
 const WARM_US: u64 = 3_000_000;
 const SPAN_US: u64 = 20_000_000;
@@ -36,32 +37,38 @@
 }
 
 pub(crate) fn args() -> impl Parser<Args> {
-    let seeds = long("seeds").help("Runs of each").argument("N").fallback(3);
+    let seeds = long("seeds")
+        .help("Seeds per strategy and load")
+        .argument("N")
+        .fallback(3);
     construct!(Args { seeds })
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Strategy {
     Random,
     RoundRobin,
-    /// (a) A fixed share of the slots for each entry, the least loaded first.
+    /// (a) Each entry has a fixed share of the slots and picks the least loaded backend server.
     FixedShare,
-    /// (b) Power of two choices on own in-flight plus the peers' as last told.
+    /// (b) Power of two choices by the entry's own requests in flight plus those in the peers' last digests.
     TwoWithDigests,
-    /// (c) As shipped: power of two choices within a window that refusals shrink, retries in a budget.
+    /// (c) As in the entry: power of two choices within a window that refusals shrink, with a retry budget.
     Windows,
 }
 
-const WAYS: [(Way, &str); 5] = [
-    (Way::Random, "random"),
-    (Way::RoundRobin, "round robin"),
-    (Way::FixedShare, "(a) fixed share, least loaded"),
-    (Way::TwoWithDigests, "(b) two choices, peers' digests"),
-    (Way::Windows, "(c) two choices in windows, retry in budget"),
+const STRATEGIES: [(Strategy, &str); 5] = [
+    (Strategy::Random, "random"),
+    (Strategy::RoundRobin, "round robin"),
+    (Strategy::FixedShare, "(a) fixed share, least loaded"),
+    (Strategy::TwoWithDigests, "(b) two choices, peers' digests"),
+    (
+        Strategy::Windows,
+        "(c) two choices in windows, retry in budget",
+    ),
 ];
 
 #[derive(Clone, Copy, PartialEq)]
-enum Trouble {
+enum Scenario {
     None,
     OneSlow,
     OneFails,
@@ -69,12 +76,12 @@
     HallGone,
 }
 
-const TROUBLES: [(Trouble, &str); 5] = [
-    (Trouble::None, "healthy"),
-    (Trouble::OneSlow, "one 10 times slower"),
-    (Trouble::OneFails, "one fails all at once"),
-    (Trouble::OneHangs, "one hangs"),
-    (Trouble::HallGone, "a hall gone"),
+const SCENARIOS: [(Scenario, &str); 5] = [
+    (Scenario::None, "healthy"),
+    (Scenario::OneSlow, "one 10 times slower"),
+    (Scenario::OneFails, "one fails all at once"),
+    (Scenario::OneHangs, "one hangs"),
+    (Scenario::HallGone, "a hall gone"),
 ];
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -90,7 +97,7 @@
         outcome: u8,
     },
     Digest,
-    Look {
+    SendQueued {
         entry: usize,
     },
 }
@@ -103,9 +110,9 @@
     entry: usize,
     came_us: u64,
     attempts: u32,
-    barred: Vec<usize>,
-    /// Whether its next attempt has been taken out of the retry budget.
-    paid: bool,
+    tried: Vec<usize>,
+    /// Whether its next attempt has been charged to the retry budget.
+    is_paid: bool,
     cost: Cost,
 }
 
@@ -134,13 +141,13 @@
 }
 
 struct Sim {
-    way: Way,
-    trouble: Trouble,
+    strategy: Strategy,
+    scenario: Scenario,
     rng: fastrand::Rng,
     now_us: u64,
     order: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    at_work: Vec<u32>,
+    working: Vec<u32>,
     entries: Vec<EntrySide>,
     reqs: Vec<Req>,
     gap_us: f64,
@@ -149,7 +156,7 @@
 }
 
 impl Sim {
-    fn new(way: Way, trouble: Trouble, load: f64, seed: u64) -> Option<Self> {
+    fn new(strategy: Strategy, scenario: Scenario, load: f64, seed: u64) -> Option<Self> {
         let capacity_per_us = f64::from(SLOTS) * BACKENDS as f64 / WORK_US;
         let entry = || EntrySide {
             views: (0..BACKENDS)
@@ -165,13 +172,13 @@
             next: 0,
         };
         let mut sim = Self {
-            way,
-            trouble,
+            strategy,
+            scenario,
             rng: fastrand::Rng::with_seed(seed),
             now_us: 0,
             order: 0,
             events: BinaryHeap::new(),
-            at_work: vec![0; BACKENDS],
+            working: vec![0; BACKENDS],
             entries: (0..ENTRIES).map(|_| entry()).collect(),
             reqs: Vec::new(),
             gap_us: 1.0 / (capacity_per_us * load),
@@ -181,7 +188,7 @@
         sim.push(0, Event::Arrive);
         sim.push(DIGEST_US, Event::Digest);
         for entry in 0..ENTRIES {
-            sim.push(50_000, Event::Look { entry });
+            sim.push(50_000, Event::SendQueued { entry });
         }
         Some(sim)
     }
@@ -195,7 +202,7 @@
         (-(1.0 - self.rng.f64()).ln() * mean) as u64
     }
 
-    fn counts(&self) -> bool {
+    fn is_measured(&self) -> bool {
         self.now_us > WARM_US
     }
 
@@ -211,10 +218,10 @@
                     outcome,
                 } => self.answer(req, backend, outcome),
                 Event::Digest => self.digest(),
-                Event::Look { entry } => {
-                    self.call(entry);
-                    if self.now_us < SPAN_US + PATIENCE_US {
-                        self.push(self.now_us + 50_000, Event::Look { entry });
+                Event::SendQueued { entry } => {
+                    self.send_queued(entry);
+                    if self.now_us < SPAN_US + WAIT_MAX_US {
+                        self.push(self.now_us + 50_000, Event::SendQueued { entry });
                     }
                 }
             }
@@ -234,11 +241,11 @@
             entry,
             came_us: self.now_us,
             attempts: 0,
-            barred: Vec::new(),
-            paid: true,
+            tried: Vec::new(),
+            is_paid: true,
             cost: Cost::Refused,
         });
-        if self.counts() {
+        if self.is_measured() {
             self.figures.offered += 1;
         }
         self.entries[entry].budget.earn();
@@ -251,68 +258,68 @@
         self.now_us / 1_000
     }
 
-    fn barred(&self, entry: usize, backend: usize, req: usize) -> bool {
+    fn is_excluded(&self, entry: usize, backend: usize, req: usize) -> bool {
         let v = &self.entries[entry].views[backend];
-        v.health.barred_until_ms() > self.now_ms() || self.reqs[req].barred.contains(&backend)
+        v.health.barred_until_ms() > self.now_ms() || self.reqs[req].tried.contains(&backend)
     }
 
-    fn choose(&mut self, req: usize) -> Option<usize> {
+    fn choose_backend(&mut self, req: usize) -> Option<usize> {
         let entry = self.reqs[req].entry;
         let now_ms = self.now_ms();
-        match self.way {
-            Way::Random => Some(self.rng.usize(..BACKENDS)),
-            Way::RoundRobin => {
+        match self.strategy {
+            Strategy::Random => Some(self.rng.usize(..BACKENDS)),
+            Strategy::RoundRobin => {
                 let e = &mut self.entries[entry];
                 e.next = (e.next + 1) % BACKENDS;
                 Some(e.next)
             }
-            Way::FixedShare => {
+            Strategy::FixedShare => {
                 let share = (SLOTS / ENTRIES as u32).max(1);
                 let start = self.rng.usize(..BACKENDS);
                 let e = &self.entries[entry];
                 (0..BACKENDS)
                     .map(|n| (start + n) % BACKENDS)
-                    .filter(|b| !self.barred(entry, *b, req) && e.views[*b].in_flight < share)
+                    .filter(|b| !self.is_excluded(entry, *b, req) && e.views[*b].in_flight < share)
                     .min_by_key(|b| e.views[*b].in_flight)
             }
-            Way::TwoWithDigests => {
+            Strategy::TwoWithDigests => {
                 let mut rng = fastrand::Rng::with_seed(self.rng.u64(..));
-                let look = |b: usize| {
-                    let told = self.entries[entry].peers[b];
+                let candidate = |b: usize| {
+                    let peers_in_flight = self.entries[entry].peers[b];
                     Candidate {
-                        in_flight: self.entries[entry].views[b].in_flight + told,
+                        in_flight: self.entries[entry].views[b].in_flight + peers_in_flight,
                         window: SLOTS,
-                        barred: self.barred(entry, b, req),
+                        barred: self.is_excluded(entry, b, req),
                         near: true,
                     }
                 };
-                pick(BACKENDS, look, &mut rng)
+                pick(BACKENDS, candidate, &mut rng)
             }
-            Way::Windows => {
+            Strategy::Windows => {
                 let mut rng = fastrand::Rng::with_seed(self.rng.u64(..));
-                let look = |b: usize| {
+                let candidate = |b: usize| {
                     let v = &self.entries[entry].views[b];
                     let share = share_percent(v.health.ejected_until_ms(), now_ms) as u32;
                     Candidate {
                         in_flight: v.in_flight,
                         window: (v.window.size() * share / 100).max(1),
-                        barred: self.barred(entry, b, req),
+                        barred: self.is_excluded(entry, b, req),
                         near: true,
                     }
                 };
-                pick(BACKENDS, look, &mut rng)
+                pick(BACKENDS, candidate, &mut rng)
             }
         }
     }
 
     fn try_send(&mut self, req: usize) -> bool {
-        let Some(backend) = self.choose(req) else {
+        let Some(backend) = self.choose_backend(req) else {
             return false;
         };
         let entry = self.reqs[req].entry;
         self.entries[entry].views[backend].in_flight += 1;
         self.reqs[req].attempts += 1;
-        if self.counts() {
+        if self.is_measured() {
             self.figures.attempts += 1;
         }
         self.push(self.now_us + HOP_US, Event::AtBackend { req, backend });
@@ -321,7 +328,7 @@
 
     fn at_backend(&mut self, req: usize, backend: usize) {
         let first = backend == 0;
-        let gone = self.trouble == Trouble::HallGone && backend.is_multiple_of(HALLS);
+        let gone = self.scenario == Scenario::HallGone && backend.is_multiple_of(HALLS);
         let answer = |at_us, outcome| {
             (
                 at_us,
@@ -332,18 +339,18 @@
                 },
             )
         };
-        let (at_us, event) = if gone || (first && self.trouble == Trouble::OneFails) {
+        let (at_us, event) = if gone || (first && self.scenario == Scenario::OneFails) {
             answer(self.now_us + HOP_US, BAD)
-        } else if first && self.trouble == Trouble::OneHangs {
+        } else if first && self.scenario == Scenario::OneHangs {
             answer(self.now_us + HANG_US, BAD)
-        } else if self.at_work[backend] >= SLOTS {
-            if self.counts() {
+        } else if self.working[backend] >= SLOTS {
+            if self.is_measured() {
                 self.figures.over_slots += 1;
             }
             answer(self.now_us + HOP_US, FULL)
         } else {
-            self.at_work[backend] += 1;
-            let slow = first && self.trouble == Trouble::OneSlow;
+            self.working[backend] += 1;
+            let slow = first && self.scenario == Scenario::OneSlow;
             let mean = if slow { WORK_US * 10.0 } else { WORK_US };
             let took = self.exponential(mean);
             answer(self.now_us + took + HOP_US, GOOD)
@@ -354,25 +361,25 @@
     fn answer(&mut self, req: usize, backend: usize, outcome: u8) {
         let entry = self.reqs[req].entry;
         if outcome == GOOD {
-            self.at_work[backend] -= 1;
+            self.working[backend] -= 1;
         }
-        self.note(entry, backend, outcome);
+        self.record_outcome(entry, backend, outcome);
         match outcome {
             GOOD => {
-                if self.counts() {
+                if self.is_measured() {
                     self.figures.good += 1;
                     let took = self.now_us - self.reqs[req].came_us;
                     self.times.saturating_record(took);
                 }
             }
-            _ => self.again(req, backend, outcome),
+            _ => self.queue_retry(req, backend, outcome),
         }
-        self.call(entry);
+        self.send_queued(entry);
     }
 
-    fn note(&mut self, entry: usize, backend: usize, outcome: u8) {
+    fn record_outcome(&mut self, entry: usize, backend: usize, outcome: u8) {
         let now_ms = self.now_ms();
-        let shipped = self.way == Way::Windows;
+        let shipped = self.strategy == Strategy::Windows;
         let out = |v: &View| v.health.is_ejected(now_ms);
         let ejected = self.entries[entry].views.iter().filter(|v| out(v)).count();
         let v = &mut self.entries[entry].views[backend];
@@ -389,23 +396,23 @@
         if shipped && sign == Sign::Good && at_window {
             v.window.grow();
         }
-        // Health is the same for the two-choice ways and the fixed share; the baselines have none.
-        if !matches!(self.way, Way::Random | Way::RoundRobin) {
+        // The two-choice strategies and the fixed share track health; random and round robin do not.
+        if !matches!(self.strategy, Strategy::Random | Strategy::RoundRobin) {
             v.health.note(sign, may_eject(ejected, BACKENDS), now_ms);
         }
     }
 
-    /// A refused request, or one that failed and may be repeated, goes elsewhere if the way allows it:
-    /// at once while the budget lasts, else when it has earned the next retry.
-    fn again(&mut self, req: usize, backend: usize, outcome: u8) {
+    /// Queues a refused or failed request for a retry at another backend server, if the strategy retries: at once while
+    /// the budget lasts, else when the budget allows the next retry. Gives up the request otherwise.
+    fn queue_retry(&mut self, req: usize, backend: usize, outcome: u8) {
         let entry = self.reqs[req].entry;
-        let late = self.now_us - self.reqs[req].came_us > PATIENCE_US;
-        if late || self.way != Way::Windows {
+        let late = self.now_us - self.reqs[req].came_us > WAIT_MAX_US;
+        if late || self.strategy != Strategy::Windows {
             self.give_up(outcome);
             return;
         }
-        self.reqs[req].barred.push(backend);
-        self.reqs[req].paid = false;
+        self.reqs[req].tried.push(backend);
+        self.reqs[req].is_paid = false;
         self.reqs[req].cost = if outcome == FULL {
             Cost::Refused
         } else {
@@ -414,18 +421,18 @@
         self.entries[entry].queue.insert(0, req);
     }
 
-    /// Whether a request may be attempted now; a retry takes its part of the budget.
+    /// Returns whether a request may be attempted now; charges a retry to the budget.
     fn may_attempt(&mut self, req: usize) -> bool {
         let entry = self.reqs[req].entry;
-        if !self.reqs[req].paid {
+        if !self.reqs[req].is_paid {
             let cost = self.reqs[req].cost;
-            self.reqs[req].paid = self.entries[entry].budget.spend(cost, self.now_us / 1_000);
+            self.reqs[req].is_paid = self.entries[entry].budget.spend(cost, self.now_us / 1_000);
         }
-        self.reqs[req].paid
+        self.reqs[req].is_paid
     }
 
     fn give_up(&mut self, outcome: u8) {
-        if !self.counts() {
+        if !self.is_measured() {
             return;
         }
         match outcome {
@@ -434,11 +441,11 @@
         }
     }
 
-    /// Sends whoever waits and finds a place. Those who wait for budget do not hold up the others.
-    fn call(&mut self, entry: usize) {
+    /// Sends queued requests for which there is a slot. Requests that wait for the retry budget do not block others.
+    fn send_queued(&mut self, entry: usize) {
         let mut at = 0;
         while let Some(req) = self.entries[entry].queue.get(at).copied() {
-            if self.now_us - self.reqs[req].came_us > PATIENCE_US {
+            if self.now_us - self.reqs[req].came_us > WAIT_MAX_US {
                 self.entries[entry].queue.remove(at);
                 self.give_up(FULL);
             } else if !self.may_attempt(req) {
@@ -470,18 +477,18 @@
         "{ENTRIES} entries, {BACKENDS} backend servers of {SLOTS} slots, 20 ms mean work, {} seeds",
         args.seeds
     );
-    let healthy = [0.5, 0.8, 0.95, 1.2].map(|l| (Trouble::None, "healthy", l));
-    let troubled = TROUBLES[1..].iter().map(|(t, name)| (*t, *name, 0.8));
-    for (trouble, name, load) in healthy.into_iter().chain(troubled) {
+    let healthy = [0.5, 0.8, 0.95, 1.2].map(|l| (Scenario::None, "healthy", l));
+    let faulty = SCENARIOS[1..].iter().map(|(t, name)| (*t, *name, 0.8));
+    for (scenario, name, load) in healthy.into_iter().chain(faulty) {
         println!("\n{name}, {:.0}% load", load * 100.0);
         println!("| Way | p50 ms | p99 ms | p99.9 ms | served % | refused % | failed % | attempts/request | over slots/request |");
         println!("|---|---|---|---|---|---|---|---|---|");
-        for (way, label) in WAYS {
+        for (strategy, label) in STRATEGIES {
             let mut all = Figures::default();
             let mut times =
                 Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|e| e.to_string())?;
             for seed in 0..args.seeds {
-                let sim = Sim::new(way, trouble, load, seed).ok_or("histogram")?;
+                let sim = Sim::new(strategy, scenario, load, seed).ok_or("histogram")?;
                 let (f, t) = sim.run();
                 times.add(t).map_err(|e| e.to_string())?;
                 all.offered += f.offered;
--- a/standin/src/rows.rs
+++ b/standin/src/rows.rs
@@ -1,24 +1,25 @@
-//! The table in memory: conditional transactions and changes since a number.
+//! In-memory table of the stand-in platform: conditional transactions, and changes after a sequence number. The
+//! platform, the experiments and the tests use it.
 
 use std::collections::BTreeMap;
 
 use rockwick::port::{Attempt, Changes, Expect, Row, Transaction};
 
-/// Rows in one answer.
+/// Largest number of rows in one answer of changes.
 const PAGE_ROWS: usize = 1_000;
 
-/// All rows, by name and by version.
+/// Holds all rows, by key and by version.
 #[derive(Default)]
 pub struct Rows {
-    /// By name; a deleted row stays, without a value.
+    /// Rows by key; a deleted row stays, without a value.
     pub rows: BTreeMap<String, Row>,
     by_version: BTreeMap<u64, String>,
-    /// The last sequence number.
+    /// Sequence number of the last change.
     pub seq: u64,
 }
 
 impl Rows {
-    fn holds(&self, key: &str, expect: Expect) -> bool {
+    fn is_met(&self, key: &str, expect: Expect) -> bool {
         let row = self.rows.get(key);
         match expect {
             Expect::Absent => row.is_none_or(|r| r.value.is_none()),
@@ -26,11 +27,11 @@
         }
     }
 
-    /// Applies a transaction whole or not at all; its values are stored as they are.
+    /// Applies a transaction whole or not at all; stores its values unchanged.
     pub fn apply(&mut self, txn: &Transaction) -> Attempt {
         let checks = txn.checks.iter().map(|c| (&c.key, c.expect));
         let puts = txn.puts.iter().map(|p| (&p.key, p.expect));
-        if !checks.chain(puts).all(|(k, e)| self.holds(k, e)) {
+        if !checks.chain(puts).all(|(k, e)| self.is_met(k, e)) {
             return Attempt::Conflict;
         }
         for put in &txn.puts {
@@ -48,7 +49,8 @@
         Attempt::Committed(self.seq)
     }
 
-    /// As [`Rows::apply`], with the token wrapped around each value, for callers that skip the adapter.
+    /// Applies a transaction like [`Rows::apply`], with each value wrapped together with the transaction's token; for
+    /// callers that bypass the adapter, which does the wrapping otherwise.
     pub fn apply_stamped(&mut self, txn: &Transaction) -> Attempt {
         let mut stamped = txn.clone();
         for put in &mut stamped.puts {
@@ -58,7 +60,7 @@
         self.apply(&stamped)
     }
 
-    /// Rows that changed after `since`; of all spaces where none is named.
+    /// Returns the rows that changed after `since`, in these spaces, or in all spaces if none is given.
     pub fn changes(&self, since: u64, spaces: &[&str]) -> Changes {
         let mut changes = Changes {
             seq: self.seq,
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -1,4 +1,5 @@
-//! What control costs: the real reducer's tick, its routes, its state and its polls, at several sizes.
+//! Experiment that measures the cost of control at several fleet sizes: the time of the reducer's tick and of its
+//! routes, and the size of its state and of an idle poll. Run by the `slopes` command.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -35,7 +36,7 @@
     jobs: usize,
 }
 
-/// The size of two years from now.
+/// The fleet size expected in two years; each sweep varies one of these numbers.
 const FULL: Size = Size {
     hosts: 500,
     pools: 226,
@@ -79,7 +80,7 @@
     text
 }
 
-fn facts(size: Size) -> Vec<HostFact> {
+fn host_facts(size: Size) -> Vec<HostFact> {
     (0..size.hosts)
         .map(|n| HostFact {
             id: format!("h{n:04}"),
@@ -169,10 +170,10 @@
     };
     let rows = table(size);
     let listing = Listing {
-        hosts: facts(size),
+        hosts: host_facts(size),
         ended_entries: vec![],
     };
-    let before = held_bytes();
+    let before = allocated_bytes();
     reduce(&mut state, Event::HostsRead(Some(listing)), now);
     let mut since = 0;
     loop {
@@ -186,12 +187,12 @@
             break;
         }
     }
-    let state_bytes = held_bytes().saturating_sub(before);
-    let mut spent = 0;
+    let state_bytes = allocated_bytes().saturating_sub(before);
+    let mut spent_us = 0;
     for _ in 0..TICKS {
         now.ms += 500;
         now.wall_ms += 500;
-        hear_peers(&mut state, size, now.ms);
+        apply_peer_digests(&mut state, size, now.ms);
         let began = Instant::now();
         let effects = reduce(
             &mut state,
@@ -201,8 +202,8 @@
             },
             now,
         );
-        spent += began.elapsed().as_micros();
-        answer(&mut state, effects, now);
+        spent_us += began.elapsed().as_micros();
+        answer_as_idle(&mut state, effects, now);
     }
     let began = Instant::now();
     for _ in 0..20 {
@@ -210,7 +211,7 @@
     }
     let routes_us = began.elapsed().as_micros() as f64 / 20.0;
     Cost {
-        tick_us: spent as f64 / f64::from(TICKS),
+        tick_us: spent_us as f64 / f64::from(TICKS),
         routes_us,
         state_bytes,
         config_bytes: config_text(size).len(),
@@ -218,7 +219,7 @@
     }
 }
 
-fn hear_peers(state: &mut State, size: Size, now_ms: Millis) {
+fn apply_peer_digests(state: &mut State, size: Size, now_ms: Millis) {
     for n in 1..size.entries {
         let digest = Digest {
             name: format!("e{n}"),
@@ -233,8 +234,8 @@
     }
 }
 
-/// An idle table: reads find nothing new, commits are never answered.
-fn answer(state: &mut State, effects: Vec<Effect>, now: Now) {
+/// Answers effects as an idle table would: reads find nothing new, and commits get no answer.
+fn answer_as_idle(state: &mut State, effects: Vec<Effect>, now: Now) {
     for effect in effects {
         if let Effect::ReadTable { since } = effect {
             let changes = Some(Changes {
@@ -266,34 +267,35 @@
     length(encode(&ask)) + length(encode(&told))
 }
 
-/// Counts what is allocated, so that sizes can be compared within one process.
-struct Counting;
+/// Allocator that counts the allocated bytes, so that the size of the state can be measured within one process.
+struct CountingAllocator;
 
-static HELD_BYTES: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call is passed to the system's allocator unchanged; only a count is kept beside it.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is passed to the system's allocator unchanged; counting does not touch the memory.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`, which is the system's as well.
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
+        // SAFETY: the caller fulfils the contract of `alloc`, which is also the system allocator's.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        HELD_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: `ptr` came from `alloc` above, so from the system, with this layout.
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
+        // SAFETY: `ptr` came from `alloc` above, and so from the system allocator, with this layout.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-fn held_bytes() -> usize {
-    HELD_BYTES.load(Ordering::Relaxed)
+fn allocated_bytes() -> usize {
+    ALLOCATED_BYTES.load(Ordering::Relaxed)
 }
 
-/// Least squares through points; the slope, the intercept, and the largest error in percent of the top.
+/// Fits a line through points by least squares; returns the slope, the intercept, and the largest error in percent of
+/// the largest value.
 fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let n = points.len() as f64;
     let sum = |f: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>();
@@ -302,8 +304,8 @@
     let slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
     let base = (sy - slope * sx) / n;
     let top = points.iter().map(|p| p.1.abs()).fold(1e-9, f64::max);
-    let off = |p: &(f64, f64)| (p.1 - base - slope * p.0).abs();
-    let worst = points.iter().map(off).fold(0.0, f64::max);
+    let error = |p: &(f64, f64)| (p.1 - base - slope * p.0).abs();
+    let worst = points.iter().map(error).fold(0.0, f64::max);
     (slope, base, 100.0 * worst / top)
 }
 
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -154,7 +154,7 @@
         let is_long_running = self.rng.u32(..25) == 0;
         let tasks = self.rng.u64(1..5);
         let shape = self.shapes.draw(&id, tasks, is_long_running);
-        self.shared.fleet.expect_job(&id, &shape.text);
+        self.shared.fleet.expect(&id, &shape.text);
         let mut is_unknown = false;
         for _ in 0..ATTEMPTS_MAX {
             let entry = self.pick_entry();
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -1,4 +1,5 @@
-//! Waves over a fake fleet with a fake clock, decided by the real reducer: roll-out time, buffer, moves.
+//! Experiment that runs waves over a simulated fleet with a simulated clock, decided by the real reducer, and compares
+//! roll-out time, buffer and moves with baselines. Run by the `waves` command.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -20,22 +21,22 @@
 const HOUR_MS: Millis = 60 * MINUTE_MS;
 const DAY_MS: Millis = 24 * HOUR_MS;
 
-/// Simulated time between two ticks; a large fleet gets fewer, to come to an end.
+/// Simulated time between two ticks; a large fleet has longer steps, so that the run ends in reasonable time.
 const STEP_MS: Millis = 10_000;
 const LARGE_STEP_MS: Millis = 60_000;
 
-/// A reboot with its maintenance.
+/// Duration of a reboot with its maintenance.
 const REBOOT_MS: Millis = 20 * MINUTE_MS;
 
-/// A failed host is mended after so long; a restarted one is back after a few minutes; a rack takes hours.
-const MEND_MS: Millis = 4 * HOUR_MS;
+/// Times until a failed host is repaired, a restarted host is back, and a lost rack is back.
+const REPAIR_MS: Millis = 4 * HOUR_MS;
 const RESTART_MS: Millis = 5 * MINUTE_MS;
-const RACK_MS: Millis = 6 * HOUR_MS;
+const RACK_REPAIR_MS: Millis = 6 * HOUR_MS;
 
-/// A run that takes longer than this is given up and reported as far as it came.
-const LONGEST_MS: Millis = 30 * DAY_MS;
+/// Longest simulated duration of a run; a longer run is stopped and reported as not done.
+const RUN_MAX_MS: Millis = 30 * DAY_MS;
 
-/// Events handled at one instant at most; more would be a loop.
+/// Largest number of events handled at one instant; more would mean an endless loop.
 const CHAIN_MAX: usize = 20_000;
 
 #[derive(Clone, Debug)]
@@ -47,29 +48,32 @@
 
 pub(crate) fn args() -> impl Parser<Args> {
     let case = long("case")
-        .help("coop, trust, large or all")
+        .help("Case to run: coop, trust, large or all")
         .argument("CASE")
         .fallback("all".to_string());
-    let seeds = long("seeds").help("Runs of each").argument("N").fallback(5);
+    let seeds = long("seeds")
+        .help("Seeds per strategy")
+        .argument("N")
+        .fallback(5);
     let svg = long("svg")
-        .help("Draw the trade-off curve into this file")
+        .help("File to draw the trade-off curve into")
         .argument("FILE")
         .optional();
     construct!(Args { case, seeds, svg })
 }
 
-/// A fleet and what befalls it.
+/// Describes a fleet and its failures.
 #[derive(Clone, Copy)]
 struct Case {
     name: &'static str,
     hosts: usize,
-    /// Pools as (how many, hosts each, must serve each).
+    /// Groups of equal pools: the number of pools, the hosts of each, and how many of these must serve.
     pools: &'static [(usize, usize, usize)],
     fails_per_day: f64,
     restarts_per_day: f64,
     lose_rack: bool,
     jobs_per_pool: usize,
-    /// The user's default.
+    /// Pace that the user has as default; it is marked in the table.
     pace_percent: u64,
 }
 
@@ -106,10 +110,10 @@
     },
 ];
 
-/// How hosts are chosen to leave.
+/// Names how hosts are chosen to leave.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    /// Our waves, at this pace.
+enum Strategy {
+    /// Rockwick's waves, at this pace in percent.
     Wave(u64),
     /// One host after the other.
     OneByOne,
@@ -117,24 +121,24 @@
     Tenth,
 }
 
-impl Way {
+impl Strategy {
     fn name(self) -> String {
         match self {
-            Way::Wave(pace) => format!("wave, pace {pace}%"),
-            Way::OneByOne => "one host at a time".to_string(),
-            Way::Tenth => "fixed 10% of each pool".to_string(),
+            Strategy::Wave(pace) => format!("wave, pace {pace}%"),
+            Strategy::OneByOne => "one host at a time".to_string(),
+            Strategy::Tenth => "fixed 10% of each pool".to_string(),
         }
     }
 }
 
-/// What a run came to.
+/// Holds the figures of a run.
 #[derive(Clone, Copy, Default)]
-struct Outturn {
+struct Figures {
     done: bool,
     hours: f64,
-    /// Most hosts withheld from their pools at once, by our doing.
+    /// Largest number of hosts that rockwick withheld from their pools at once.
     peak_out: usize,
-    /// Hosts held back for a failure, in all pools together.
+    /// Hosts held in reserve for failures, in all pools together.
     reserved: usize,
     job_moves: usize,
     host_moves: u64,
@@ -160,9 +164,9 @@
     tasks: BTreeMap<String, Task>,
     reports: Vec<TaskReport>,
     tickets: u64,
-    /// Orders to reboot that were carried out; the same again changes nothing.
+    /// Tokens of the reboot orders that were executed; a repeated order has no effect.
     tokens: HashSet<String>,
-    outturn: Outturn,
+    figures: Figures,
     step_ms: Millis,
 }
 
@@ -235,11 +239,11 @@
             reports: Vec::new(),
             tickets: 0,
             tokens: HashSet::new(),
-            outturn: Outturn::default(),
+            figures: Figures::default(),
             step_ms,
         };
         fleet.run_for(5 * MINUTE_MS);
-        fleet.ask(Edit::Apply {
+        fleet.submit_edit(Edit::Apply {
             expect: 0,
             text: config_text(case, pace_percent),
         });
@@ -250,23 +254,23 @@
             }
         }
         fleet.run_for(HOUR_MS);
-        fleet.outturn = Outturn::default();
+        fleet.figures = Figures::default();
         fleet
     }
 
     fn submit(&mut self, pool: usize) {
-        // Declared run times are wrong by up to ten times either way.
-        let truly_ms = self.rng.u64(5..120) * MINUTE_MS;
+        // Declared run times are wrong by up to a factor of ten either way.
+        let actual_ms = self.rng.u64(5..120) * MINUTE_MS;
         let factor = 10f64.powf(self.rng.f64() * 2.0 - 1.0);
         let spec = serde_json::json!({
             "pool": format!("p{pool}"),
             "cores": self.rng.u32(1..5),
-            "run_ms": (truly_ms as f64 * factor) as u64,
+            "run_ms": (actual_ms as f64 * factor) as u64,
             "repeatable": self.rng.bool(),
-            "payload": truly_ms.to_string(),
+            "payload": actual_ms.to_string(),
         });
         if let Ok(spec) = serde_json::from_value(spec) {
-            self.ask(Edit::Submit {
+            self.submit_edit(Edit::Submit {
                 account: "a".to_string(),
                 id: None,
                 spec,
@@ -274,24 +278,24 @@
         }
     }
 
-    fn ask(&mut self, edit: Edit) {
+    fn submit_edit(&mut self, edit: Edit) {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        self.feed(Event::Asked { ticket, edit });
+        self.apply_event(Event::Asked { ticket, edit });
     }
 
-    /// Feeds an event and all that follows from it at the same instant.
-    fn feed(&mut self, event: Event) {
+    /// Feeds an event, and all events that follow from it at the same instant, to the reducer.
+    fn apply_event(&mut self, event: Event) {
         let mut events = vec![event];
         for _ in 0..CHAIN_MAX {
             let Some(event) = events.pop() else { return };
             for effect in reduce(&mut self.state, event, self.now) {
-                events.extend(self.carry_out(effect));
+                events.extend(self.execute(effect));
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) -> Option<Event> {
+    fn execute(&mut self, effect: Effect) -> Option<Event> {
         match effect {
             Effect::ReadTable { since } => Some(Event::TableRead {
                 begun_ms: self.now.ms,
@@ -338,21 +342,21 @@
                 Some(Event::StartAnswered { task, answer })
             }
             Effect::StopTask(task) => {
-                self.outturn.job_moves += 1;
+                self.figures.job_moves += 1;
                 self.end_task(&task.job, TaskState::Stopped);
                 let answer = Some(OrderAnswer::Accepted);
                 Some(Event::StopAnswered { task, answer })
             }
             Effect::Reboot { host, token } => {
                 if self.tokens.insert(token) {
-                    self.set_gone(&host, REBOOT_MS);
+                    self.take_down(&host, REBOOT_MS);
                 }
                 None
             }
             Effect::Log(d) => {
                 let granted = d.code == rockwick::event::Code::DrainGranted;
                 if granted && self.breaks_budget(&d.id) {
-                    self.outturn.broken += 1;
+                    self.figures.broken += 1;
                 }
                 None
             }
@@ -360,7 +364,7 @@
         }
     }
 
-    /// Whether a host that just left took its pool below what must serve, by our own doing.
+    /// Returns whether granting this host's drain left its pool with fewer hosts than must serve.
     fn breaks_budget(&self, host: &str) -> bool {
         let host = &self.state.hosts[self.state.host_ids[host]];
         let Some(pool) = host.row.pool.as_ref() else {
@@ -372,7 +376,7 @@
         out > 0 && view.members.len() - out < serving_min
     }
 
-    fn set_gone(&mut self, host: &str, for_ms: Millis) {
+    fn take_down(&mut self, host: &str, for_ms: Millis) {
         if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
             f.life = Life::Gone;
             self.listed = false;
@@ -380,13 +384,13 @@
         let until_ms = self.now.ms + for_ms;
         let back = self.back_ms.entry(host.to_string()).or_default();
         *back = (*back).max(until_ms);
-        let on_it: Vec<String> = self
+        let host_jobs: Vec<String> = self
             .tasks
             .iter()
             .filter(|(_, t)| t.running && t.host == host)
             .map(|(job, _)| job.clone())
             .collect();
-        for job in on_it {
+        for job in host_jobs {
             self.end_task(&job, TaskState::Lost);
         }
     }
@@ -432,11 +436,11 @@
         for job in ended {
             self.end_task(&job, TaskState::Done);
         }
-        self.feed(Event::Tick {
+        self.apply_event(Event::Tick {
             published_seq: self.state.seq,
             busy: vec![],
         });
-        // What was published in this tick is in force before the next one counts.
+        // Counted after the tick, so that the decisions of this tick are included.
         let out = |s: HostState| {
             matches!(
                 s,
@@ -447,7 +451,7 @@
         let withheld = withheld
             .filter(|h| h.row.pool.is_some() && out(h.row.state))
             .count();
-        self.outturn.peak_out = self.outturn.peak_out.max(withheld);
+        self.figures.peak_out = self.figures.peak_out.max(withheld);
     }
 
     fn run_for(&mut self, ms: Millis) {
@@ -456,29 +460,29 @@
         }
     }
 
-    fn mishaps(&mut self, case: &Case, began_ms: Millis) {
+    fn inject_failures(&mut self, case: &Case, began_ms: Millis) {
         let share = self.step_ms as f64 / DAY_MS as f64;
         let hosts = self.facts.len();
         let pick = |f: &mut Self| f.facts[f.rng.usize(..hosts)].id.clone();
         if self.rng.f64() < case.fails_per_day * share {
             let host = pick(self);
-            self.set_gone(&host, MEND_MS);
+            self.take_down(&host, REPAIR_MS);
         }
         if self.rng.f64() < case.restarts_per_day * share {
             let host = pick(self);
-            self.set_gone(&host, RESTART_MS);
+            self.take_down(&host, RESTART_MS);
         }
         let at_ms = self.now.ms - began_ms;
         if case.lose_rack && (HOUR_MS..HOUR_MS + self.step_ms).contains(&at_ms) {
             for n in 0..4 {
                 let host = self.facts[8 + n].id.clone();
-                self.set_gone(&host, RACK_MS);
+                self.take_down(&host, RACK_REPAIR_MS);
             }
         }
     }
 
-    /// New jobs come as old ones end.
-    fn refill(&mut self, case: &Case) {
+    /// Submits new jobs in place of those that ended.
+    fn refill_jobs(&mut self, case: &Case) {
         let mut at_work: HashMap<&str, usize> = HashMap::new();
         for j in self.state.jobs.values().filter(|j| !j.row.state.is_final()) {
             *at_work.entry(&j.row.spec.pool).or_default() += 1;
@@ -495,8 +499,8 @@
         }
     }
 
-    /// Drains as a baseline would have it: hosts in order of name, so many at once.
-    fn drive_baseline(&mut self, way: Way, waiting: &mut Vec<String>) {
+    /// Drains hosts as a baseline strategy does: in order of their names, with a fixed limit at once.
+    fn drain_baseline(&mut self, strategy: Strategy, waiting: &mut Vec<String>) {
         let mut out: HashMap<Option<String>, usize> = HashMap::new();
         for h in self.state.hosts.values() {
             if !matches!(h.row.state, HostState::Free | HostState::Serving) {
@@ -512,15 +516,15 @@
                 self.state.pools[self.state.pool_names[p]].members.len()
             });
             let here = out.entry(pool).or_default();
-            let room = match way {
-                Way::OneByOne => all == 0,
+            let room = match strategy {
+                Strategy::OneByOne => all == 0,
                 _ => *here < members.div_ceil(10),
             };
-            let at_rest = matches!(h.row.state, HostState::Free | HostState::Serving);
-            if !room || !at_rest || !h.is_live() {
+            let is_available = matches!(h.row.state, HostState::Free | HostState::Serving);
+            if !room || !is_available || !h.is_live() {
                 continue;
             }
-            self.ask(Edit::Drain {
+            self.submit_edit(Edit::Drain {
                 host: host.clone(),
                 reboot: true,
                 why: "baseline".to_string(),
@@ -534,9 +538,9 @@
         }
     }
 
-    fn is_over(&self, way: Way, waiting: &[String]) -> bool {
-        match way {
-            Way::Wave(_) => self
+    fn is_over(&self, strategy: Strategy, waiting: &[String]) -> bool {
+        match strategy {
+            Strategy::Wave(_) => self
                 .state
                 .waves
                 .values()
@@ -550,9 +554,9 @@
     }
 }
 
-fn run_once(case: &Case, way: Way, seed: u64) -> Outturn {
-    let pace = match way {
-        Way::Wave(pace) => pace,
+fn run_once(case: &Case, strategy: Strategy, seed: u64) -> Figures {
+    let pace = match strategy {
+        Strategy::Wave(pace) => pace,
         _ => 100,
     };
     let mut fleet = Fleet::new(case, pace, seed);
@@ -560,29 +564,29 @@
     let moved = |f: &Fleet| f.state.pools.values().map(|p| p.row.moves).sum::<u64>();
     let moved_before = moved(&fleet);
     let mut waiting: Vec<String> = fleet.facts.iter().map(|f| f.id.clone()).collect();
-    if let Way::Wave(_) = way {
-        fleet.ask(Edit::StartWave {
+    if let Strategy::Wave(_) = strategy {
+        fleet.submit_edit(Edit::StartWave {
             pool: "*".to_string(),
             windows: vec![],
         });
     }
     let began_ms = fleet.now.ms;
-    while !fleet.is_over(way, &waiting) && fleet.now.ms - began_ms < LONGEST_MS {
-        fleet.mishaps(case, began_ms);
-        if !matches!(way, Way::Wave(_)) {
-            fleet.drive_baseline(way, &mut waiting);
+    while !fleet.is_over(strategy, &waiting) && fleet.now.ms - began_ms < RUN_MAX_MS {
+        fleet.inject_failures(case, began_ms);
+        if !matches!(strategy, Strategy::Wave(_)) {
+            fleet.drain_baseline(strategy, &mut waiting);
         }
         fleet.step();
         if fleet.now.ms % MINUTE_MS < fleet.step_ms {
-            fleet.refill(case);
+            fleet.refill_jobs(case);
         }
     }
-    let mut outturn = fleet.outturn;
-    outturn.done = fleet.is_over(way, &waiting);
-    outturn.hours = (fleet.now.ms - began_ms) as f64 / HOUR_MS as f64;
-    outturn.host_moves = moved(&fleet) - moved_before;
-    outturn.reserved = pools.len();
-    outturn
+    let mut figures = fleet.figures;
+    figures.done = fleet.is_over(strategy, &waiting);
+    figures.hours = (fleet.now.ms - began_ms) as f64 / HOUR_MS as f64;
+    figures.host_moves = moved(&fleet) - moved_before;
+    figures.reserved = pools.len();
+    figures
 }
 
 fn median(mut values: Vec<f64>) -> (f64, f64, f64) {
@@ -611,24 +615,26 @@
         );
         println!("| Way | Roll-out h (min to max) | Peak out | Job moves | Host moves | Budgets broken | Done |");
         println!("|---|---|---|---|---|---|---|");
-        let mut ways = Vec::new();
+        let mut strategies = Vec::new();
         let paces: &[u64] = if args.svg.is_some() {
             &[10, 25, 50, 75, 100]
         } else {
             &[50, 100]
         };
-        ways.extend(paces.iter().map(|p| Way::Wave(*p)));
-        ways.extend([Way::Tenth, Way::OneByOne]);
+        strategies.extend(paces.iter().map(|p| Strategy::Wave(*p)));
+        strategies.extend([Strategy::Tenth, Strategy::OneByOne]);
         let mut curve = Vec::new();
-        for way in ways {
-            let runs: Vec<Outturn> = (0..args.seeds).map(|s| run_once(case, way, s)).collect();
-            let of = |f: fn(&Outturn) -> f64| median(runs.iter().map(f).collect());
+        for strategy in strategies {
+            let runs: Vec<Figures> = (0..args.seeds)
+                .map(|s| run_once(case, strategy, s))
+                .collect();
+            let of = |f: fn(&Figures) -> f64| median(runs.iter().map(f).collect());
             let (least, hours, most) = of(|o| o.hours);
             let (_, peak, _) = of(|o| o.peak_out as f64);
-            let default = way == Way::Wave(case.pace_percent);
+            let default = strategy == Strategy::Wave(case.pace_percent);
             println!(
                 "| {}{} | {hours:.1} ({least:.1} to {most:.1}) | {peak} | {} | {} | {} | {}/{} |",
-                way.name(),
+                strategy.name(),
                 if default { " (default)" } else { "" },
                 of(|o| o.job_moves as f64).1,
                 of(|o| o.host_moves as f64).1,
@@ -636,7 +642,7 @@
                 runs.iter().filter(|o| o.done).count(),
                 runs.len()
             );
-            curve.push((way, hours, peak));
+            curve.push((strategy, hours, peak));
         }
         curves.push((case.name, curve));
     }
@@ -646,9 +652,10 @@
     }
 }
 
-type Curve = Vec<(Way, f64, f64)>;
+type Curve = Vec<(Strategy, f64, f64)>;
 
-/// Roll-out time over the most hosts out at once, a line for each case's paces, a point for a baseline.
+/// Draws roll-out time over the largest number of hosts out at once: a line over the paces of each case, and a cross
+/// for each baseline.
 fn draw(file: &str, curves: &[(&str, Curve)]) -> Result<(), Box<dyn std::error::Error>> {
     use plotters::prelude::*;
     let root = SVGBackend::new(file, (720, 480)).into_drawing_area();
@@ -675,14 +682,18 @@
         .draw()?;
     for (n, (name, curve)) in curves.iter().enumerate() {
         let color = Palette99::pick(n).to_rgba();
-        let waves = curve.iter().filter(|(w, _, _)| matches!(w, Way::Wave(_)));
+        let waves = curve
+            .iter()
+            .filter(|(w, _, _)| matches!(w, Strategy::Wave(_)));
         let points: Vec<(f64, f64)> = waves.map(|(_, h, p)| (*p, *h)).collect();
         chart
             .draw_series(LineSeries::new(points.clone(), color.stroke_width(2)))?
             .label(format!("{name}: paces 10% to 100%"))
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color));
         chart.draw_series(points.iter().map(|p| Circle::new(*p, 3, color.filled())))?;
-        let others = curve.iter().filter(|(w, _, _)| !matches!(w, Way::Wave(_)));
+        let others = curve
+            .iter()
+            .filter(|(w, _, _)| !matches!(w, Strategy::Wave(_)));
         chart.draw_series(others.map(|(_, h, p)| Cross::new((*p, *h), 4, color)))?;
     }
     chart
--- a/tests/compare/main.rs
+++ b/tests/compare/main.rs
@@ -1,4 +1,5 @@
-//! Plays the same days with the same seeds on two checkouts in turn, and prints the paired differences.
+//! Runs the same simulated days with the same seeds on two checkouts, and prints the paired differences of their
+//! figures. Run by hand to compare a change with its base:
 //!
 //! `cargo run --release --example compare -- --bench PATH --site FILE --before DIR --after DIR --why TEXT DAY...`
 
@@ -13,10 +14,10 @@
 
 use paired::{Difference, Played, WORTH};
 
-/// Differences below this are not printed part by part.
+/// Smallest difference for which a single part is printed.
 const SHOWN: f64 = 0.002;
 
-/// What is to be compared.
+/// Holds the command-line arguments.
 #[derive(Clone, Debug)]
 struct Args {
     bench: PathBuf,
@@ -32,34 +33,34 @@
 
 fn args() -> OptionParser<Args> {
     let bench = long("bench")
-        .help("The bench's program")
+        .help("Program that builds a checkout and runs days")
         .argument::<PathBuf>("PATH");
     let site = long("site")
-        .help("The deployment")
+        .help("File that describes the deployment")
         .argument::<PathBuf>("FILE");
     let before = long("before")
-        .help("Checkout to compare with")
+        .help("Checkout without the change")
         .argument::<PathBuf>("DIR");
     let after = long("after")
-        .help("Checkout that was changed")
+        .help("Checkout with the change")
         .argument::<PathBuf>("DIR");
     let why = long("why")
-        .help("A line for the journal")
+        .help("Reason for the comparison, as a line for the journal")
         .argument::<String>("TEXT");
     let seeds = long("seeds")
-        .help("Seeds a day")
+        .help("Number of seeds per day")
         .argument::<u64>("N")
         .fallback(3);
     let first_seed = long("first-seed")
-        .help("The first of them")
+        .help("First seed")
         .argument::<u64>("N")
         .fallback(1);
     let jobs = long("jobs")
-        .help("Days played at a time")
+        .help("Number of days run at the same time")
         .argument::<usize>("N")
         .fallback(4);
     let days = positional::<String>("DAY")
-        .help("Days to play")
+        .help("Days to run")
         .some("a day");
     construct!(Args {
         bench,
@@ -76,7 +77,7 @@
     .descr("Paired comparison of two checkouts by days of a deployment.")
 }
 
-/// One day with one seed on one of the checkouts.
+/// Identifies one run: a day with a seed on one of the checkouts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Play {
     day: String,
--- a/tests/compare/paired.rs
+++ b/tests/compare/paired.rs
@@ -1,40 +1,41 @@
-//! What a day's report holds that a comparison rests on, and paired differences with their interval.
+//! Reads the figures of a day's report, and computes paired differences with their confidence interval. Used by the
+//! comparison and its tests.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
-/// The bench's report on one day, as far as it is read.
+/// Holds the parts of a day's report that the comparison reads.
 #[derive(Debug, Deserialize)]
 struct Report {
     #[serde(rename = "G")]
     worth: f64,
-    /// Name, weight, value.
+    /// Parts of the day's worth: name, weight, value.
     parts: Vec<(String, f64, f64)>,
-    /// Name, amount, what it takes off.
+    /// Prices: name, amount, deduction from the worth.
     prices: Vec<(String, f64, f64)>,
     /// Broken rules by name.
     breaks: BTreeMap<String, serde_json::Value>,
-    /// What kept the day from passing.
+    /// Floors that the day missed.
     short: Vec<serde_json::Value>,
 }
 
-/// One day played once.
+/// Holds the figures of one run of a day.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Played {
-    /// Worth as a whole, and by part and price; a price counts below zero.
+    /// The worth of the day, and the share of each part and price in it; prices are negative.
     pub(crate) figures: BTreeMap<String, f64>,
-    /// Broken rules.
+    /// Names of the broken rules.
     pub(crate) broken: Vec<String>,
-    /// Floors that were not reached.
+    /// Number of floors that were not reached.
     pub(crate) short: usize,
 }
 
-/// The figure that a day is judged by.
+/// Name of the figure by which days are compared.
 pub(crate) const WORTH: &str = "worth";
 
 impl Played {
-    /// A day from its report's text.
+    /// Parses a day's report.
     pub(crate) fn parse(text: &str) -> Result<Self, serde_json::Error> {
         let report: Report = serde_json::from_str(text)?;
         let mut figures = BTreeMap::from([(WORTH.to_string(), report.worth)]);
@@ -52,19 +53,19 @@
     }
 }
 
-/// Mean of paired differences, and half of its 95% interval.
+/// Holds the means of paired figures, and half of the 95% confidence interval of their mean difference.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Difference {
-    /// Mean before.
+    /// Mean of the figures before the change.
     pub(crate) before: f64,
-    /// Mean after.
+    /// Mean of the figures after the change.
     pub(crate) after: f64,
-    /// Half of the interval of `after - before`; infinite with a single pair.
+    /// Half of the confidence interval of `after - before`; infinite with a single pair.
     pub(crate) half_width: f64,
 }
 
 impl Difference {
-    /// Of pairs of (before, after); nothing without any.
+    /// Computes the difference of pairs of (before, after); `None` if there are no pairs.
     pub(crate) fn new(pairs: &[(f64, f64)]) -> Option<Self> {
         if pairs.is_empty() {
             return None;
@@ -86,13 +87,13 @@
         })
     }
 
-    /// Mean difference.
+    /// Returns the mean difference.
     pub(crate) fn mean(&self) -> f64 {
         self.after - self.before
     }
 }
 
-/// Student's t for a two-sided interval of 95%, by degrees of freedom.
+/// Returns Student's t for a two-sided 95% confidence interval, by degrees of freedom.
 fn student_95(freedom: usize) -> f64 {
     const TABLE: [f64; 10] = [
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228,
