--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -247,7 +247,7 @@
         self.configure_queues(version, pool, 0);
     }
 
-    /// Writes the same configuration with `more` further queues under `/x1/`, `/x2/` and so on.
+    /// Writes the configuration of [`Fleet::configure`] with `more` further queues under `/x1/`, `/x2/` and so on.
     pub fn configure_queues(&self, version: u64, pool: &str, more: u64) {
         let route = |name: String| {
             json!({"name": name, "host": "queue.example", "path_prefix": format!("/{name}/"),
--- a/standin/src/fleet/runs.rs
+++ b/standin/src/fleet/runs.rs
@@ -50,7 +50,8 @@
         }
         Some(format!(
             "{} ms: {task} run {} starts on {} under epoch {}, after run {} was done on {} at {} ms, noted at {acknowledged_ms} ms",
-            start.at_ms, start.run, start.label, start.fencing_token, self.run, self.instance, self.at_ms
+            start.at_ms, start.run, start.label, start.fencing_token,
+            self.run, self.instance, self.at_ms
         ))
     }
 }
--- a/standin/src/soak/faults.rs
+++ b/standin/src/soak/faults.rs
@@ -15,7 +15,7 @@
 const SILENCE_ONE_IN: u32 = 6;
 
 /// Time until a host whose worker has left starts its next worker.
-const BACK_MS: u64 = 1_000;
+const RESTART_MS: u64 = 1_000;
 
 /// Names the action that ends a fault; a number is that of the entry or host.
 #[derive(Clone, Copy, Debug)]
@@ -38,10 +38,12 @@
     rng: Rng,
     /// Separate generator, so that saved seeds draw the other faults as before.
     silence_rng: Rng,
-    rares: RareFaults,
+    rare_faults: RareFaults,
     /// Time to suspend the owner for, once the answer to its renewal is on its way.
     suspend_ms: Option<u64>,
+    /// Faults in progress: when each ends, and the action that ends it.
     due: Vec<(Instant, Recovery)>,
+    /// Entries that were killed and not restarted yet, whose exit is therefore expected.
     killed: Vec<bool>,
     /// One line per event, for the report.
     pub(crate) events: Vec<String>,
@@ -55,7 +57,7 @@
         Self {
             rng: Rng::with_seed(seed),
             silence_rng: Rng::with_seed(!seed),
-            rares: RareFaults::new(seed),
+            rare_faults: RareFaults::new(seed),
             suspend_ms: None,
             due: Vec::new(),
             killed: vec![false; entries],
@@ -76,7 +78,7 @@
     }
 
     /// Draws the pause until the next fault.
-    pub(crate) fn pause(&mut self) -> Duration {
+    pub(crate) fn draw_pause(&mut self) -> Duration {
         Duration::from_millis(self.rng.u64(50..1_500))
     }
 
@@ -92,7 +94,7 @@
         if self.silence_rng.u32(..SILENCE_ONE_IN) == 0 {
             self.silence_connections(cluster);
         }
-        for (rare_fault, ms) in self.rares.draw() {
+        for (rare_fault, ms) in self.rare_faults.draw() {
             self.inject_rare(cluster, rare_fault, ms);
         }
         match self.rng.u32(..13) {
@@ -127,9 +129,9 @@
                 self.record(format!("configuration {}", cluster.version));
                 if self.waves < 3 && self.rng.bool() {
                     self.waves += 1;
-                    let most = self.rng.usize(1..4);
-                    cluster.fleet.begin_wave(self.waves, 30, most);
-                    self.record(format!("wave {}, {most} at once", self.waves));
+                    let hosts_max = self.rng.usize(1..4);
+                    cluster.fleet.begin_wave(self.waves, 30, hosts_max);
+                    self.record(format!("wave {}, {hosts_max} at once", self.waves));
                 }
             }
         }
@@ -321,7 +323,8 @@
             if let Some(what) = cluster.entries[n].reap(self.killed[n]) {
                 cluster.fleet.report_broken(what);
             }
-            let is_due = |(_, recovery): &(Instant, Recovery)| matches!(recovery, Recovery::StartEntry(m) if *m == n);
+            let is_due =
+                |(_, r): &(Instant, Recovery)| matches!(r, Recovery::StartEntry(m) if *m == n);
             if !cluster.entries[n].is_running() && !self.due.iter().any(is_due) {
                 self.killed[n] = false;
                 cluster.entries[n].start(&cluster.binary)?;
@@ -333,7 +336,7 @@
     /// Ends all faults at once.
     pub(crate) fn end_all(&mut self, cluster: &mut Cluster) -> std::io::Result<()> {
         let all = std::mem::take(&mut self.due);
-        // A suspension that begins after the last fault would never be ended.
+        // A suspension that begins after the last fault may never be ended.
         self.suspend_ms = None;
         self.end_faults(cluster, all)?;
         self.record("calm".to_string());
@@ -355,7 +358,7 @@
                 Recovery::RestoreStore => cluster.fleet.set_fault(StoreFault::None),
                 Recovery::RestorePartitions => cluster.fleet.set_parts_away(&[]),
                 Recovery::RelistWorker(host) => cluster.fleet.relist(host),
-                Recovery::CrashWorker(host) => cluster.fleet.crash(host, BACK_MS),
+                Recovery::CrashWorker(host) => cluster.fleet.crash(host, RESTART_MS),
                 Recovery::UseNewIds => cluster.fleet.set_keeps_ids(false),
                 Recovery::ReconnectHalls => cluster.fleet.set_hall_cut(HallCut::None),
                 Recovery::RestoreOrders => cluster.fleet.set_order_fault(OrderFault::default()),
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -272,7 +272,7 @@
         .collect();
     let mut checker = Caller::new(shared.clone(), seed, 0);
     let until = Instant::now() + Duration::from_secs(args.seconds);
-    let mut next = Instant::now() + faults.pause();
+    let mut next = Instant::now() + faults.draw_pause();
     let mut seen: Vec<SeenConfig> = Vec::new();
     seen.resize_with(args.entries, || SeenConfig {
         version: 1,
@@ -281,7 +281,7 @@
     while Instant::now() < until {
         if Instant::now() >= next {
             faults.inject_next(&mut cluster);
-            next = Instant::now() + faults.pause();
+            next = Instant::now() + faults.draw_pause();
         }
         faults.tick(&mut cluster)?;
         let starts: Vec<u64> = cluster.entries.iter().map(|e| e.starts).collect();
