--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -226,7 +226,7 @@
                 }
             };
             let path = incoming.head.url().path().to_string();
-            if !path.starts_with("/control/") && self.count_and_delay_call(&incoming).await {
+            if !path.starts_with("/control/") && self.is_cut(&incoming).await {
                 return;
             }
             let method = incoming.head.method();
@@ -241,7 +241,8 @@
         }
     }
 
-    async fn count_and_delay_call(&self, incoming: &Incoming) -> bool {
+    /// Counts a call and applies the delay of `slow_ms`; returns whether the call gets no answer and has no effect.
+    async fn is_cut(&self, incoming: &Incoming) -> bool {
         let agent = incoming.header("user-agent").unwrap_or_default();
         let entry = agent.strip_prefix("rockwick/").unwrap_or_default();
         let (slow_ms, cut) = {
