--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -291,7 +291,7 @@
     }
 
     /// Sets the store's fault, or ends it with [`StoreFault::None`].
-    pub fn set_fault(&self, fault: StoreFault) {
+    pub fn set_store_fault(&self, fault: StoreFault) {
         self.lock().fault = fault;
     }
 
--- a/standin/src/soak/faults.rs
+++ b/standin/src/soak/faults.rs
@@ -216,7 +216,7 @@
 
     fn break_store(&mut self, cluster: &mut Cluster, fault: StoreFault, ms: u64) {
         cluster.disturbances.disturb_all(ms);
-        cluster.fleet.set_fault(fault);
+        cluster.fleet.set_store_fault(fault);
         self.end_after(ms, Recovery::RestoreStore);
     }
 
@@ -307,7 +307,7 @@
             _ => StoreFault::Lossy,
         };
         cluster.disturbances.disturb_all(ms);
-        cluster.fleet.set_fault(fault);
+        cluster.fleet.set_store_fault(fault);
         self.record(format!("store: {fault:?} for {ms} ms"));
         self.end_after(ms, Recovery::RestoreStore);
     }
@@ -355,7 +355,7 @@
                 Recovery::StartEntry(_) => {}
                 Recovery::RestoreStorePath(n) => cluster.store_paths[n].set(LinkFault::None),
                 Recovery::RestoreWorkerPath(n) => cluster.workers[n].set(LinkFault::None),
-                Recovery::RestoreStore => cluster.fleet.set_fault(StoreFault::None),
+                Recovery::RestoreStore => cluster.fleet.set_store_fault(StoreFault::None),
                 Recovery::RestorePartitions => cluster.fleet.set_parts_away(&[]),
                 Recovery::RelistWorker(host) => cluster.fleet.relist(host),
                 Recovery::CrashWorker(host) => cluster.fleet.crash(host, RESTART_MS),
--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -121,11 +121,11 @@
     let get = |path: &str, key| status(to, Method::Get, path, Some(key));
     assert_eq!(get("/elsewhere/", "shop-key-1"), 404);
     assert_eq!(get("/q/", "no-key"), 401);
-    fleet.set_fault(StoreFault::Mute);
+    fleet.set_store_fault(StoreFault::Mute);
     until("unsure", || get("/elsewhere/", "shop-key-1") == 503);
     assert_eq!(get("/q/", "no-key"), 503);
     assert_eq!(get(&format!("/q/{JOB}"), "shop-key-1"), 503);
-    fleet.set_fault(StoreFault::None);
+    fleet.set_store_fault(StoreFault::None);
     until("sure", || get("/elsewhere/", "shop-key-1") == 404);
 }
 
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -52,13 +52,13 @@
         };
         assert_eq!(found[0].1.value.as_deref(), Some(&b"one"[..]));
         assert_eq!(found[0].1.revision, revision);
-        fleet.set_fault(StoreFault::Busy);
+        fleet.set_store_fault(StoreFault::Busy);
         let busy = platform.transact(&tx("l", ABSENT, b""), TIMEOUT_MS).await;
         assert_eq!(busy, TxOutcome::Refused);
-        fleet.set_fault(StoreFault::Mute);
+        fleet.set_store_fault(StoreFault::Mute);
         let mute = platform.transact(&tx("m", ABSENT, b"done"), SHORT_MS).await;
         assert_eq!(mute, TxOutcome::Unknown);
-        fleet.set_fault(StoreFault::None);
+        fleet.set_store_fault(StoreFault::None);
         let after = platform
             .transact(&tx("m", ABSENT, b"done"), TIMEOUT_MS)
             .await;
@@ -125,7 +125,7 @@
             .await
             .expect("read");
         assert_eq!(feed.changes[0].value, None, "a removed row has no value");
-        fleet.set_fault(StoreFault::Forgetful);
+        fleet.set_store_fault(StoreFault::Forgetful);
         let forgot = platform.feed(Table::Intake, 1, 20).await;
         assert_eq!(forgot.err(), Some(ReadError::HistoryGone));
         assert_eq!(
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -203,7 +203,7 @@
     let one = entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "work"), Some(200));
     until("completed", || state(one.callers, A) == "completed");
-    fleet.set_fault(StoreFault::Turns(150));
+    fleet.set_store_fault(StoreFault::Turns(150));
     let to = one.callers;
     let sent: Vec<_> = (0..24)
         .map(|n| std::thread::spawn(move || submit(to, &format!("{:016x}", n * 7_919), "work")))
@@ -222,7 +222,7 @@
     let one = entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "work"), Some(200));
     until("completed", || state(one.callers, A) == "completed");
-    fleet.set_fault(StoreFault::Turns(900));
+    fleet.set_store_fault(StoreFault::Turns(900));
     let slow = format!("{:016x}", 7);
     // Its own write may outlast the caller's patience; it takes effect all the same.
     assert!(matches!(
@@ -260,7 +260,7 @@
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
     let one = entry(&fleet, "e1");
-    fleet.set_fault(StoreFault::Busy);
+    fleet.set_store_fault(StoreFault::Busy);
     let refused = call(
         one.callers,
         Method::Post,
@@ -271,7 +271,7 @@
     assert_eq!(refused.status, 503);
     assert_eq!(refused.header("retry-after"), Some("1"));
     until("not ready", || status(one.ready, "/readyz") == Some(503));
-    fleet.set_fault(StoreFault::None);
+    fleet.set_store_fault(StoreFault::None);
     until("ready", || status(one.ready, "/readyz") == Some(200));
     assert_eq!(
         status(one.callers, &format!("/q/{A}")),
@@ -289,13 +289,13 @@
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
     let one = entry(&fleet, "e1");
-    fleet.set_fault(StoreFault::Mute);
+    fleet.set_store_fault(StoreFault::Mute);
     until("not ready", || status(one.ready, "/readyz") == Some(503));
     let body = json!({"spec": "work", "steps": [{"count": 1, "cpu": 500, "mem_mb": 100}]});
     let refused = call(one.callers, Method::Post, &format!("/q/{A}"), &body).expect("an answer");
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
-    fleet.set_fault(StoreFault::None);
+    fleet.set_store_fault(StoreFault::None);
     until("ready again", || status(one.ready, "/readyz") == Some(200));
     assert_eq!(
         status(one.callers, &format!("/q/{A}")),
--- a/tests/test_stop.rs
+++ b/tests/test_stop.rs
@@ -93,7 +93,7 @@
     let mut one = test_serve::entry(&fleet, "e1");
     let to = one.callers;
     let send = |n: u64| std::thread::spawn(move || submit(to, &format!("{n:016x}"), "work"));
-    fleet.set_fault(StoreFault::Turns(TURN_MS));
+    fleet.set_store_fault(StoreFault::Turns(TURN_MS));
     one.process.signal(Signal::SIGTERM);
     let begun = send(0);
     std::thread::sleep(BEGUN);
