--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -296,7 +296,7 @@
     }
 
     /// Makes exactly these partitions refuse all calls.
-    pub fn set_parts_away(&self, parts: &[String]) {
+    pub fn set_unavailable_parts(&self, parts: &[String]) {
         self.lock().parts_away = parts.iter().cloned().collect();
     }
 
--- a/standin/src/soak/faults.rs
+++ b/standin/src/soak/faults.rs
@@ -179,7 +179,7 @@
             }
             RareFault::Parts(first) => {
                 cluster.disturbances.disturb_all(ms);
-                cluster.fleet.set_parts_away(&partitions_from(first));
+                cluster.fleet.set_unavailable_parts(&partitions_from(first));
                 self.end_after(ms, Recovery::RestorePartitions);
             }
             RareFault::Handover => {
@@ -356,7 +356,7 @@
                 Recovery::RestoreStorePath(n) => cluster.store_paths[n].set(LinkFault::None),
                 Recovery::RestoreWorkerPath(n) => cluster.workers[n].set(LinkFault::None),
                 Recovery::RestoreStore => cluster.fleet.set_store_fault(StoreFault::None),
-                Recovery::RestorePartitions => cluster.fleet.set_parts_away(&[]),
+                Recovery::RestorePartitions => cluster.fleet.set_unavailable_parts(&[]),
                 Recovery::RelistWorker(host) => cluster.fleet.relist(host),
                 Recovery::CrashWorker(host) => cluster.fleet.crash(host, RESTART_MS),
                 Recovery::UseNewIds => cluster.fleet.set_keeps_ids(false),
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -46,7 +46,7 @@
     until("owned", || state(one.callers, before) == "completed");
     let [first, second] = intake_parts_of("pool", id);
     let [other_first, _] = intake_parts_of("pool", other);
-    fleet.set_parts_away(&[first.clone(), other_first]);
+    fleet.set_unavailable_parts(&[first.clone(), other_first]);
     assert_eq!(submit(one.callers, id, "work"), Some(200));
     until("completed", || state(one.callers, id) == "completed");
     assert_eq!(submit(one.callers, other, "lasts"), Some(200));
@@ -60,7 +60,7 @@
     );
     assert_eq!(gone.map(|answer| answer.status), Some(200));
     until("stopped", || fleet.running() == 0);
-    fleet.set_parts_away(&[]);
+    fleet.set_unavailable_parts(&[]);
     assert_eq!(
         submit(one.callers, id, "work"),
         Some(200),
@@ -68,7 +68,7 @@
     );
     assert_eq!(state(one.callers, id), "completed");
     assert_eq!(fleet.starts(), 9, "no task ran twice");
-    fleet.set_parts_away(&[first, second]);
+    fleet.set_unavailable_parts(&[first, second]);
     assert_eq!(status(one.callers, &format!("/q/{id}")), Some(504));
 }
 
