--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -301,7 +301,7 @@
     }
 
     /// Makes the operator's table refuse all reads, or serve them again.
-    pub fn set_operator_away(&self, is_away: bool) {
+    pub fn set_operator_unavailable(&self, is_away: bool) {
         self.lock().is_operator_away = is_away;
     }
 
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -103,10 +103,10 @@
     let (before, id) = ("00000000000000cc", "00000000000000aa");
     assert_eq!(submit(one.callers, before, "work"), Some(200));
     until("owned", || state(one.callers, before) == "completed");
-    fleet.set_operator_away(true);
+    fleet.set_operator_unavailable(true);
     until("noticed", || fleet.operator_calls_refused() > 3);
     assert_eq!(status(one.ready, "/readyz"), Some(200));
     assert_eq!(submit(one.callers, id, "work"), Some(200));
     until("completed", || state(one.callers, id) == "completed");
-    fleet.set_operator_away(false);
+    fleet.set_operator_unavailable(false);
 }
