--- a/standin/src/fleet/workers.rs
+++ b/standin/src/fleet/workers.rs
@@ -213,7 +213,7 @@
     }
 
     /// Returns the hosts that were ordered into maintenance, in order of the orders.
-    pub fn upkeeps(&self) -> Vec<String> {
+    pub fn maintained_hosts(&self) -> Vec<String> {
         self.lock().upkeeps.clone()
     }
 
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -306,7 +306,7 @@
         };
         let done = platform.upkeep(&who, "m-1", 1, TIMEOUT_MS).await;
         assert_eq!(done, HostReply::Accepted);
-        assert_eq!(fleet.upkeeps(), vec!["m-1"]);
+        assert_eq!(fleet.maintained_hosts(), vec!["m-1"]);
         let unknown = platform.move_to(&who, "m-7", "pool", TIMEOUT_MS).await;
         assert_eq!(unknown, HostReply::Wrong);
         let running = platform.write_wave_state(1, WaveState::Running).await;
