--- a/standin/src/rows.rs
+++ b/standin/src/rows.rs
@@ -51,7 +51,7 @@
 
     /// Applies a transaction like [`Rows::apply`], with each value wrapped together with the transaction's token; for
     /// callers that bypass the adapter, which does the wrapping otherwise.
-    pub fn apply_stamped(&mut self, txn: &Transaction) -> Attempt {
+    pub fn apply_with_token(&mut self, txn: &Transaction) -> Attempt {
         let mut stamped = txn.clone();
         for put in &mut stamped.puts {
             let value = put.value.take();
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -61,7 +61,7 @@
         checks: vec![],
         puts: vec![Put::new(key, Expect::Absent, body)],
     };
-    rows.apply_stamped(&txn);
+    rows.apply_with_token(&txn);
 }
 
 fn config_text(size: Size) -> String {
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -317,7 +317,7 @@
                 })))
             }
             Effect::Commit { txn, transaction } => {
-                let outcome = match self.rows.apply_stamped(&transaction) {
+                let outcome = match self.rows.apply_with_token(&transaction) {
                     Attempt::Committed(seq) => Outcome::Committed(seq),
                     _ => Outcome::Conflict,
                 };
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -48,12 +48,12 @@
             .unwrap_or(Fate::Answered);
         let mut rows = self.inner.lock().unwrap();
         if let Some(late) = self.late.lock().unwrap().take() {
-            rows.apply_stamped(&late);
+            rows.apply_with_token(&late);
         }
         match fate {
-            Fate::Answered => rows.apply_stamped(txn),
+            Fate::Answered => rows.apply_with_token(txn),
             Fate::AnswerLost => {
-                rows.apply_stamped(txn);
+                rows.apply_with_token(txn);
                 Attempt::Lost
             }
             Fate::Lost => Attempt::Lost,
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -297,7 +297,7 @@
             return Outcome::Unknown;
         }
         let before = self.host_rows();
-        let attempt = self.rows.apply_stamped(txn);
+        let attempt = self.rows.apply_with_token(txn);
         if matches!(attempt, Attempt::Committed(_)) {
             self.check_grants(live, &before);
         }
