--- a/tests/compare/main.rs
+++ b/tests/compare/main.rs
@@ -12,7 +12,7 @@
 
 use bpaf::{construct, long, positional, OptionParser, Parser};
 
-use paired::{Difference, Played, WORTH};
+use paired::{Difference, DayFigures, WORTH};
 
 /// Smallest difference for which a single part is printed.
 const SHOWN: f64 = 0.002;
@@ -115,7 +115,7 @@
     report(&args, &played);
 }
 
-fn play_all(args: &Args, plays: Vec<Play>) -> BTreeMap<Play, Played> {
+fn play_all(args: &Args, plays: Vec<Play>) -> BTreeMap<Play, DayFigures> {
     let queue = Mutex::new(plays);
     let played = Mutex::new(BTreeMap::new());
     std::thread::scope(|scope| {
@@ -138,7 +138,7 @@
     played.into_inner().unwrap_or_default()
 }
 
-fn play(args: &Args, play: &Play) -> Result<Played, String> {
+fn play(args: &Args, play: &Play) -> Result<DayFigures, String> {
     let dir = if play.is_after {
         &args.after
     } else {
@@ -171,10 +171,10 @@
         format!("{e}: {}", said.lines().last().unwrap_or_default())
     })?;
     let _ = std::fs::remove_file(&report);
-    Played::parse(&text).map_err(|e| e.to_string())
+    DayFigures::parse(&text).map_err(|e| e.to_string())
 }
 
-fn report(args: &Args, played: &BTreeMap<Play, Played>) {
+fn report(args: &Args, played: &BTreeMap<Play, DayFigures>) {
     println!(
         "{:<28} {:>7} {:>7} {:>8} {:>7}",
         "", "before", "after", "diff", "+-"
@@ -194,7 +194,7 @@
             let names: BTreeSet<&String> =
                 before.figures.keys().chain(after.figures.keys()).collect();
             for name in names {
-                let figure = |day: &Played| day.figures.get(name).copied().unwrap_or(0.0);
+                let figure = |day: &DayFigures| day.figures.get(name).copied().unwrap_or(0.0);
                 let pairs = all.entry(name).or_default();
                 pairs.push((figure(before), figure(after)));
             }
--- a/tests/compare/paired.rs
+++ b/tests/compare/paired.rs
@@ -22,7 +22,7 @@
 
 /// Holds the figures of one run of a day.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Played {
+pub(crate) struct DayFigures {
     /// The worth of the day, and the share of each part and price in it; prices are negative.
     pub(crate) figures: BTreeMap<String, f64>,
     /// Names of the broken rules.
@@ -34,7 +34,7 @@
 /// Name of the figure by which days are compared.
 pub(crate) const WORTH: &str = "worth";
 
-impl Played {
+impl DayFigures {
     /// Parses a day's report.
     pub(crate) fn parse(text: &str) -> Result<Self, serde_json::Error> {
         let report: Report = serde_json::from_str(text)?;
--- a/tests/test_compare.rs
+++ b/tests/test_compare.rs
@@ -1,6 +1,6 @@
 //! The comparison of two checkouts: what it reads, and its interval.
 
-use crate::paired::{Difference, Played, WORTH};
+use crate::paired::{Difference, DayFigures, WORTH};
 
 /// A report with the fields that are read, and one that is not.
 const REPORT: &str = r#"{"G": 0.3, "served": 0.9, "short": [["a queue", 0.1]], "breaks": {"ORDER": 2},
@@ -9,7 +9,7 @@
 
 #[test]
 fn compare_reads_report() {
-    let day = Played::parse(REPORT).unwrap();
+    let day = DayFigures::parse(REPORT).unwrap();
     assert_eq!(day.figures[WORTH], 0.3);
     assert!((day.figures["whole day"] - 0.28).abs() < 1e-9);
     assert_eq!(day.figures["price: machines moved"], -0.02);
