--- a/tests/compare/main.rs
+++ b/tests/compare/main.rs
@@ -12,7 +12,7 @@
 
 use bpaf::{construct, long, positional, OptionParser, Parser};
 
-use paired::{Difference, DayFigures, WORTH};
+use paired::{DayFigures, Difference, WORTH};
 
 /// Smallest difference for which a single part is printed.
 const SHOWN: f64 = 0.002;
--- a/tests/test_compare.rs
+++ b/tests/test_compare.rs
@@ -1,6 +1,6 @@
 //! The comparison of two checkouts: what it reads, and its interval.
 
-use crate::paired::{Difference, DayFigures, WORTH};
+use crate::paired::{DayFigures, Difference, WORTH};
 
 /// A report with the fields that are read, and one that is not.
 const REPORT: &str = r#"{"G": 0.3, "served": 0.9, "short": [["a queue", 0.1]], "breaks": {"ORDER": 2},
