--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,4 +1,4 @@
-//! What a single decision is called with in tests: a clock that stands still, and effects to look at.
+//! Helpers for tests of single scheduler decisions: a context with a fixed clock whose effects the test can inspect.
 
 use rockwick::clock::Now;
 use rockwick::core::sched::hosts::PoolNeed;
@@ -10,10 +10,10 @@
 use rockwick::core::sched::worker::ClockSample;
 use rockwick::port::fleet::{FleetConfig, PoolConfig, WorkerInfo};
 
-/// Runs `work` at a moment, by an entry that may send orders, and gives the effects.
+/// Runs `work` at `now_ms` as an entry that may send orders, and returns the effects.
 pub(crate) fn decide(now_ms: u64, work: impl FnOnce(&mut Ctx<'_>)) -> Vec<Effect> {
     let mut timers = Timers::new();
-    let mut out = Vec::new();
+    let mut effects = Vec::new();
     let mut ctx = Ctx {
         now: Now {
             ms: now_ms,
@@ -24,15 +24,15 @@
         cpu_milli: 250,
         until_ms: u64::MAX,
         timers: &mut timers,
-        out: &mut out,
+        out: &mut effects,
     };
     work(&mut ctx);
-    out
+    effects
 }
 
-/// Adds a worker that has answered a hold, and so may get work.
-pub(crate) fn answering(pool_state: &mut PoolState, fact: WorkerInfo) -> WorkerKey {
-    let key = load::add_worker(pool_state, fact, 0);
+/// Adds a worker that has answered a lease renewal, so that work may be placed on it.
+pub(crate) fn answering(pool_state: &mut PoolState, info: WorkerInfo) -> WorkerKey {
+    let key = load::add_worker(pool_state, info, 0);
     let worker = &mut pool_state.workers[key];
     worker.is_answering = true;
     worker.clock = Some(ClockSample {
@@ -42,7 +42,8 @@
     key
 }
 
-/// Pool `busy`, the pool that gives hosts away, and `off`, whose hosts are off.
+/// Returns a configuration with the pool `donor`, which gives hosts away, the pool `busy`, and `off`, whose hosts are
+/// switched off.
 pub(crate) fn pools(donor: &str) -> FleetConfig {
     let pool = |name: &str, is_parked| {
         let config = PoolConfig {
@@ -58,7 +59,7 @@
     }
 }
 
-/// What a pool needs, heard just now.
+/// Returns the need of a pool whose heartbeat was seen at `now_ms`.
 pub(crate) fn need<'a>(
     pool: &'a str,
     needed: u64,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Runs the real binaries: a platform, backend servers and entries on ports of the system's choice.
+//! Runs the real binaries for tests: a stand-in platform, backend servers and entries, on ports chosen by the system.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -15,10 +15,10 @@
 use rockwick::http::{Answer, Client, Trouble};
 use serde_json::{json, Value};
 
-/// Longest wait for anything; far beyond what it takes even on a busy machine.
+/// The longest wait for a condition; far beyond what any of them takes, even on a busy machine.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
 
-/// A service for most tests, and the accounts `demo` and `other`.
+/// The configuration of most tests: one service, one pool, and the accounts `demo` and `other`.
 pub(crate) const CONFIG: &str = r#"
 [[service]]
 name = "route"
@@ -55,7 +55,7 @@
     path
 }
 
-/// A process of ours, ended with the test.
+/// A child process that is killed when the value is dropped.
 pub(crate) struct Process {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
@@ -80,22 +80,23 @@
         Self { child, lines }
     }
 
-    /// What it printed so far.
+    /// Returns the lines that the process has printed so far.
     pub(crate) fn lines(&self) -> Vec<String> {
         self.lines.lock().expect("no panic holds it").clone()
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.child.id() as i32), signal).expect("our own process");
+        kill(Pid::from_raw(self.child.id() as i32), signal)
+            .expect("the child process can be signalled");
     }
 
-    /// Waits for its end and gives the exit code.
+    /// Waits for the process to end and returns its exit code.
     pub(crate) fn wait(&mut self) -> Option<i32> {
         wait_for("the process ends", || self.child.try_wait().ok().flatten()).code()
     }
 
-    fn first_addr(&self) -> SocketAddr {
-        wait_for("it listens", || {
+    fn wait_listening(&self) -> SocketAddr {
+        wait_for("the process listens", || {
             let lines = self.lines();
             let line = lines.iter().find_map(|l| l.strip_prefix("listening "))?;
             line.split(' ').next()?.parse().ok()
@@ -110,20 +111,20 @@
     }
 }
 
-/// Looks again and again until there is something, for as long as patience lasts.
-pub(crate) fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Calls `check` every 20 ms until it returns a value; panics after [`PATIENCE`].
+pub(crate) fn wait_for<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + PATIENCE;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(Instant::now() < deadline, "waited in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A port that the system gave, on a loopback address that nobody else uses: an outgoing connection of
-/// another test can't take it in the moment before the entry binds it.
+/// Returns a free port on a loopback address that no other call returns. An outgoing connection of another test would
+/// otherwise take the port before the entry binds it.
 pub(crate) fn free_addr() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -138,7 +139,7 @@
     listener.local_addr().expect("an address")
 }
 
-/// One request.
+/// A request to an entry, a backend server or the platform.
 pub(crate) struct Call<'a> {
     pub(crate) method: Method,
     pub(crate) path: &'a str,
@@ -183,7 +184,7 @@
         client.exchange(req, within_ms(self.timeout_ms)).await
     }
 
-    /// Sends on a connection of its own.
+    /// Sends the request over a new connection.
     pub(crate) fn to(self, addr: SocketAddr) -> Answer {
         self.try_to(addr).expect("an answer")
     }
@@ -201,7 +202,7 @@
     answer.json().unwrap_or(Value::Null)
 }
 
-/// An entry with its addresses.
+/// A running entry and its addresses.
 pub(crate) struct Entry {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
@@ -227,7 +228,7 @@
         post("/v1/edit", &edit.to_string()).to(self.admin)
     }
 
-    /// The state of a host as this entry knows it.
+    /// Returns the state of a host's row as this entry sees it; empty without a row.
     pub(crate) fn host_state(&self, id: &str) -> String {
         let host = self.admin(&format!("/v1/hosts/{id}"));
         host["row"]["state"]
@@ -236,7 +237,7 @@
             .to_string()
     }
 
-    /// The number of log events with this name so far.
+    /// Returns how many log events with this name the entry has written so far.
     pub(crate) fn logged(&self, name: &str) -> usize {
         let needle = format!("\"name\":\"{name}\"");
         self.process
@@ -246,14 +247,14 @@
             .count()
     }
 
-    /// Runs an operators' command against it.
+    /// Runs an operators' command against this entry.
     pub(crate) fn command(&self, args: &[&str]) -> Output {
         let admin = self.admin.to_string();
         run(args, &[("ROCKWICK_ENTRY", &admin)])
     }
 }
 
-/// Runs the shipped binary to its end.
+/// Runs the `rockwick` binary and waits for it to end.
 pub(crate) fn run(args: &[&str], env: &[(&str, &str)]) -> Output {
     Command::new(binary("rockwick"))
         .args(args)
@@ -262,7 +263,7 @@
         .expect("the binary starts")
 }
 
-/// A backend server stand-in.
+/// A running stand-in of a backend server.
 pub(crate) struct Backend {
     pub(crate) addr: SocketAddr,
     _process: Process,
@@ -277,7 +278,7 @@
             .collect();
         args.extend(["--threads".to_string(), "1".to_string()]);
         let process = Process::start("standin", &args);
-        let addr = process.first_addr();
+        let addr = process.wait_listening();
         Self {
             addr,
             _process: process,
@@ -299,7 +300,7 @@
     }
 }
 
-/// How a fleet is started.
+/// The settings that a fleet is started with.
 pub(crate) struct Plan {
     pub(crate) hosts: usize,
     pub(crate) entries: usize,
@@ -351,7 +352,7 @@
     }
 }
 
-/// A platform, backend servers named `h1`, `h2`, … two to a rack, and entries named `e1`, `e2`, …
+/// A platform, backend servers on hosts `h1`, `h2`, … with two hosts in a rack, and entries `e1`, `e2`, …
 pub(crate) struct Fleet {
     pub(crate) platform: SocketAddr,
     pub(crate) backends: Vec<Backend>,
@@ -375,7 +376,7 @@
         }
         let args: Vec<String> = args.iter().map(|s| s.to_string()).collect();
         let process = Process::start("standin", &args);
-        let platform = process.first_addr();
+        let platform = process.wait_listening();
         let _ = std::fs::remove_file(file);
         let mut fleet = Self {
             platform,
@@ -386,7 +387,7 @@
         };
         let peers: Vec<SocketAddr> = (0..plan.entries).map(|_| free_addr()).collect();
         for n in 0..plan.entries {
-            let entry = fleet.entry(&format!("e{}", n + 1), peers[n], &peers);
+            let entry = fleet.start_entry(&format!("e{}", n + 1), peers[n], &peers);
             fleet.entries.push(entry);
         }
         for entry in &fleet.entries {
@@ -394,18 +395,18 @@
         }
         if let Some(text) = plan.config {
             fleet.apply(0, text);
-            fleet.settle();
+            fleet.wait_settled();
         }
         fleet
     }
 
-    /// Starts one more entry; does not wait for it.
-    pub(crate) fn entry(&self, name: &str, peer: SocketAddr, peers: &[SocketAddr]) -> Entry {
-        self.entry_at(name, free_addr(), free_addr(), peer, peers)
+    /// Starts another entry on free addresses and does not wait for it to be ready.
+    pub(crate) fn start_entry(&self, name: &str, peer: SocketAddr, peers: &[SocketAddr]) -> Entry {
+        self.start_entry_at(name, free_addr(), free_addr(), peer, peers)
     }
 
-    /// Starts one more entry at these addresses.
-    pub(crate) fn entry_at(
+    /// Starts another entry at the given addresses and does not wait for it to be ready.
+    pub(crate) fn start_entry_at(
         &self,
         name: &str,
         listen: SocketAddr,
@@ -438,7 +439,7 @@
         }
     }
 
-    /// Applies a configuration and waits until it is in force everywhere.
+    /// Applies a configuration and waits until it is in force at every entry.
     pub(crate) fn apply(&self, expect: u64, text: &str) {
         let edit = json!({ "ask": "apply", "expect": expect, "text": text });
         let answer = self.entries[0].edit(&edit);
@@ -450,8 +451,8 @@
         }
     }
 
-    /// Waits until every pool has the hosts that it asks for, at every entry.
-    pub(crate) fn settle(&self) {
+    /// Waits until every entry sees every pool with all the hosts that it asks for and none out.
+    pub(crate) fn wait_settled(&self) {
         for entry in &self.entries {
             wait_for("pools have their hosts", || {
                 let pools = entry.admin("/v1/pools");
@@ -461,17 +462,17 @@
         }
     }
 
-    /// What goes wrong at the platform from now on.
-    pub(crate) fn faults(&self, faults: Value) {
+    /// Sets the faults of the platform, in place of earlier ones.
+    pub(crate) fn set_faults(&self, faults: Value) {
         let answer = post("/control/faults", &faults.to_string()).to(self.platform);
         assert_eq!(answer.status, 200);
     }
 
-    pub(crate) fn no_faults(&self) {
-        self.faults(json!({}));
+    pub(crate) fn clear_faults(&self) {
+        self.set_faults(json!({}));
     }
 
-    pub(crate) fn set_life(&self, host: &str, life: &str) {
+    pub(crate) fn set_host_status(&self, host: &str, life: &str) {
         let body = json!({ "life": life }).to_string();
         let path = format!("/control/hosts/{host}");
         assert_eq!(post(&path, &body).to(self.platform).status, 200);
@@ -481,8 +482,8 @@
         value(&get("/control/stats").to(self.platform))
     }
 
-    /// Runs with this mark over all backend servers.
-    pub(crate) fn runs_of(&self, field: &str, mark: &str) -> usize {
+    /// Counts the runs at all backend servers whose `field` has the value `mark`.
+    pub(crate) fn count_runs(&self, field: &str, mark: &str) -> usize {
         let all = self.backends.iter().flat_map(Backend::runs);
         all.filter(|r| r[field] == mark).count()
     }
@@ -507,44 +508,50 @@
     path
 }
 
-/// Callers that send without pause until they are stopped.
-pub(crate) struct Load {
+/// Threads that send requests without pause until they are stopped.
+pub(crate) struct LoadCallers {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<Vec<String>>>,
 }
 
-impl Load {
-    /// So many callers on each address; each request works `work_ms` at its backend server. A caller
-    /// that is told to close goes on at the next address, as a balancer would have it.
+impl LoadCallers {
+    /// Starts `callers` threads for each address; each request takes `work_ms` at its backend server. A caller whose
+    /// answer says `connection: close` continues at the next address, as behind a load balancer.
     pub(crate) fn start(addrs: &[SocketAddr], callers: usize, work_ms: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..addrs.len() * callers)
             .map(|n| {
                 let stop = Arc::clone(&stop);
                 let addrs = addrs.to_vec();
-                std::thread::spawn(move || load_caller(n, &addrs, work_ms, &stop))
+                std::thread::spawn(move || send_until_stopped(n, &addrs, work_ms, &stop))
             })
             .collect();
         Self { stop, threads }
     }
 
-    /// What each request came to; the marks of those with a whole answer are checked here.
+    /// Stops the callers and returns the outcome of each request: `200`, another status with its body, or an error.
+    /// Panics if an answer with status 200 belonged to another request.
     pub(crate) fn stop(self) -> Vec<String> {
         self.stop.store(true, Ordering::SeqCst);
         let joined = self
             .threads
             .into_iter()
-            .map(|t| t.join().expect("no mix-up"));
+            .map(|t| t.join().expect("every caller got its own answers"));
         joined.flatten().collect()
     }
 }
 
-fn load_caller(n: usize, addrs: &[SocketAddr], work_ms: u64, stop: &AtomicBool) -> Vec<String> {
+fn send_until_stopped(
+    n: usize,
+    addrs: &[SocketAddr],
+    work_ms: u64,
+    stop: &AtomicBool,
+) -> Vec<String> {
     let mut at = n;
     let mut client = Client::new(addrs[at % addrs.len()]);
-    let mut told = Vec::new();
+    let mut outcomes = Vec::new();
     while !stop.load(Ordering::SeqCst) {
-        let mark = format!("load-{n}-{}", told.len());
+        let mark = format!("load-{n}-{}", outcomes.len());
         let call = post("/s/route/x", "b")
             .with("x-mark", &mark)
             .with("x-work-ms", work_ms);
@@ -556,7 +563,7 @@
             at += 1;
             client = Client::new(addrs[at % addrs.len()]);
         }
-        told.push(match result {
+        outcomes.push(match result {
             Ok(answer) if answer.status == 200 => {
                 let got = text(&answer);
                 assert!(got.ends_with(&format!(" {mark} b")), "{mark} got {got}");
@@ -566,10 +573,10 @@
             Err(trouble) => format!("{trouble:?}"),
         });
     }
-    told
+    outcomes
 }
 
-/// The outcomes other than a whole answer.
-pub(crate) fn failures(told: &[String]) -> Vec<&String> {
-    told.iter().filter(|t| *t != "200").collect()
+/// Returns the outcomes other than `200`.
+pub(crate) fn failures(outcomes: &[String]) -> Vec<&String> {
+    outcomes.iter().filter(|t| *t != "200").collect()
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,10 +1,11 @@
-//! A TCP relay that can be cut, to stand between an entry and what it talks to.
+//! A TCP relay between an entry and a process that it talks to; tests cut it to simulate a network failure.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
+/// A relay that accepts connections at `addr` and forwards them to one target.
 pub(crate) struct Relay {
     pub(crate) addr: SocketAddr,
     cut: Arc<AtomicBool>,
@@ -26,14 +27,14 @@
                     continue;
                 }
                 if let Ok(to) = TcpStream::connect(target) {
-                    join(from, to, &open);
+                    forward(from, to, &open);
                 }
             }
         });
         relay
     }
 
-    /// Closes what is open and whatever comes.
+    /// Closes all open connections, and every new one as soon as it is accepted.
     pub(crate) fn cut(&self) {
         self.cut.store(true, Ordering::SeqCst);
         for stream in self.open.lock().expect("no panic holds it").drain(..) {
@@ -41,16 +42,17 @@
         }
     }
 
-    pub(crate) fn mend(&self) {
+    pub(crate) fn restore(&self) {
         self.cut.store(false, Ordering::SeqCst);
     }
 }
 
-fn join(a: TcpStream, b: TcpStream, open: &Mutex<Vec<TcpStream>>) {
+/// Forwards bytes in both directions between two connections until one of them ends.
+fn forward(a: TcpStream, b: TcpStream, open: &Mutex<Vec<TcpStream>>) {
     let clone = |s: &TcpStream| s.try_clone().expect("a descriptor");
-    let mut held = open.lock().expect("no panic holds it");
-    held.push(clone(&a));
-    held.push(clone(&b));
+    let mut streams = open.lock().expect("no panic holds it");
+    streams.push(clone(&a));
+    streams.push(clone(&b));
     for (mut from, mut to) in [(clone(&a), clone(&b)), (b, a)] {
         std::thread::spawn(move || {
             let mut buf = [0u8; 4096];
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -1,4 +1,4 @@
-//! An in-memory table for contract tests and for the model, with answers that get lost on order.
+//! An in-memory table for contract tests that loses requests and answers as the test orders.
 
 use std::collections::VecDeque;
 use std::future::{ready, Future};
@@ -7,58 +7,58 @@
 use rockwick::port::{Attempt, Changes, Down, Row, Table, Transaction};
 use standin::rows::Rows;
 
-/// What happens to one sending.
+/// What happens to one attempt to send a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// It takes effect and is answered.
+pub(crate) enum SendOutcome {
+    /// The transaction takes effect and is answered.
     Answered,
-    /// It takes effect, the answer is lost.
+    /// The transaction takes effect and its answer is lost.
     AnswerLost,
-    /// It is lost before it takes effect.
+    /// The transaction is lost before it takes effect.
     Lost,
-    /// Not one byte went out.
+    /// No byte of the request was sent.
     NotSent,
-    /// It takes effect only when the next one arrives, and is not answered.
+    /// The transaction takes effect when the next one arrives, and is not answered.
     Late,
 }
 
-/// A table whose sendings meet the fates given, then are answered.
+/// A table whose first attempts have the given outcomes; all later ones are answered.
 #[derive(Default)]
 pub(crate) struct FakeTable {
     pub(crate) inner: Mutex<Rows>,
-    pub(crate) fates: Mutex<VecDeque<Fate>>,
+    pub(crate) send_outcomes: Mutex<VecDeque<SendOutcome>>,
     late: Mutex<Option<Transaction>>,
     pub(crate) reads_down: Mutex<bool>,
 }
 
 impl FakeTable {
-    pub(crate) fn with_fates(fates: &[Fate]) -> Self {
+    pub(crate) fn with_outcomes(send_outcomes: &[SendOutcome]) -> Self {
         Self {
-            fates: Mutex::new(fates.iter().copied().collect()),
+            send_outcomes: Mutex::new(send_outcomes.iter().copied().collect()),
             ..Self::default()
         }
     }
 
-    fn meet(&self, txn: &Transaction) -> Attempt {
-        let fate = self
-            .fates
+    fn apply_next(&self, txn: &Transaction) -> Attempt {
+        let outcome = self
+            .send_outcomes
             .lock()
             .unwrap()
             .pop_front()
-            .unwrap_or(Fate::Answered);
+            .unwrap_or(SendOutcome::Answered);
         let mut rows = self.inner.lock().unwrap();
         if let Some(late) = self.late.lock().unwrap().take() {
             rows.apply_stamped(&late);
         }
-        match fate {
-            Fate::Answered => rows.apply_stamped(txn),
-            Fate::AnswerLost => {
+        match outcome {
+            SendOutcome::Answered => rows.apply_stamped(txn),
+            SendOutcome::AnswerLost => {
                 rows.apply_stamped(txn);
                 Attempt::Lost
             }
-            Fate::Lost => Attempt::Lost,
-            Fate::NotSent => Attempt::NotSent,
-            Fate::Late => {
+            SendOutcome::Lost => Attempt::Lost,
+            SendOutcome::NotSent => Attempt::NotSent,
+            SendOutcome::Late => {
                 *self.late.lock().unwrap() = Some(txn.clone());
                 Attempt::Lost
             }
@@ -82,6 +82,6 @@
     }
 
     fn send(&self, txn: &Transaction) -> impl Future<Output = Attempt> + Send {
-        ready(self.meet(txn))
+        ready(self.apply_next(txn))
     }
 }
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -1,4 +1,4 @@
-//! Quotas, queues, windows, health and retry budgets, as tables.
+//! Admission and routing decisions of one entry: quotas, queues, windows, ejection, retry budgets and backoff.
 
 use rockwick::core::admit::{Bucket, Queue, Shed};
 use rockwick::core::config::Class;
@@ -8,7 +8,7 @@
 
 #[test]
 fn admit_quota_split() {
-    // A quota of 90 a second over 9 entries: together they never pass it, whoever is asked.
+    // A quota of 90 requests a second is split over 9 entries: together they must not exceed it.
     let mut buckets: Vec<Bucket> = (0..9).map(|_| Bucket::new(90, 90, 9, 0)).collect();
     let mut taken = 0;
     for ms in 0..10_000 {
@@ -28,7 +28,11 @@
     assert_eq!(bucket.take(0), Err(500));
     assert_eq!(bucket.take(250), Err(250));
     assert_eq!(bucket.take(500), Ok(()));
-    assert_eq!(Bucket::new(0, 1, 3, 0).take(0), Ok(()), "no bound");
+    assert_eq!(
+        Bucket::new(0, 1, 3, 0).take(0),
+        Ok(()),
+        "a rate of 0 is no limit"
+    );
 }
 
 #[test]
@@ -53,7 +57,7 @@
     assert_eq!(
         queue.enqueue(Class::Urgent, 4, 2, 1, 1_000),
         Ok(Some(1)),
-        "batch makes room"
+        "a batch request is dropped for it"
     );
     assert_eq!(queue.enqueue(Class::Urgent, 5, 2, 1, 1_000), Ok(Some(2)));
     assert_eq!(
@@ -77,7 +81,7 @@
     assert_eq!(
         queue.enqueue(Class::Urgent, 9, 100, 4, 299),
         Ok(None),
-        "it goes before them"
+        "an urgent request goes before the waiting ones"
     );
 }
 
@@ -90,7 +94,7 @@
         assert_eq!(
             w.size(),
             if n < 16 { 1 } else { 2 },
-            "one more for sixteen answers"
+            "the window grows by one after sixteen answers"
         );
     }
     for _ in 0..200 {
@@ -128,11 +132,11 @@
     assert_eq!(
         (counts[0], counts[1]),
         (0, 0),
-        "neither the full nor the barred one"
+        "neither the full candidate nor the excluded one"
     );
     assert!(
         counts[3] > counts[2],
-        "the less loaded more often: {counts:?}"
+        "the less loaded candidate is picked more often: {counts:?}"
     );
     assert_eq!(pick_candidate(2, |i| list[i], &mut rng), None);
     assert_eq!(pick_candidate(0, |i| list[i], &mut rng), None);
@@ -140,7 +144,7 @@
 
 #[test]
 fn admit_batch_leaves_room() {
-    // 80 slots over 9 entries: the batch of all of them together leaves a slot in eight.
+    // 80 slots over 9 entries: batch requests of all entries together leave one slot in eight free.
     let mut batch = 0;
     for _ in 0..9 {
         let mut here = 0;
@@ -165,7 +169,7 @@
     assert_eq!(
         h.record_outcome(ExchangeOutcome::Full, true, 0),
         Change::None,
-        "full is no fault"
+        "a full backend server is not at fault"
     );
     assert_eq!(
         h.record_outcome(ExchangeOutcome::Bad, true, 0),
@@ -175,7 +179,7 @@
     assert_eq!(
         h.record_outcome(ExchangeOutcome::Bad, true, 2_000),
         Change::Ejected(6_000),
-        "on probation one is enough"
+        "one fault during probation ejects again"
     );
     assert_eq!(
         h.record_outcome(ExchangeOutcome::Good, true, 6_000),
@@ -217,7 +221,7 @@
     }
     assert!(
         retries <= 110,
-        "a tenth of the traffic and what was saved: {retries}"
+        "a tenth of the requests and what was saved: {retries}"
     );
 }
 
--- a/tests/test_answers.rs
+++ b/tests/test_answers.rs
@@ -1,4 +1,4 @@
-//! Own answer, whole answer: whatever a backend server sends, and whenever.
+//! Every caller receives the whole answer to its own request, whatever a backend server sends and whenever it does.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::fleet::{get, post, text, Plan};
 
-/// Backend server's behaviour, status, `Rockwick-Run`, whether a repeatable request ends the same way.
+/// Fault of the backend server, and the status and `Rockwick-Run` header that the caller of a POST receives.
 const CASES: [(&str, u16, &str); 13] = [
     ("none", 200, "yes"),
     ("fail", 500, "yes"),
@@ -28,7 +28,7 @@
     let fleet = Plan::new(2, 1).without_config().start();
     let entry = fleet.entries[0].listen;
     for (fault, status, run) in CASES {
-        // Three times on one connection, so that a spoilt one would show.
+        // Three requests on one connection: leftover bytes of an earlier answer would show in a later one.
         let client = Client::new(entry);
         for n in 0..3 {
             let mark = format!("{fault}-{n}");
@@ -73,29 +73,30 @@
 
 #[test]
 fn answers_marked() {
-    // Many callers at once, each with its own mark, through every fault, with time-outs among them.
+    // Many concurrent callers, each with its own marks, under all faults and with time-outs: no answer may reach
+    // another caller.
     const CALLERS: u64 = 32;
     const EACH: u64 = 100;
     let fleet = Plan::new(3, 2).without_config().start();
     let entries: Vec<_> = fleet.entries.iter().map(|e| e.listen).collect();
     let threads: Vec<_> = (0..CALLERS)
-        .map(|c| {
-            let client = Arc::new(Client::new(entries[c as usize % entries.len()]));
-            std::thread::spawn(move || caller(c, EACH, &client))
+        .map(|caller_id| {
+            let client = Arc::new(Client::new(entries[caller_id as usize % entries.len()]));
+            std::thread::spawn(move || caller(caller_id, EACH, &client))
         })
         .collect();
     let whole: u64 = threads
         .into_iter()
-        .map(|t| t.join().expect("no mix-up"))
+        .map(|t| t.join().expect("every caller got its own answers"))
         .sum();
     assert!(whole > CALLERS * EACH / 4, "only {whole} whole answers");
 }
 
-fn caller(c: u64, each: u64, client: &Client) -> u64 {
-    let mut rng = fastrand::Rng::with_seed(c);
+fn caller(caller_id: u64, request_count: u64, client: &Client) -> u64 {
+    let mut rng = fastrand::Rng::with_seed(caller_id);
     let mut whole = 0;
-    for n in 0..each {
-        let mark = format!("m-{c}-{n}");
+    for n in 0..request_count {
+        let mark = format!("m-{caller_id}-{n}");
         let body = "z".repeat(rng.usize(0..5000));
         let mut call = post("/s/route/x", &body).with("x-mark", &mark);
         if rng.u32(0..4) == 0 {
--- a/tests/test_budget.rs
+++ b/tests/test_budget.rs
@@ -1,4 +1,4 @@
-//! Pools and budgets: one pool a host, and no budget broken by our own doing.
+//! Pools and budgets: a host is in one pool at a time, and drains, moves and waves never break a pool's budget.
 
 use nix::sys::signal::Signal;
 use rockwick::core::budget::{Budget, Member};
@@ -18,7 +18,7 @@
 
 #[test]
 fn budget_verdicts() {
-    // Racks of the hosts that serve, hosts out, minimum, reserve, whether the first may leave.
+    // Racks of the serving hosts, number of hosts out, minimum, reserve, and whether the first host may leave.
     let cases: [(&[usize], usize, usize, Reserve, bool); 10] = [
         (&[0, 1, 2, 3], 0, 3, Reserve::None, true),
         (&[0, 1, 2, 3], 0, 4, Reserve::None, false),
@@ -48,7 +48,7 @@
 
 #[test]
 fn budget_dead_host() {
-    // A host that does not serve takes nothing away; one that serves counts the dead ones as gone.
+    // A host that does not serve may always leave; for one that serves, dead hosts count as out.
     let members = [member(0, false), member(1, true), member(2, true)];
     let budget = Budget {
         serving_min: 2,
@@ -60,12 +60,12 @@
 
 #[test]
 fn budget_pace() {
-    for (slack, percent, most) in [(0, 100, 1), (4, 100, 4), (4, 50, 2), (4, 10, 1)] {
-        assert_eq!(pace_limit(slack, percent), most);
+    for (slack, percent, expected) in [(0, 100, 1), (4, 100, 4), (4, 50, 2), (4, 10, 1)] {
+        assert_eq!(pace_limit(slack, percent), expected);
     }
 }
 
-fn wave(entry: &Entry) -> String {
+fn start_wave(entry: &Entry) -> String {
     let edit = json!({ "ask": "start_wave", "pool": "pool", "windows": [] });
     let answer = entry.edit(&edit);
     assert_eq!(answer.status, 200, "{}", text(&answer));
@@ -81,7 +81,7 @@
     });
 }
 
-/// Hosts of the pool that serve, by the table's own rows, which nobody's view can lag behind.
+/// Counts the serving hosts of the pool in the rows of the table itself, since the view of an entry may lag.
 fn serving_rows(fleet: &Fleet) -> usize {
     let rows = get("/control/rows").to(fleet.platform);
     let rows: Value = rows.json().expect("json");
@@ -95,14 +95,17 @@
 
 #[test]
 fn budget_wave() {
-    // Two of four must serve: at the table itself it is never fewer, and each host has its turn once.
+    // Two of four hosts must serve: the table never shows fewer, and each host is rebooted once.
     let fleet = Plan::new(4, 3).start();
-    let id = wave(&fleet.entries[0]);
+    let id = start_wave(&fleet.entries[0]);
     let mut least = usize::MAX;
     wait_done(&fleet.entries[0], &id, || {
         least = least.min(serving_rows(&fleet))
     });
-    assert_eq!(least, 2, "as parallel as the budget allows, and no more");
+    assert_eq!(
+        least, 2,
+        "the wave takes exactly as many hosts at once as the budget allows"
+    );
     for host in ["h1", "h2", "h3", "h4"] {
         assert_eq!(fleet.stats()["reboots"][host], 1, "{host}");
     }
@@ -110,36 +113,36 @@
 
 #[test]
 fn budget_wave_with_failure() {
-    // A host dies in the middle: it counts against the same budget, so the wave waits for it.
+    // A host is lost before the wave: it counts as out in the budget, so the wave waits for it.
     let fleet = Plan::new(4, 2).start();
-    fleet.set_life("h4", "gone");
+    fleet.set_host_status("h4", "gone");
     wait_for("the loss is seen", || {
         (fleet.entries.iter().all(|e| e.logged("host-lost") > 0)).then_some(())
     });
-    let id = wave(&fleet.entries[0]);
+    let id = start_wave(&fleet.entries[0]);
     let mut least = usize::MAX;
-    wait_for("the others are through", || {
-        // h4's row still says that it serves, but it is dead.
+    wait_for("the other three hosts are rebooted", || {
+        // The row of h4 still has the state serving, but the host is gone.
         least = least.min(serving_rows(&fleet) - 1);
         let reboots = fleet.stats()["reboots"].as_object().map_or(0, |r| r.len());
         (reboots == 3).then_some(())
     });
     assert_eq!(least, 2);
-    fleet.set_life("h4", "live");
+    fleet.set_host_status("h4", "live");
     wait_done(&fleet.entries[1], &id, || {});
 }
 
 #[test]
 fn budget_wave_entry_killed() {
     let fleet = Plan::new(4, 3).start();
-    let id = wave(&fleet.entries[0]);
-    wait_for("it is under way", || {
+    let id = start_wave(&fleet.entries[0]);
+    wait_for("the wave is under way", || {
         (fleet.stats()["reboots"].as_object().map_or(0, |r| r.len()) >= 1).then_some(())
     });
-    // Whichever entry decided for the pool, one of these two deaths takes it away.
+    // Any entry may decide for the pool: both others are killed in turn, and e3 finishes the wave.
     for n in [0, 1] {
         fleet.entries[n].process.signal(Signal::SIGKILL);
-        let out = wait_for("it can be forgotten", || {
+        let out = wait_for("the killed entry can be forgotten", || {
             let name = format!("e{}", n + 1);
             let out = fleet.entries[2].command(&["forget", &name]);
             out.status.success().then_some(out)
@@ -161,18 +164,18 @@
     let fleet = Plan::new(4, 2)
         .with_platform_args(&["--reboot-ms", "1500"])
         .start();
-    let id = wave(&fleet.entries[0]);
-    wait_for("it is under way", || {
+    let id = start_wave(&fleet.entries[0]);
+    wait_for("the wave is under way", || {
         (fleet.entries[0].admin("/v1/pools/pool")["out"] != 0).then_some(())
     });
     let out = fleet.entries[1].command(&["wave", "stop", &id]);
     assert!(out.status.success(), "{out:?}");
-    fleet.settle();
+    fleet.wait_settled();
     let reboots = fleet.stats()["reboots"].as_object().map_or(0, |r| r.len());
     assert!(reboots < 4, "{reboots}");
 }
 
-/// Two pools for the same service, with room for three hosts each.
+/// A configuration with two pools of three hosts each for the same service.
 const TWO_POOLS: &str = r#"
 [[service]]
 name = "route"
@@ -203,8 +206,8 @@
 
 #[test]
 fn budget_racing_moves() {
-    // Two entries move the same host to different pools at once, a third is frozen: the table has one
-    // answer, and a host that moved is served from its new pool only.
+    // Two entries move the same host to different pools at once while a third is suspended: the table accepts one
+    // move, and the host is a member of one pool only.
     let fleet = Plan::new(6, 3).with_config(TWO_POOLS).start();
     fleet.entries[2].process.signal(Signal::SIGSTOP);
     let (e1, e2) = (&fleet.entries[0], &fleet.entries[1]);
@@ -226,12 +229,12 @@
         "the frozen entry may still route by the old pool"
     );
     fleet.entries[2].process.signal(Signal::SIGCONT);
-    // Where it went to the free hosts, its old pool may have taken it again by now.
-    wait_for("it has moved", || {
+    // If the host went to the free hosts, its old pool may have taken it again by now.
+    wait_for("the host has moved", || {
         let moved = |e: &Entry| e.logged("host-moved") > 0;
         fleet.entries.iter().any(moved).then_some(())
     });
-    fleet.settle();
+    fleet.wait_settled();
     let lists = |e: &Entry| {
         let pools = e.admin("/v1/pools");
         let members = pools.as_array().into_iter().flatten().flat_map(|p| {
@@ -252,20 +255,20 @@
 
 #[test]
 fn budget_replaced_host() {
-    // What was lost for long is replaced from the free hosts; on its return the pool gives one back.
+    // A host that is lost for long is replaced by a free one; when it returns, the pool gives one host back.
     let fleet = Plan::new(5, 2)
         .with_entry_args(&["--replace-ms", "2000"])
         .start();
     let members = || fleet.entries[0].admin("/v1/pools/pool")["members"].clone();
     let lost = members()[0].as_str().expect("a host").to_string();
-    fleet.set_life(&lost, "gone");
-    wait_for("it is replaced", || {
+    fleet.set_host_status(&lost, "gone");
+    wait_for("the lost host is replaced", || {
         let pool = fleet.entries[0].admin("/v1/pools/pool");
         (pool["serving"] == 4 && pool["hosts"] == 5).then_some(())
     });
-    fleet.set_life(&lost, "live");
-    wait_for("one is given back", || {
+    fleet.set_host_status(&lost, "live");
+    wait_for("the pool gives one host back", || {
         (members().as_array().map(Vec::len) == Some(4)).then_some(())
     });
-    fleet.settle();
+    fleet.wait_settled();
 }
--- a/tests/test_catalogue.rs
+++ b/tests/test_catalogue.rs
@@ -1,4 +1,4 @@
-//! The tables that people look things up in: error kinds, log events, metrics.
+//! The reference pages list every error kind and log event, and metrics and log lines keep their format.
 
 use rockwick::error::{Kind, TABLE};
 use rockwick::event::CATALOGUE;
@@ -17,7 +17,7 @@
         assert_eq!(
             row.kind.row().name,
             row.name,
-            "the table is in the list's order"
+            "the table is in the order of the kinds"
         );
         let retry = row.retry_after_s.map_or("-".to_string(), |s| s.to_string());
         lines.push(format!(
@@ -43,7 +43,7 @@
     for e in CATALOGUE {
         assert!(
             e.number > last,
-            "{}: numbers go up and are used once",
+            "{}: event numbers rise and are unique",
             e.name
         );
         last = e.number;
@@ -59,7 +59,7 @@
     let entry = &fleet.entries[0];
     assert_eq!(get("/s/route/x").to(entry.listen).status, 200);
     assert_eq!(get("/s/nowhere/x").to(entry.listen).status, 404);
-    let told = text(&get("/metrics").to(entry.admin));
+    let metrics_text = text(&get("/metrics").to(entry.admin));
     for line in [
         "rockwick_requests_total 2",
         "rockwick_answered_total 1",
@@ -67,9 +67,9 @@
         "rockwick_request_us_count 1",
         "# TYPE rockwick_request_us summary",
     ] {
-        assert!(told.contains(line), "{line}: {told}");
+        assert!(metrics_text.contains(line), "{line}: {metrics_text}");
     }
-    for line in told.lines().filter(|l| !l.starts_with('#')) {
+    for line in metrics_text.lines().filter(|l| !l.starts_with('#')) {
         let value = line.rsplit(' ').next().unwrap_or_default();
         assert!(value.parse::<f64>().is_ok(), "{line}");
     }
@@ -77,7 +77,7 @@
 
 #[test]
 fn catalogue_log_lines() {
-    // Each line is JSON with a number and a name of the catalogue.
+    // Each log line is JSON with an event number and a name from the catalogue.
     let fleet = Plan::new(4, 1).start();
     get("/s/route/x").to(fleet.entries[0].listen);
     let lines = fleet.entries[0].process.lines();
--- a/tests/test_chaos.rs
+++ b/tests/test_chaos.rs
@@ -1,5 +1,5 @@
-//! Together, twice: kills, freezes, cuts, outages and racing operators at the same time, with real
-//! processes and a fixed seed. In the end every promise is checked from the records.
+//! Combines kills, suspensions, network cuts, outages and concurrent operators with real processes and fixed seeds.
+//! At the end the guarantees for requests, jobs, reboots and versions are checked against the records.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,20 +13,20 @@
 use crate::fleet::{free_addr, post, text, value, wait_for, Fleet, Plan};
 
 const ENTRIES: usize = 4;
-const SPAN: Duration = Duration::from_secs(20);
+const FAULTS_DURATION: Duration = Duration::from_secs(20);
 
-/// What a caller was told of one run.
-struct Told {
+/// A request and the value of `Rockwick-Run` in its answer.
+struct ReportedRun {
     mark: String,
     run: String,
 }
 
-fn caller(n: usize, addrs: &[std::net::SocketAddr], stop: &AtomicBool) -> Vec<Told> {
+fn send_requests(n: usize, addrs: &[std::net::SocketAddr], stop: &AtomicBool) -> Vec<ReportedRun> {
     let mut rng = fastrand::Rng::with_seed(n as u64);
     let clients: Vec<Client> = addrs.iter().map(|a| Client::new(*a)).collect();
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     while !stop.load(Ordering::SeqCst) {
-        let mark = format!("c{n}-{}", told.len());
+        let mark = format!("c{n}-{}", reported.len());
         let mut call = post("/s/route/x", "b")
             .with("x-mark", &mark)
             .with("x-work-ms", rng.u32(1..40))
@@ -49,13 +49,13 @@
             Err(Trouble::Connect(_)) => "no".to_string(),
             Err(_) => "unknown".to_string(),
         };
-        told.push(Told { mark, run });
+        reported.push(ReportedRun { mark, run });
     }
-    told
+    reported
 }
 
-/// Operators who start waves, drain, move and apply without looking at each other.
-fn operator(n: usize, addrs: &[std::net::SocketAddr], stop: &AtomicBool) -> u64 {
+/// Sends random waves, drains, moves, returns and configurations, and returns how many configurations were accepted.
+fn send_edits(n: usize, addrs: &[std::net::SocketAddr], stop: &AtomicBool) -> u64 {
     let mut rng = fastrand::Rng::with_seed(100 + n as u64);
     let mut applied = 0;
     while !stop.load(Ordering::SeqCst) {
@@ -90,47 +90,47 @@
     applied
 }
 
-/// What goes wrong, one thing after the other, some of it together.
-fn mishaps(fleet: &mut Fleet, peers: &[std::net::SocketAddr]) {
+/// Injects random faults for [`FAULTS_DURATION`]; a cut or lost commits last until the next fault of the platform.
+fn inject_faults(fleet: &mut Fleet, peers: &[std::net::SocketAddr]) {
     let mut rng = fastrand::Rng::with_seed(7);
-    let until = Instant::now() + SPAN;
+    let until = Instant::now() + FAULTS_DURATION;
     while Instant::now() < until {
         let at = rng.usize(..ENTRIES);
         match rng.u32(0..6) {
             0 => {
-                fleet.faults(json!({ "down": true }));
+                fleet.set_faults(json!({ "down": true }));
                 std::thread::sleep(Duration::from_millis(rng.u64(500..2_500)));
-                fleet.no_faults();
+                fleet.clear_faults();
             }
-            1 => fleet.faults(json!({ "cut": [format!("e{}", at + 1)] })),
-            2 => fleet.faults(json!({ "lose_commits": 3, "slow_ms": 20 })),
+            1 => fleet.set_faults(json!({ "cut": [format!("e{}", at + 1)] })),
+            2 => fleet.set_faults(json!({ "lose_commits": 3, "slow_ms": 20 })),
             3 => {
                 fleet.entries[at].process.signal(Signal::SIGSTOP);
                 std::thread::sleep(Duration::from_millis(rng.u64(500..4_000)));
                 fleet.entries[at].process.signal(Signal::SIGCONT);
             }
             4 => {
-                // Killed, and replaced at the same place under the same name.
+                // The entry is killed and started again at the same addresses under the same name.
                 fleet.entries[at].process.signal(Signal::SIGKILL);
                 let old = &fleet.entries[at];
                 let (name, listen, admin) = (old.name.clone(), old.listen, old.admin);
                 fleet.entries[at].process.wait();
-                fleet.entries[at] = fleet.entry_at(&name, listen, admin, peers[at], peers);
+                fleet.entries[at] = fleet.start_entry_at(&name, listen, admin, peers[at], peers);
             }
             _ => {
                 let host = format!("h{}", rng.usize(1..7));
-                fleet.set_life(&host, "gone");
+                fleet.set_host_status(&host, "gone");
                 std::thread::sleep(Duration::from_millis(rng.u64(200..1_500)));
-                fleet.set_life(&host, "live");
+                fleet.set_host_status(&host, "live");
             }
         }
         std::thread::sleep(Duration::from_millis(rng.u64(100..700)));
     }
-    fleet.no_faults();
+    fleet.clear_faults();
 }
 
-/// Watches that no host is rebooted with a request in flight, and that no version goes back.
-fn watcher(
+/// Checks until stopped that no host is rebooted with a request in flight, and returns the number of reboots seen.
+fn watch_reboots(
     fleet_platform: std::net::SocketAddr,
     backends: &[std::net::SocketAddr],
     stop: &AtomicBool,
@@ -146,7 +146,7 @@
                 let backend = get(backends[n - 1], "/control/stats").unwrap_or_default();
                 assert_eq!(
                     backend["in_flight"], 0,
-                    "{host} was rebooted under a request"
+                    "{host} was rebooted with a request in flight"
                 );
             }
         }
@@ -172,25 +172,25 @@
     }
 }
 
-fn check_runs(fleet: &Fleet, told: &[Told]) {
+fn check_runs(fleet: &Fleet, reported: &[ReportedRun]) {
     let mut runs: HashMap<String, usize> = HashMap::new();
     for run in fleet.backends.iter().flat_map(|b| b.runs()) {
         let mark = run["mark"].as_str().unwrap_or_default().to_string();
         *runs.entry(mark).or_default() += 1;
     }
-    for t in told {
+    for t in reported {
         let n = runs.get(&t.mark).copied().unwrap_or(0);
         match t.run.as_str() {
-            "no" => assert_eq!(n, 0, "{} was told not run", t.mark),
-            "yes" => assert_eq!(n, 1, "{} was told run", t.mark),
+            "no" => assert_eq!(n, 0, "{} was reported as not run", t.mark),
+            "yes" => assert_eq!(n, 1, "{} was reported as run", t.mark),
             _ => assert!(n <= 1, "{} ran {n} times", t.mark),
         }
     }
-    let whole = told.iter().filter(|t| t.run == "yes").count();
+    let served = reported.iter().filter(|t| t.run == "yes").count();
     assert!(
-        whole * 2 > told.len(),
-        "{whole} of {} were served",
-        told.len()
+        served * 2 > reported.len(),
+        "{served} of {} were served",
+        reported.len()
     );
 }
 
@@ -199,12 +199,12 @@
     let mut fleet = Plan::new(6, 0).without_config().start();
     let peers: Vec<_> = (0..ENTRIES).map(|_| free_addr()).collect();
     for n in 0..ENTRIES {
-        let entry = fleet.entry(&format!("e{}", n + 1), peers[n], &peers);
+        let entry = fleet.start_entry(&format!("e{}", n + 1), peers[n], &peers);
         entry.wait_ready();
         fleet.entries.push(entry);
     }
     fleet.apply(0, crate::fleet::CONFIG);
-    fleet.settle();
+    fleet.wait_settled();
     let listen: Vec<_> = fleet.entries.iter().map(|e| e.listen).collect();
     let admin: Vec<_> = fleet.entries.iter().map(|e| e.admin).collect();
     let backends: Vec<_> = fleet.backends.iter().map(|b| b.addr).collect();
@@ -215,35 +215,35 @@
     let callers: Vec<_> = (0..8)
         .map(|n| {
             let (listen, stop) = (listen.clone(), Arc::clone(&stop));
-            std::thread::spawn(move || caller(n, &listen, &stop))
+            std::thread::spawn(move || send_requests(n, &listen, &stop))
         })
         .collect();
     let operators: Vec<_> = (0..2)
         .map(|n| {
             let (admin, stop) = (admin.clone(), Arc::clone(&stop));
-            std::thread::spawn(move || operator(n, &admin, &stop))
+            std::thread::spawn(move || send_edits(n, &admin, &stop))
         })
         .collect();
     let watching = {
         let (platform, watch) = (fleet.platform, Arc::clone(&watch));
-        std::thread::spawn(move || watcher(platform, &backends, &watch))
+        std::thread::spawn(move || watch_reboots(platform, &backends, &watch))
     };
     let jobs = {
         let (listen, stop) = (listen.clone(), Arc::clone(&stop));
-        std::thread::spawn(move || job_caller(&listen, &stop))
+        std::thread::spawn(move || submit_jobs(&listen, &stop))
     };
-    mishaps(&mut fleet, &peers);
+    inject_faults(&mut fleet, &peers);
     stop.store(true, Ordering::SeqCst);
-    let told: Vec<Told> = callers
+    let reported: Vec<ReportedRun> = callers
         .into_iter()
-        .flat_map(|t| t.join().expect("own answers"))
+        .flat_map(|t| t.join().expect("every caller got its own answers"))
         .collect();
     let applied: u64 = operators
         .into_iter()
         .map(|t| t.join().expect("no panic"))
         .sum();
     let ids = jobs.join().expect("no panic");
-    // All is well again: the fleet repairs itself.
+    // The faults have ended: every host, job and version must come to rest.
     for entry in &fleet.entries {
         entry.wait_ready();
     }
@@ -251,15 +251,18 @@
     for host in ["h1", "h2", "h3", "h4", "h5", "h6"] {
         let began = Instant::now();
         wait_for(&format!("{host} is at rest"), || {
-            let told = fleet.entries[0].admin(&format!("/v1/hosts/{host}"));
-            assert!(began.elapsed() < SPAN * 2, "{host} is not at rest: {told}");
-            matches!(told["row"]["state"].as_str(), Some("serving" | "free")).then_some(())
+            let reported = fleet.entries[0].admin(&format!("/v1/hosts/{host}"));
+            assert!(
+                began.elapsed() < FAULTS_DURATION * 2,
+                "{host} is not at rest: {reported}"
+            );
+            matches!(reported["row"]["state"].as_str(), Some("serving" | "free")).then_some(())
         });
     }
     check_jobs(&fleet, &ids);
     watch.store(true, Ordering::SeqCst);
-    let reboots = watching.join().expect("no reboot under a request");
-    check_runs(&fleet, &told);
+    let reboots = watching.join().expect("no reboot with a request in flight");
+    check_runs(&fleet, &reported);
     assert_eq!(fleet.stats()["reboots_over_tasks"], 0);
     check_versions(&fleet, applied);
     assert!(
@@ -269,7 +272,7 @@
     );
 }
 
-/// Waves that were started over and over are stopped, so that hosts come to rest.
+/// Stops all running waves, since hosts would otherwise keep leaving.
 fn stop_waves(fleet: &Fleet) {
     let waves = fleet.entries[0].admin("/v1/waves");
     for wave in waves.as_array().into_iter().flatten() {
@@ -279,7 +282,7 @@
     }
 }
 
-fn job_caller(listen: &[std::net::SocketAddr], stop: &AtomicBool) -> Vec<String> {
+fn submit_jobs(listen: &[std::net::SocketAddr], stop: &AtomicBool) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(55);
     let mut ids = Vec::new();
     while !stop.load(Ordering::SeqCst) {
@@ -299,13 +302,14 @@
     ids
 }
 
-/// Every entry has the same version, at least as many as were told accepted, and none ever went back.
+/// Checks that every entry reaches the newest version, that it counts every accepted one, and that no entry adopted an
+/// older version after a newer one.
 fn check_versions(fleet: &Fleet, applied: u64) {
     let version = |e: &crate::fleet::Entry| e.admin("/v1/status")["config_version"].as_u64();
     let newest = fleet.entries.iter().filter_map(version).max();
     assert!(
         newest > Some(applied),
-        "{newest:?} after {applied} were told accepted"
+        "{newest:?} after {applied} versions were accepted"
     );
     for entry in &fleet.entries {
         wait_for("the newest version is in force", || {
--- a/tests/test_clock.rs
+++ b/tests/test_clock.rs
@@ -1,28 +1,24 @@
-//! A host may be suspended for seconds: the process stands still, and so does the steady clock, while leases elsewhere run
-//! out. By that clock an owner that wakes would take its lease, its configuration and its view of workers for fresh.
+//! A suspended host stops the process and its monotonic clock, while leases at other hosts expire. By that clock an
+//! owner that resumes would treat its lease, its configuration and its view of workers as current.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 use rockwick::clock::Clock;
 
-/// What the host's clock says; it jumps as tests want it.
+/// The time of the host's boot clock, which tests advance.
 static BOOT_MS: AtomicU64 = AtomicU64::new(1_000_000);
 
-fn boot_ms() -> u64 {
+fn fake_boot_ms() -> u64 {
     BOOT_MS.load(Ordering::SeqCst)
 }
 
 #[test]
 fn clock_counts_suspension() {
-    let clock = Clock::with_source(boot_ms);
+    let clock = Clock::with_source(fake_boot_ms);
     let due_ms = clock.now_ms() + 400;
     BOOT_MS.fetch_add(5_000, Ordering::SeqCst);
-    assert_eq!(
-        clock.now_ms(),
-        5_000,
-        "what rests on older words is 5 s old"
-    );
+    assert_eq!(clock.now_ms(), 5_000, "the suspension counts as 5 s");
     assert!(clock.suspended_ms() > 4_000, "{}", clock.suspended_ms());
     let late = clock
         .instant(due_ms)
@@ -30,7 +26,7 @@
     assert_eq!(
         late,
         Duration::ZERO,
-        "a timer that fell due meanwhile waits no longer"
+        "a timer that fell due during the suspension fires at once"
     );
 }
 
--- a/tests/test_commands.rs
+++ b/tests/test_commands.rs
@@ -1,4 +1,4 @@
-//! The command line: help, usage, exit codes, one plain line for an error.
+//! The command line: help, usage, exit codes, and errors of one line.
 
 use std::process::Output;
 
@@ -31,7 +31,7 @@
     assert!(stdout(&version).contains(env!("CARGO_PKG_VERSION")));
 }
 
-/// A variable that a daemon's help names is not told as an unknown setting at its start.
+/// An environment variable that the help of a daemon names must not be reported as unknown when the daemon starts.
 #[test]
 fn commands_known_settings() {
     for command in ["entry", "serve"] {
@@ -104,14 +104,14 @@
         }
         args.extend([flag, value]);
         let out = run(&args, &[]);
-        let told = stderr(&out);
-        assert_eq!(out.status.code(), Some(2), "{flag} {value}: {told}");
+        let message = stderr(&out);
+        assert_eq!(out.status.code(), Some(2), "{flag} {value}: {message}");
         assert!(
-            told.contains(flag.trim_start_matches('-')),
-            "{flag}: {told}"
+            message.contains(flag.trim_start_matches('-')),
+            "{flag}: {message}"
         );
-        assert!(told.contains(allowed), "{flag}: {told}");
-        assert_eq!(told.trim().lines().count(), 1, "{told}");
+        assert!(message.contains(allowed), "{flag}: {message}");
+        assert_eq!(message.trim().lines().count(), 1, "{message}");
     }
 }
 
@@ -169,20 +169,20 @@
         let job = json(&["job", "show", &id, "--json"]);
         (job["row"]["state"] == "done").then_some(())
     });
-    let told = stdout(&entry.command(&["explain", "job", &id]));
+    let explanation = stdout(&entry.command(&["explain", "job", &id]));
     for word in ["job-accepted", "job-placed", "job-ended"] {
-        assert!(told.contains(word), "{word}: {told}");
+        assert!(explanation.contains(word), "{word}: {explanation}");
     }
     let out = entry.command(&["host", "drain", "h1", "--why", "a look inside"]);
     assert!(out.status.success(), "{}", stderr(&out));
     wait_for("h1 is out", || {
         (entry.host_state("h1") == "out").then_some(())
     });
-    let told = stdout(&fleet.entries[1].command(&["explain", "host", "h1"]));
-    let order = ["a look inside", "host-let-go"].map(|w| told.find(w));
+    let explanation = stdout(&fleet.entries[1].command(&["explain", "host", "h1"]));
+    let order = ["a look inside", "host-let-go"].map(|w| explanation.find(w));
     assert!(
         order.iter().all(Option::is_some) && order.is_sorted(),
-        "{told}"
+        "{explanation}"
     );
     assert!(entry.command(&["host", "return", "h1"]).status.success());
     let out = entry.command(&["host", "show", "nowhere"]);
@@ -204,8 +204,11 @@
         .header("rockwick-request")
         .expect("an id")
         .to_string();
-    // Asked at the other entry: the chain is fetched from where the request was.
-    let told = stdout(&fleet.entries[0].command(&["explain", "request", &id]));
-    assert!(told.contains("routed: h") && told.contains("e2"), "{told}");
-    assert!(told.contains("in_flight="), "{told}");
+    // The other entry is asked, and fetches the events from the entry that handled the request.
+    let explanation = stdout(&fleet.entries[0].command(&["explain", "request", &id]));
+    assert!(
+        explanation.contains("routed: h") && explanation.contains("e2"),
+        "{explanation}"
+    );
+    assert!(explanation.contains("in_flight="), "{explanation}");
 }
--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -1,8 +1,8 @@
-//! The table's contract: a lost answer is not a failure.
+//! The contract of `commit` with the table: after a lost answer the rows decide whether the transaction took effect.
 
 use rockwick::port::{commit, Expect, Outcome, Put, RetryPolicy, Transaction};
 
-use crate::table::{FakeTable, Fate};
+use crate::table::{FakeTable, SendOutcome};
 
 const QUICK: RetryPolicy = RetryPolicy {
     attempts_max: 4,
@@ -23,8 +23,8 @@
 
 #[test]
 fn commit_fates() {
-    use Fate::{AnswerLost, Answered, Late, Lost, NotSent};
-    let cases: &[(&[Fate], Outcome)] = &[
+    use SendOutcome::{AnswerLost, Answered, Late, Lost, NotSent};
+    let cases: &[(&[SendOutcome], Outcome)] = &[
         (&[Answered], Outcome::Committed(1)),
         (&[AnswerLost], Outcome::Committed(1)),
         (&[Lost, Answered], Outcome::Committed(1)),
@@ -40,9 +40,9 @@
             Outcome::Unknown,
         ),
     ];
-    for (fates, expected) in cases {
-        let table = FakeTable::with_fates(fates);
-        assert_eq!(outcome(&table, "mine"), *expected, "{fates:?}");
+    for (send_outcomes, expected) in cases {
+        let table = FakeTable::with_outcomes(send_outcomes);
+        assert_eq!(outcome(&table, "mine"), *expected, "{send_outcomes:?}");
     }
 }
 
@@ -55,17 +55,17 @@
 
 #[test]
 fn commit_lost_race() {
-    // Our sending was lost before it took effect, and somebody else came first: nobody can tell from
-    // the row alone that we were never applied and written over.
-    let table = FakeTable::with_fates(&[Fate::Answered, Fate::Lost]);
+    // The transaction was lost before it took effect and another writer came first. The row alone does not show
+    // whether the transaction was applied and then overwritten, so the outcome is unknown.
+    let table = FakeTable::with_outcomes(&[SendOutcome::Answered, SendOutcome::Lost]);
     assert_eq!(outcome(&table, "theirs"), Outcome::Committed(1));
     assert_eq!(outcome(&table, "ours"), Outcome::Unknown);
 }
 
 #[test]
 fn commit_second_row() {
-    // Somebody wrote over our first row before we looked; the second still carries our token.
-    let table = FakeTable::with_fates(&[Fate::AnswerLost]);
+    // Another writer replaced the first row before the check; the second row still carries the token.
+    let table = FakeTable::with_outcomes(&[SendOutcome::AnswerLost]);
     let txn = Transaction {
         token: "ours".to_string(),
         checks: vec![],
@@ -84,14 +84,18 @@
         table.send(&txn).await;
         table.send(&over).await;
     });
-    table.fates.lock().unwrap().push_back(Fate::Lost);
+    table
+        .send_outcomes
+        .lock()
+        .unwrap()
+        .push_back(SendOutcome::Lost);
     let outcome = smol::block_on(commit(&table, &txn, QUICK));
     assert_eq!(outcome, Outcome::Committed(2));
 }
 
 #[test]
 fn commit_unread() {
-    let table = FakeTable::with_fates(&[Fate::AnswerLost]);
+    let table = FakeTable::with_outcomes(&[SendOutcome::AnswerLost]);
     *table.reads_down.lock().unwrap() = true;
     assert_eq!(outcome(&table, "mine"), Outcome::Unknown);
 }
--- a/tests/test_compare.rs
+++ b/tests/test_compare.rs
@@ -1,8 +1,8 @@
-//! The comparison of two checkouts: what it reads, and its interval.
+//! The comparison of two checkouts: the fields that it reads from a report, and its confidence interval.
 
 use crate::paired::{Difference, Played, WORTH};
 
-/// A report with the fields that are read, and one that is not.
+/// A report with the fields that are read and one field, `served`, that is ignored.
 const REPORT: &str = r#"{"G": 0.3, "served": 0.9, "short": [["a queue", 0.1]], "breaks": {"ORDER": 2},
     "parts": [["whole day", 0.35, 0.8], ["worst windows", 0.5, 0.4]],
     "prices": [["machines moved", 271.0, 0.02], ["duties missed", 0.0, 0.0]]}"#;
--- a/tests/test_config.rs
+++ b/tests/test_config.rs
@@ -1,4 +1,5 @@
-//! Configuration: checked whole, committed once, in force everywhere, never back.
+//! Configuration: it is checked as a whole, committed once and adopted by every entry, and no entry returns to an older
+//! version.
 
 use std::time::Duration;
 
@@ -18,8 +19,8 @@
         .unwrap_or(0)
 }
 
-/// The usual configuration with another time-out, so that versions differ.
-fn changed(timeout_ms: u64) -> String {
+/// Returns the usual configuration with another time-out, so that versions differ.
+fn config_with_timeout(timeout_ms: u64) -> String {
     CONFIG.replace("timeout_ms = 20000", &format!("timeout_ms = {timeout_ms}"))
 }
 
@@ -74,9 +75,9 @@
         ),
     ];
     for (from, to, line, reason) in cases {
-        let flaw = parse(&CONFIG.replacen(from, to, 1)).expect_err(to);
-        assert_eq!(flaw.line, line, "{to}: {flaw}");
-        assert!(flaw.reason.contains(reason), "{to}: {flaw}");
+        let error = parse(&CONFIG.replacen(from, to, 1)).expect_err(to);
+        assert_eq!(error.line, line, "{to}: {error}");
+        assert!(error.reason.contains(reason), "{to}: {error}");
     }
 }
 
@@ -127,7 +128,7 @@
 
 #[test]
 fn config_race() {
-    // Two operators at two entries, over and over: each version is taken once.
+    // Two operators apply different texts at two entries at once: each version is accepted once.
     let fleet = Plan::new(4, 2).start();
     for round in 1..6 {
         for entry in &fleet.entries {
@@ -135,7 +136,10 @@
                 (version(entry) == round).then_some(())
             });
         }
-        let (one, two) = (changed(10_000 + round), changed(15_000 + round));
+        let (one, two) = (
+            config_with_timeout(10_000 + round),
+            config_with_timeout(15_000 + round),
+        );
         let (a, b) = std::thread::scope(|s| {
             let a = s.spawn(|| apply(&fleet.entries[0], round, &one));
             let b = s.spawn(|| apply(&fleet.entries[1], round, &two));
@@ -152,7 +156,7 @@
         );
         let winner = if a.status == 200 { &one } else { &two };
         for entry in &fleet.entries {
-            wait_for("the winner's is in force", || {
+            wait_for("the accepted text is in force", || {
                 (entry.admin("/v1/template")["text"] == *winner).then_some(())
             });
         }
@@ -161,24 +165,26 @@
 
 #[test]
 fn config_answer_lost() {
-    // The platform takes it and its answer is lost: accepted all the same, once.
+    // The commit takes effect and its answer is lost: the configuration is still accepted, and once.
     let fleet = Plan::new(4, 2).start();
-    fleet.faults(json!({ "lose_commits": 1, "lose_prefix": "config/" }));
-    let answer = apply(&fleet.entries[0], 1, &changed(9_000));
+    fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "config/" }));
+    let answer = apply(&fleet.entries[0], 1, &config_with_timeout(9_000));
     assert_eq!(answer.status, 200, "{}", text(&answer));
     assert_eq!(value(&answer), json!({ "version": 2 }));
     for entry in &fleet.entries {
-        wait_for("it is in force", || (version(entry) == 2).then_some(()));
+        wait_for("the version is in force", || {
+            (version(entry) == 2).then_some(())
+        });
     }
 }
 
 #[test]
 fn config_from_peers() {
-    // An entry that starts while the table is down takes the newest version from a peer.
+    // An entry that starts while the table is down must take the newest version from a peer.
     let mut fleet = Plan::new(4, 1).start();
-    fleet.faults(json!({ "down": true }));
+    fleet.set_faults(json!({ "down": true }));
     let peers = [free_addr(), free_addr()];
-    let alone = fleet.entry("e9", free_addr(), &[]);
+    let alone = fleet.start_entry("e9", free_addr(), &[]);
     std::thread::sleep(Duration::from_secs(2));
     assert!(!alone.is_ready(), "without a peer it has no configuration");
     let refused = get("/s/route/x").to(alone.listen);
@@ -187,18 +193,18 @@
         (503, Some("no"))
     );
     drop(alone);
-    fleet.no_faults();
-    let first = fleet.entry("e2", peers[0], &peers);
+    fleet.clear_faults();
+    let first = fleet.start_entry("e2", peers[0], &peers);
     first.wait_ready();
-    fleet.faults(json!({ "down": true }));
-    let second = fleet.entry("e3", peers[1], &peers);
+    fleet.set_faults(json!({ "down": true }));
+    let second = fleet.start_entry("e3", peers[1], &peers);
     second.wait_ready();
     assert_eq!(version(&second), 1);
     assert_eq!(second.admin("/v1/status")["store"], "down");
     assert_eq!(get("/s/route/x").to(second.listen).status, 200);
     assert_eq!(first.logged("peer-sponsored"), 1);
-    fleet.no_faults();
-    wait_for("it registers", || {
+    fleet.clear_faults();
+    wait_for("e3 registers", || {
         let status = first.admin("/v1/status");
         let mut entries = status["entries"].as_array()?.iter();
         entries.any(|e| e["name"] == "e3").then_some(())
@@ -208,19 +214,19 @@
 
 #[test]
 fn config_sponsored_holds() {
-    // A peer that nobody registered yet still holds a drain, through the one that gave it its view.
+    // A peer that is not registered yet still blocks a drain, through the entry that gave it its view.
     let mut fleet = Plan::new(4, 0).without_config().start();
     let peers = [free_addr(), free_addr()];
-    let first = fleet.entry("e1", peers[0], &peers);
+    let first = fleet.start_entry("e1", peers[0], &peers);
     first.wait_ready();
     fleet.entries.push(first);
     fleet.apply(0, CONFIG);
-    fleet.settle();
-    fleet.faults(json!({ "down": true }));
-    let second = fleet.entry("e2", peers[1], &peers);
+    fleet.wait_settled();
+    fleet.set_faults(json!({ "down": true }));
+    let second = fleet.start_entry("e2", peers[1], &peers);
     second.wait_ready();
-    // The table comes back for the first only, and the second freezes.
-    fleet.faults(json!({ "cut": ["e2"] }));
+    // The table comes back for the first entry only, and the second is suspended.
+    fleet.set_faults(json!({ "cut": ["e2"] }));
     second.process.signal(nix::sys::signal::Signal::SIGSTOP);
     wait_for("the table is back", || {
         (fleet.entries[0].admin("/v1/status")["store"] == "ok").then_some(())
@@ -230,7 +236,7 @@
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(fleet.entries[0].host_state("h1"), "draining");
     second.process.signal(nix::sys::signal::Signal::SIGCONT);
-    wait_for("it goes on", || {
+    wait_for("h1 is rebooted", || {
         (fleet.stats()["reboots"]["h1"] == 1).then_some(())
     });
     fleet.entries.push(second);
@@ -238,48 +244,55 @@
 
 #[test]
 fn config_outage() {
-    // In an outage nothing is accepted, and what is in force stays.
+    // During an outage no configuration is accepted, and the one in force stays.
     let fleet = Plan::new(4, 2).start();
-    fleet.faults(json!({ "down": true }));
+    fleet.set_faults(json!({ "down": true }));
     wait_for("the outage is seen", || {
         (fleet.entries[0].admin("/v1/status")["store"] == "down").then_some(())
     });
-    let answer = apply(&fleet.entries[0], 1, &changed(8_000));
+    let answer = apply(&fleet.entries[0], 1, &config_with_timeout(8_000));
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
     for entry in &fleet.entries {
         assert_eq!(get("/s/route/x").to(entry.listen).status, 200);
     }
-    fleet.no_faults();
-    wait_for("it is accepted again", || {
-        (apply(&fleet.entries[0], 1, &changed(8_000)).status == 200).then_some(())
+    fleet.clear_faults();
+    wait_for("a configuration is accepted again", || {
+        (apply(&fleet.entries[0], 1, &config_with_timeout(8_000)).status == 200).then_some(())
     });
     for entry in &fleet.entries {
-        wait_for("it is in force", || (version(entry) == 2).then_some(()));
+        wait_for("the version is in force", || {
+            (version(entry) == 2).then_some(())
+        });
     }
 }
 
 #[test]
 fn config_frozen_entry() {
-    // A frozen entry wakes with an old version and moves nobody back.
+    // An entry that was suspended resumes with an old version, which no other entry may adopt.
     let fleet = Plan::new(4, 3).start();
     fleet.entries[2]
         .process
         .signal(nix::sys::signal::Signal::SIGSTOP);
     for v in 1..4 {
-        assert_eq!(apply(&fleet.entries[0], v, &changed(9_000 + v)).status, 200);
-        wait_for("it is in force", || {
+        assert_eq!(
+            apply(&fleet.entries[0], v, &config_with_timeout(9_000 + v)).status,
+            200
+        );
+        wait_for("the version is in force", || {
             (version(&fleet.entries[0]) == v + 1).then_some(())
         });
     }
     fleet.entries[2]
         .process
         .signal(nix::sys::signal::Signal::SIGCONT);
-    wait_for("it catches up", || {
+    wait_for("the resumed entry has the newest version", || {
         (version(&fleet.entries[2]) == 4).then_some(())
     });
     for entry in &fleet.entries {
-        wait_for("it is in force", || (version(entry) == 4).then_some(()));
+        wait_for("the version is in force", || {
+            (version(entry) == 4).then_some(())
+        });
         let lines = entry.process.lines();
         let adopted: Vec<u64> = lines
             .iter()
--- a/tests/test_drain.rs
+++ b/tests/test_drain.rs
@@ -1,4 +1,5 @@
-//! Leaving hosts: no new work after the mark, nothing cut, no reboot before all have let go.
+//! Draining hosts: no new work after the host is marked as draining, no request is cut, and no reboot before every
+//! entry has released the host.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +7,7 @@
 use serde_json::{json, Value};
 
 use crate::fleet::{
-    failures, free_addr, get, post, text, value, wait_for, Entry, Fleet, Load, Plan, CONFIG,
+    failures, free_addr, get, post, text, value, wait_for, Entry, Fleet, LoadCallers, Plan, CONFIG,
 };
 use crate::relay::Relay;
 
@@ -30,26 +31,26 @@
         .collect()
 }
 
-fn reboots(fleet: &Fleet, host: &str) -> u64 {
+fn count_reboots(fleet: &Fleet, host: &str) -> u64 {
     fleet.stats()["reboots"][host].as_u64().unwrap_or(0)
 }
 
-fn runs(fleet: &Fleet, host: usize) -> u64 {
+fn count_runs(fleet: &Fleet, host: usize) -> u64 {
     fleet.backends[host].stats()["runs"].as_u64().unwrap_or(0)
 }
 
-/// The host the drain of which is asked for; its backend server is the first.
+/// The host that the tests drain; its backend server is the first one.
 const HOST: &str = "h1";
 
 #[test]
 fn drain_under_load() {
     let fleet = Plan::new(4, 2).start();
     let addrs: Vec<_> = fleet.entries.iter().map(|e| e.listen).collect();
-    let load = Load::start(&addrs, 4, 20);
-    wait_for("h1 has work", || (runs(&fleet, 0) > 20).then_some(()));
+    let load = LoadCallers::start(&addrs, 4, 20);
+    wait_for("h1 has work", || (count_runs(&fleet, 0) > 20).then_some(()));
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_for("h1 is rebooted", || {
-        (reboots(&fleet, HOST) == 1).then_some(())
+        (count_reboots(&fleet, HOST) == 1).then_some(())
     });
     let stats = fleet.backends[0].stats();
     assert_eq!(stats["in_flight"], 0, "nothing is in flight at the reboot");
@@ -62,37 +63,37 @@
     );
     wait_state(&fleet.entries[0], HOST, "serving");
     wait_for("h1 has work again", || {
-        (runs(&fleet, 0) > at_reboot.as_u64().unwrap_or(0)).then_some(())
+        (count_runs(&fleet, 0) > at_reboot.as_u64().unwrap_or(0)).then_some(())
     });
-    let told = load.stop();
-    assert!(failures(&told).is_empty(), "{:?}", failures(&told));
-    assert_eq!(reboots(&fleet, HOST), 1);
+    let outcomes = load.stop();
+    assert!(failures(&outcomes).is_empty(), "{:?}", failures(&outcomes));
+    assert_eq!(count_reboots(&fleet, HOST), 1);
 }
 
 #[test]
 fn drain_long_request() {
-    let fleet = Plan::new(2, 2).with_config(TWO).start();
+    let fleet = Plan::new(2, 2).with_config(TWO_HOSTS).start();
     fleet.backends[1].set("refuse", 0);
     let addr = fleet.entries[1].listen;
     let long =
         std::thread::spawn(move || post("/s/route/x", "long").with("x-work-ms", 4_000).to(addr));
-    wait_for("h1 works on it", || {
+    wait_for("h1 works on the request", || {
         (fleet.backends[0].stats()["in_flight"] == 1).then_some(())
     });
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_for("e2 is named", || {
         (held_by(&fleet.entries[0], HOST) == ["e2"]).then_some(())
     });
-    assert_eq!(reboots(&fleet, HOST), 0);
+    assert_eq!(count_reboots(&fleet, HOST), 0);
     let answer = long.join().expect("no panic");
     assert_eq!(answer.status, 200, "{}", text(&answer));
     wait_for("h1 is rebooted", || {
-        (reboots(&fleet, HOST) == 1).then_some(())
+        (count_reboots(&fleet, HOST) == 1).then_some(())
     });
 }
 
-/// Two hosts, one must serve.
-const TWO: &str = r#"
+/// A configuration with a pool of two hosts, of which one must serve.
+const TWO_HOSTS: &str = r#"
 [[service]]
 name = "route"
 timeout_ms = 20000
@@ -127,11 +128,11 @@
     assert_eq!(
         held_by(&fleet.entries[0], HOST),
         ["e2"],
-        "silence is no consent"
+        "an entry that does not answer has not released the host"
     );
-    assert_eq!(reboots(&fleet, HOST), 0);
-    let before = runs(&fleet, 0);
-    // Requests that wait in its sockets are the first thing that it sees when it wakes.
+    assert_eq!(count_reboots(&fleet, HOST), 0);
+    let before = count_runs(&fleet, 0);
+    // Requests that wait in the entry's sockets are the first input that it handles when it resumes.
     let waiting: Vec<_> = (0..16)
         .map(|_| {
             let addr = frozen.listen;
@@ -145,72 +146,72 @@
         assert!(status == 200 || status == 503, "{status}");
     }
     assert_eq!(
-        runs(&fleet, 0),
+        count_runs(&fleet, 0),
         before,
-        "it refreshes its view before it sends"
+        "the entry refreshes its view before it sends"
     );
     wait_for("h1 is rebooted", || {
-        (reboots(&fleet, HOST) == 1).then_some(())
+        (count_reboots(&fleet, HOST) == 1).then_some(())
     });
 }
 
 #[test]
 fn drain_cut_from_table() {
-    // e2 does not reach the table; it has the mark from its peer, and its peer has its consent.
+    // e2 cannot reach the table: it learns of the drain from its peer, and releases the host through its peer.
     let fleet = Plan::new(4, 2).start();
-    fleet.faults(json!({ "cut": ["e2"] }));
-    wait_for("e2 misses the table", || {
+    fleet.set_faults(json!({ "cut": ["e2"] }));
+    wait_for("e2 has lost the table", || {
         (fleet.entries[1].admin("/v1/status")["store"] == "down").then_some(())
     });
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_state(&fleet.entries[1], HOST, "draining");
-    let before = runs(&fleet, 0);
+    let before = count_runs(&fleet, 0);
     for _ in 0..20 {
         assert_eq!(get("/s/route/x").to(fleet.entries[1].listen).status, 200);
     }
-    assert_eq!(runs(&fleet, 0), before);
+    assert_eq!(count_runs(&fleet, 0), before);
     wait_for("h1 is rebooted", || {
-        (reboots(&fleet, HOST) == 1).then_some(())
+        (count_reboots(&fleet, HOST) == 1).then_some(())
     });
 }
 
-/// Two entries that reach each other through relays.
-fn relayed() -> (Fleet, [Relay; 2]) {
+/// Starts two entries that reach each other through relays.
+fn relayed_fleet() -> (Fleet, [Relay; 2]) {
     let mut fleet = Plan::new(4, 0).without_config().start();
     let peers = [free_addr(), free_addr()];
     let relays = [Relay::to(peers[0]), Relay::to(peers[1])];
-    let e1 = fleet.entry("e1", peers[0], &[relays[1].addr]);
-    let e2 = fleet.entry("e2", peers[1], &[relays[0].addr]);
+    let e1 = fleet.start_entry("e1", peers[0], &[relays[1].addr]);
+    let e2 = fleet.start_entry("e2", peers[1], &[relays[0].addr]);
     e1.wait_ready();
     e2.wait_ready();
     fleet.entries = vec![e1, e2];
     fleet.apply(0, CONFIG);
-    fleet.settle();
+    fleet.wait_settled();
     (fleet, relays)
 }
 
 #[test]
 fn drain_cut_from_peers() {
-    // The entries do not hear each other; consent goes through the table.
-    let (fleet, relays) = relayed();
+    // The entries cannot reach each other: e2 releases the host through the table.
+    let (fleet, relays) = relayed_fleet();
     relays.iter().for_each(Relay::cut);
-    wait_for("e1 misses e2", || {
+    wait_for("e1 has lost e2", || {
         (fleet.entries[0].logged("peer-lost") > 0).then_some(())
     });
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_for("h1 is rebooted", || {
-        (reboots(&fleet, HOST) == 1).then_some(())
+        (count_reboots(&fleet, HOST) == 1).then_some(())
     });
-    relays.iter().for_each(Relay::mend);
+    relays.iter().for_each(Relay::restore);
 }
 
 #[test]
 fn drain_cut_from_all() {
-    // e2 hears nobody: it stops sending by itself, and its consent is waited for.
-    let (fleet, relays) = relayed();
-    fleet.faults(json!({ "cut": ["e2"] }));
+    // e2 reaches neither the table nor its peer: it stops sending, and the drain waits until it releases the host.
+    let (fleet, relays) = relayed_fleet();
+    fleet.set_faults(json!({ "cut": ["e2"] }));
     relays.iter().for_each(Relay::cut);
-    wait_for("e2 knows that it is cut off", || {
+    wait_for("e2 refuses requests as isolated", || {
         let refused = post("/s/route/x", "b").to(fleet.entries[1].listen);
         (refused.status == 503 && text(&refused).contains("isolated")).then_some(())
     });
@@ -221,18 +222,18 @@
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     std::thread::sleep(Duration::from_secs(3));
     assert_eq!(held_by(&fleet.entries[0], HOST), ["e2"]);
-    assert_eq!(reboots(&fleet, HOST), 0);
-    fleet.no_faults();
-    relays.iter().for_each(Relay::mend);
+    assert_eq!(count_reboots(&fleet, HOST), 0);
+    fleet.clear_faults();
+    relays.iter().for_each(Relay::restore);
     wait_for("h1 is rebooted", || {
-        (reboots(&fleet, HOST) == 1).then_some(())
+        (count_reboots(&fleet, HOST) == 1).then_some(())
     });
     fleet.entries[1].wait_ready();
 }
 
 #[test]
 fn drain_dead_entry() {
-    // A dead entry holds the drain until somebody who knows says that it has ended.
+    // A dead entry blocks the drain until the platform or an operator says that it has ended.
     for by_platform in [true, false] {
         let fleet = Plan::new(4, 2).start();
         fleet.entries[1].process.signal(Signal::SIGKILL);
@@ -247,7 +248,7 @@
             assert!(out.status.success(), "{out:?}");
         }
         wait_for("h1 is rebooted", || {
-            (reboots(&fleet, HOST) == 1).then_some(())
+            (count_reboots(&fleet, HOST) == 1).then_some(())
         });
     }
 }
@@ -260,21 +261,21 @@
     let began = Instant::now();
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_state(&fleet.entries[1], HOST, "draining");
-    let before = runs(&fleet, 0);
+    let before = count_runs(&fleet, 0);
     for _ in 0..20 {
         assert_eq!(get("/s/route/x").to(fleet.entries[1].listen).status, 200);
     }
     assert_eq!(
-        runs(&fleet, 0),
+        count_runs(&fleet, 0),
         before,
-        "the mark does not wait for the list"
+        "the drain does not wait for the list of hosts"
     );
     wait_state(&fleet.entries[0], HOST, "serving");
     assert!(
         began.elapsed() > Duration::from_secs(3),
-        "it was seen gone and back"
+        "the list showed the host gone and back"
     );
-    assert_eq!(reboots(&fleet, HOST), 1);
+    assert_eq!(count_reboots(&fleet, HOST), 1);
 }
 
 #[test]
@@ -287,8 +288,8 @@
     assert_eq!(back.status, 200, "{}", text(&back));
     wait_state(&fleet.entries[0], HOST, "serving");
     fleet.entries[1].process.signal(Signal::SIGCONT);
-    fleet.settle();
-    assert_eq!(reboots(&fleet, HOST), 0);
+    fleet.wait_settled();
+    assert_eq!(count_reboots(&fleet, HOST), 0);
 }
 
 #[test]
@@ -298,7 +299,7 @@
     assert_eq!(drain(entry, "nowhere").0, 404);
     for host in ["h1", "h2"] {
         let edit = json!({ "ask": "drain", "host": host, "reboot": false, "why": "test" });
-        let answer = wait_for("the pool is free for the next change", || {
+        let answer = wait_for("no other change of the pool is under way", || {
             let answer = entry.edit(&edit);
             (answer.status != 409 || !text(&answer).contains("under way")).then_some(answer)
         });
@@ -313,7 +314,7 @@
         (status, &problem["type"]),
         (409, &json!("/problems/not-allowed"))
     );
-    fleet.faults(json!({ "down": true }));
+    fleet.set_faults(json!({ "down": true }));
     wait_for("the outage is seen", || {
         (entry.admin("/v1/status")["store"] == "down").then_some(())
     });
--- a/tests/test_edge.rs
+++ b/tests/test_edge.rs
@@ -1,4 +1,4 @@
-//! The callers' edge: bad input is answered with a reason, and nothing panics.
+//! The callers' HTTP interface: bad input is answered with a reason and never makes an entry panic.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,7 +7,7 @@
 use crate::fleet::{get, post, value, Plan};
 
 /// Sends raw bytes and reads until the entry closes or stays silent.
-fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(3)))
@@ -88,7 +88,7 @@
         ),
     ];
     for (what, bytes, status) in cases {
-        let got = raw(addr, &bytes);
+        let got = send_raw(addr, &bytes);
         assert!(
             got.starts_with(&format!("HTTP/1.1 {status} ")),
             "{what}: {got:?}"
@@ -108,7 +108,7 @@
 
 #[test]
 fn edge_pipelined() {
-    // Five requests in one piece: each gets its own answer, in order.
+    // Five requests arrive in one segment: each gets its own answer, in order.
     let fleet = Plan::new(1, 1).without_config().start();
     let mut bytes = String::new();
     for n in 0..5 {
@@ -117,7 +117,7 @@
             "POST /s/route/x HTTP/1.1\r\nHost: a\r\n{AUTH}X-Mark: p{n}\r\n{close}Content-Length: 3\r\n\r\nabc"
         ));
     }
-    let got = raw(fleet.entries[0].listen, bytes.as_bytes());
+    let got = send_raw(fleet.entries[0].listen, bytes.as_bytes());
     let marks: Vec<usize> = (0..5)
         .map(|n| got.find(&format!(" p{n} abc")).expect("its answer"))
         .collect();
@@ -126,14 +126,14 @@
 
 #[test]
 fn edge_chunked_then_more() {
-    // Where a chunked request ends only the codec knows, so nothing behind it may be parsed.
+    // Only the codec knows where a chunked request ends, so bytes after it must not be parsed as another request.
     let fleet = Plan::new(1, 1).without_config().start();
     let bytes = format!(
         "POST /s/route/x HTTP/1.1\r\nHost: a\r\n{AUTH}Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n\
          GET /s/route/smuggled HTTP/1.1\r\nHost: a\r\n{AUTH}X-Mark: smuggled\r\n\r\n"
     );
-    let got = raw(fleet.entries[0].listen, bytes.as_bytes());
-    // The codec takes what follows for a malformed trailer and refuses the whole.
+    let got = send_raw(fleet.entries[0].listen, bytes.as_bytes());
+    // The codec reads the following bytes as a malformed trailer and refuses the request.
     assert!(got.starts_with("HTTP/1.1 400 "), "{got}");
     assert_eq!(got.matches("HTTP/1.1 ").count(), 1, "{got}");
     assert!(got.to_lowercase().contains("connection: close"), "{got}");
@@ -147,14 +147,14 @@
     let head = format!(
         "POST /s/route/x HTTP/1.1\r\nHost: a\r\n{AUTH}Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n"
     );
-    // The codec panics on this one. More of them than the entry has threads.
+    // The codec panics on this trailer. Eight such requests are more than the entry has threads.
     for _ in 0..8 {
         let mut bytes = head.clone().into_bytes();
         bytes.extend_from_slice(b"X-T: \xc3\xa9\r\n\r\n");
-        let got = raw(addr, &bytes);
+        let got = send_raw(addr, &bytes);
         assert!(got.starts_with("HTTP/1.1 400 "), "{got:?}");
     }
-    // The codec forgets to wait for the rest of this one.
+    // The codec does not wait for the rest of a trailer that arrives in pieces.
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream.write_all(head.as_bytes()).expect("sent");
     stream.write_all(b"X-T: ").expect("sent");
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever comes from outside: no parser of ours panics.
+//! No parser of requests, answers, rows, peer messages or configurations panics on arbitrary input.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -26,7 +26,7 @@
     }
 }
 
-/// Pieces from which almost valid messages are put together.
+/// Returns pieces from which nearly valid HTTP messages are assembled.
 fn http_piece() -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![
         Just(b"GET /s/route/x HTTP/1.1\r\n".to_vec()),
@@ -47,7 +47,7 @@
     vec(http_piece(), 0..10).prop_map(|pieces| pieces.concat())
 }
 
-/// A server's end whose peer sent these bytes and closed.
+/// Returns the server's end of a connection whose peer sent `bytes` and closed.
 fn connection(bytes: &[u8]) -> Async<TcpStream> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -106,7 +106,7 @@
             });
             let read: Result<Changes, Down> = smol::block_on(platform.changes(0, &["host"]));
             if let Ok(changes) = read {
-                let mut state = crate::test_model::quiet_state();
+                let mut state = crate::test_model::empty_state();
                 state.apply_rows(changes.rows, changes.seq, 0, &mut Vec::new());
             }
         });
@@ -140,8 +140,8 @@
         if text.is_char_boundary(at) && text.is_char_boundary(end) {
             text.replace_range(at..end, &with);
         }
-        if let Err(flaw) = config::parse(&text) {
-            prop_assert!(!flaw.reason.is_empty());
+        if let Err(error) = config::parse(&text) {
+            prop_assert!(!error.reason.is_empty());
         }
     }
 }
--- a/tests/test_jobs.rs
+++ b/tests/test_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: committed before they are accepted, never lost, never run twice where that is forbidden.
+//! Jobs are committed before they are accepted, are never lost, and run at most once unless they are repeatable.
 
 use nix::sys::signal::Signal;
 use rockwick::http::Answer;
@@ -6,8 +6,8 @@
 
 use crate::fleet::{get, post, text, value, wait_for, Call, Fleet, Plan};
 
-/// A job whose task runs for so long and ends so.
-fn job(run_ms: u64, end: &str, repeatable: bool) -> Value {
+/// Returns the spec of a job whose task runs for `run_ms` and ends in the state `end`.
+fn job_spec(run_ms: u64, end: &str, repeatable: bool) -> Value {
     let payload = json!({ "run_ms": run_ms, "end": end }).to_string();
     json!({ "pool": "pool", "repeatable": repeatable, "payload": payload })
 }
@@ -18,13 +18,13 @@
     value(&answer)["job"].as_str().expect("an id").to_string()
 }
 
-fn look(fleet: &Fleet, entry: usize, id: &str) -> Value {
+fn get_job(fleet: &Fleet, entry: usize, id: &str) -> Value {
     value(&get(&format!("/jobs/{id}")).to(fleet.entries[entry].listen))
 }
 
 fn wait_state(fleet: &Fleet, entry: usize, id: &str, state: &str) -> Value {
     wait_for(&format!("{id} is {state}"), || {
-        let job = look(fleet, entry, id);
+        let job = get_job(fleet, entry, id);
         (job["state"] == state).then_some(job)
     })
 }
@@ -49,7 +49,7 @@
 fn jobs_done() {
     let fleet = Plan::new(4, 2).start();
     let ids: Vec<_> = (0..20)
-        .map(|n| submit(&fleet, n % 2, &job(100, "done", false)))
+        .map(|n| submit(&fleet, n % 2, &job_spec(100, "done", false)))
         .collect();
     for id in &ids {
         wait_state(&fleet, 0, id, "done");
@@ -59,9 +59,9 @@
 
 #[test]
 fn jobs_survive_entry() {
-    // The entry that accepted it dies at once; another one sees to it.
+    // The entry that accepted the job is killed at once; another entry runs it.
     let fleet = Plan::new(4, 2).start();
-    let id = submit(&fleet, 0, &job(300, "done", false));
+    let id = submit(&fleet, 0, &job_spec(300, "done", false));
     fleet.entries[0].process.signal(Signal::SIGKILL);
     wait_state(&fleet, 1, &id, "done");
     assert_eq!(starts(&fleet, &id), 1);
@@ -70,8 +70,8 @@
 #[test]
 fn jobs_start_answer_lost() {
     let fleet = Plan::new(4, 2).start();
-    fleet.faults(json!({ "lose_task_answers": 2 }));
-    let id = submit(&fleet, 0, &job(500, "done", false));
+    fleet.set_faults(json!({ "lose_task_answers": 2 }));
+    let id = submit(&fleet, 0, &job_spec(500, "done", false));
     wait_state(&fleet, 0, &id, "done");
     assert_eq!(starts(&fleet, &id), 1);
 }
@@ -79,36 +79,36 @@
 #[test]
 fn jobs_accept_answer_lost() {
     let fleet = Plan::new(4, 2).start();
-    fleet.faults(json!({ "lose_commits": 1, "lose_prefix": "job/" }));
-    let id = submit(&fleet, 0, &job(100, "done", false));
+    fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "job/" }));
+    let id = submit(&fleet, 0, &job_spec(100, "done", false));
     wait_state(&fleet, 1, &id, "done");
     assert_eq!(starts(&fleet, &id), 1);
 }
 
 #[test]
 fn jobs_lost_host() {
-    // Its host dies under it: what may be repeated is, what may not is told as unknown.
+    // The host of a running job is lost: a repeatable job runs again, any other ends as unknown.
     let fleet = Plan::new(4, 2).start();
     for (repeatable, state, times) in [(true, "done", 2), (false, "unknown", 1)] {
-        let id = submit(&fleet, 0, &job(2_500, "done", repeatable));
+        let id = submit(&fleet, 0, &job_spec(2_500, "done", repeatable));
         wait_started(&fleet, &id);
-        let host = look(&fleet, 0, &id)["host"]
+        let host = get_job(&fleet, 0, &id)["host"]
             .as_str()
             .expect("a host")
             .to_string();
-        fleet.set_life(&host, "gone");
+        fleet.set_host_status(&host, "gone");
         wait_state(&fleet, 0, &id, state);
         assert_eq!(starts(&fleet, &id), times, "repeatable {repeatable}");
-        fleet.set_life(&host, "live");
-        fleet.settle();
+        fleet.set_host_status(&host, "live");
+        fleet.wait_settled();
     }
 }
 
 #[test]
 fn jobs_lease_lapses() {
-    // Nobody renews while both entries are frozen; the platform ends the task.
+    // No entry renews the lease while both are suspended, so the platform ends the task.
     let fleet = Plan::new(4, 2).start();
-    let id = submit(&fleet, 0, &job(60_000, "done", false));
+    let id = submit(&fleet, 0, &job_spec(60_000, "done", false));
     wait_started(&fleet, &id);
     let each = |signal| fleet.entries.iter().for_each(|e| e.process.signal(signal));
     each(Signal::SIGSTOP);
@@ -121,32 +121,32 @@
 #[test]
 fn jobs_cancel() {
     let fleet = Plan::new(4, 2).start();
-    // Running: stopped.
-    let running = submit(&fleet, 0, &job(60_000, "done", false));
+    // A running job is stopped.
+    let running = submit(&fleet, 0, &job_spec(60_000, "done", false));
     wait_started(&fleet, &running);
     let answer = cancel(&fleet, 1, &running);
     assert_eq!(value(&answer)["state"], "cancelled", "{}", text(&answer));
-    // Finished before: that is told.
-    let done = submit(&fleet, 0, &job(50, "done", false));
+    // A job that has finished keeps its state, which the answer reports.
+    let done = submit(&fleet, 0, &job_spec(50, "done", false));
     wait_state(&fleet, 0, &done, "done");
     let answer = cancel(&fleet, 0, &done);
     assert_eq!(
         (answer.status, &value(&answer)["state"]),
         (200, &json!("done"))
     );
-    // Waiting: never started.
+    // A waiting job is never started.
     let large: Vec<_> = (0..4)
         .map(|_| {
-            let mut spec = job(60_000, "done", false);
+            let mut spec = job_spec(60_000, "done", false);
             spec["cores"] = json!(16);
             submit(&fleet, 0, &spec)
         })
         .collect();
     large.iter().for_each(|id| wait_started(&fleet, id));
-    let mut spec = job(100, "done", false);
+    let mut spec = job_spec(100, "done", false);
     spec["cores"] = json!(16);
     let waiting = submit(&fleet, 0, &spec);
-    let answer = wait_for("the cancel is taken", || {
+    let answer = wait_for("the cancel is accepted", || {
         let answer = cancel(&fleet, 1, &waiting);
         (answer.status == 200).then_some(answer)
     });
@@ -181,15 +181,15 @@
         assert_eq!(answer.status, status, "{}", text(&answer));
         assert_eq!(value(&answer)["type"], format!("/problems/{kind}"));
     }
-    let id = submit(&fleet, 0, &job(10, "done", false));
+    let id = submit(&fleet, 0, &job_spec(10, "done", false));
     let path = format!("/jobs/{id}");
     let theirs = get(&path).with("authorization", "Bearer other");
     assert_eq!(theirs.to(entry).status, 404, "another account's job");
-    fleet.faults(json!({ "down": true }));
+    fleet.set_faults(json!({ "down": true }));
     wait_for("the outage is seen", || {
         (fleet.entries[0].admin("/v1/status")["store"] == "down").then_some(())
     });
-    let answer = post("/jobs", &job(10, "done", false).to_string()).to(entry);
+    let answer = post("/jobs", &job_spec(10, "done", false).to_string()).to(entry);
     assert_eq!(
         (answer.status, answer.header("rockwick-run")),
         (503, Some("no"))
@@ -199,19 +199,22 @@
 #[test]
 fn jobs_same_key() {
     let fleet = Plan::new(4, 2).start();
-    let spec = job(100, "done", false).to_string();
+    let spec = job_spec(100, "done", false).to_string();
     let send = |entry: usize, body: &str| {
         post("/jobs", body)
             .with("idempotency-key", "wave-7")
             .to(fleet.entries[entry].listen)
     };
     let first = send(0, &spec);
-    let again = wait_for("the other entry knows it", || {
+    let again = wait_for("the other entry knows the job", || {
         let answer = send(1, &spec);
         (answer.status == 202).then_some(answer)
     });
     assert_eq!(value(&first)["job"], value(&again)["job"]);
-    assert_eq!(send(0, &job(101, "done", false).to_string()).status, 422);
+    assert_eq!(
+        send(0, &job_spec(101, "done", false).to_string()).status,
+        422
+    );
     let id = value(&first)["job"].as_str().expect("an id").to_string();
     wait_state(&fleet, 0, &id, "done");
     assert_eq!(starts(&fleet, &id), 1);
@@ -220,12 +223,12 @@
 #[test]
 fn jobs_whose_fault() {
     let fleet = Plan::new(4, 1).start();
-    // One that fails wherever it runs is given up as the job's own fault.
-    let bad = submit(&fleet, 0, &job(50, "failed", true));
-    let told = wait_state(&fleet, 0, &bad, "failed");
+    // A job that fails wherever it runs is given up: the failure is the job's own.
+    let bad = submit(&fleet, 0, &job_spec(50, "failed", true));
+    let failed_job = wait_state(&fleet, 0, &bad, "failed");
     assert_eq!(starts(&fleet, &bad), 3);
-    assert_eq!(told["failed_on"].as_array().map(Vec::len), Some(2));
-    // A host that fails every job is avoided after a few; they end well elsewhere.
+    assert_eq!(failed_job["failed_on"].as_array().map(Vec::len), Some(2));
+    // A host that fails every job is avoided after a few failures, and the jobs succeed elsewhere.
     let payload = json!({ "run_ms": 50, "fail_on": ["h2"] }).to_string();
     let spec = json!({ "pool": "pool", "repeatable": true, "cores": 6, "payload": payload });
     let ids: Vec<_> = (0..24).map(|_| submit(&fleet, 0, &spec)).collect();
@@ -242,25 +245,25 @@
 
 #[test]
 fn jobs_leave_host() {
-    // A host that leaves is waited for by what may not be repeated, and left by what may.
+    // The drain of a host waits for a job that may not be repeated, and moves a repeatable job to another host.
     let fleet = Plan::new(4, 2).start();
-    let stays = submit(&fleet, 0, &job(4_000, "done", false));
-    let moves = submit(&fleet, 0, &job(4_000, "done", true));
+    let stays = submit(&fleet, 0, &job_spec(4_000, "done", false));
+    let moves = submit(&fleet, 0, &job_spec(4_000, "done", true));
     wait_started(&fleet, &stays);
     wait_started(&fleet, &moves);
-    let host = look(&fleet, 0, &stays)["host"]
+    let host = get_job(&fleet, 0, &stays)["host"]
         .as_str()
         .expect("a host")
         .to_string();
     assert_eq!(
-        look(&fleet, 0, &moves)["host"],
+        get_job(&fleet, 0, &moves)["host"],
         host.as_str(),
-        "both are packed on one host"
+        "both jobs are placed on one host"
     );
     let edit = json!({ "ask": "drain", "host": host, "reboot": true, "why": "test" });
     assert_eq!(fleet.entries[0].edit(&edit).status, 200);
-    wait_for("it moves", || {
-        let at = look(&fleet, 0, &moves)["host"].clone();
+    wait_for("the repeatable job moves", || {
+        let at = get_job(&fleet, 0, &moves)["host"].clone();
         (at.is_string() && at != host.as_str()).then_some(())
     });
     wait_state(&fleet, 0, &stays, "done");
--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of client accounts, at a real entry: who may call, and that nobody learns of another account's jobs.
+//! API keys of client accounts at a real entry: who may call, and that no account learns of another account's jobs.
 
 use std::net::SocketAddr;
 
@@ -47,7 +47,7 @@
     assert_eq!(
         status(to, Method::Get, "/elsewhere/", None),
         404,
-        "a queue that is not there comes first"
+        "an unknown queue is reported before a missing key"
     );
     assert_eq!(status(to, Method::Post, &path, Some("shop-key-1")), 200);
     assert_eq!(status(to, Method::Get, "/q/", Some("dock-key")), 200);
@@ -77,7 +77,7 @@
         assert_eq!(
             status(to, Method::Post, &path, other),
             503,
-            "the id is taken, and nothing tells so"
+            "the id is taken, and the answer does not reveal it"
         );
     }
     assert_eq!(status(to, Method::Get, &path, Some("shop-key-2")), 200);
@@ -102,12 +102,13 @@
         "the same job with another key of its account"
     );
     let lines = one.lines();
-    let told = |text: &str| lines.iter().any(|line| line.contains(text));
-    assert!(told("submit for shop: Accepted"));
-    assert!(!told("shop-key"), "a key is never logged");
+    let is_logged = |text: &str| lines.iter().any(|line| line.contains(text));
+    assert!(is_logged("submit for shop: Accepted"));
+    assert!(!is_logged("shop-key"), "a key is never logged");
 }
 
-/// An entry that can't know whether a key was revoked, or a queue added, takes nothing and denies nothing.
+/// An entry whose configuration may be outdated must answer 503: it neither accepts a key that may be revoked nor denies
+/// a queue that may have been added.
 #[test]
 fn keys_unsure_entry() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
@@ -129,8 +130,8 @@
     until("sure", || get("/elsewhere/", "shop-key-1") == 404);
 }
 
-/// Large configurations come one after the other, each answer of the feed brings one of two, and takes a while: an entry
-/// that has not read the newest one denies no queue that is there, and takes no key that is gone.
+/// The feed returns one row per answer and answers slowly: an entry that has not read the newest configuration yet must
+/// neither deny an existing queue nor accept a revoked key.
 #[test]
 fn keys_slow_feed() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
@@ -138,7 +139,7 @@
     let one = entry_with(&fleet, "e1", &["--config-within-ms", "600"]);
     let to = one.callers;
     fleet.set_feed_pages(1, 500);
-    // Other words of the operator come first: the page holds no configuration at all.
+    // Other rows of the operator come first, so that the first answers of the feed hold no configuration.
     for n in 0..4 {
         fleet.put("op", "", &format!("other/{n}"), &json!({}));
     }
--- a/tests/test_links.rs
+++ b/tests/test_links.rs
@@ -1,4 +1,4 @@
-//! Open connections that fall silent for good while new ones work.
+//! Open connections on which no more bytes arrive, while new connections to the same peer work.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,20 +10,20 @@
 use rockwick::http::client::{within_ms, Trouble};
 use rockwick::http::{Client, Sent};
 
-/// For one call: long beside an answer on loopback.
+/// The timeout of a call, far longer than an answer on loopback takes.
 const TIMEOUT_MS: u64 = 300;
 
-/// Connections that are open when they fall silent.
+/// The number of connections that are open when they fall silent.
 const OPEN: usize = 3;
 
-/// A server whose connections that are open now can be made silent.
+/// A server whose first [`OPEN`] connections can be made silent.
 struct Peer {
     addr: SocketAddr,
     is_silent: Arc<AtomicBool>,
 }
 
 impl Peer {
-    /// The first [`OPEN`] requests are answered together, so that each takes a connection of its own.
+    /// Starts the server. It answers the first [`OPEN`] requests together, so that each takes its own connection.
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let peer = Self {
@@ -32,11 +32,11 @@
         };
         let is_silent = Arc::clone(&peer.is_silent);
         std::thread::spawn(move || {
-            let together = Arc::new(Barrier::new(OPEN));
+            let barrier = Arc::new(Barrier::new(OPEN));
             for (n, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-                let together = (n < OPEN).then(|| Arc::clone(&together));
+                let barrier = (n < OPEN).then(|| Arc::clone(&barrier));
                 let falls_silent = (n < OPEN).then(|| Arc::clone(&is_silent));
-                std::thread::spawn(move || serve(stream, together, falls_silent));
+                std::thread::spawn(move || serve(stream, barrier, falls_silent));
             }
         });
         peer
@@ -45,14 +45,14 @@
 
 fn serve(
     mut stream: TcpStream,
-    together: Option<Arc<Barrier>>,
+    barrier: Option<Arc<Barrier>>,
     falls_silent: Option<Arc<AtomicBool>>,
 ) {
     let mut piece = [0; 4_096];
     let mut is_first = true;
     while matches!(stream.read(&mut piece), Ok(n) if n > 0) {
-        if let Some(together) = together.as_ref().filter(|_| is_first) {
-            together.wait();
+        if let Some(barrier) = barrier.as_ref().filter(|_| is_first) {
+            barrier.wait();
         }
         is_first = false;
         if falls_silent
@@ -68,29 +68,30 @@
     }
 }
 
-async fn call(client: &Client) -> Result<u16, Trouble> {
+async fn send_call(client: &Client) -> Result<u16, Trouble> {
     let req = client.request(Method::Get, "/").expect("a request");
     let answer = client.exchange(req, within_ms(TIMEOUT_MS)).await;
     answer.map(|a| a.status)
 }
 
-/// After one call has timed out on an open connection, no other call goes over those that were open then.
+/// After a call has timed out on an open connection, no later call may use a connection that was open at that time: it
+/// would time out as well.
 #[test]
 fn links_silent_closed() {
     let peer = Peer::start();
     let client = Client::new(peer.addr);
     smol::block_on(async {
-        let (a, b) = (call(&client), call(&client));
-        let c = call(&client);
+        let (a, b) = (send_call(&client), send_call(&client));
+        let c = send_call(&client);
         let all = futures_lite::future::zip(a, futures_lite::future::zip(b, c)).await;
         assert_eq!(all, (Ok(200), (Ok(200), Ok(200))));
         peer.is_silent.store(true, Ordering::SeqCst);
-        assert_eq!(call(&client).await, Err(Trouble::Timeout(Sent::Some)));
-        assert_eq!(call(&client).await, Ok(200), "a new connection works");
+        assert_eq!(send_call(&client).await, Err(Trouble::Timeout(Sent::Some)));
+        assert_eq!(send_call(&client).await, Ok(200), "a new connection works");
     });
 }
 
-/// A caller that reads nothing and says nothing holds neither the task that answers it nor a stop.
+/// A caller that neither reads nor closes must not block the task that writes its answer, nor the stop of the entry.
 #[test]
 fn links_silent_caller() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -102,9 +103,9 @@
         let large = vec![b'x'; 64 << 20];
         let res = rockwick::http::server::answer(200, "text/plain", large);
         let written = rockwick::http::server::write(&wire, res, Method::Get, true).await;
-        assert!(written.is_err(), "nobody reads it");
+        assert!(written.is_err(), "the caller reads nothing");
     });
-    // Far beyond the bound: without one, the write would never end.
+    // Far longer than the bound of a write; without a bound the write would never end.
     assert!(began.elapsed() < Duration::from_secs(60));
     drop(caller);
 }
--- a/tests/test_load.rs
+++ b/tests/test_load.rs
@@ -1,4 +1,4 @@
-//! Overload, quotas, bad backend servers, a hall gone, a long outage.
+//! Behaviour under load: overload, quotas, faulty backend servers, the loss of a data hall and a long outage.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,10 +6,11 @@
 use rockwick::http::Client;
 use serde_json::json;
 
-use crate::fleet::{failures, get, post, text, wait_for, Fleet, Load, Plan};
+use crate::fleet::{failures, get, post, text, wait_for, Fleet, LoadCallers, Plan};
 
-/// Sends from so many threads for a while; gives the statuses with their count, and the slowest 200.
-fn flood(
+/// Sends `each` requests from each of `threads` threads. Returns the count of each status and the time of the slowest
+/// 200.
+fn send_load(
     fleet: &Fleet,
     threads: usize,
     each: usize,
@@ -22,7 +23,7 @@
             let addr = entries[t % entries.len()];
             std::thread::spawn(move || {
                 let client = Client::new(addr);
-                let mut told = Vec::new();
+                let mut answers = Vec::new();
                 for _ in 0..each {
                     let call = post("/s/route/x", "b")
                         .with("rockwick-class", class)
@@ -33,9 +34,9 @@
                         assert!(answer.header("retry-after").is_some(), "{}", text(&answer));
                         assert_eq!(answer.header("rockwick-run"), Some("no"));
                     }
-                    told.push((answer.status, began.elapsed()));
+                    answers.push((answer.status, began.elapsed()));
                 }
-                told
+                answers
             })
         })
         .collect();
@@ -55,37 +56,37 @@
 
 #[test]
 fn load_overload_shed() {
-    // Far more than the slots can do in time: what can't be met is told at once, the rest is served.
+    // More requests than the slots can serve in time: those that would miss their deadline are refused at once.
     let fleet = Plan::new(1, 1)
         .without_config()
         .with_backend_args(&["--slots", "2", "--work-ms", "50"])
         .start();
     let began = Instant::now();
-    let (counts, _) = flood(&fleet, 32, 10, "normal", 300);
+    let (counts, _) = send_load(&fleet, 32, 10, "normal", 300);
     assert!(counts.get(&200).copied().unwrap_or(0) > 20, "{counts:?}");
     assert!(counts.get(&503).copied().unwrap_or(0) > 50, "{counts:?}");
     assert!(
         counts.get(&504).copied().unwrap_or(0) < 16,
-        "few are begun in vain: {counts:?}"
+        "few requests time out after they began: {counts:?}"
     );
-    // 320 requests of 50 ms at two slots would take 8 s: giving up does not wait for the deadline.
+    // 320 requests of 50 ms at two slots would take 8 s: a refusal does not wait for the deadline.
     assert!(began.elapsed() < Duration::from_secs(8));
     assert!(fleet.backends[0].stats()["peak"].as_u64() <= Some(2));
 }
 
 #[test]
 fn load_urgent_first() {
-    // Batch fills every place it may; urgent work still starts in time.
+    // Batch requests fill every slot that they may use; urgent requests still start in time.
     let fleet = Plan::new(2, 2)
         .without_config()
         .with_backend_args(&["--slots", "4", "--work-ms", "200"])
         .start();
     std::thread::scope(|s| {
-        let batch = s.spawn(|| flood(&fleet, 32, 8, "batch", 20_000));
+        let batch = s.spawn(|| send_load(&fleet, 32, 8, "batch", 20_000));
         wait_for("batch is at work", || {
             (fleet.backends[0].stats()["in_flight"].as_u64() > Some(0)).then_some(())
         });
-        let (urgent, slowest) = flood(&fleet, 4, 6, "urgent", 2_000);
+        let (urgent, slowest) = send_load(&fleet, 4, 6, "urgent", 2_000);
         assert_eq!(urgent, BTreeMap::from([(200, 24)]), "slowest {slowest:?}");
         let (batch, _) = batch.join().expect("no panic");
         assert!(batch.get(&200).copied().unwrap_or(0) > 100, "{batch:?}");
@@ -112,21 +113,21 @@
         }
         *counts.entry(answer.status).or_default() += 1;
     }
-    // Both entries together keep to the account's quota, with one of rounding at each.
-    let most = 10 + 10 * (began.elapsed().as_secs() as u32 + 1) + 2;
+    // Both entries together keep to the account's quota; each may round up by one request.
+    let expected_max = 10 + 10 * (began.elapsed().as_secs() as u32 + 1) + 2;
     assert!(
-        counts[&200] <= most && counts[&200] >= 10,
-        "{counts:?} of {most}"
+        counts[&200] <= expected_max && counts[&200] >= 10,
+        "{counts:?} of {expected_max}"
     );
     assert!(counts[&429] > 0);
     assert_eq!(
         get("/s/route/x").to(fleet.entries[0].listen).status,
         200,
-        "others go on"
+        "another account is not limited"
     );
 }
 
-/// The share of answers other than 200, in percent, over a load of repeatable requests.
+/// Sends repeatable requests and returns the share of answers other than 200, in percent.
 fn failing_percent(fleet: &Fleet, requests: usize) -> usize {
     let client = Client::new(fleet.entries[0].listen);
     let failed = (0..requests)
@@ -141,7 +142,7 @@
 
 #[test]
 fn load_bad_backends() {
-    // One of four fails everything, or hangs, or refuses everything: it stops attracting work.
+    // One of four backend servers fails, closes or refuses every request. Its fast answers must not attract more work.
     for fault in ["fail", "close", "refuse"] {
         let fleet = Plan::new(4, 1).without_config().start();
         fleet.backends[0].set(fault, 0);
@@ -152,17 +153,17 @@
         let asked = |s: &serde_json::Value| {
             s["runs"].as_u64().unwrap_or(0) + s["refused"].as_u64().unwrap_or(0)
         };
-        let drawn = asked(&after) - asked(&before);
+        let attracted = asked(&after) - asked(&before);
         if fault != "refuse" {
-            assert!(drawn <= 10, "{fault}: {drawn} of 200");
-            // Lines are written by a thread of its own, a moment later.
-            wait_for("its ejection is told", || {
+            assert!(attracted <= 10, "{fault}: {attracted} of 200");
+            // A separate thread writes the log, so the line may come a moment later.
+            wait_for("its ejection is logged", || {
                 (fleet.entries[0].logged("backend-ejected") > 0).then_some(())
             });
         }
         fleet.backends[0].set("none", 0);
         let before = asked(&fleet.backends[0].stats());
-        wait_for("it gets work again", || {
+        wait_for("the backend server gets work again", || {
             failing_percent(&fleet, 20);
             (asked(&fleet.backends[0].stats()) > before + 20).then_some(())
         });
@@ -186,7 +187,7 @@
 
 #[test]
 fn load_all_fail() {
-    // Everybody fails: nobody is ejected beyond half, and each answer is passed as it is.
+    // All backend servers fail: at most half of them are ejected, and each answer is passed on unchanged.
     let fleet = Plan::new(4, 1).without_config().start();
     fleet.backends.iter().for_each(|b| b.set("fail", 0));
     for _ in 0..100 {
@@ -202,7 +203,7 @@
 
 #[test]
 fn load_retry_budget() {
-    // Whatever goes wrong, attempts stay within a tenth above the requests, and what was saved.
+    // Under every fault the attempts exceed the requests by at most a tenth and the saved retries.
     for fault in ["fail", "close", "refuse", "garbage"] {
         let fleet = Plan::new(4, 1).without_config().start();
         fleet.backends.iter().for_each(|b| b.set(fault, 0));
@@ -218,7 +219,7 @@
             .map(|b| b.stats())
             .map(|s| s["runs"].as_u64().unwrap_or(0) + s["refused"].as_u64().unwrap_or(0))
             .sum();
-        // A retry after a refusal costs two fifths of one that repeats work.
+        // A retry after a refusal costs two fifths of a retry that repeats work.
         let (num, den) = if fault == "refuse" { (10, 4) } else { (1, 1) };
         let floor = 10 * (began.elapsed().as_secs() + 1);
         assert!(
@@ -230,10 +231,10 @@
 
 #[test]
 fn load_hall_gone() {
-    // Half of the hosts are gone at once; callers notice nothing that a repeat does not mend.
+    // Half of the hosts are lost at once: after the loss is seen, retries hide it from callers.
     let fleet = Plan::new(4, 2).start();
     for host in ["h3", "h4"] {
-        fleet.set_life(host, "gone");
+        fleet.set_host_status(host, "gone");
     }
     for b in &fleet.backends[2..] {
         b.set("close", 0);
@@ -251,21 +252,21 @@
 
 #[test]
 fn load_outage() {
-    // The platform is down for long under load: nothing fails, and its return is no stampede.
+    // The platform is down for long under load: no request fails, and the entries do not flood it when it returns.
     let fleet = Plan::new(4, 3).start();
     let addrs: Vec<_> = fleet.entries.iter().map(|e| e.listen).collect();
-    let load = Load::start(&addrs, 2, 5);
-    fleet.faults(json!({ "down": true }));
+    let load = LoadCallers::start(&addrs, 2, 5);
+    fleet.set_faults(json!({ "down": true }));
     std::thread::sleep(Duration::from_secs(8));
     post("/control/reset-peak", "").to(fleet.platform);
-    fleet.no_faults();
+    fleet.clear_faults();
     wait_for("the table is back", || {
         let ok = |e: &crate::fleet::Entry| e.admin("/v1/status")["store"] == "ok";
         fleet.entries.iter().all(ok).then_some(())
     });
     std::thread::sleep(Duration::from_secs(3));
-    let told = load.stop();
-    assert!(failures(&told).is_empty(), "{:?}", failures(&told));
+    let outcomes = load.stop();
+    assert!(failures(&outcomes).is_empty(), "{:?}", failures(&outcomes));
     let peak = fleet.stats()["peak_calls_per_s"].as_u64().unwrap_or(0);
     assert!(peak <= 60, "{peak} calls in one second by three entries");
 }
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -1,5 +1,5 @@
-//! Several entries over one table, driven by random events: duplicated, reordered, delayed, lost.
-//! After every step the promises are checked against the table's and the platform's own record.
+//! A model test of `reduce`: several entries share one table and receive random events that are duplicated, reordered,
+//! delayed and lost. After every step the invariants are checked against the records of the table and the platform.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -43,7 +43,7 @@
     )
 }
 
-fn me(name: &str, incarnation: u64) -> EntryIdentity {
+fn entry_identity(name: &str, incarnation: u64) -> EntryIdentity {
     EntryIdentity {
         name: name.to_string(),
         incarnation,
@@ -53,12 +53,12 @@
     }
 }
 
-/// An entry that knows nothing, for other tests.
-pub(crate) fn quiet_state() -> State {
-    State::new(me("e1", 1), Tuning::default(), 1)
+/// Returns the state of an entry that has read nothing yet.
+pub(crate) fn empty_state() -> State {
+    State::new(entry_identity("e1", 1), Tuning::default(), 1)
 }
 
-/// A process: the state, what it has asked for, and what is on its way to it.
+/// Holds an entry's state, the effects that it asked for and the events that are not delivered yet.
 struct Entry {
     state: State,
     outbox: Vec<Effect>,
@@ -68,14 +68,18 @@
     in_flight: HashMap<String, u32>,
     frozen: bool,
     version: u64,
-    /// The hosts believed live when a transaction was decided.
-    decided: HashMap<TxnKey, BTreeSet<String>>,
+    /// Holds, for each open transaction, the hosts that the entry believed live when it decided.
+    live_at_decision: HashMap<TxnKey, BTreeSet<String>>,
 }
 
 impl Entry {
     fn new(name: &str, incarnation: u64) -> Self {
         Self {
-            state: State::new(me(name, incarnation), Tuning::default(), incarnation),
+            state: State::new(
+                entry_identity(name, incarnation),
+                Tuning::default(),
+                incarnation,
+            ),
             outbox: Vec::new(),
             inbox: Vec::new(),
             routes: None,
@@ -83,7 +87,7 @@
             in_flight: HashMap::new(),
             frozen: false,
             version: 0,
-            decided: HashMap::new(),
+            live_at_decision: HashMap::new(),
         }
     }
 
@@ -114,7 +118,7 @@
 }
 
 #[derive(Default)]
-struct Task {
+struct PlatformTask {
     attempt: u32,
     host: String,
     running: bool,
@@ -128,13 +132,13 @@
     rows: Rows,
     entries: Vec<Entry>,
     next_incarnation: u64,
-    facts: Vec<HostInfo>,
-    tokens: BTreeSet<String>,
-    tasks: BTreeMap<String, Task>,
+    host_infos: Vec<HostInfo>,
+    reboot_tokens: BTreeSet<String>,
+    tasks: BTreeMap<String, PlatformTask>,
     fenced: HashMap<String, u32>,
     reports: Vec<TaskReport>,
     accepted: BTreeSet<String>,
-    finals: BTreeMap<String, rockwick::core::rows::JobState>,
+    final_states: BTreeMap<String, rockwick::core::rows::JobState>,
     tickets: u64,
     reboots: usize,
     grants: usize,
@@ -142,7 +146,7 @@
 
 impl World {
     fn new(seed: u64) -> Self {
-        let facts = (0..HOSTS)
+        let host_infos = (0..HOSTS)
             .map(|n| HostInfo {
                 id: format!("h{n}"),
                 hall: "a".to_string(),
@@ -169,13 +173,13 @@
             rows: Rows::default(),
             entries: entries.collect(),
             next_incarnation: 100,
-            facts,
-            tokens: BTreeSet::new(),
+            host_infos,
+            reboot_tokens: BTreeSet::new(),
             tasks: BTreeMap::new(),
             fenced: HashMap::new(),
             reports: Vec::new(),
             accepted: BTreeSet::new(),
-            finals: BTreeMap::new(),
+            final_states: BTreeMap::new(),
             tickets: 0,
             reboots: 0,
             grants: 0,
@@ -186,7 +190,7 @@
         self.rows
             .rows
             .get(key)
-            .and_then(|r| decode(r).expect("our own rows decode"))
+            .and_then(|r| decode(r).expect("the entries' rows decode"))
     }
 
     fn feed(&mut self, at: usize, event: Event) {
@@ -202,7 +206,7 @@
                 }
                 other => {
                     if let Effect::Commit { txn, .. } = &other {
-                        e.decided.insert(*txn, e.live_hosts());
+                        e.live_at_decision.insert(*txn, e.live_hosts());
                     }
                     e.outbox.push(other);
                 }
@@ -227,22 +231,22 @@
         self.feed(at, event);
     }
 
-    /// Carries out one effect that an entry asked for; what it comes to is on its way back then.
-    fn carry_out(&mut self, at: usize) {
+    /// Executes one random effect that the entry asked for and queues the resulting event for it.
+    fn execute_effect(&mut self, at: usize) {
         let n = self.entries[at].outbox.len();
         if n == 0 {
             return;
         }
         let effect = self.entries[at].outbox.swap_remove(self.rng.usize(..n));
-        let fate = self.rng.u32(0..100);
-        let lost = fate < 6;
+        let roll = self.rng.u32(0..100);
+        let lost = roll < 6;
         let event = match effect {
             Effect::ReadTable { since } => Event::TableRead {
                 begun_ms: self.now.ms,
                 changes: (!lost).then(|| self.rows.changes(since, &[])),
             },
             Effect::ReadHosts => Event::HostsRead((!lost).then(|| Listing {
-                hosts: self.facts.clone(),
+                hosts: self.host_infos.clone(),
                 ended_entries: vec![],
             })),
             Effect::ReadReports { since } => {
@@ -254,8 +258,11 @@
                 }))
             }
             Effect::Commit { txn, transaction } => {
-                let live = self.entries[at].decided.remove(&txn).unwrap_or_default();
-                let outcome = self.commit(&live, &transaction, fate);
+                let live = self.entries[at]
+                    .live_at_decision
+                    .remove(&txn)
+                    .unwrap_or_default();
+                let outcome = self.commit(&live, &transaction, roll);
                 Event::Committed { txn, outcome }
             }
             Effect::StartTask(start) => {
@@ -289,11 +296,11 @@
         self.entries[at].inbox.push(event);
     }
 
-    fn commit(&mut self, live: &BTreeSet<String>, txn: &Transaction, fate: u32) -> Outcome {
-        if fate < 3 {
+    fn commit(&mut self, live: &BTreeSet<String>, txn: &Transaction, roll: u32) -> Outcome {
+        if roll < 3 {
             return Outcome::NotSent;
         }
-        if fate < 6 {
+        if roll < 6 {
             return Outcome::Unknown;
         }
         let before = self.host_rows();
@@ -302,7 +309,7 @@
             self.check_grants(live, &before);
         }
         match attempt {
-            Attempt::Committed(_) if fate < 12 => Outcome::Unknown,
+            Attempt::Committed(_) if roll < 12 => Outcome::Unknown,
             Attempt::Committed(seq) => Outcome::Committed(seq),
             _ => Outcome::Conflict,
         }
@@ -314,8 +321,8 @@
             .collect()
     }
 
-    /// A grant that took effect left the pool what its budget promises: by the table's own rows, and by
-    /// what the granting entry had been told of failures when it decided.
+    /// Checks that every drain granted by the last commit kept the pool within its budget, judged by the rows before
+    /// the commit and by the hosts that the granting entry believed live when it decided.
     fn check_grants(&mut self, live: &BTreeSet<String>, before: &BTreeMap<String, HostRow>) {
         let after = self.host_rows();
         for (id, row) in &after {
@@ -327,14 +334,14 @@
             self.grants += 1;
             let head: HeadRow = self
                 .row(HEAD_KEY)
-                .expect("a pool comes from a configuration");
-            let Some(promised) = config::parse(&head.text).expect("valid").pools.remove(pool)
+                .expect("a pool exists only under a configuration");
+            let Some(pool_config) = config::parse(&head.text).expect("valid").pools.remove(pool)
             else {
                 continue;
             };
             let budget = Budget {
-                serving_min: promised.serving_min,
-                reserve: promised.reserve,
+                serving_min: pool_config.serving_min,
+                reserve: pool_config.reserve,
             };
             if !live.contains(id) {
                 continue;
@@ -355,12 +362,12 @@
             let leaving = members
                 .iter()
                 .position(|(h, _)| h == id)
-                .expect("it was a member");
+                .expect("the drained host was a member of the pool");
             let members: Vec<Member> = members.into_iter().map(|(_, m)| m).collect();
             let verdict = budget.may_leave(&members, leaving);
             assert!(
                 verdict.allowed,
-                "{id} left pool {pool}: {verdict:?} of {promised:?}"
+                "{id} left pool {pool}: {verdict:?} of {pool_config:?}"
             );
         }
     }
@@ -373,7 +380,7 @@
             job.attempt >= start.attempt,
             "the row is written before the start"
         );
-        let host = self.facts.iter().find(|f| f.id == start.host);
+        let host = self.host_infos.iter().find(|f| f.id == start.host);
         let live = host.is_some_and(|f| f.life == HostStatus::Live);
         let task = self.tasks.entry(start.job.clone()).or_default();
         if task.attempt == start.attempt && task.starts > 0 {
@@ -390,7 +397,7 @@
             return OrderAnswer::NoHost;
         }
         assert!(!task.running, "job {} would run twice at once", start.job);
-        *task = Task {
+        *task = PlatformTask {
             attempt: start.attempt,
             host: start.host.clone(),
             running: true,
@@ -438,7 +445,7 @@
     }
 
     fn reboot(&mut self, host: &str, token: String) {
-        if !self.tokens.insert(token) {
+        if !self.reboot_tokens.insert(token) {
             return;
         }
         self.reboots += 1;
@@ -458,7 +465,7 @@
             .filter(|(_, t)| t.running && t.host == host);
         assert_eq!(tasks.count(), 0, "{host} is rebooted over a task");
         let fact = self
-            .facts
+            .host_infos
             .iter_mut()
             .find(|f| f.id == host)
             .expect("a host");
@@ -529,7 +536,7 @@
         self.feed(at, Event::EditRequested { ticket, edit });
     }
 
-    /// One entry polls another; the answer may be lost on the way back.
+    /// Lets the entry poll another one; one answer in ten is lost.
     fn poll(&mut self, at: usize) {
         let other = (at + 1 + self.rng.usize(..ENTRIES - 1)) % ENTRIES;
         if self.entries[other].frozen {
@@ -570,7 +577,7 @@
         }
     }
 
-    /// Delivers one event that is on its way, whichever; sometimes it stays and comes a second time.
+    /// Delivers one random queued event; one host listing in ten is queued again and so arrives twice.
     fn deliver(&mut self, at: usize) {
         let n = self.entries[at].inbox.len();
         if n > 0 {
@@ -585,7 +592,7 @@
         }
     }
 
-    fn traffic(&mut self, at: usize) {
+    fn change_traffic(&mut self, at: usize) {
         let e = &mut self.entries[at];
         let hosts: Vec<String> = e.routed_hosts().iter().map(|h| h.to_string()).collect();
         if e.is_ready() && !hosts.is_empty() && self.rng.bool() {
@@ -599,11 +606,11 @@
         }
     }
 
-    fn mishap(&mut self, at: usize) {
+    fn inject_fault(&mut self, at: usize) {
         match self.rng.u32(0..4) {
             0 => {
                 let n = self.rng.usize(..HOSTS);
-                let fact = &mut self.facts[n];
+                let fact = &mut self.host_infos[n];
                 let gone = fact.life == HostStatus::Live;
                 fact.life = if gone {
                     HostStatus::Gone
@@ -615,7 +622,7 @@
             }
             1 => self.entries[at].frozen = !self.entries[at].frozen,
             2 => {
-                // It dies with all that it had on its way, and is replaced under its name.
+                // The entry loses its state and all queued events, and a new instance takes its name.
                 self.next_incarnation += 1;
                 self.entries[at] = Entry::new(&format!("e{at}"), self.next_incarnation);
             }
@@ -627,7 +634,7 @@
         }
     }
 
-    fn end_tasks(&mut self, state: TaskState, which: impl Fn(&Task) -> bool) {
+    fn end_tasks(&mut self, state: TaskState, which: impl Fn(&PlatformTask) -> bool) {
         let ended: Vec<String> = self
             .tasks
             .iter_mut()
@@ -642,7 +649,7 @@
         }
     }
 
-    /// What must hold at any time, by the table's own rows.
+    /// Checks the invariants that hold at any time against the rows of the table.
     fn check(&mut self) {
         let hosts = self.host_rows();
         for (pool, row) in ["one", "two"].map(|p| (p, self.row::<PoolRow>(&format!("pool/{p}")))) {
@@ -652,18 +659,21 @@
                 .filter(|(_, r)| r.pool.as_deref() == Some(pool) && r.state != HostState::Serving)
                 .map(|(h, _)| h)
                 .collect();
-            let mut told: Vec<&String> = row.out.iter().collect();
+            let mut listed: Vec<&String> = row.out.iter().collect();
             out.sort();
-            told.sort();
-            assert_eq!(out, told, "pool {pool} counts who is out");
+            listed.sort();
+            assert_eq!(
+                out, listed,
+                "the row of pool {pool} lists the hosts that are out"
+            );
         }
         for id in &self.accepted {
             let job: Option<JobRow> = self.row(&format!("job/{id}"));
             let job = job.expect("an accepted job is never lost");
-            if let Some(state) = self.finals.get(id) {
+            if let Some(state) = self.final_states.get(id) {
                 assert_eq!(*state, job.state, "job {id} left its final state");
             } else if job.state.is_final() {
-                self.finals.insert(id.clone(), job.state);
+                self.final_states.insert(id.clone(), job.state);
             }
         }
     }
@@ -672,7 +682,7 @@
         let at = self.rng.usize(..ENTRIES);
         let what = self.rng.u32(0..100);
         if self.entries[at].frozen && what < 96 {
-            // Others go on, and time passes.
+            // A frozen entry does nothing, while time passes for the others.
             self.now.ms += 50;
             self.now.wall_ms += 50;
             return;
@@ -684,12 +694,12 @@
                 self.now.wall_ms += passed_ms;
                 self.tick(at);
             }
-            25..=49 => self.carry_out(at),
+            25..=49 => self.execute_effect(at),
             50..=74 => self.deliver(at),
             75..=82 => self.poll(at),
-            83..=89 => self.traffic(at),
+            83..=89 => self.change_traffic(at),
             90..=95 => self.edit(at),
-            _ => self.mishap(at),
+            _ => self.inject_fault(at),
         }
         self.check();
     }
@@ -709,9 +719,9 @@
         }
     }
 
-    /// All is well again: what was begun comes to its end.
-    fn calm(&mut self) {
-        for f in &mut self.facts {
+    /// Ends all faults and checks that every drain, move and job that had begun comes to its end.
+    fn recover(&mut self) {
+        for f in &mut self.host_infos {
             f.life = HostStatus::Live;
         }
         for at in 0..ENTRIES {
@@ -726,7 +736,7 @@
                 self.tick(at);
                 self.poll(at);
                 for _ in 0..30 {
-                    self.carry_out(at);
+                    self.execute_effect(at);
                     self.deliver(at);
                 }
                 self.end_tasks(TaskState::Done, |_| true);
@@ -734,12 +744,14 @@
             }
         }
         for (id, row) in self.host_rows() {
-            let at_rest = matches!(row.state, HostState::Free | HostState::Serving);
+            let is_at_rest = matches!(row.state, HostState::Free | HostState::Serving);
             let held = row.purpose == rockwick::core::rows::Purpose::Hold;
-            assert!(at_rest || held, "{id} is stuck: {row:?}");
+            assert!(is_at_rest || held, "{id} is stuck: {row:?}");
         }
         for id in &self.accepted {
-            let job: JobRow = self.row(&format!("job/{id}")).expect("there");
+            let job: JobRow = self
+                .row(&format!("job/{id}"))
+                .expect("an accepted job has a row");
             let state = &self.entries[0].state;
             let pool = state
                 .pool_names
@@ -763,7 +775,7 @@
         for _ in 0..20 {
             world.now.ms += 100;
             world.tick(at);
-            world.carry_out(at);
+            world.execute_effect(at);
             world.deliver(at);
         }
     }
@@ -776,13 +788,13 @@
     for _ in 0..steps {
         world.step();
     }
-    world.calm();
+    world.recover();
     world
 }
 
 #[test]
 fn model_does_something() {
-    // The checks are worth nothing if nothing happens.
+    // Without reboots, drain grants, jobs and tasks the checks of the model would pass on nothing.
     let worlds: Vec<World> = (0..60).map(|seed| run(seed, 1_500)).collect();
     let sum = |f: fn(&World) -> usize| worlds.iter().map(f).sum::<usize>();
     assert!(sum(|w| w.reboots) > 50, "{} reboots", sum(|w| w.reboots));
@@ -799,11 +811,11 @@
     );
 }
 
-/// Seeds that failed once, kept.
+/// Seeds and step counts that failed once.
 const SAVED: [(u64, usize); 6] = [
-    // A placement that was not committed held room and drains for ever.
+    // A placement that was not committed kept its capacity and blocked drains for ever.
     (2709426922828149065, 1_073),
-    // A pool took a host for borrowed that it was just giving back, and so on without end.
+    // A pool took a host that it was giving back for a borrowed one, and repeated this without end.
     (0, 1_500),
     (3259529198519870271, 1_123),
     (4640936066412646744, 1_772),
--- a/tests/test_place.rs
+++ b/tests/test_place.rs
@@ -1,4 +1,4 @@
-//! Placement of jobs, as decisions on a view made by hand.
+//! Placement of jobs: single decisions on a view whose rows the test writes.
 
 use rockwick::clock::Now;
 use rockwick::core::config::Class;
@@ -7,7 +7,7 @@
 use rockwick::port::{Changes, HostInfo, HostStatus, Listing, Row};
 use serde::Serialize;
 
-use crate::test_model::quiet_state;
+use crate::test_model::empty_state;
 
 const NOW: Now = Now {
     ms: 10_000,
@@ -21,10 +21,10 @@
 }
 
 impl View {
-    /// Pool `one` with so many hosts of 8 cores.
+    /// Returns a view of the pool `pool` with `hosts` serving hosts of 8 cores each.
     fn new(hosts: usize) -> Self {
         let mut view = Self {
-            state: quiet_state(),
+            state: empty_state(),
             seq: 0,
             rows: Vec::new(),
         };
@@ -111,7 +111,7 @@
         self.put(&format!("job/{id}"), &row);
     }
 
-    /// What is placed, in order, as `job@host`.
+    /// Lets the entry read the view and returns its placements in order, as `job@host`.
     fn placed(mut self) -> Vec<String> {
         let changes = Changes {
             seq: self.seq,
@@ -149,7 +149,7 @@
     assert_eq!(
         view.placed(),
         order,
-        "class, then the account with less at work, then age"
+        "by class, then the account with fewer cores in use, then age"
     );
 }
 
@@ -158,7 +158,11 @@
     let mut view = View::new(1);
     view.job("fresh", "a", Class::Urgent, 1, 0);
     view.job("old", "a", Class::Batch, 1, 1_300_000);
-    assert_eq!(view.placed(), ["old@h1", "fresh@h1"], "nothing starves");
+    assert_eq!(
+        view.placed(),
+        ["old@h1", "fresh@h1"],
+        "a batch job that waited long goes before an urgent one"
+    );
 }
 
 #[test]
@@ -170,7 +174,7 @@
     assert_eq!(
         view.placed().len(),
         7,
-        "one core in eight stays for the others"
+        "one core in eight stays free for other classes"
     );
 }
 
@@ -181,13 +185,13 @@
     assert_eq!(
         view.placed(),
         ["large@h1"],
-        "alone on its host it may have it all"
+        "a batch job alone on its host may use all cores"
     );
 }
 
 #[test]
 fn place_holds_host() {
-    // A job that needs a whole host has waited for long: smaller ones no longer pass it everywhere.
+    // A job that needs a whole host has waited long: one host is kept free of smaller jobs for it, or it would starve.
     for (waited_ms, expected) in [
         (0, vec!["s0@h1", "s1@h1"]),
         (700_000, vec!["s0@h2", "s1@h2"]),
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -1,4 +1,4 @@
-//! The contract with the platform of workers: each interface of the adapter, with its faults.
+//! The contract with the workers' platform: each interface of the adapter, and its faults.
 
 use rockwick::platform::Platform;
 use rockwick::port::fleet::{
@@ -56,15 +56,15 @@
         let busy = platform.transact(&tx("l", ABSENT, b""), TIMEOUT_MS).await;
         assert_eq!(busy, TxOutcome::Refused);
         fleet.set_fault(StoreFault::Mute);
-        let mute = platform.transact(&tx("m", ABSENT, b"done"), SHORT_MS).await;
-        assert_eq!(mute, TxOutcome::Unknown);
+        let unanswered = platform.transact(&tx("m", ABSENT, b"done"), SHORT_MS).await;
+        assert_eq!(unanswered, TxOutcome::Unknown);
         fleet.set_fault(StoreFault::None);
         let after = platform
             .transact(&tx("m", ABSENT, b"done"), TIMEOUT_MS)
             .await;
         assert!(
             matches!(after, TxOutcome::Conflict(_)),
-            "it had been done: {after:?}"
+            "the write had taken effect: {after:?}"
         );
     });
 }
@@ -77,7 +77,7 @@
     let platform = Platform::new(address, None);
     smol::block_on(async {
         let outcome = platform.transact(&tx("k", ABSENT, b""), TIMEOUT_MS).await;
-        assert_eq!(outcome, TxOutcome::Refused, "not a byte was sent");
+        assert_eq!(outcome, TxOutcome::Refused, "no byte was sent");
         let read = platform.operator().await;
         assert_eq!(read.err(), Some(ReadError::Down));
         assert_eq!(platform.hosts().await.err(), Some(ReadError::Down));
@@ -149,8 +149,8 @@
     fleet.put("op", "", "unheard", &json!({}));
     fleet.put_bytes("servers", "", "i-9", b"{}");
     smol::block_on(async {
-        let words = platform.operator().await.expect("read").changes;
-        let config = words.iter().find_map(|w| match w {
+        let events = platform.operator().await.expect("read").changes;
+        let config = events.iter().find_map(|w| match w {
             OperatorEvent::Config(config) => Some(config),
             _ => None,
         });
@@ -159,18 +159,18 @@
             (config.version, config.queues["q"].stretch_milli),
             (7, 1_600)
         );
-        assert!(words
+        assert!(events
             .iter()
             .any(|w| matches!(w, OperatorEvent::Wave(o) if o.duration_ms == 20_500)));
-        assert!(words
+        assert!(events
             .iter()
             .any(|w| matches!(w, OperatorEvent::Unreadable(k, _) if k == "wave/4")));
         let other = OperatorEvent::Other("unheard".to_string());
         assert!(
-            words.contains(&other),
-            "a key that nobody knows is told as such"
+            events.contains(&other),
+            "an unknown key is reported as such"
         );
-        assert_eq!(words.len(), 4);
+        assert_eq!(events.len(), 4);
         let workers = platform.workers().await.expect("read").changes;
         assert!(workers
             .iter()
@@ -211,7 +211,7 @@
             fence,
         };
         let far_ms = 1_000_000;
-        let ask = RenewalRequest {
+        let renewal = RenewalRequest {
             lease_until_ms: None,
             acked_through: 0,
             wait_ms: 0,
@@ -231,44 +231,45 @@
                 order.run
             );
         }
-        let held = platform
-            .renew_lease(&to(5, &fact.id), ask, TIMEOUT_MS)
+        let report = platform
+            .renew_lease(&to(5, &fact.id), renewal, TIMEOUT_MS)
             .await
-            .expect("an account");
-        assert_eq!(held.running[0].task, start(1, 0).task);
-        assert_eq!(held.running[0].percent, 100);
+            .expect("a report");
+        assert_eq!(report.running[0].task, start(1, 0).task);
+        assert_eq!(report.running[0].percent, 100);
         let stop = platform
             .stop(&to(5, &fact.id), &start(1, 0).task, 1, TIMEOUT_MS)
             .await;
         assert_eq!(stop, OrderReply::Accepted);
-        let held = platform
-            .renew_lease(&to(6, &fact.id), ask, TIMEOUT_MS)
+        let report = platform
+            .renew_lease(&to(6, &fact.id), renewal, TIMEOUT_MS)
             .await
-            .expect("an account");
-        assert_eq!((held.running.len(), held.ended.len()), (0, 1));
+            .expect("a report");
+        assert_eq!((report.running.len(), report.ended.len()), (0, 1));
         let old = platform
-            .renew_lease(&to(5, &fact.id), ask, TIMEOUT_MS)
+            .renew_lease(&to(5, &fact.id), renewal, TIMEOUT_MS)
             .await;
         assert_eq!(old.err(), Some(OrderReply::Fenced));
     });
 }
 
-/// A worker's process that ends takes its connections with it, at once; one that is cut off says nothing.
+/// A worker whose process ended closes its connections. The adapter must report it differently from a worker that does
+/// not answer and from one that refuses the connection.
 #[test]
 fn platform_worker_gone() {
     use std::io::Read;
 
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (done, wait) = std::sync::mpsc::channel::<()>();
+    let (end_sender, end_receiver) = std::sync::mpsc::channel::<()>();
     let worker = std::thread::spawn(move || {
         let mut bytes = [0; 4_096];
         let (mut first, _) = listener.accept().expect("a connection");
-        let _ = first.read(&mut bytes).expect("a hold");
+        let _ = first.read(&mut bytes).expect("a renewal");
         drop(first);
         let (mut second, _) = listener.accept().expect("another");
-        let _ = second.read(&mut bytes).expect("a hold");
-        wait.recv().expect("the test goes on");
+        let _ = second.read(&mut bytes).expect("a renewal");
+        end_receiver.recv().expect("the test goes on");
     });
     let platform = Platform::new(address, None);
     let to = OrderTarget {
@@ -276,19 +277,19 @@
         address,
         fence: 1,
     };
-    let ask = RenewalRequest {
+    let renewal = RenewalRequest {
         lease_until_ms: None,
         acked_through: 0,
         wait_ms: 1_000,
     };
     smol::block_on(async {
-        let broken = platform.renew_lease(&to, ask, TIMEOUT_MS).await;
+        let broken = platform.renew_lease(&to, renewal, TIMEOUT_MS).await;
         assert_eq!(broken.err(), Some(OrderReply::Broken));
-        let silent = platform.renew_lease(&to, ask, SHORT_MS).await;
+        let silent = platform.renew_lease(&to, renewal, SHORT_MS).await;
         assert_eq!(silent.err(), Some(OrderReply::Silent));
-        done.send(()).expect("the worker waits");
+        end_sender.send(()).expect("the worker waits");
         worker.join().expect("no panic");
-        let refused = platform.renew_lease(&to, ask, TIMEOUT_MS).await;
+        let refused = platform.renew_lease(&to, renewal, TIMEOUT_MS).await;
         assert_eq!(refused.err(), Some(OrderReply::Refused));
     });
 }
@@ -300,14 +301,16 @@
         let hosts = platform.hosts().await.expect("read");
         assert_eq!(hosts.len(), 2);
         assert_eq!(hosts[0].state, HostState::Up);
-        let who = HostAuthority {
+        let authority = HostAuthority {
             entry: "e1".to_string(),
             fence: 3,
         };
-        let done = platform.upkeep(&who, "m-1", 1, TIMEOUT_MS).await;
+        let done = platform.upkeep(&authority, "m-1", 1, TIMEOUT_MS).await;
         assert_eq!(done, HostReply::Accepted);
         assert_eq!(fleet.upkeeps(), vec!["m-1"]);
-        let unknown = platform.move_to(&who, "m-7", "pool", TIMEOUT_MS).await;
+        let unknown = platform
+            .move_to(&authority, "m-7", "pool", TIMEOUT_MS)
+            .await;
         assert_eq!(unknown, HostReply::Wrong);
         let running = platform.write_wave_state(1, WaveState::Running).await;
         assert!(matches!(running, TxOutcome::Committed(_)));
--- a/tests/test_report.rs
+++ b/tests/test_report.rs
@@ -1,4 +1,4 @@
-//! The operators' measures from log lines.
+//! The operators' report: the measures that it computes from log lines.
 
 use std::process::Command;
 
@@ -6,7 +6,7 @@
 
 use crate::fleet::binary;
 
-/// Two seconds of one pool, a wave, a configuration at two entries, moves, and a line that is none.
+/// Two seconds of one pool, a wave, a configuration at two entries, moves, and a line that is not JSON.
 const LINES: &str = r#"{"at_ms":1000,"event":608,"name":"pool-load","pool":"a","open":2,"workers":4,"room_cpu_milli":32000,"used_cpu_milli":16000}
 {"at_ms":3000,"event":608,"name":"pool-load","pool":"a","open":2,"workers":4,"room_cpu_milli":32000,"used_cpu_milli":32000}
 {"at_ms":2000,"event":608,"name":"pool-load","pool":"a","open":2,"workers":4,"room_cpu_milli":32000,"used_cpu_milli":16000}
@@ -32,7 +32,7 @@
     );
     assert!(
         (buffer.idle_s - 6.0).abs() < 1e-9,
-        "one of them was at work"
+        "two of the eight host-seconds were in use"
     );
     assert_eq!(report.waves["7"].took_ms(), 3_000);
     assert!(report.waves_done.contains("7"));
@@ -64,5 +64,5 @@
         .expect("the command runs");
     assert!(!output.status.success());
     let text = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(text.lines().count(), 1, "one plain line: {text}");
+    assert_eq!(text.lines().count(), 1, "the error is one line: {text}");
 }
--- a/tests/test_runs.rs
+++ b/tests/test_runs.rs
@@ -1,4 +1,5 @@
-//! "Not run" is true, and what may not be repeated runs at most once.
+//! Idempotency keys and the `Rockwick-Run` header: a request reported as not run has no run at any backend server, and
+//! a request that may not be repeated runs at most once.
 
 use std::sync::Arc;
 
@@ -8,24 +9,24 @@
 
 use crate::fleet::{get, post, text, value, wait_for, Call, Fleet, Plan};
 
-fn keyed<'a>(key: &str, body: &'a str) -> Call<'a> {
+fn keyed_post<'a>(key: &str, body: &'a str) -> Call<'a> {
     post("/s/route/run", body).with("idempotency-key", key)
 }
 
-fn run_of(answer: &Answer) -> &str {
+fn run_header(answer: &Answer) -> &str {
     answer.header("rockwick-run").unwrap_or("-")
 }
 
-/// One host with one slot, and two entries.
-fn narrow() -> Fleet {
+/// Starts one host with one slot, and two entries.
+fn single_slot_fleet() -> Fleet {
     Plan::new(1, 2)
         .without_config()
         .with_backend_args(&["--slots", "1"])
         .start()
 }
 
-/// Sends in the background; the answer, if one comes, is given when joined.
-fn in_background(
+/// Sends the request in a thread, which returns the answer if one arrives.
+fn send_in_background(
     fleet: &Fleet,
     entry: usize,
     call: Call<'static>,
@@ -36,191 +37,194 @@
 
 fn wait_for_run(fleet: &Fleet, key: &str) {
     wait_for("the run begins", || {
-        (fleet.runs_of("key", key) == 1).then_some(())
+        (fleet.count_runs("key", key) == 1).then_some(())
     });
 }
 
 #[test]
 fn runs_replay() {
-    let fleet = narrow();
+    let fleet = single_slot_fleet();
     let (e1, e2) = (fleet.entries[0].listen, fleet.entries[1].listen);
-    let first = keyed("k", "body").to(e1);
-    assert_eq!((first.status, run_of(&first)), (200, "yes"));
-    let again = keyed("k", "body").to(e2);
-    assert_eq!((again.status, run_of(&again)), (200, "yes"));
+    let first = keyed_post("k", "body").to(e1);
+    assert_eq!((first.status, run_header(&first)), (200, "yes"));
+    let again = keyed_post("k", "body").to(e2);
+    assert_eq!((again.status, run_header(&again)), (200, "yes"));
     assert_eq!(text(&again), text(&first));
     assert_eq!(again.header("rockwick-replayed"), Some("true"));
-    let other = keyed("k", "other body").to(e2);
+    let other = keyed_post("k", "other body").to(e2);
     assert_eq!(other.status, 422);
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_large_answer() {
-    // Too large for the row: kept as an object.
-    let fleet = narrow();
+    // The answer is too large for the row of the run and is stored as an object.
+    let fleet = single_slot_fleet();
     let body = "y".repeat(100_000);
-    let first = keyed("k", &body).to(fleet.entries[0].listen);
-    let again = keyed("k", &body).to(fleet.entries[1].listen);
+    let first = keyed_post("k", &body).to(fleet.entries[0].listen);
+    let again = keyed_post("k", &body).to(fleet.entries[1].listen);
     assert_eq!(again.status, 200);
     assert_eq!(text(&again), text(&first));
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_table_down() {
-    // Crash point: before the claim.
-    let fleet = narrow();
-    fleet.faults(json!({ "down": true }));
-    let answer = keyed("k", "b").to(fleet.entries[0].listen);
-    assert_eq!((answer.status, run_of(&answer)), (503, "no"));
+    // Failure before the claim: the table is down.
+    let fleet = single_slot_fleet();
+    fleet.set_faults(json!({ "down": true }));
+    let answer = keyed_post("k", "b").to(fleet.entries[0].listen);
+    assert_eq!((answer.status, run_header(&answer)), (503, "no"));
     assert!(answer.header("retry-after").is_some());
     let plain = get("/s/route/x").to(fleet.entries[0].listen);
-    assert_eq!(plain.status, 200, "what needs no new fact goes on");
-    assert_eq!(fleet.runs_of("key", "k"), 0);
+    assert_eq!(
+        plain.status, 200,
+        "a request without a key needs no write to the table"
+    );
+    assert_eq!(fleet.count_runs("key", "k"), 0);
 }
 
 #[test]
 fn runs_claim_answer_lost() {
-    // Crash point: the claim takes effect, its answer is lost.
-    let fleet = narrow();
-    fleet.faults(json!({ "lose_commits": 1, "lose_prefix": "run/" }));
-    let answer = keyed("k", "b").to(fleet.entries[0].listen);
+    // Failure at the claim: it takes effect and its answer is lost.
+    let fleet = single_slot_fleet();
+    fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "run/" }));
+    let answer = keyed_post("k", "b").to(fleet.entries[0].listen);
     assert_eq!(
-        (answer.status, run_of(&answer)),
+        (answer.status, run_header(&answer)),
         (200, "yes"),
-        "settled by its token"
+        "the entry finds its token in the row"
     );
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_claim_unsettled() {
-    // Every answer to the claim is lost: refused as not run, later given back.
-    let fleet = narrow();
-    fleet.faults(json!({ "lose_commits": 100, "lose_prefix": "run/", "cut": [] }));
-    fleet.faults(json!({ "lose_commits": 1, "lose_prefix": "run/", "slow_ms": 1600 }));
-    let answer = keyed("k", "b").to(fleet.entries[0].listen);
+    // Every answer to the claim is lost: the request is refused as not run, and the claim is released later.
+    let fleet = single_slot_fleet();
+    fleet.set_faults(json!({ "lose_commits": 100, "lose_prefix": "run/", "cut": [] }));
+    fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "run/", "slow_ms": 1600 }));
+    let answer = keyed_post("k", "b").to(fleet.entries[0].listen);
     assert_eq!(
-        (answer.status, run_of(&answer)),
+        (answer.status, run_header(&answer)),
         (503, "no"),
         "{}",
         text(&answer)
     );
-    fleet.no_faults();
+    fleet.clear_faults();
     let again = wait_for("the key can be used", || {
-        let answer = keyed("k", "b").to(fleet.entries[1].listen);
+        let answer = keyed_post("k", "b").to(fleet.entries[1].listen);
         (answer.status == 200).then_some(answer)
     });
-    assert_eq!(run_of(&again), "yes");
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    assert_eq!(run_header(&again), "yes");
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_killed_before_send() {
-    // Crash point: claimed, waiting for a slot, then the entry dies.
-    let fleet = narrow();
+    // The entry is killed after it claimed the key, while the request waits for a slot.
+    let fleet = single_slot_fleet();
     fleet.backends[0].set("none", 20_000);
-    let _blocker = in_background(&fleet, 0, post("/s/route/x", "b"));
+    let _blocker = send_in_background(&fleet, 0, post("/s/route/x", "b"));
     wait_for("the slot is taken", || {
         (fleet.backends[0].stats()["in_flight"] == 1).then_some(())
     });
-    let _waiting = in_background(&fleet, 0, keyed("k", "b"));
+    let _waiting = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for("the key is claimed", || {
         (fleet.entries[0].logged("run-claimed") == 1).then_some(())
     });
     fleet.entries[0].process.signal(Signal::SIGKILL);
-    let answer = keyed("k", "b").to(fleet.entries[1].listen);
-    assert_eq!((answer.status, run_of(&answer)), (409, "unknown"));
-    assert_eq!(fleet.runs_of("key", "k"), 0);
+    let answer = keyed_post("k", "b").to(fleet.entries[1].listen);
+    assert_eq!((answer.status, run_header(&answer)), (409, "unknown"));
+    assert_eq!(fleet.count_runs("key", "k"), 0);
 }
 
 #[test]
 fn runs_killed_mid_send() {
-    // Crash point: the backend server is at work, the entry dies.
-    let fleet = narrow();
+    // The entry is killed while the backend server works on the request.
+    let fleet = single_slot_fleet();
     fleet.backends[0].set("none", 1_000);
-    let _running = in_background(&fleet, 0, keyed("k", "b"));
+    let _running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
     fleet.entries[0].process.signal(Signal::SIGKILL);
-    let answer = keyed("k", "b").to(fleet.entries[1].listen);
-    assert_eq!((answer.status, run_of(&answer)), (409, "unknown"));
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    let answer = keyed_post("k", "b").to(fleet.entries[1].listen);
+    assert_eq!((answer.status, run_header(&answer)), (409, "unknown"));
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_killed_before_record() {
-    // Crash point: run, not recorded, the entry dies.
-    let fleet = narrow();
+    // The entry is killed after the run and before its outcome is recorded.
+    let fleet = single_slot_fleet();
     fleet.backends[0].set("none", 700);
-    let running = in_background(&fleet, 0, keyed("k", "b"));
+    let running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
-    fleet.faults(json!({ "cut": ["e1"] }));
+    fleet.set_faults(json!({ "cut": ["e1"] }));
     let answer = running.join().expect("no panic").expect("an answer");
     assert_eq!(
-        (answer.status, run_of(&answer)),
+        (answer.status, run_header(&answer)),
         (200, "yes"),
-        "the caller has it all the same"
+        "the caller still receives the answer"
     );
     fleet.entries[0].process.signal(Signal::SIGKILL);
-    let again = keyed("k", "b").to(fleet.entries[1].listen);
-    assert_eq!((again.status, run_of(&again)), (409, "unknown"));
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    let again = keyed_post("k", "b").to(fleet.entries[1].listen);
+    assert_eq!((again.status, run_header(&again)), (409, "unknown"));
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_recorded_late() {
-    // As before, but the entry lives: it records when the table is back.
-    let fleet = narrow();
+    // The table is unreachable when the run ends; the entry records the outcome when the table is back.
+    let fleet = single_slot_fleet();
     fleet.backends[0].set("none", 700);
-    let running = in_background(&fleet, 0, keyed("k", "b"));
+    let running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
-    fleet.faults(json!({ "cut": ["e1"] }));
+    fleet.set_faults(json!({ "cut": ["e1"] }));
     let answer = running.join().expect("no panic").expect("an answer");
-    fleet.no_faults();
-    let again = wait_for("the record is there", || {
-        let again = keyed("k", "b").to(fleet.entries[1].listen);
+    fleet.clear_faults();
+    let again = wait_for("the outcome is recorded", || {
+        let again = keyed_post("k", "b").to(fleet.entries[1].listen);
         (again.status == 200).then_some(again)
     });
     assert_eq!(text(&again), text(&answer));
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_record_answer_lost() {
-    // Crash point: the record takes effect, its answer is lost.
-    let fleet = narrow();
+    // Failure at the record: it takes effect and its answer is lost.
+    let fleet = single_slot_fleet();
     fleet.backends[0].set("none", 500);
-    let running = in_background(&fleet, 0, keyed("k", "b"));
+    let running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
-    fleet.faults(json!({ "lose_commits": 1, "lose_prefix": "run/" }));
+    fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "run/" }));
     let answer = running.join().expect("no panic").expect("an answer");
     assert_eq!(answer.status, 200);
-    let again = keyed("k", "b").to(fleet.entries[1].listen);
+    let again = keyed_post("k", "b").to(fleet.entries[1].listen);
     assert_eq!((again.status, text(&again)), (200, text(&answer)));
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_frozen() {
-    // The entry is frozen mid-run and wakes after everybody has given it up.
-    let fleet = narrow();
+    // The entry is suspended during the run and resumes after its peers consider it lost.
+    let fleet = single_slot_fleet();
     fleet.backends[0].set("none", 500);
-    let running = in_background(&fleet, 0, keyed("k", "b"));
+    let running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
     fleet.entries[0].process.signal(Signal::SIGSTOP);
     std::thread::sleep(std::time::Duration::from_secs(6));
-    let meanwhile = keyed("k", "b").to(fleet.entries[1].listen);
-    assert_eq!((meanwhile.status, run_of(&meanwhile)), (409, "unknown"));
+    let meanwhile = keyed_post("k", "b").to(fleet.entries[1].listen);
+    assert_eq!((meanwhile.status, run_header(&meanwhile)), (409, "unknown"));
     fleet.entries[0].process.signal(Signal::SIGCONT);
     let answer = running.join().expect("no panic").expect("an answer");
     assert_eq!(answer.status, 200);
-    let again = wait_for("the record is there", || {
-        let again = keyed("k", "b").to(fleet.entries[1].listen);
+    let again = wait_for("the outcome is recorded", || {
+        let again = keyed_post("k", "b").to(fleet.entries[1].listen);
         (again.status == 200).then_some(again)
     });
     assert_eq!(text(&again), text(&answer));
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
@@ -235,40 +239,43 @@
             .map(|n| {
                 let addr = fleet.entries[n % 2].listen;
                 let key = key.clone();
-                std::thread::spawn(move || keyed(&key, "b").to(addr))
+                std::thread::spawn(move || keyed_post(&key, "b").to(addr))
             })
             .collect();
         for t in threads {
             let answer = t.join().expect("no panic");
-            let told = (answer.status, run_of(&answer).to_string());
-            let fits = matches!((told.0, told.1.as_str()), (200, "yes") | (409, "unknown"));
-            assert!(fits, "{told:?}: {}", text(&answer));
+            let outcome = (answer.status, run_header(&answer).to_string());
+            let is_expected = matches!(
+                (outcome.0, outcome.1.as_str()),
+                (200, "yes") | (409, "unknown")
+            );
+            assert!(is_expected, "{outcome:?}: {}", text(&answer));
         }
-        assert_eq!(fleet.runs_of("key", &key), 1);
+        assert_eq!(fleet.count_runs("key", &key), 1);
     }
 }
 
 #[test]
 fn runs_refused_then_again() {
-    let fleet = narrow();
+    let fleet = single_slot_fleet();
     fleet.backends[0].set("refuse", 0);
-    let refused = keyed("k", "b").to(fleet.entries[0].listen);
-    assert_eq!((refused.status, run_of(&refused)), (503, "no"));
-    assert_eq!(fleet.runs_of("key", "k"), 0);
+    let refused = keyed_post("k", "b").to(fleet.entries[0].listen);
+    assert_eq!((refused.status, run_header(&refused)), (503, "no"));
+    assert_eq!(fleet.count_runs("key", "k"), 0);
     fleet.backends[0].set("none", 0);
-    let again = keyed("k", "b").to(fleet.entries[1].listen);
+    let again = keyed_post("k", "b").to(fleet.entries[1].listen);
     assert_eq!(
-        (again.status, run_of(&again)),
+        (again.status, run_header(&again)),
         (200, "yes"),
         "{}",
         text(&again)
     );
-    assert_eq!(fleet.runs_of("key", "k"), 1);
+    assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
 #[test]
 fn runs_broken_not_repeated() {
-    // Without a key as well: what may have run is not sent a second time.
+    // A request that may have run is not sent a second time, even without a key.
     let fleet = Plan::new(3, 1).without_config().start();
     for fault in ["short", "close", "garbage"] {
         let call = post("/s/route/x", "b")
@@ -276,22 +283,25 @@
             .with("x-mark", fault);
         let answer = call.to(fleet.entries[0].listen);
         assert_eq!(
-            (answer.status, run_of(&answer)),
+            (answer.status, run_header(&answer)),
             (502, "unknown"),
             "{fault}"
         );
-        assert_eq!(fleet.runs_of("mark", fault), 1, "{fault}");
+        assert_eq!(fleet.count_runs("mark", fault), 1, "{fault}");
         let call = get("/s/route/x")
             .with("x-fault", fault)
             .with("x-mark", "safe");
         assert_eq!(call.to(fleet.entries[0].listen).status, 502);
     }
-    assert!(fleet.runs_of("mark", "safe") > 3, "a GET may be sent again");
+    assert!(
+        fleet.count_runs("mark", "safe") > 3,
+        "a GET may be sent again"
+    );
 }
 
 #[test]
 fn runs_not_run_is_true() {
-    // Whatever was told "no" has no run at any backend server; whatever was told "yes" has one.
+    // A request answered with "no" has no run at any backend server; one answered with "yes" has exactly one.
     let fleet = Plan::new(2, 2)
         .without_config()
         .with_backend_args(&["--slots", "2", "--work-ms", "10"])
@@ -305,20 +315,20 @@
         .map(|t| {
             let client = Arc::clone(&clients[t % 2]);
             std::thread::spawn(move || {
-                let mut told = Vec::new();
+                let mut reported = Vec::new();
                 for n in 0..30 {
                     let mark = format!("t{t}-{n}");
                     let call = post("/s/route/x", "b")
                         .with("x-mark", &mark)
                         .with("rockwick-deadline-ms", 5 + (t * n) % 90);
                     let answer = smol::block_on(call.send(&client)).expect("an answer");
-                    told.push((mark, run_of(&answer).to_string()));
+                    reported.push((mark, run_header(&answer).to_string()));
                 }
-                told
+                reported
             })
         })
         .collect();
-    let told: Vec<_> = threads
+    let reported: Vec<_> = threads
         .into_iter()
         .flat_map(|t| t.join().expect("no panic"))
         .collect();
@@ -327,17 +337,17 @@
         let mark = run["mark"].as_str().unwrap_or_default().to_string();
         *runs.entry(mark).or_insert(0) += 1;
     }
-    let counts = |what: &str| told.iter().filter(|(_, run)| run == what).count();
+    let counts = |what: &str| reported.iter().filter(|(_, run)| run == what).count();
     assert!(
         counts("no") > 0 && counts("yes") > 0,
         "{} {}",
         counts("no"),
         counts("yes")
     );
-    for (mark, run) in told {
+    for (mark, run) in reported {
         let n = runs.get(&mark).copied().unwrap_or(0);
         match run.as_str() {
-            "no" => assert_eq!(n, 0, "{mark} was told not run"),
+            "no" => assert_eq!(n, 0, "{mark} was reported as not run"),
             "yes" => assert_eq!(n, 1, "{mark}"),
             _ => assert!(n <= 1, "{mark}"),
         }
@@ -348,8 +358,8 @@
 fn runs_accounts_apart() {
     let fleet = Plan::new(4, 1).start();
     let entry = fleet.entries[0].listen;
-    let mine = keyed("k", "b").with("x-mark", "mine").to(entry);
-    let theirs = keyed("k", "b")
+    let mine = keyed_post("k", "b").with("x-mark", "mine").to(entry);
+    let theirs = keyed_post("k", "b")
         .with("authorization", "Bearer other")
         .with("x-mark", "theirs")
         .to(entry);
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -1,4 +1,4 @@
-//! `rockwick serve` as processes, against the stand-in of the platform of workers.
+//! Runs `rockwick serve` as processes against the stand-in of the workers' platform.
 
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Command, Stdio};
@@ -16,6 +16,7 @@
 
 const POOL: &str = "pool";
 
+/// A running `rockwick serve` process and its addresses.
 pub(crate) struct Entry {
     pub(crate) process: Process,
     pub(crate) callers: SocketAddr,
@@ -23,7 +24,7 @@
     pub(crate) metrics: SocketAddr,
 }
 
-/// A port that the system just gave out; bound again by the process a moment later.
+/// Returns a free port, which the process binds a moment later.
 fn port() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("bound")
@@ -33,7 +34,7 @@
     entry_with(fleet, name, &[])
 }
 
-/// An entry with more flags than the usual ones.
+/// Starts an entry with flags beside the usual ones and waits until it is ready.
 pub(crate) fn entry_with(fleet: &Fleet, name: &str, more: &[&str]) -> Entry {
     let (callers, ready, metrics) = (port(), port(), port());
     let args = [
@@ -65,16 +66,17 @@
 }
 
 impl Entry {
-    /// What the process has logged so far.
+    /// Returns the lines that the process has logged so far.
     pub(crate) fn lines(&self) -> Vec<String> {
         self.process.lines()
     }
 }
 
+/// Waits until `holds` returns true; panics after [`PATIENCE`].
 pub(crate) fn until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(Instant::now() < end, "timed out waiting: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -83,7 +85,7 @@
     call_with(to, method, path, body, &[])
 }
 
-/// A call with more headers than the usual ones.
+/// Sends a request with headers beside the usual ones.
 pub(crate) fn call_with(
     to: SocketAddr,
     method: Method,
@@ -132,12 +134,12 @@
     assert_eq!(
         submit(two.callers, A, "work"),
         Some(200),
-        "the same again is the same job"
+        "a repeated submission is the same job"
     );
     assert_eq!(
         submit(two.callers, A, "other"),
         Some(409),
-        "another under its id is not"
+        "another job under the same id is refused"
     );
     until("completed", || state(two.callers, A) == "completed");
     assert_eq!(fleet.starts(), 3);
@@ -189,13 +191,14 @@
     drop(one);
     assert_eq!(submit(two.callers, B, "work"), Some(200));
     until("completed", || state(two.callers, B) == "completed");
-    assert_eq!(fleet.running(), 3, "what ran went on");
-    assert_eq!(fleet.starts(), 6, "and was not started again");
+    assert_eq!(fleet.running(), 3, "the running tasks continue");
+    assert_eq!(fleet.starts(), 6, "the running tasks are not started again");
     let lines = two.process.lines();
     assert!(lines.iter().any(|l| l.contains("\"pool-owned\"")));
 }
 
-/// The store takes a part's writes in turn: jobs that come together must not wait for each other.
+/// The store executes the writes of a part one after the other: jobs that arrive together must share a write and not
+/// wait for each other.
 #[test]
 fn serve_slow_writes() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
@@ -213,8 +216,8 @@
     }
 }
 
-/// Writes of a part take longer in turn than one of them may by a fast store: what was given up and sent again
-/// would wait behind itself for ever.
+/// The store executes the writes of a part one after the other, each slower than the timeout for a fast store. A write
+/// that timed out and was sent again would wait behind its first attempt for ever.
 #[test]
 fn serve_slow_turns() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
@@ -224,7 +227,7 @@
     until("completed", || state(one.callers, A) == "completed");
     fleet.set_fault(StoreFault::Turns(900));
     let slow = format!("{:016x}", 7);
-    // Its own write may outlast the caller's patience; it takes effect all the same.
+    // The write may take longer than the caller waits; it still takes effect.
     assert!(matches!(
         submit(one.callers, &slow, "work"),
         Some(200 | 504)
@@ -232,7 +235,8 @@
     until("completed", || state(one.callers, &slow) == "completed");
 }
 
-/// The last line of a process tells that it stopped, and why.
+/// The last log line of a process must say that it stopped. The line is lost if the process ends before its log is
+/// written.
 #[test]
 fn serve_last_line() {
     let fleet = Fleet::start(POOL, 1, 50).expect("it starts");
@@ -276,14 +280,14 @@
     assert_eq!(
         status(one.callers, &format!("/q/{A}")),
         Some(410),
-        "it was not taken"
+        "the refused job was not accepted"
     );
     assert_eq!(submit(one.callers, A, "work"), Some(200));
     until("completed", || state(one.callers, A) == "completed");
 }
 
-/// A job that comes while the store is silent is refused at once, as not run, and truly is not: what is sent into
-/// an outage has no known fate.
+/// A job that arrives while the store does not answer must be refused at once and not written: a write that is sent
+/// during an outage has an unknown outcome.
 #[test]
 fn serve_store_silent() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
@@ -300,6 +304,6 @@
     assert_eq!(
         status(one.callers, &format!("/q/{A}")),
         Some(410),
-        "nobody knows of it"
+        "the refused job does not exist"
     );
 }
--- a/tests/test_soak.rs
+++ b/tests/test_soak.rs
@@ -1,12 +1,12 @@
-//! The fault soak, short: entries as processes under faults from outside.
+//! Short runs of the soak test: entries as processes under faults injected from outside.
 
 use std::process::Command;
 
 use crate::fleet::binary;
 
-/// Plays a seed; the soak's waits are bounded, and it says by its exit code whether all promises held.
-fn play(options: &[String]) {
-    // Folders of its own: two suites at a time on one machine removed each other's logs.
+/// Runs the soak with `options`. Its waits are bounded, and its exit code says whether all guarantees held.
+fn run_soak(options: &[String]) {
+    // Each process has its own folder: two suites on one machine would remove each other's logs.
     let logs = std::env::temp_dir().join(format!("rockwick-soak-{}", std::process::id()));
     let output = Command::new(binary("standin"))
         .arg("soak")
@@ -25,10 +25,10 @@
 
 #[test]
 fn soak_short() {
-    play(&options("--seed 1 --seconds 8"));
+    run_soak(&options("--seed 1 --seconds 8"));
 }
 
-/// Seeds that failed once: `tests/seeds` holds their options on the first line of a file each.
+/// Replays seeds that failed once; the first line of each file in `tests/seeds` holds the options.
 #[test]
 fn soak_saved() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/seeds");
@@ -37,7 +37,7 @@
         let path = file.expect("it can be read").path();
         if path.extension().is_some_and(|e| e == "seed") {
             let text = std::fs::read_to_string(&path).expect("it can be read");
-            play(&options(text.lines().next().unwrap_or_default()));
+            run_soak(&options(text.lines().next().unwrap_or_default()));
         }
     }
 }
--- a/tests/test_stop.rs
+++ b/tests/test_stop.rs
@@ -1,30 +1,30 @@
-//! A planned stop of an entry cuts nothing.
+//! A planned stop of an entry cuts no request.
 
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
 use standin::fleet::{Fleet, StoreFault};
 
-use crate::fleet::{failures, get, post, wait_for, Load, Plan};
+use crate::fleet::{failures, get, post, wait_for, LoadCallers, Plan};
 use crate::test_serve::{self, submit};
 
-/// What the store takes for a write.
+/// The time that the store takes for a write.
 const TURN_MS: u64 = 300;
 
-/// Calls that come while the entry stands still.
+/// The number of calls that arrive while the entry is suspended.
 const FRESH: u64 = 64;
 
-/// Long enough for a call to be begun, and shorter than it is waited for.
+/// Long enough for the first call to begin, and shorter than [`TURN_MS`], so that its write is still open.
 const BEGUN: Duration = Duration::from_millis(150);
 
-/// Longer than a stop may take.
+/// The time for which the entry is suspended; longer than a stop may take.
 const STANDSTILL: Duration = Duration::from_secs(6);
 
 #[test]
 fn stop_under_load() {
     let mut fleet = Plan::new(4, 2).start();
     let addr = fleet.entries[0].listen;
-    let load = Load::start(&[addr, fleet.entries[1].listen], 4, 20);
+    let load = LoadCallers::start(&[addr, fleet.entries[1].listen], 4, 20);
     let long = std::thread::spawn(move || {
         post("/s/route/x", "long")
             .with("x-work-ms", 3_000)
@@ -36,14 +36,14 @@
         fleet.backends.iter().all(busy).then_some(())
     });
     fleet.entries[0].process.signal(Signal::SIGTERM);
-    wait_for("it is not ready at once", || {
+    wait_for("the entry is not ready", || {
         (!fleet.entries[0].is_ready()).then_some(())
     });
     assert_eq!(long.join().expect("no panic"), 200);
     assert_eq!(fleet.entries[0].process.wait(), Some(0));
-    let told = load.stop();
-    assert!(failures(&told).is_empty(), "{:?}", failures(&told));
-    wait_for("it is no longer waited for", || {
+    let outcomes = load.stop();
+    assert!(failures(&outcomes).is_empty(), "{:?}", failures(&outcomes));
+    wait_for("e1 has left", || {
         let status = fleet.entries[1].admin("/v1/status");
         let mut entries = status["entries"].as_array()?.iter();
         entries
@@ -65,7 +65,7 @@
             .try_to(addr)
             .is_ok()
     });
-    wait_for("it hangs", || {
+    wait_for("the request hangs", || {
         (fleet.backends[0].stats()["in_flight"] == 1).then_some(())
     });
     fleet.entries[0].process.signal(Signal::SIGTERM);
@@ -75,7 +75,7 @@
 
 #[test]
 fn stop_idle_connection() {
-    // An idle caller's connection is closed in order, and does not keep the entry alive.
+    // The connection of an idle caller is closed and does not keep the entry running.
     let mut fleet = Plan::new(1, 1).without_config().start();
     let client = rockwick::http::Client::new(fleet.entries[0].listen);
     let answer = smol::block_on(get("/s/route/x").send(&client)).expect("an answer");
@@ -84,8 +84,8 @@
     assert_eq!(fleet.entries[0].process.wait(), Some(0));
 }
 
-/// An entry of `serve` stands still while it stops, and wakes with its time over. What it had begun is answered, what came
-/// meanwhile is refused as not taken; neither is cut.
+/// An entry of `serve` is suspended while it stops and resumes after its time to stop has passed. The call that it had
+/// begun must be answered, and calls that arrived meanwhile must be refused; none may be cut.
 #[test]
 fn stop_woken_late() {
     let fleet = Fleet::start("pool", 1, 50).expect("it starts");
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,4 +1,4 @@
-//! All tests, one module a feature; those that need processes run the real binaries.
+//! All integration tests, one module for each feature. Tests that need processes run the real binaries.
 
 mod decide;
 mod fleet;
