--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -74,7 +74,7 @@
         let stdout = child.stdout.take().expect("stdout is piped");
         std::thread::spawn(move || {
             for line in BufReader::new(stdout).lines().map_while(Result::ok) {
-                seen.lock().expect("no panic holds it").push(line);
+                seen.lock().expect("the lock is not poisoned").push(line);
             }
         });
         Self { child, lines }
@@ -82,7 +82,7 @@
 
     /// Returns the lines that the process has printed so far.
     pub(crate) fn lines(&self) -> Vec<String> {
-        self.lines.lock().expect("no panic holds it").clone()
+        self.lines.lock().expect("the lock is not poisoned").clone()
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -37,7 +37,12 @@
     /// Closes all open connections, and every new one as soon as it is accepted.
     pub(crate) fn cut(&self) {
         self.cut.store(true, Ordering::SeqCst);
-        for stream in self.open.lock().expect("no panic holds it").drain(..) {
+        for stream in self
+            .open
+            .lock()
+            .expect("the lock is not poisoned")
+            .drain(..)
+        {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -50,7 +55,7 @@
 /// Forwards bytes in both directions between two connections until one of them ends.
 fn forward(a: TcpStream, b: TcpStream, open: &Mutex<Vec<TcpStream>>) {
     let clone = |s: &TcpStream| s.try_clone().expect("a descriptor");
-    let mut streams = open.lock().expect("no panic holds it");
+    let mut streams = open.lock().expect("the lock is not poisoned");
     streams.push(clone(&a));
     streams.push(clone(&b));
     for (mut from, mut to) in [(clone(&a), clone(&b)), (b, a)] {
--- a/tests/test_answers.rs
+++ b/tests/test_answers.rs
@@ -53,6 +53,7 @@
     }
 }
 
+/// An answer that arrives after its request timed out must not be given to the next request.
 #[test]
 fn answers_late() {
     let fleet = Plan::new(1, 1).without_config().start();
@@ -119,6 +120,7 @@
     whole
 }
 
+/// The caller must receive the backend server's headers, and the request id that the backend server received.
 #[test]
 fn answers_headers() {
     let fleet = Plan::new(1, 1).without_config().start();
--- a/tests/test_budget.rs
+++ b/tests/test_budget.rs
@@ -58,10 +58,11 @@
     assert!(!budget.may_leave(&members, 1).allowed);
 }
 
+/// Cases: hosts that may be unavailable, pace in percent, and hosts that a wave may take at once.
 #[test]
 fn budget_pace() {
-    for (slack, percent, expected) in [(0, 100, 1), (4, 100, 4), (4, 50, 2), (4, 10, 1)] {
-        assert_eq!(pace_limit(slack, percent), expected);
+    for (max_unavailable, percent, expected) in [(0, 100, 1), (4, 100, 4), (4, 50, 2), (4, 10, 1)] {
+        assert_eq!(pace_limit(max_unavailable, percent), expected);
     }
 }
 
@@ -132,6 +133,8 @@
     wait_done(&fleet.entries[1], &id, || {});
 }
 
+/// Two of three entries are killed during a wave: the last one must finish it within the budget, and each host is
+/// rebooted once.
 #[test]
 fn budget_wave_entry_killed() {
     let fleet = Plan::new(4, 3).start();
@@ -159,6 +162,7 @@
     }
 }
 
+/// A wave that is stopped must take no further host, and the hosts that are out must return.
 #[test]
 fn budget_wave_stopped() {
     let fleet = Plan::new(4, 2)
@@ -226,7 +230,7 @@
     assert_eq!(
         pool_of(e1),
         from,
-        "the frozen entry may still route by the old pool"
+        "the suspended entry may still route by the old pool"
     );
     fleet.entries[2].process.signal(Signal::SIGCONT);
     // If the host went to the free hosts, its old pool may have taken it again by now.
--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -93,6 +93,7 @@
     assert_eq!(outcome, Outcome::Committed(2));
 }
 
+/// The answer is lost and the rows cannot be read: the outcome must be unknown, not a failure.
 #[test]
 fn commit_unread() {
     let table = FakeTable::with_outcomes(&[SendOutcome::AnswerLost]);
--- a/tests/test_drain.rs
+++ b/tests/test_drain.rs
@@ -42,6 +42,7 @@
 /// The host that the tests drain; its backend server is the first one.
 const HOST: &str = "h1";
 
+/// A host is drained and rebooted under load: no request may fail, and the host gets no work until it serves again.
 #[test]
 fn drain_under_load() {
     let fleet = Plan::new(4, 2).start();
@@ -70,6 +71,7 @@
     assert_eq!(count_reboots(&fleet, HOST), 1);
 }
 
+/// A request that runs long at e2 must delay the reboot until it has ended, and is not cut.
 #[test]
 fn drain_long_request() {
     let fleet = Plan::new(2, 2).with_config(TWO_HOSTS).start();
@@ -116,12 +118,14 @@
 reserve = "none"
 "#;
 
+/// A suspended entry has not released the host, so the reboot must wait. When it resumes, it must not send its waiting
+/// requests to the drained host by its old view.
 #[test]
 fn drain_frozen_entry() {
     let fleet = Plan::new(4, 2).start();
-    let frozen = &fleet.entries[1];
-    assert_eq!(get("/s/route/x").to(frozen.listen).status, 200);
-    frozen.process.signal(Signal::SIGSTOP);
+    let suspended = &fleet.entries[1];
+    assert_eq!(get("/s/route/x").to(suspended.listen).status, 200);
+    suspended.process.signal(Signal::SIGSTOP);
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     std::thread::sleep(Duration::from_secs(7));
     assert_eq!(fleet.entries[0].host_state(HOST), "draining");
@@ -135,12 +139,12 @@
     // Requests that wait in the entry's sockets are the first input that it handles when it resumes.
     let waiting: Vec<_> = (0..16)
         .map(|_| {
-            let addr = frozen.listen;
+            let addr = suspended.listen;
             std::thread::spawn(move || post("/s/route/x", "b").to(addr).status)
         })
         .collect();
     std::thread::sleep(Duration::from_millis(300));
-    frozen.process.signal(Signal::SIGCONT);
+    suspended.process.signal(Signal::SIGCONT);
     for t in waiting {
         let status = t.join().expect("no panic");
         assert!(status == 200 || status == 503, "{status}");
@@ -253,6 +257,7 @@
     }
 }
 
+/// The platform's list of hosts lags by 3 s: entries must stop sending to the drained host before the list shows it.
 #[test]
 fn drain_lagging_list() {
     let fleet = Plan::new(4, 2)
@@ -278,6 +283,7 @@
     assert_eq!(count_reboots(&fleet, HOST), 1);
 }
 
+/// A drain is cancelled while a suspended entry blocks it: the host must serve again without a reboot.
 #[test]
 fn drain_taken_back() {
     let fleet = Plan::new(4, 2).start();
@@ -292,6 +298,7 @@
     assert_eq!(count_reboots(&fleet, HOST), 0);
 }
 
+/// Drains of an unknown host, beyond the budget or of a host that is out are refused, as are edits during an outage.
 #[test]
 fn drain_refusals() {
     let fleet = Plan::new(4, 1).start();
--- a/tests/test_edge.rs
+++ b/tests/test_edge.rs
@@ -166,6 +166,7 @@
     assert!(got.ends_with(" - abc"), "{got:?}");
 }
 
+/// A request head that never ends must be answered with 408 and must not keep its connection open for ever.
 #[test]
 fn edge_slow() {
     let fleet = Plan::new(1, 1).without_config().start();
--- a/tests/test_jobs.rs
+++ b/tests/test_jobs.rs
@@ -67,6 +67,7 @@
     assert_eq!(starts(&fleet, &id), 1);
 }
 
+/// The answers to the start of a task are lost: the repeated start must not run it a second time.
 #[test]
 fn jobs_start_answer_lost() {
     let fleet = Plan::new(4, 2).start();
@@ -76,6 +77,7 @@
     assert_eq!(starts(&fleet, &id), 1);
 }
 
+/// The answer to the commit of a job is lost: the job must be accepted once and run once.
 #[test]
 fn jobs_accept_answer_lost() {
     let fleet = Plan::new(4, 2).start();
@@ -196,6 +198,7 @@
     );
 }
 
+/// A repeated key must return the same job at any entry, and a key with another spec must be refused.
 #[test]
 fn jobs_same_key() {
     let fleet = Plan::new(4, 2).start();
--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -107,8 +107,8 @@
     assert!(!is_logged("shop-key"), "a key is never logged");
 }
 
-/// An entry whose configuration may be outdated must answer 503: it neither accepts a key that may be revoked nor denies
-/// a queue that may have been added.
+/// An entry whose configuration may be outdated must answer 503: it may neither accept a key that could be revoked nor
+/// deny a queue that could have been added.
 #[test]
 fn keys_unsure_entry() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
--- a/tests/test_load.rs
+++ b/tests/test_load.rs
@@ -93,6 +93,7 @@
     });
 }
 
+/// An account's quota is split over both entries: together they must not exceed it, and other accounts are unaffected.
 #[test]
 fn load_quota_split() {
     let text = crate::fleet::CONFIG.replace(
@@ -170,6 +171,7 @@
     }
 }
 
+/// One of four backend servers never answers: it must be ejected before it costs many requests their deadline.
 #[test]
 fn load_hanging_backend() {
     let fleet = Plan::new(4, 1).without_config().start();
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -66,7 +66,7 @@
     routes: Option<RouteTable>,
     published_seq: u64,
     in_flight: HashMap<String, u32>,
-    frozen: bool,
+    is_suspended: bool,
     version: u64,
     /// Holds, for each open transaction, the hosts that the entry believed live when it decided.
     live_at_decision: HashMap<TxnKey, BTreeSet<String>>,
@@ -85,7 +85,7 @@
             routes: None,
             published_seq: 0,
             in_flight: HashMap::new(),
-            frozen: false,
+            is_suspended: false,
             version: 0,
             live_at_decision: HashMap::new(),
         }
@@ -464,12 +464,12 @@
             .iter()
             .filter(|(_, t)| t.running && t.host == host);
         assert_eq!(tasks.count(), 0, "{host} is rebooted over a task");
-        let fact = self
+        let info = self
             .host_infos
             .iter_mut()
             .find(|f| f.id == host)
             .expect("a host");
-        fact.boots += 1;
+        info.boots += 1;
     }
 
     fn edit(&mut self, at: usize) {
@@ -539,7 +539,7 @@
     /// Lets the entry poll another one; one answer in ten is lost.
     fn poll(&mut self, at: usize) {
         let other = (at + 1 + self.rng.usize(..ENTRIES - 1)) % ENTRIES;
-        if self.entries[other].frozen {
+        if self.entries[other].is_suspended {
             return;
         }
         self.tickets += 1;
@@ -610,17 +610,17 @@
         match self.rng.u32(0..4) {
             0 => {
                 let n = self.rng.usize(..HOSTS);
-                let fact = &mut self.host_infos[n];
-                let gone = fact.life == HostStatus::Live;
-                fact.life = if gone {
+                let info = &mut self.host_infos[n];
+                let gone = info.life == HostStatus::Live;
+                info.life = if gone {
                     HostStatus::Gone
                 } else {
                     HostStatus::Live
                 };
-                let host = fact.id.clone();
+                let host = info.id.clone();
                 self.end_tasks(TaskState::Lost, |t| gone && t.host == host);
             }
-            1 => self.entries[at].frozen = !self.entries[at].frozen,
+            1 => self.entries[at].is_suspended = !self.entries[at].is_suspended,
             2 => {
                 // The entry loses its state and all queued events, and a new instance takes its name.
                 self.next_incarnation += 1;
@@ -681,8 +681,8 @@
     fn step(&mut self) {
         let at = self.rng.usize(..ENTRIES);
         let what = self.rng.u32(0..100);
-        if self.entries[at].frozen && what < 96 {
-            // A frozen entry does nothing, while time passes for the others.
+        if self.entries[at].is_suspended && what < 96 {
+            // A suspended entry does nothing, while time passes for the others.
             self.now.ms += 50;
             self.now.wall_ms += 50;
             return;
@@ -725,7 +725,7 @@
             f.life = HostStatus::Live;
         }
         for at in 0..ENTRIES {
-            self.entries[at].frozen = false;
+            self.entries[at].is_suspended = false;
             self.entries[at].in_flight.clear();
         }
         for _ in 0..200 {
--- a/tests/test_runs.rs
+++ b/tests/test_runs.rs
@@ -41,6 +41,7 @@
     });
 }
 
+/// A repeated key must return the recorded answer at any entry, and a key with another body must be refused.
 #[test]
 fn runs_replay() {
     let fleet = single_slot_fleet();
@@ -227,6 +228,7 @@
     assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
+/// Twelve concurrent requests with the same key at two entries must lead to one run.
 #[test]
 fn runs_same_key_race() {
     let fleet = Plan::new(2, 2).without_config().start();
@@ -255,6 +257,7 @@
     }
 }
 
+/// A request that the backend server refused did not run, so its key must be usable again.
 #[test]
 fn runs_refused_then_again() {
     let fleet = single_slot_fleet();
@@ -354,6 +357,7 @@
     }
 }
 
+/// The same key of two accounts names two requests: neither may receive the other's answer.
 #[test]
 fn runs_accounts_apart() {
     let fleet = Plan::new(4, 1).start();
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -180,6 +180,7 @@
     assert_eq!(none.map(|a| a.status), Some(410));
 }
 
+/// The owner of a pool is killed: another entry must take the pool over without starting running tasks again.
 #[test]
 fn serve_takes_over() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
--- a/tests/test_stop.rs
+++ b/tests/test_stop.rs
@@ -20,6 +20,7 @@
 /// The time for which the entry is suspended; longer than a stop may take.
 const STANDSTILL: Duration = Duration::from_secs(6);
 
+/// An entry is stopped under load: it must refuse to be ready, finish its requests and leave, and no request may fail.
 #[test]
 fn stop_under_load() {
     let mut fleet = Plan::new(4, 2).start();
@@ -52,6 +53,7 @@
     });
 }
 
+/// A request that hangs must not keep a stopping entry running beyond `--stop-ms`.
 #[test]
 fn stop_is_bounded() {
     let mut fleet = Plan::new(1, 1)
