--- a/tests/test_runs.rs
+++ b/tests/test_runs.rs
@@ -101,7 +101,8 @@
 
 #[test]
 fn runs_claim_unsettled() {
-    // Every answer to the claim is lost: the request is refused as not run, and the claim is released later.
+    // The answer to the claim is lost and the platform is too slow for the entry to learn the outcome: the request is
+    // refused as not run, and the claim is released later.
     let fleet = single_slot_fleet();
     fleet.set_faults(json!({ "lose_commits": 100, "lose_prefix": "run/", "cut": [] }));
     fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "run/", "slow_ms": 1600 }));
