--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -31,7 +31,7 @@
 }
 
 /// Adds a worker that has answered a lease renewal, so that work may be placed on it.
-pub(crate) fn answering(pool_state: &mut PoolState, info: WorkerInfo) -> WorkerKey {
+pub(crate) fn add_answering_worker(pool_state: &mut PoolState, info: WorkerInfo) -> WorkerKey {
     let key = load::add_worker(pool_state, info, 0);
     let worker = &mut pool_state.workers[key];
     worker.is_answering = true;
--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -8,7 +8,7 @@
 use rockwick::core::sched::{load, place, rows, runs};
 use rockwick::port::fleet::{EndKind, OrderReply, RunEnd, StoredRow, WorkerInfo};
 
-use crate::decide::{answering, decide};
+use crate::decide::{add_answering_worker, decide};
 use crate::world::{config, job, lasting, listed_worker, Faults, World, POOL};
 
 /// The owner's epoch.
@@ -42,7 +42,7 @@
     let mut pool_state = PoolState::default();
     let keys = facts
         .iter()
-        .map(|fact| answering(&mut pool_state, fact.clone()));
+        .map(|fact| add_answering_worker(&mut pool_state, fact.clone()));
     let keys = keys.collect();
     (pool_state, keys)
 }
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -10,7 +10,7 @@
 use rockwick::core::sched::state::Effect;
 use rockwick::port::fleet::StoredRow;
 
-use crate::decide::{answering, decide};
+use crate::decide::{add_answering_worker, decide};
 use crate::world::{config, job, listed_worker, World, POOL};
 
 /// Time within which an entry has claimed the pool.
@@ -82,7 +82,7 @@
 fn ends_outlive_offer() {
     let mut pool_state = PoolState::default();
     let hosts = (0..4).map(|n| listed_worker(&format!("life-{n}"), &format!("host-{n}")));
-    let workers: Vec<_> = hosts.map(|fact| answering(&mut pool_state, fact)).collect();
+    let workers: Vec<_> = hosts.map(|fact| add_answering_worker(&mut pool_state, fact)).collect();
     let row = StoredRow {
         part: POOL.to_string(),
         key: "job".to_string(),
--- a/tests/test_instances.rs
+++ b/tests/test_instances.rs
@@ -4,7 +4,7 @@
 use rockwick::core::sched::renewal;
 use rockwick::port::fleet::{OrderReply, RenewalReport};
 
-use crate::decide::{answering, decide};
+use crate::decide::{add_answering_worker, decide};
 use crate::world::{job, listed_worker, World};
 
 /// Epoch of the owner.
@@ -14,8 +14,8 @@
 #[test]
 fn instances_no_host() {
     let mut pool_state = PoolState::default();
-    let one = answering(&mut pool_state, listed_worker("one", ""));
-    let other = answering(&mut pool_state, listed_worker("other", ""));
+    let one = add_answering_worker(&mut pool_state, listed_worker("one", ""));
+    let other = add_answering_worker(&mut pool_state, listed_worker("other", ""));
     pool_state.workers[one].answered_ms = 1_000;
     let report = RenewalReport {
         born_wall_ms: None,
@@ -104,8 +104,8 @@
 #[test]
 fn instances_withdrawn() {
     let mut pool_state = PoolState::default();
-    let one = answering(&mut pool_state, listed_worker("one", "host"));
-    let other = answering(&mut pool_state, listed_worker("other", "host"));
+    let one = add_answering_worker(&mut pool_state, listed_worker("one", "host"));
+    let other = add_answering_worker(&mut pool_state, listed_worker("other", "host"));
     pool_state.workers[one].answered_ms = 1_000;
     pool_state.workers[one].is_withdrawn = true;
     pool_state.workers[one].lease_end_ms = 9_000;
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -19,7 +19,7 @@
     Capacity, FleetConfig, HostRecord, HostReply, HostState, RowTx, StoredRow, TxOutcome,
 };
 
-use crate::decide::{answering, decide, need, pools};
+use crate::decide::{add_answering_worker, decide, need, pools};
 use crate::world::{config, job, listed_worker, POOL};
 
 /// Number of seeds in CI.
@@ -73,7 +73,7 @@
         for n in 0..HOSTS {
             let host = format!("host-{n}");
             let fact = listed_worker(&format!("life-{n}"), &host);
-            answering(&mut pool_state, fact);
+            add_answering_worker(&mut pool_state, fact);
         }
         let mut controller = HostController::default();
         decide(0, |ctx| {
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -9,7 +9,7 @@
 use rockwick::core::sched::tasks::Phase;
 use rockwick::port::fleet::{Capacity, StoredRow};
 
-use crate::decide::{answering, decide};
+use crate::decide::{add_answering_worker, decide};
 use crate::world::{config, job, listed_worker, POOL};
 
 /// Adds a worker of random size on one of three racks, with some capacity in use.
@@ -17,7 +17,7 @@
     let mut fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
     fact.labels = vec!["kind".to_string(), format!("r{}", rng.u32(0..3))];
     fact.capacity.cpu_milli = rng.u64(1..5) * 4_000;
-    let key = answering(pool_state, fact);
+    let key = add_answering_worker(pool_state, fact);
     let worker = &mut pool_state.workers[key];
     worker.is_answering = rng.u32(0..5) > 0;
     worker.fails_in_row = rng.u32(0..3);
--- a/tests/test_run_log.rs
+++ b/tests/test_run_log.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 use standin::fleet::Fleet;
 
-use crate::decide::{answering, decide};
+use crate::decide::{add_answering_worker, decide};
 use crate::test_serve::{call, entry, until};
 use crate::world::{config, job, listed_worker, Faults, World, POOL};
 
@@ -34,7 +34,7 @@
 /// Returns a pool with one worker, and `tasks` tasks of job `a` whose starts were sent.
 fn pool_with_sent_starts(tasks: u16) -> (PoolState, WorkerKey) {
     let mut pool_state = PoolState::default();
-    let worker = answering(&mut pool_state, listed_worker("life-1", "host"));
+    let worker = add_answering_worker(&mut pool_state, listed_worker("life-1", "host"));
     let row = StoredRow {
         part: POOL.to_string(),
         key: "a".to_string(),
@@ -221,7 +221,7 @@
 fn run_log_earlier_run() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
     settle_first_start(&mut pool_state, 1_030, OrderReply::Accepted);
-    let other = answering(&mut pool_state, listed_worker("life-2", "host-2"));
+    let other = add_answering_worker(&mut pool_state, listed_worker("life-2", "host-2"));
     pool_state.workers[worker].suspended_until_ms = u64::MAX;
     let effects = apply_report(&mut pool_state, worker, 1_100, Vec::new(), &[]);
     let log_line = only_line(&effects, Code::TaskRequeued);
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -10,7 +10,7 @@
 use rockwick::core::sched::{load, place, rows};
 use rockwick::port::fleet::{Capacity, StoredRow};
 
-use crate::decide::{answering, decide};
+use crate::decide::{add_answering_worker, decide};
 use crate::world::{config, job, lasting, listed_worker, POOL};
 
 /// A pool of hosts with 16 cores each that has no work yet.
@@ -161,7 +161,7 @@
     let mut offers = Offers::default();
     for n in 0..12 {
         let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
-        answering(&mut pool_state, fact);
+        add_answering_worker(&mut pool_state, fact);
     }
     let row = StoredRow {
         part: POOL.to_string(),
--- a/tests/test_starts.rs
+++ b/tests/test_starts.rs
@@ -10,7 +10,7 @@
 use rockwick::core::sched::tasks::Phase;
 use rockwick::port::fleet::{OrderReply, StoredRow};
 
-use crate::decide::{answering, decide};
+use crate::decide::{add_answering_worker, decide};
 use crate::world::{config, job, listed_worker, Faults, World, POOL};
 
 /// The owner's epoch.
@@ -22,7 +22,7 @@
 /// Returns a pool with one worker, and one task whose start was sent.
 fn pool_with_sent_start() -> (PoolState, TaskKey, WorkerKey) {
     let mut pool_state = PoolState::default();
-    let worker = answering(&mut pool_state, listed_worker("life", "host"));
+    let worker = add_answering_worker(&mut pool_state, listed_worker("life", "host"));
     let row = StoredRow {
         part: POOL.to_string(),
         key: "a".to_string(),
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -10,7 +10,7 @@
 use rockwick::event::{Code, Decision};
 use rockwick::port::fleet::StoredRow;
 
-use crate::decide::{answering, decide};
+use crate::decide::{add_answering_worker, decide};
 use crate::world::{config, job, lasting, listed_worker, World, POOL};
 
 /// Time within which an entry has claimed the pool.
@@ -224,7 +224,7 @@
     let mut pool_state = PoolState::default();
     for n in 0..hosts {
         let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
-        answering(&mut pool_state, fact);
+        add_answering_worker(&mut pool_state, fact);
     }
     let mut apart = job(hosts, cpu_milli, 2_000);
     apart.steps[0].per_worker_max = 1;
@@ -327,7 +327,7 @@
     let mut pool_state = PoolState::default();
     for n in 0..6 {
         let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
-        answering(&mut pool_state, fact);
+        add_answering_worker(&mut pool_state, fact);
     }
     let mut lasts = lasting(3, 1);
     lasts.steps[0].cpu_milli = 8_100;
