--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -60,7 +60,7 @@
 }
 
 /// Returns the need of a pool whose heartbeat was seen at `now_ms`.
-pub(crate) fn need<'a>(
+pub(crate) fn pool_need<'a>(
     pool: &'a str,
     needed: u64,
     offers: &'a Offers,
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -10,7 +10,7 @@
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::port::fleet::{FleetConfig, HostRecord, HostReply, HostState, StoredRow, TxOutcome};
 
-use crate::decide::{decide, need, pools};
+use crate::decide::{decide, pool_need, pools};
 
 /// Epoch of the entry that orders hosts.
 const EPOCH: u64 = 7;
@@ -72,8 +72,8 @@
     ) -> Vec<Effect> {
         let none = Offers::default();
         let needs = [
-            need("busy", 1, &none, self.now_ms),
-            need("idle", 1, &self.offers, self.now_ms),
+            pool_need("busy", 1, &none, self.now_ms),
+            pool_need("idle", 1, &self.offers, self.now_ms),
         ];
         let inputs = Inputs {
             config: &self.config,
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -19,7 +19,7 @@
     Capacity, FleetConfig, HostRecord, HostReply, HostState, RowTx, StoredRow, TxOutcome,
 };
 
-use crate::decide::{add_answering_worker, decide, need, pools};
+use crate::decide::{add_answering_worker, decide, pool_need, pools};
 use crate::world::{config, job, listed_worker, POOL};
 
 /// Number of seeds in CI.
@@ -269,8 +269,8 @@
     fn with_holder(&mut self, work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>)) {
         let none = Offers::default();
         let needs = [
-            need("busy", self.hosts_lacked, &none, self.now_ms),
-            need(POOL, 0, &self.holder_offers, self.now_ms),
+            pool_need("busy", self.hosts_lacked, &none, self.now_ms),
+            pool_need(POOL, 0, &self.holder_offers, self.now_ms),
         ];
         let inputs = Inputs {
             config: &self.config,
@@ -413,8 +413,8 @@
     let config = pools(POOL);
     let none = Offers::default();
     let needs = [
-        need("busy", 1, &none, 100_000),
-        need(POOL, 0, &offered, 100_000),
+        pool_need("busy", 1, &none, 100_000),
+        pool_need(POOL, 0, &offered, 100_000),
     ];
     let inputs = Inputs {
         config: &config,
@@ -518,7 +518,7 @@
     work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>),
     controller: &mut HostController,
 ) -> Vec<Effect> {
-    let needs = [need("busy", 6, none, now_ms), need(POOL, 0, offers, now_ms)];
+    let needs = [pool_need("busy", 6, none, now_ms), pool_need(POOL, 0, offers, now_ms)];
     let inputs = Inputs {
         config,
         needs: &needs,
