--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -44,7 +44,7 @@
 
 /// Returns a configuration with the pool `donor`, which gives hosts away, the pool `busy`, and `off`, whose hosts are
 /// switched off.
-pub(crate) fn pools(donor: &str) -> FleetConfig {
+pub(crate) fn donor_config(donor: &str) -> FleetConfig {
     let pool = |name: &str, is_parked| {
         let config = PoolConfig {
             name: name.to_string(),
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -10,7 +10,7 @@
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::port::fleet::{FleetConfig, HostRecord, HostReply, HostState, StoredRow, TxOutcome};
 
-use crate::decide::{decide, pool_need, pools};
+use crate::decide::{decide, pool_need, donor_config};
 
 /// Epoch of the entry that orders hosts.
 const EPOCH: u64 = 7;
@@ -47,7 +47,7 @@
         offers.revision = 3;
         let mut holder = Self {
             controller: HostController::default(),
-            config: pools("idle"),
+            config: donor_config("idle"),
             now_ms: 50_000,
             offers,
         };
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -19,7 +19,7 @@
     Capacity, FleetConfig, HostRecord, HostReply, HostState, RowTx, StoredRow, TxOutcome,
 };
 
-use crate::decide::{add_answering_worker, decide, pool_need, pools};
+use crate::decide::{add_answering_worker, decide, pool_need, donor_config};
 use crate::world::{config, job, listed_worker, POOL};
 
 /// Number of seeds in CI.
@@ -88,7 +88,7 @@
             offers: Offers::default(),
             controller,
             holder_offers: Offers::default(),
-            config: pools(POOL),
+            config: donor_config(POOL),
             row: None,
             arrivals: Vec::new(),
             leaving: BTreeMap::new(),
@@ -410,7 +410,7 @@
         revision: 1,
         ..Offers::default()
     };
-    let config = pools(POOL);
+    let config = donor_config(POOL);
     let none = Offers::default();
     let needs = [
         pool_need("busy", 1, &none, 100_000),
@@ -448,7 +448,7 @@
 /// The owner changes its offers just before each take arrives. The takes must still succeed often enough.
 #[test]
 fn offers_in_step() {
-    let config = pools(POOL);
+    let config = donor_config(POOL);
     let none = Offers::default();
     let mut controller = HostController::default();
     let mut offers = Offers::default();
