--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::rows::{intake_parts, intake_parts_of, pool_of_part, SHARDS};
 use standin::fleet::Fleet;
 
-use crate::test_serve::{entry, state, status, submit, until};
+use crate::test_serve::{entry, state, status, submit, wait_until};
 use crate::world::{job, World};
 
 #[test]
@@ -43,14 +43,14 @@
     let (id, other) = ("00000000000000aa", "00000000000000bb");
     let before = "00000000000000cc";
     assert_eq!(submit(one.callers, before, "work"), Some(200));
-    until("owned", || state(one.callers, before) == "completed");
+    wait_until("owned", || state(one.callers, before) == "completed");
     let [first, second] = intake_parts_of("pool", id);
     let [other_first, _] = intake_parts_of("pool", other);
     fleet.set_unavailable_parts(&[first.clone(), other_first]);
     assert_eq!(submit(one.callers, id, "work"), Some(200));
-    until("completed", || state(one.callers, id) == "completed");
+    wait_until("completed", || state(one.callers, id) == "completed");
     assert_eq!(submit(one.callers, other, "lasts"), Some(200));
-    until("running", || fleet.running() == 3);
+    wait_until("running", || fleet.running() == 3);
     let path = format!("/q/{other}");
     let gone = crate::test_serve::call(
         one.callers,
@@ -59,7 +59,7 @@
         &serde_json::Value::Null,
     );
     assert_eq!(gone.map(|answer| answer.status), Some(200));
-    until("stopped", || fleet.running() == 0);
+    wait_until("stopped", || fleet.running() == 0);
     fleet.set_unavailable_parts(&[]);
     assert_eq!(
         submit(one.callers, id, "work"),
@@ -102,11 +102,11 @@
     let one = entry(&fleet, "e1");
     let (before, id) = ("00000000000000cc", "00000000000000aa");
     assert_eq!(submit(one.callers, before, "work"), Some(200));
-    until("owned", || state(one.callers, before) == "completed");
+    wait_until("owned", || state(one.callers, before) == "completed");
     fleet.set_operator_unavailable(true);
-    until("noticed", || fleet.operator_calls_refused() > 3);
+    wait_until("noticed", || fleet.operator_calls_refused() > 3);
     assert_eq!(status(one.ready, "/readyz"), Some(200));
     assert_eq!(submit(one.callers, id, "work"), Some(200));
-    until("completed", || state(one.callers, id) == "completed");
+    wait_until("completed", || state(one.callers, id) == "completed");
     fleet.set_operator_unavailable(false);
 }
--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use standin::fleet::{Fleet, StoreFault};
 
-use crate::test_serve::{call_with, entry, entry_with, until, Entry};
+use crate::test_serve::{call_with, entry, entry_with, wait_until, Entry};
 
 const POOL: &str = "pool";
 
@@ -51,7 +51,7 @@
     );
     assert_eq!(status(to, Method::Post, &path, Some("shop-key-1")), 200);
     assert_eq!(status(to, Method::Get, "/q/", Some("dock-key")), 200);
-    until("completed", || fleet.starts() == 1);
+    wait_until("completed", || fleet.starts() == 1);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let path = format!("/open/{JOB}");
     assert_eq!(status(one.callers, Method::Post, &path, None), 200);
     assert_eq!(status(one.callers, Method::Get, &path, Some("no-key")), 200);
-    until("completed", || fleet.starts() == 1);
+    wait_until("completed", || fleet.starts() == 1);
 }
 
 #[test]
@@ -92,7 +92,7 @@
     assert_eq!(status(to, Method::Post, &path, Some("shop-key-1")), 200);
     let left: [(&str, &[&str]); 2] = [("shop", &["shop-key-2"]), ("dock", &[])];
     fleet.configure_accounts(2, POOL, &left);
-    until("revoked", || {
+    wait_until("revoked", || {
         status(to, Method::Get, &path, Some("shop-key-1")) == 401
     });
     assert_eq!(status(to, Method::Get, &path, Some("dock-key")), 401);
@@ -123,11 +123,11 @@
     assert_eq!(get("/elsewhere/", "shop-key-1"), 404);
     assert_eq!(get("/q/", "no-key"), 401);
     fleet.set_store_fault(StoreFault::Mute);
-    until("unsure", || get("/elsewhere/", "shop-key-1") == 503);
+    wait_until("unsure", || get("/elsewhere/", "shop-key-1") == 503);
     assert_eq!(get("/q/", "no-key"), 503);
     assert_eq!(get(&format!("/q/{JOB}"), "shop-key-1"), 503);
     fleet.set_store_fault(StoreFault::None);
-    until("sure", || get("/elsewhere/", "shop-key-1") == 404);
+    wait_until("sure", || get("/elsewhere/", "shop-key-1") == 404);
 }
 
 /// The feed returns one row per answer and answers slowly: an entry that has not read the newest configuration yet must
@@ -154,7 +154,7 @@
         assert!(answer == 503 || answer == 401, "{answer}");
         std::thread::sleep(std::time::Duration::from_millis(30));
     }
-    until("sure", || {
+    wait_until("sure", || {
         status(to, Method::Get, "/q/", Some("shop-key-1")) == 401
     });
 }
--- a/tests/test_run_log.rs
+++ b/tests/test_run_log.rs
@@ -19,7 +19,7 @@
 use standin::fleet::Fleet;
 
 use crate::decide::{add_answering_worker, decide};
-use crate::test_serve::{call, entry, until};
+use crate::test_serve::{call, entry, wait_until};
 use crate::world::{config, job, listed_worker, Faults, World, POOL};
 
 /// The owner's epoch.
@@ -545,7 +545,7 @@
         String::from_utf8(run.output().expect("the command runs").stdout).expect("text")
     };
     // Answers to starts are batched, so their line may come last.
-    until("its lines are there", || {
+    wait_until("its lines are there", || {
         let text = explain();
         text.matches("batch-recorded").count() == 2 && text.contains("starts-answered")
     });
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -61,7 +61,7 @@
         ready,
         metrics,
     };
-    until("ready", || status(entry.ready, "/readyz") == Some(200));
+    wait_until("ready", || status(entry.ready, "/readyz") == Some(200));
     entry
 }
 
@@ -73,7 +73,7 @@
 }
 
 /// Waits until `holds` returns true; panics after [`PATIENCE`].
-pub(crate) fn until(what: &str, holds: impl Fn() -> bool) {
+pub(crate) fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
         assert!(Instant::now() < end, "timed out waiting: {what}");
@@ -141,7 +141,7 @@
         Some(409),
         "another job under the same id is refused"
     );
-    until("completed", || state(two.callers, A) == "completed");
+    wait_until("completed", || state(two.callers, A) == "completed");
     assert_eq!(fleet.starts(), 3);
     assert_eq!(status(one.callers, "/q/"), Some(200));
     assert_eq!(status(one.callers, &format!("/q/{B}")), Some(410));
@@ -161,7 +161,7 @@
     fleet.configure(1, POOL);
     let one = entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "lasts"), Some(200));
-    until("running", || fleet.running() == 3);
+    wait_until("running", || fleet.running() == 3);
     let gone = call(
         one.callers,
         Method::Delete,
@@ -169,7 +169,7 @@
         &Value::Null,
     );
     assert_eq!(gone.map(|a| a.status), Some(200));
-    until("stopped", || fleet.running() == 0);
+    wait_until("stopped", || fleet.running() == 0);
     assert_eq!(state(one.callers, A), "cancelled");
     let none = call(
         one.callers,
@@ -187,11 +187,11 @@
     fleet.configure(1, POOL);
     let one = entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "lasts"), Some(200));
-    until("running", || fleet.running() == 3);
+    wait_until("running", || fleet.running() == 3);
     let two = entry(&fleet, "e2");
     drop(one);
     assert_eq!(submit(two.callers, B, "work"), Some(200));
-    until("completed", || state(two.callers, B) == "completed");
+    wait_until("completed", || state(two.callers, B) == "completed");
     assert_eq!(fleet.running(), 3, "the running tasks continue");
     assert_eq!(fleet.starts(), 6, "the running tasks are not started again");
     let lines = two.process.lines();
@@ -206,7 +206,7 @@
     fleet.configure(1, POOL);
     let one = entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "work"), Some(200));
-    until("completed", || state(one.callers, A) == "completed");
+    wait_until("completed", || state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(150));
     let to = one.callers;
     let sent: Vec<_> = (0..24)
@@ -225,7 +225,7 @@
     fleet.configure(1, POOL);
     let one = entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "work"), Some(200));
-    until("completed", || state(one.callers, A) == "completed");
+    wait_until("completed", || state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(900));
     let slow = format!("{:016x}", 7);
     // The write may take longer than the caller waits; it still takes effect.
@@ -233,7 +233,7 @@
         submit(one.callers, &slow, "work"),
         Some(200 | 504)
     ));
-    until("completed", || state(one.callers, &slow) == "completed");
+    wait_until("completed", || state(one.callers, &slow) == "completed");
 }
 
 /// The last log line of a process must say that it stopped. The line is lost if the process ends before its log is
@@ -251,7 +251,7 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("it starts");
-    until("ready", || status(ready, "/readyz") == Some(200));
+    wait_until("ready", || status(ready, "/readyz") == Some(200));
     kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).expect("it runs");
     let output = child.wait_with_output().expect("it ends");
     assert!(output.status.success());
@@ -275,16 +275,16 @@
     let refused = refused.expect("an answer");
     assert_eq!(refused.status, 503);
     assert_eq!(refused.header("retry-after"), Some("1"));
-    until("not ready", || status(one.ready, "/readyz") == Some(503));
+    wait_until("not ready", || status(one.ready, "/readyz") == Some(503));
     fleet.set_store_fault(StoreFault::None);
-    until("ready", || status(one.ready, "/readyz") == Some(200));
+    wait_until("ready", || status(one.ready, "/readyz") == Some(200));
     assert_eq!(
         status(one.callers, &format!("/q/{A}")),
         Some(410),
         "the refused job was not accepted"
     );
     assert_eq!(submit(one.callers, A, "work"), Some(200));
-    until("completed", || state(one.callers, A) == "completed");
+    wait_until("completed", || state(one.callers, A) == "completed");
 }
 
 /// A job that arrives while the store does not answer must be refused at once and not written: a write that is sent
@@ -295,13 +295,13 @@
     fleet.configure(1, POOL);
     let one = entry(&fleet, "e1");
     fleet.set_store_fault(StoreFault::Mute);
-    until("not ready", || status(one.ready, "/readyz") == Some(503));
+    wait_until("not ready", || status(one.ready, "/readyz") == Some(503));
     let body = json!({"spec": "work", "steps": [{"count": 1, "cpu": 500, "mem_mb": 100}]});
     let refused = call(one.callers, Method::Post, &format!("/q/{A}"), &body).expect("an answer");
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
     fleet.set_store_fault(StoreFault::None);
-    until("ready again", || status(one.ready, "/readyz") == Some(200));
+    wait_until("ready again", || status(one.ready, "/readyz") == Some(200));
     assert_eq!(
         status(one.callers, &format!("/q/{A}")),
         Some(410),
