--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::rows::{intake_parts, intake_parts_of, pool_of_part, SHARDS};
 use standin::fleet::Fleet;
 
-use crate::test_serve::{entry, state, status, submit, wait_until};
+use crate::test_serve::{start_entry, state, status, submit, wait_until};
 use crate::world::{job, World};
 
 #[test]
@@ -39,7 +39,7 @@
 fn intake_second_part() {
     let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     fleet.configure(1, "pool");
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     let (id, other) = ("00000000000000aa", "00000000000000bb");
     let before = "00000000000000cc";
     assert_eq!(submit(one.callers, before, "work"), Some(200));
@@ -99,7 +99,7 @@
 fn intake_operator_away() {
     let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     fleet.configure(1, "pool");
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     let (before, id) = ("00000000000000cc", "00000000000000aa");
     assert_eq!(submit(one.callers, before, "work"), Some(200));
     wait_until("owned", || state(one.callers, before) == "completed");
--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use standin::fleet::{Fleet, StoreFault};
 
-use crate::test_serve::{call_with, entry, entry_with, wait_until, Entry};
+use crate::test_serve::{call_with, start_entry, entry_with, wait_until, Entry};
 
 const POOL: &str = "pool";
 
@@ -21,7 +21,7 @@
 fn start() -> (Fleet, Entry) {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     (fleet, one)
 }
 
--- a/tests/test_run_log.rs
+++ b/tests/test_run_log.rs
@@ -19,7 +19,7 @@
 use standin::fleet::Fleet;
 
 use crate::decide::{add_answering_worker, decide};
-use crate::test_serve::{call, entry, wait_until};
+use crate::test_serve::{call, start_entry, wait_until};
 use crate::world::{config, job, listed_worker, Faults, World, POOL};
 
 /// The owner's epoch.
@@ -532,7 +532,7 @@
 fn run_log_explained() {
     let fleet = Fleet::start(POOL, 2, 50).expect("the fleet starts");
     fleet.configure(1, POOL);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     let id = "00000000000000aa";
     let body = json!({"spec": "work", "steps": [{"count": 1, "cpu": 500, "mem_mb": 100, "estimate_ms": 50}]});
     let path = format!("/q/{id}");
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -30,7 +30,7 @@
     listener.local_addr().expect("bound")
 }
 
-pub(crate) fn entry(fleet: &Fleet, name: &str) -> Entry {
+pub(crate) fn start_entry(fleet: &Fleet, name: &str) -> Entry {
     entry_with(fleet, name, &[])
 }
 
@@ -129,7 +129,7 @@
 fn serve_runs_jobs() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
-    let (one, two) = (entry(&fleet, "e1"), entry(&fleet, "e2"));
+    let (one, two) = (start_entry(&fleet, "e1"), start_entry(&fleet, "e2"));
     assert_eq!(submit(one.callers, A, "work"), Some(200));
     assert_eq!(
         submit(two.callers, A, "work"),
@@ -159,7 +159,7 @@
 fn serve_cancels() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
     let gone = call(
@@ -185,10 +185,10 @@
 fn serve_takes_over() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
-    let two = entry(&fleet, "e2");
+    let two = start_entry(&fleet, "e2");
     drop(one);
     assert_eq!(submit(two.callers, B, "work"), Some(200));
     wait_until("completed", || state(two.callers, B) == "completed");
@@ -204,7 +204,7 @@
 fn serve_slow_writes() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "work"), Some(200));
     wait_until("completed", || state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(150));
@@ -223,7 +223,7 @@
 fn serve_slow_turns() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "work"), Some(200));
     wait_until("completed", || state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(900));
@@ -264,7 +264,7 @@
 fn serve_store_refuses() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     fleet.set_store_fault(StoreFault::Busy);
     let refused = call(
         one.callers,
@@ -293,7 +293,7 @@
 fn serve_store_silent() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     fleet.set_store_fault(StoreFault::Mute);
     wait_until("not ready", || status(one.ready, "/readyz") == Some(503));
     let body = json!({"spec": "work", "steps": [{"count": 1, "cpu": 500, "mem_mb": 100}]});
--- a/tests/test_stop.rs
+++ b/tests/test_stop.rs
@@ -92,7 +92,7 @@
 fn stop_woken_late() {
     let fleet = Fleet::start("pool", 1, 50).expect("it starts");
     fleet.configure(1, "pool");
-    let mut one = test_serve::entry(&fleet, "e1");
+    let mut one = test_serve::start_entry(&fleet, "e1");
     let to = one.callers;
     let send = |n: u64| std::thread::spawn(move || submit(to, &format!("{n:016x}"), "work"));
     fleet.set_store_fault(StoreFault::Turns(TURN_MS));
