--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use standin::fleet::{Fleet, StoreFault};
 
-use crate::test_serve::{call_with, start_entry, entry_with, wait_until, Entry};
+use crate::test_serve::{call_with, start_entry, start_entry_with, wait_until, Entry};
 
 const POOL: &str = "pool";
 
@@ -113,7 +113,7 @@
 fn keys_unsure_entry() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
-    let one = entry_with(
+    let one = start_entry_with(
         &fleet,
         "e1",
         &["--config-within-ms", "800", "--config-outage-ms", "800"],
@@ -136,7 +136,7 @@
 fn keys_slow_feed() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
-    let one = entry_with(&fleet, "e1", &["--config-within-ms", "600"]);
+    let one = start_entry_with(&fleet, "e1", &["--config-within-ms", "600"]);
     let to = one.callers;
     fleet.set_feed_pages(1, 500);
     // Other rows of the operator come first, so that the first answers of the feed hold no configuration.
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -31,11 +31,11 @@
 }
 
 pub(crate) fn start_entry(fleet: &Fleet, name: &str) -> Entry {
-    entry_with(fleet, name, &[])
+    start_entry_with(fleet, name, &[])
 }
 
 /// Starts an entry with flags beside the usual ones and waits until it is ready.
-pub(crate) fn entry_with(fleet: &Fleet, name: &str, more: &[&str]) -> Entry {
+pub(crate) fn start_entry_with(fleet: &Fleet, name: &str, more: &[&str]) -> Entry {
     let (callers, ready, metrics) = (port(), port(), port());
     let args = [
         ("--name", name.to_string()),
