--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::rows::{intake_parts, intake_parts_of, pool_of_part, SHARDS};
 use standin::fleet::Fleet;
 
-use crate::test_serve::{start_entry, state, status, submit, wait_until};
+use crate::test_serve::{start_entry, job_state, status, submit, wait_until};
 use crate::world::{job, World};
 
 #[test]
@@ -43,12 +43,12 @@
     let (id, other) = ("00000000000000aa", "00000000000000bb");
     let before = "00000000000000cc";
     assert_eq!(submit(one.callers, before, "work"), Some(200));
-    wait_until("owned", || state(one.callers, before) == "completed");
+    wait_until("owned", || job_state(one.callers, before) == "completed");
     let [first, second] = intake_parts_of("pool", id);
     let [other_first, _] = intake_parts_of("pool", other);
     fleet.set_unavailable_parts(&[first.clone(), other_first]);
     assert_eq!(submit(one.callers, id, "work"), Some(200));
-    wait_until("completed", || state(one.callers, id) == "completed");
+    wait_until("completed", || job_state(one.callers, id) == "completed");
     assert_eq!(submit(one.callers, other, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
     let path = format!("/q/{other}");
@@ -66,7 +66,7 @@
         Some(200),
         "the same job is submitted again"
     );
-    assert_eq!(state(one.callers, id), "completed");
+    assert_eq!(job_state(one.callers, id), "completed");
     assert_eq!(fleet.starts(), 9, "no task ran twice");
     fleet.set_unavailable_parts(&[first, second]);
     assert_eq!(status(one.callers, &format!("/q/{id}")), Some(504));
@@ -102,11 +102,11 @@
     let one = start_entry(&fleet, "e1");
     let (before, id) = ("00000000000000cc", "00000000000000aa");
     assert_eq!(submit(one.callers, before, "work"), Some(200));
-    wait_until("owned", || state(one.callers, before) == "completed");
+    wait_until("owned", || job_state(one.callers, before) == "completed");
     fleet.set_operator_unavailable(true);
     wait_until("noticed", || fleet.operator_calls_refused() > 3);
     assert_eq!(status(one.ready, "/readyz"), Some(200));
     assert_eq!(submit(one.callers, id, "work"), Some(200));
-    wait_until("completed", || state(one.callers, id) == "completed");
+    wait_until("completed", || job_state(one.callers, id) == "completed");
     fleet.set_operator_unavailable(false);
 }
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -109,7 +109,7 @@
     call(to, Method::Get, path, &Value::Null).map(|a| a.status)
 }
 
-pub(crate) fn state(to: SocketAddr, id: &str) -> String {
+pub(crate) fn job_state(to: SocketAddr, id: &str) -> String {
     let answer = call(to, Method::Get, &format!("/q/{id}"), &Value::Null);
     let body: Option<Value> = answer.and_then(|a| a.json());
     body.and_then(|b| b["state"].as_str().map(str::to_string))
@@ -141,7 +141,7 @@
         Some(409),
         "another job under the same id is refused"
     );
-    wait_until("completed", || state(two.callers, A) == "completed");
+    wait_until("completed", || job_state(two.callers, A) == "completed");
     assert_eq!(fleet.starts(), 3);
     assert_eq!(status(one.callers, "/q/"), Some(200));
     assert_eq!(status(one.callers, &format!("/q/{B}")), Some(410));
@@ -170,7 +170,7 @@
     );
     assert_eq!(gone.map(|a| a.status), Some(200));
     wait_until("stopped", || fleet.running() == 0);
-    assert_eq!(state(one.callers, A), "cancelled");
+    assert_eq!(job_state(one.callers, A), "cancelled");
     let none = call(
         one.callers,
         Method::Delete,
@@ -191,7 +191,7 @@
     let two = start_entry(&fleet, "e2");
     drop(one);
     assert_eq!(submit(two.callers, B, "work"), Some(200));
-    wait_until("completed", || state(two.callers, B) == "completed");
+    wait_until("completed", || job_state(two.callers, B) == "completed");
     assert_eq!(fleet.running(), 3, "the running tasks continue");
     assert_eq!(fleet.starts(), 6, "the running tasks are not started again");
     let lines = two.process.lines();
@@ -206,7 +206,7 @@
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "work"), Some(200));
-    wait_until("completed", || state(one.callers, A) == "completed");
+    wait_until("completed", || job_state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(150));
     let to = one.callers;
     let sent: Vec<_> = (0..24)
@@ -225,7 +225,7 @@
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     assert_eq!(submit(one.callers, A, "work"), Some(200));
-    wait_until("completed", || state(one.callers, A) == "completed");
+    wait_until("completed", || job_state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(900));
     let slow = format!("{:016x}", 7);
     // The write may take longer than the caller waits; it still takes effect.
@@ -233,7 +233,7 @@
         submit(one.callers, &slow, "work"),
         Some(200 | 504)
     ));
-    wait_until("completed", || state(one.callers, &slow) == "completed");
+    wait_until("completed", || job_state(one.callers, &slow) == "completed");
 }
 
 /// The last log line of a process must say that it stopped. The line is lost if the process ends before its log is
@@ -284,7 +284,7 @@
         "the refused job was not accepted"
     );
     assert_eq!(submit(one.callers, A, "work"), Some(200));
-    wait_until("completed", || state(one.callers, A) == "completed");
+    wait_until("completed", || job_state(one.callers, A) == "completed");
 }
 
 /// A job that arrives while the store does not answer must be refused at once and not written: a write that is sent
