--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -824,7 +824,7 @@
 ];
 
 #[test]
-fn model_saved() {
+fn model_saved_seeds() {
     for (seed, steps) in SAVED {
         run(seed, steps);
     }
