--- a/tests/test_soak.rs
+++ b/tests/test_soak.rs
@@ -30,7 +30,7 @@
 
 /// Replays seeds that failed once; the first line of each file in `tests/seeds` holds the options.
 #[test]
-fn soak_saved() {
+fn soak_saved_seeds() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/seeds");
     let files = std::fs::read_dir(folder).expect("the folder is there");
     for file in files {
