--- a/tests/test_clock.rs
+++ b/tests/test_clock.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn clock_goes_on() {
+fn clock_advances() {
     let clock = Clock::new();
     let before_ms = clock.now_ms();
     std::thread::sleep(Duration::from_millis(20));
