--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn commit_fates() {
+fn commit_outcomes() {
     use SendOutcome::{AnswerLost, Answered, Late, Lost, NotSent};
     let cases: &[(&[SendOutcome], Outcome)] = &[
         (&[Answered], Outcome::Committed(1)),
