--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -95,7 +95,7 @@
 
 /// The answer is lost and the rows cannot be read: the outcome must be unknown, not a failure.
 #[test]
-fn commit_unread() {
+fn commit_reads_down() {
     let table = FakeTable::with_outcomes(&[SendOutcome::AnswerLost]);
     *table.reads_down.lock().unwrap() = true;
     assert_eq!(outcome(&table, "mine"), Outcome::Unknown);
