--- a/tests/test_config.rs
+++ b/tests/test_config.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn config_flaws() {
+fn config_errors() {
     let cases = [
         ("name = \"route\"", "name = \"a b\"", 3, "1 to 64 of"),
         ("timeout_ms = 20000", "timeout_ms = 1", 4, "10 to 3600000"),
