--- a/tests/test_drain.rs
+++ b/tests/test_drain.rs
@@ -285,7 +285,7 @@
 
 /// A drain is cancelled while a suspended entry blocks it: the host must serve again without a reboot.
 #[test]
-fn drain_taken_back() {
+fn drain_cancelled() {
     let fleet = Plan::new(4, 2).start();
     fleet.entries[1].process.signal(Signal::SIGSTOP);
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
