--- a/tests/test_jobs.rs
+++ b/tests/test_jobs.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn jobs_survive_entry() {
+fn jobs_entry_killed() {
     // The entry that accepted the job is killed at once; another entry runs it.
     let fleet = Plan::new(4, 2).start();
     let id = submit(&fleet, 0, &job_spec(300, "done", false));
