--- a/tests/test_jobs.rs
+++ b/tests/test_jobs.rs
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn jobs_whose_fault() {
+fn jobs_failure_cause() {
     let fleet = Plan::new(4, 1).start();
     // A job that fails wherever it runs is given up: the failure is the job's own.
     let bad = submit(&fleet, 0, &job_spec(50, "failed", true));
