--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn keys_asked_for() {
+fn keys_required() {
     let (fleet, one) = start();
     let to = one.callers;
     let path = format!("/q/{JOB}");
