--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -110,7 +110,7 @@
 /// An entry whose configuration may be outdated must answer 503: it may neither accept a key that could be revoked nor
 /// deny a queue that could have been added.
 #[test]
-fn keys_unsure_entry() {
+fn keys_stale_config() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
     let one = start_entry_with(
