--- a/tests/test_place.rs
+++ b/tests/test_place.rs
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn place_holds_host() {
+fn place_reserves_host() {
     // A job that needs a whole host has waited long: one host is kept free of smaller jobs for it, or it would starve.
     for (waited_ms, expected) in [
         (0, vec!["s0@h1", "s1@h1"]),
