--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn platform_nobody_there() {
+fn platform_unreachable() {
     let dead = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = dead.local_addr().expect("bound");
     drop(dead);
