--- a/tests/test_runs.rs
+++ b/tests/test_runs.rs
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn runs_not_run_is_true() {
+fn runs_not_run_header() {
     // A request answered with "no" has no run at any backend server; one answered with "yes" has exactly one.
     let fleet = Plan::new(2, 2)
         .without_config()
