--- a/tests/test_stop.rs
+++ b/tests/test_stop.rs
@@ -89,7 +89,7 @@
 /// An entry of `serve` is suspended while it stops and resumes after its time to stop has passed. The call that it had
 /// begun must be answered, and calls that arrived meanwhile must be refused; none may be cut.
 #[test]
-fn stop_woken_late() {
+fn stop_suspended() {
     let fleet = Fleet::start("pool", 1, 50).expect("it starts");
     fleet.configure(1, "pool");
     let mut one = test_serve::start_entry(&fleet, "e1");
