--- a/tests/test_chaos.rs
+++ b/tests/test_chaos.rs
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn chaos_all_together() {
+fn chaos_combined_faults() {
     let mut fleet = Plan::new(6, 0).without_config().start();
     let peers: Vec<_> = (0..ENTRIES).map(|_| free_addr()).collect();
     for n in 0..ENTRIES {
