--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -82,7 +82,9 @@
 fn ends_outlive_offer() {
     let mut pool_state = PoolState::default();
     let hosts = (0..4).map(|n| listed_worker(&format!("life-{n}"), &format!("host-{n}")));
-    let workers: Vec<_> = hosts.map(|fact| add_answering_worker(&mut pool_state, fact)).collect();
+    let workers: Vec<_> = hosts
+        .map(|fact| add_answering_worker(&mut pool_state, fact))
+        .collect();
     let row = StoredRow {
         part: POOL.to_string(),
         key: "job".to_string(),
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -10,7 +10,7 @@
 use rockwick::core::sched::state::{Ctx, Effect};
 use rockwick::port::fleet::{FleetConfig, HostRecord, HostReply, HostState, StoredRow, TxOutcome};
 
-use crate::decide::{decide, pool_need, donor_config};
+use crate::decide::{decide, donor_config, pool_need};
 
 /// Epoch of the entry that orders hosts.
 const EPOCH: u64 = 7;
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::rows::{intake_parts, intake_parts_of, pool_of_part, SHARDS};
 use standin::fleet::Fleet;
 
-use crate::test_serve::{start_entry, job_state, status, submit, wait_until};
+use crate::test_serve::{job_state, start_entry, status, submit, wait_until};
 use crate::world::{job, World};
 
 #[test]
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -19,7 +19,7 @@
     Capacity, FleetConfig, HostRecord, HostReply, HostState, RowTx, StoredRow, TxOutcome,
 };
 
-use crate::decide::{add_answering_worker, decide, pool_need, donor_config};
+use crate::decide::{add_answering_worker, decide, donor_config, pool_need};
 use crate::world::{config, job, listed_worker, POOL};
 
 /// Number of seeds in CI.
@@ -518,7 +518,10 @@
     work: impl FnOnce(&mut HostController, &Inputs<'_>, &mut Ctx<'_>),
     controller: &mut HostController,
 ) -> Vec<Effect> {
-    let needs = [pool_need("busy", 6, none, now_ms), pool_need(POOL, 0, offers, now_ms)];
+    let needs = [
+        pool_need("busy", 6, none, now_ms),
+        pool_need(POOL, 0, offers, now_ms),
+    ];
     let inputs = Inputs {
         config,
         needs: &needs,
