--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -6,8 +6,8 @@
 use crate::error::Result;
 
 /// First paragraph of the command's help.
-pub const USAGE: &str = "Serve callers and operators until SIGTERM. Each flag is also a variable, \
---peer-listen as ROCKWICK_PEER_LISTEN and so on.";
+pub const USAGE: &str = "Serve callers and operators until SIGTERM. Each flag can also be set by \
+an environment variable, such as ROCKWICK_PEER_LISTEN for --peer-listen.";
 
 /// Returns the parser of the command's flags.
 pub fn args() -> impl Parser<EntryFlags> {
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -10,7 +10,7 @@
 
 /// First paragraph of the command's help.
 pub const USAGE: &str =
-    "Tell what happened to a host, pool, job, wave, request, backend, entry or \
+    "Show what happened to a host, pool, job, wave, request, backend, entry or \
 config, in order and with reasons.";
 
 /// The command's flags.
@@ -25,7 +25,7 @@
 pub fn args() -> impl Parser<Args> {
     let target = target();
     let kind = positional("KIND").help("host, pool, job, wave, request, backend, entry or config");
-    let id = positional("ID").help("Its name or id");
+    let id = positional("ID").help("Name or id of the subject");
     construct!(Args { target, kind, id })
 }
 
--- a/src/cmd/forget.rs
+++ b/src/cmd/forget.rs
@@ -8,8 +8,8 @@
 
 /// First paragraph of the command's help.
 pub const USAGE: &str =
-    "Vouch that an entry's process has ended, so that drains no longer wait for \
-it. Only for a process that certainly runs no more: a paused one may still send.";
+    "Confirm that an entry's process has ended, so that drains no longer wait for \
+it. Only for a process that certainly no longer runs: a paused process may still send requests.";
 
 /// The command's flags.
 #[derive(Clone, Debug)]
--- a/src/cmd/host.rs
+++ b/src/cmd/host.rs
@@ -9,7 +9,7 @@
 use crate::view::HostView;
 
 /// First paragraph of the command's help.
-pub const USAGE: &str = "Look at hosts, drain them, return them, move them between pools.";
+pub const USAGE: &str = "Show and drain hosts, return them, and move them between pools.";
 
 /// The subcommand with its flags.
 #[derive(Clone, Debug)]
@@ -56,12 +56,12 @@
     let (t, i) = (target(), host_id());
     let show = construct!(Args::Show(t, i))
         .to_options()
-        .descr("Show one host, and what holds its drain")
+        .descr("Show one host and what its drain waits for")
         .command("show");
     let (t, i) = (target(), host_id());
     let back = construct!(Args::Return(t, i))
         .to_options()
-        .descr("Return a host to its pool, or take its drain back")
+        .descr("Return a host to its pool, or cancel its drain")
         .command("return");
     let drain = drain_args()
         .to_options()
@@ -77,10 +77,10 @@
 fn drain_args() -> impl Parser<Args> {
     let target = target();
     let reboot = long("reboot")
-        .help("Reboot it when all have let go, and return it by itself")
+        .help("Reboot the host once every entry has released it, then return it to service")
         .switch();
     let why = long("why")
-        .help("Reason, for the history")
+        .help("Reason, kept in the host's history")
         .argument("TEXT")
         .fallback("no reason given".to_string());
     let id = host_id();
@@ -95,7 +95,7 @@
 fn move_args() -> impl Parser<Args> {
     let target = target();
     let pool = long("pool")
-        .help("The new pool; left out, the free hosts")
+        .help("Name of the new pool; without it, the host joins the free hosts")
         .argument("POOL")
         .optional();
     let id = host_id();
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -11,7 +11,7 @@
 use crate::view::JobView;
 
 /// First paragraph of the command's help.
-pub const USAGE: &str = "Submit jobs for an account, look at them, cancel them.";
+pub const USAGE: &str = "Submit jobs for an account, show and cancel jobs.";
 
 /// The subcommand with its flags.
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
     let (t, i) = (target(), job_id());
     let show = construct!(Args::Show(t, i))
         .to_options()
-        .descr("Show a job and what happened to it")
+        .descr("Show a job and its history")
         .command("show");
     let (t, i) = (target(), job_id());
     let cancel = construct!(Args::Cancel(t, i))
@@ -70,30 +70,30 @@
 
 fn submit_args() -> impl Parser<Submit> {
     let account = long("account")
-        .help("Account that it belongs to")
+        .help("Account that the job belongs to")
         .argument("NAME");
-    let pool = long("pool").help("Pool that runs it").argument("POOL");
+    let pool = long("pool").help("Pool that runs the job").argument("POOL");
     let class = long("class")
-        .help("urgent, normal or batch (default batch)")
+        .help("Class of the job: urgent, normal or batch (default batch)")
         .argument("CLASS")
         .fallback("batch".to_string());
     let cores = long("cores")
-        .help("Cores (default 1)")
+        .help("Cores that the job needs (default 1)")
         .argument("N")
         .fallback(1);
     let memory_mb = long("memory-mb")
-        .help("Memory (default 0)")
+        .help("Memory that the job needs (default 0)")
         .argument("MB")
         .fallback(0);
     let run_ms = long("run-ms")
-        .help("Declared run time")
+        .help("Declared run time of the job")
         .argument("MS")
         .fallback(0);
     let repeatable = long("repeatable")
-        .help("May be run again after an attempt was lost")
+        .help("The job may be run again after an attempt was lost")
         .switch();
     let payload = long("payload")
-        .help("Handed to the task as it is")
+        .help("Text that is passed to the task unchanged")
         .argument("TEXT")
         .fallback(String::new());
     construct!(Submit {
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -44,7 +44,7 @@
         .argument("IP:PORT");
     let token = long("token")
         .env("ROCKWICK_TOKEN")
-        .help("Operators' token, where entries ask for one")
+        .help("Operators' token, if the entries require one")
         .argument("TOKEN")
         .optional();
     let json = long("json").help("Print JSON").switch();
--- a/src/cmd/pool.rs
+++ b/src/cmd/pool.rs
@@ -8,7 +8,7 @@
 use crate::view::PoolView;
 
 /// First paragraph of the command's help.
-pub const USAGE: &str = "Look at pools: what they promise and what they have.";
+pub const USAGE: &str = "Show pools, the hosts that they need and the hosts that they have.";
 
 /// The subcommand with its flags.
 #[derive(Clone, Debug)]
--- a/src/cmd/report.rs
+++ b/src/cmd/report.rs
@@ -19,7 +19,7 @@
 /// Returns the parser of the command's arguments.
 pub fn args() -> impl Parser<Args> {
     let files = positional::<PathBuf>("FILE")
-        .help("A log of one entry or of several")
+        .help("Log file of one or more entries")
         .some("name a log file");
     construct!(Args { files })
 }
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -8,7 +8,7 @@
 /// First paragraph of the command's help.
 pub const USAGE: &str =
     "Serve callers and own pools on a platform of workers until SIGTERM. Each flag \
-is also a variable, --store as ROCKWICK_STORE and so on.";
+can also be set by an environment variable, such as ROCKWICK_STORE for --store.";
 
 /// Returns the parser of the command's flags.
 pub fn args() -> impl Parser<ServeFlags> {
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -10,9 +10,8 @@
 use crate::view::{EntryView, Status};
 
 /// First paragraph of the command's help.
-pub const USAGE: &str =
-    "Show entries, hosts and jobs; with --wait, until a version is in force at \
-every live entry.";
+pub const USAGE: &str = "Show entries, hosts and jobs; with --wait, wait until a version is in \
+force at every live entry.";
 
 /// The command's flags.
 #[derive(Clone, Debug)]
@@ -30,7 +29,7 @@
         .argument("VERSION")
         .optional();
     let timeout_s = long("timeout-s")
-        .help("How long to wait (default 30)")
+        .help("How long to wait, in seconds (default 30)")
         .argument("S")
         .fallback(30);
     construct!(Args {
--- a/src/cmd/template.rs
+++ b/src/cmd/template.rs
@@ -47,7 +47,7 @@
         .command("show");
     let apply = apply_args()
         .to_options()
-        .descr("Apply a file over a version")
+        .descr("Apply a file in place of the current version")
         .command("apply");
     construct!([check, show, apply])
 }
@@ -55,7 +55,7 @@
 fn apply_args() -> impl Parser<Args> {
     let target = target();
     let expect = long("expect")
-        .help("Version that it replaces; 0 where there is none")
+        .help("Version that the file replaces; 0 if there is none")
         .argument("VERSION");
     let file = file_path();
     construct!(Args::Apply {
--- a/src/cmd/wave.rs
+++ b/src/cmd/wave.rs
@@ -9,7 +9,7 @@
 use crate::view::WaveView;
 
 /// First paragraph of the command's help.
-pub const USAGE: &str = "Start, watch and stop maintenance waves.";
+pub const USAGE: &str = "Start, show and stop maintenance waves.";
 
 /// The subcommand with its flags.
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
     let (t, i) = (target(), wave_id());
     let stop = construct!(Args::Stop(t, i))
         .to_options()
-        .descr("Stop a wave; hosts that are out come back")
+        .descr("Stop a wave; hosts that are out are still returned")
         .command("stop");
     construct!([start, list, show, stop])
 }
@@ -62,10 +62,10 @@
 fn start_args() -> impl Parser<Args> {
     let target = target();
     let pool = long("pool")
-        .help("Pool, or * for every host")
+        .help("Name of the pool, or * for every host")
         .argument("POOL");
     let window = long("window")
-        .help("Time of day in UTC in which hosts may leave; may be given again")
+        .help("Time window in UTC in which hosts may leave; can be repeated")
         .argument("HH:MM-HH:MM")
         .many();
     construct!(Args::Start {
--- a/src/config.rs
+++ b/src/config.rs
@@ -66,71 +66,71 @@
 pub fn entry_flags() -> impl Parser<EntryFlags> {
     let name = long("name")
         .env("ROCKWICK_NAME")
-        .help("Name of this entry, unique among all")
+        .help("Name of this entry, unique among all entries")
         .argument("NAME");
     let hall = long("hall")
         .env("ROCKWICK_HALL")
-        .help("Data hall that it stands in")
+        .help("Data hall that this entry runs in")
         .argument("HALL");
     let listen = long("listen")
         .env("ROCKWICK_LISTEN")
-        .help("Where callers reach it")
+        .help("Address that callers connect to")
         .argument("IP:PORT");
     let admin = long("admin")
         .env("ROCKWICK_ADMIN")
-        .help("Where operators reach it")
+        .help("Address that operators connect to")
         .argument("IP:PORT");
     let peer_listen = long("peer-listen")
         .env("ROCKWICK_PEER_LISTEN")
-        .help("Where other entries reach it")
+        .help("Address that other entries connect to")
         .argument("IP:PORT");
     let peers = long("peers")
         .env("ROCKWICK_PEERS")
-        .help("Where it reaches other entries; empty for none")
+        .help("Addresses of the other entries; empty if there are none")
         .argument("IP:PORT,...")
         .fallback(String::new());
     let platform = long("platform")
         .env("ROCKWICK_PLATFORM")
-        .help("The platform's service")
+        .help("Address of the platform's service")
         .argument("IP:PORT");
     let threads = long("threads")
         .env("ROCKWICK_THREADS")
-        .help("Traffic threads, 1 to 64 (default 4)")
+        .help("Number of threads that serve callers, 1 to 64 (default 4)")
         .argument("N")
         .fallback("4".to_string());
     let body_bytes = long("body-bytes")
         .env("ROCKWICK_BODY_BYTES")
-        .help("Bound on a request's body (default 8388608)")
+        .help("Maximum size of a request's body (default 8388608)")
         .argument("BYTES")
         .fallback("8388608".to_string());
     let answer_bytes = long("answer-bytes")
         .env("ROCKWICK_ANSWER_BYTES")
-        .help("Bound on an answer's body (default 16777216)")
+        .help("Maximum size of an answer's body (default 16777216)")
         .argument("BYTES")
         .fallback("16777216".to_string());
     let grace_ms = long("grace-ms")
         .env("ROCKWICK_GRACE_MS")
-        .help("After SIGTERM, how long new requests are still taken (default 2000)")
+        .help("How long new requests are still accepted after SIGTERM (default 2000)")
         .argument("MS")
         .fallback("2000".to_string());
     let stop_ms = long("stop-ms")
         .env("ROCKWICK_STOP_MS")
-        .help("After that, how long requests in flight are waited for (default 60000)")
+        .help("How long requests in flight are waited for after --grace-ms (default 60000)")
         .argument("MS")
         .fallback("60000".to_string());
     let drain_ms = long("drain-ms")
         .env("ROCKWICK_DRAIN_MS")
-        .help("A host's drain over this is reported (default 600000)")
+        .help("A host's drain that takes longer than this is reported (default 600000)")
         .argument("MS")
         .fallback("600000".to_string());
     let replace_ms = long("replace-ms")
         .env("ROCKWICK_REPLACE_MS")
-        .help("A host gone for so long is replaced (default 300000)")
+        .help("A host that is gone for this long is replaced (default 300000)")
         .argument("MS")
         .fallback("300000".to_string());
     let operator_token_sha256 = long("operator-token-sha256")
         .env("ROCKWICK_OPERATOR_TOKEN_SHA256")
-        .help("SHA-256 of the operators' token; without it --admin must be loopback")
+        .help("SHA-256 of the operators' token; without it, --admin must be a loopback address")
         .argument("HEX")
         .optional();
     construct!(EntryFlags {
--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -324,7 +324,7 @@
                 Code::TaskSuspected,
                 Subject::Job,
                 id,
-                "its worker ended while it may have been running there",
+                "the worker ended while the task may have been running there",
             )
             .with("step", u64::from(key.step))
             .with("task", u64::from(key.index))
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -279,7 +279,7 @@
     if unreadable == 0 || unreadable == before {
         return;
     }
-    let why = "its report names tasks that can't be read";
+    let why = "the worker's report names tasks that can't be read";
     let decision = Decision::new(Code::BadRow, Subject::Host, &worker.fact.id, why);
     ctx.log(decision.with("entries", unreadable as u64));
 }
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -205,7 +205,7 @@
     fn outcome(&self, pool_state: &PoolState, now_ms: Millis) -> Outcome {
         let waits = |t: &Task| t.phase == Phase::Ready;
         let Some(spec) = pool_state.step_spec(self.task) else {
-            return Outcome::Dropped("its job no longer exists");
+            return Outcome::Dropped("the task's job no longer exists");
         };
         if !pool_state.task(self.task).is_some_and(waits) {
             return Outcome::Dropped("the task is no longer waiting");
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -52,7 +52,11 @@
     let Some(w) = pool_state.workers.get_mut(key).filter(|w| !w.is_superseded) else {
         return;
     };
-    ctx.log(run_log::worker_restarted(w, born_wall_ms, "its report"));
+    ctx.log(run_log::worker_restarted(
+        w,
+        born_wall_ms,
+        "the worker's report names another start time",
+    ));
     w.is_superseded = true;
     w.is_listed = false;
     w.is_answering = false;
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -172,7 +172,7 @@
 
     fn log(&mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
         let w = &pool_state.workers[self.worker];
-        let why = "listed in its report";
+        let why = "the worker listed these ended runs in its report";
         let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.fact.id, why)
             .with_name("on", &*w.fact.host)
             .with_name(RUNS_KEY, self.list.take());
@@ -248,7 +248,7 @@
         let ago_ms = ctx.now.ms.saturating_sub(at_ms);
         list.add(format_args!("{text},{ago_ms}"));
     }
-    let why = "answers of workers to starts";
+    let why = "workers answered orders to start these runs";
     let decision = Decision::new(Code::StartsAnswered, Subject::Pool, &pool_state.name, why);
     ctx.log(decision.with_name(RUNS_KEY, list.take()));
 }
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -691,7 +691,7 @@
             Code::WorkerSuspended,
             Subject::Host,
             &id,
-            "tasks failed on it in a row",
+            "several tasks in a row failed on the worker",
         )
         .with("pause_ms", pause_ms),
     );
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -260,7 +260,7 @@
                         pool_state,
                         controller,
                         &host,
-                        "its lasting tasks could not move, or its ended runs are not recorded yet",
+                        "the host's lasting tasks could not move, or its ended runs are not recorded yet",
                         ctx,
                     );
                 }
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -207,7 +207,7 @@
         ctx.log(run_log::worker_restarted(
             earlier,
             fact.born_wall_ms,
-            "a new instance of its id was listed",
+            "a new instance with the worker's id was listed",
         ));
     }
     let key = load::add_listed(pool_state, fact.clone(), ctx.now.ms, ctx.now);
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -533,7 +533,7 @@
                 if host.row.state == HostState::Out {
                     continue;
                 }
-                let why = "the platform does not list it as live";
+                let why = "the platform does not list the host as live";
                 let d = Decision::new(Code::HostLost, Subject::Host, &host.id, why);
                 out.push(Effect::Log(d));
             }
--- a/src/serve/settings.rs
+++ b/src/serve/settings.rs
@@ -36,47 +36,47 @@
 pub fn serve_flags() -> impl Parser<ServeFlags> {
     let name = long("name")
         .env("ROCKWICK_NAME")
-        .help("Name of this entry, unique among all")
+        .help("Name of this entry, unique among all entries")
         .argument("NAME");
     let hall = long("hall")
         .env("ROCKWICK_HALL")
-        .help("Data hall that it stands in")
+        .help("Data hall that this entry runs in")
         .argument("HALL");
     let listen = long("listen")
         .env("ROCKWICK_LISTEN")
-        .help("Where callers reach it")
+        .help("Address that callers connect to")
         .argument("IP:PORT");
     let ready = long("ready")
         .env("ROCKWICK_READY")
-        .help("Where the balancer asks whether it is ready")
+        .help("Address of the readiness check for the load balancer")
         .argument("IP:PORT");
     let metrics = long("metrics")
         .env("ROCKWICK_METRICS")
-        .help("Where it tells its figures; empty for nowhere")
+        .help("Address of the metrics endpoint; empty for none")
         .argument("IP:PORT")
         .fallback(String::new());
     let cpu_share = long("cpu-share")
         .env("ROCKWICK_CPU_SHARE")
-        .help("Cores that it may use; entries with more of them own pools first")
+        .help("Cores that this entry may use; entries with more cores own pools first")
         .argument("CORES")
         .fallback(1.0);
     let store = long("store")
         .env("ROCKWICK_STORE")
-        .help("The platform's row store")
+        .help("Address of the platform's row store")
         .argument("IP:PORT");
     let hosts = long("hosts")
         .env("ROCKWICK_HOSTS")
-        .help("Where the platform takes orders to hosts; empty for nowhere")
+        .help("Address where the platform accepts orders to hosts; empty for none")
         .argument("IP:PORT")
         .fallback(String::new());
     let config_within_ms = long("config-within-ms")
         .env("ROCKWICK_CONFIG_WITHIN_MS")
-        .help("Within how long an accepted configuration must be in force everywhere; an entry that can't know takes no calls")
+        .help("Time within which an accepted configuration must be in force at every entry; an entry that can't tell whether its configuration is current accepts no calls")
         .argument("MS")
         .fallback(String::new());
     let config_outage_ms = long("config-outage-ms")
         .env("ROCKWICK_CONFIG_OUTAGE_MS")
-        .help("For how long calls go on by the last configuration while the store fails to tell of newer ones")
+        .help("How long calls are accepted under the last known configuration while the store can't be read for newer ones")
         .argument("MS")
         .fallback(String::new());
     construct!(ServeFlags {
