--- a/tests/compare/main.rs
+++ b/tests/compare/main.rs
@@ -1,4 +1,5 @@
-//! Plays the same days with the same seeds on two checkouts in turn, and prints the paired differences.
+//! Runs the same simulated days with the same seeds on two checkouts, and prints the paired differences of their
+//! figures. Run by hand to compare a change with its base:
 //!
 //! `cargo run --release --example compare -- --bench PATH --site FILE --before DIR --after DIR --why TEXT DAY...`
 
@@ -11,12 +12,12 @@
 
 use bpaf::{construct, long, positional, OptionParser, Parser};
 
-use paired::{Difference, Played, WORTH};
+use paired::{DayFigures, Difference, WORTH};
 
-/// Differences below this are not printed part by part.
+/// Smallest difference for which a single part is printed.
 const SHOWN: f64 = 0.002;
 
-/// What is to be compared.
+/// Holds the command-line arguments.
 #[derive(Clone, Debug)]
 struct Args {
     bench: PathBuf,
@@ -32,34 +33,34 @@
 
 fn args() -> OptionParser<Args> {
     let bench = long("bench")
-        .help("The bench's program")
+        .help("Program that builds a checkout and runs days")
         .argument::<PathBuf>("PATH");
     let site = long("site")
-        .help("The deployment")
+        .help("File that describes the deployment")
         .argument::<PathBuf>("FILE");
     let before = long("before")
-        .help("Checkout to compare with")
+        .help("Checkout without the change")
         .argument::<PathBuf>("DIR");
     let after = long("after")
-        .help("Checkout that was changed")
+        .help("Checkout with the change")
         .argument::<PathBuf>("DIR");
     let why = long("why")
-        .help("A line for the journal")
+        .help("Reason for the comparison, as a line for the journal")
         .argument::<String>("TEXT");
     let seeds = long("seeds")
-        .help("Seeds a day")
+        .help("Number of seeds per day")
         .argument::<u64>("N")
         .fallback(3);
     let first_seed = long("first-seed")
-        .help("The first of them")
+        .help("First seed")
         .argument::<u64>("N")
         .fallback(1);
     let jobs = long("jobs")
-        .help("Days played at a time")
+        .help("Number of days run at the same time")
         .argument::<usize>("N")
         .fallback(4);
     let days = positional::<String>("DAY")
-        .help("Days to play")
+        .help("Days to run")
         .some("a day");
     construct!(Args {
         bench,
@@ -76,7 +77,7 @@
     .descr("Paired comparison of two checkouts by days of a deployment.")
 }
 
-/// One day with one seed on one of the checkouts.
+/// Identifies one run: a day with a seed on one of the checkouts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Play {
     day: String,
@@ -114,7 +115,7 @@
     report(&args, &played);
 }
 
-fn play_all(args: &Args, plays: Vec<Play>) -> BTreeMap<Play, Played> {
+fn play_all(args: &Args, plays: Vec<Play>) -> BTreeMap<Play, DayFigures> {
     let queue = Mutex::new(plays);
     let played = Mutex::new(BTreeMap::new());
     std::thread::scope(|scope| {
@@ -137,7 +138,7 @@
     played.into_inner().unwrap_or_default()
 }
 
-fn play(args: &Args, play: &Play) -> Result<Played, String> {
+fn play(args: &Args, play: &Play) -> Result<DayFigures, String> {
     let dir = if play.is_after {
         &args.after
     } else {
@@ -170,10 +171,10 @@
         format!("{e}: {}", said.lines().last().unwrap_or_default())
     })?;
     let _ = std::fs::remove_file(&report);
-    Played::parse(&text).map_err(|e| e.to_string())
+    DayFigures::parse(&text).map_err(|e| e.to_string())
 }
 
-fn report(args: &Args, played: &BTreeMap<Play, Played>) {
+fn report(args: &Args, played: &BTreeMap<Play, DayFigures>) {
     println!(
         "{:<28} {:>7} {:>7} {:>8} {:>7}",
         "", "before", "after", "diff", "+-"
@@ -193,7 +194,7 @@
             let names: BTreeSet<&String> =
                 before.figures.keys().chain(after.figures.keys()).collect();
             for name in names {
-                let figure = |day: &Played| day.figures.get(name).copied().unwrap_or(0.0);
+                let figure = |day: &DayFigures| day.figures.get(name).copied().unwrap_or(0.0);
                 let pairs = all.entry(name).or_default();
                 pairs.push((figure(before), figure(after)));
             }
--- a/tests/test_compare.rs
+++ b/tests/test_compare.rs
@@ -1,15 +1,15 @@
-//! The comparison of two checkouts: what it reads, and its interval.
+//! The comparison of two checkouts: the fields that it reads from a report, and its confidence interval.
 
-use crate::paired::{Difference, Played, WORTH};
+use crate::paired::{DayFigures, Difference, WORTH};
 
-/// A report with the fields that are read, and one that is not.
+/// A report with the fields that are read and one field, `served`, that is ignored.
 const REPORT: &str = r#"{"G": 0.3, "served": 0.9, "short": [["a queue", 0.1]], "breaks": {"ORDER": 2},
     "parts": [["whole day", 0.35, 0.8], ["worst windows", 0.5, 0.4]],
     "prices": [["machines moved", 271.0, 0.02], ["duties missed", 0.0, 0.0]]}"#;
 
 #[test]
 fn compare_reads_report() {
-    let day = Played::parse(REPORT).unwrap();
+    let day = DayFigures::parse(REPORT).unwrap();
     assert_eq!(day.figures[WORTH], 0.3);
     assert!((day.figures["whole day"] - 0.28).abs() < 1e-9);
     assert_eq!(day.figures["price: machines moved"], -0.02);
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -1,4 +1,4 @@
-//! How a pool's jobs are spread over parts of the store.
+//! How a pool's jobs are spread over partitions of the store.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use rockwick::core::sched::rows::{intake_parts, intake_parts_of, pool_of_part, SHARDS};
 use standin::fleet::Fleet;
 
-use crate::test_serve::{entry, state, status, submit, until};
+use crate::test_serve::{job_state, start_entry, status, submit, wait_until};
 use crate::world::{job, World};
 
 #[test]
@@ -18,7 +18,10 @@
         *jobs.entry(part).or_default() += 1;
     }
     let most = jobs.values().max().copied();
-    assert!(most < Some(200), "100 a part on average, {most:?} in one");
+    assert!(
+        most < Some(200),
+        "{most:?} jobs in one part, of 100 on average"
+    );
 }
 
 #[test]
@@ -30,24 +33,24 @@
     assert!(parts.iter().all(|part| pool_of_part(part) == "a/b"));
 }
 
-/// A job whose partition is away is taken in its second one, stays one job when it is handed in again after the
-/// return, and can be read and cancelled meanwhile.
+/// A job whose partition is unavailable is stored in its second one. It stays one job when it is submitted again after
+/// the first partition is back, and can be read and cancelled in between.
 #[test]
 fn intake_second_part() {
-    let fleet = Fleet::start("pool", 2, 50).expect("it starts");
+    let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     fleet.configure(1, "pool");
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     let (id, other) = ("00000000000000aa", "00000000000000bb");
     let before = "00000000000000cc";
     assert_eq!(submit(one.callers, before, "work"), Some(200));
-    until("owned", || state(one.callers, before) == "completed");
+    wait_until("owned", || job_state(one.callers, before) == "completed");
     let [first, second] = intake_parts_of("pool", id);
     let [other_first, _] = intake_parts_of("pool", other);
-    fleet.set_parts_away(&[first.clone(), other_first]);
+    fleet.set_unavailable_parts(&[first.clone(), other_first]);
     assert_eq!(submit(one.callers, id, "work"), Some(200));
-    until("completed", || state(one.callers, id) == "completed");
+    wait_until("completed", || job_state(one.callers, id) == "completed");
     assert_eq!(submit(one.callers, other, "lasts"), Some(200));
-    until("running", || fleet.running() == 3);
+    wait_until("running", || fleet.running() == 3);
     let path = format!("/q/{other}");
     let gone = crate::test_serve::call(
         one.callers,
@@ -56,20 +59,21 @@
         &serde_json::Value::Null,
     );
     assert_eq!(gone.map(|answer| answer.status), Some(200));
-    until("stopped", || fleet.running() == 0);
-    fleet.set_parts_away(&[]);
+    wait_until("stopped", || fleet.running() == 0);
+    fleet.set_unavailable_parts(&[]);
     assert_eq!(
         submit(one.callers, id, "work"),
         Some(200),
-        "it is the same job"
+        "the same job is submitted again"
     );
-    assert_eq!(state(one.callers, id), "completed");
-    assert_eq!(fleet.starts(), 9, "nothing ran twice");
-    fleet.set_parts_away(&[first, second]);
+    assert_eq!(job_state(one.callers, id), "completed");
+    assert_eq!(fleet.starts(), 9, "no task ran twice");
+    fleet.set_unavailable_parts(&[first, second]);
     assert_eq!(status(one.callers, &format!("/q/{id}")), Some(504));
 }
 
-/// A job that stands in two parts runs once, and leaves both before its progress goes: else it would come back.
+/// A job that is stored in two partitions runs once. It is removed from both before its progress is, or it would be
+/// loaded as a new job.
 #[test]
 fn intake_in_both() {
     let mut world = World::new(51, 2, 3);
@@ -77,27 +81,32 @@
     world.submit("a", job(2, 1_000, 100));
     world.submit_again("a");
     world.run(2_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
-    world.kill(world.owner_entry().expect("somebody owns the pool"));
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
+    world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(170_000);
-    assert_eq!(world.recorded("a"), JobState::Completed);
+    assert_eq!(world.recorded_state("a"), JobState::Completed);
     assert_eq!(world.starts, 2);
-    assert_eq!(world.store.len(), 2 * SHARDS, "owner and heartbeat a shard");
+    assert_eq!(
+        world.store.len(),
+        2 * SHARDS,
+        "an owner row and a heartbeat row for each shard"
+    );
 }
 
-/// The operator's partition alone is away: jobs are taken and run by the last configuration, and the entry stays ready.
+/// Only the operator's partition is unavailable: jobs are accepted and run under the last configuration, and the entry
+/// stays ready.
 #[test]
 fn intake_operator_away() {
-    let fleet = Fleet::start("pool", 2, 50).expect("it starts");
+    let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     fleet.configure(1, "pool");
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     let (before, id) = ("00000000000000cc", "00000000000000aa");
     assert_eq!(submit(one.callers, before, "work"), Some(200));
-    until("owned", || state(one.callers, before) == "completed");
-    fleet.set_operator_away(true);
-    until("noticed", || fleet.operator_calls_refused() > 3);
+    wait_until("owned", || job_state(one.callers, before) == "completed");
+    fleet.set_operator_unavailable(true);
+    wait_until("noticed", || fleet.operator_calls_refused() > 3);
     assert_eq!(status(one.ready, "/readyz"), Some(200));
     assert_eq!(submit(one.callers, id, "work"), Some(200));
-    until("completed", || state(one.callers, id) == "completed");
-    fleet.set_operator_away(false);
+    wait_until("completed", || job_state(one.callers, id) == "completed");
+    fleet.set_operator_unavailable(false);
 }
--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of client accounts, at a real entry: who may call, and that nobody learns of another account's jobs.
+//! API keys of client accounts at a real entry: who may call, and that no account learns of another account's jobs.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use standin::fleet::{Fleet, StoreFault};
 
-use crate::test_serve::{call_with, entry, entry_with, until, Entry};
+use crate::test_serve::{call_with, start_entry, start_entry_with, wait_until, Entry};
 
 const POOL: &str = "pool";
 
@@ -21,7 +21,7 @@
 fn start() -> (Fleet, Entry) {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
-    let one = entry(&fleet, "e1");
+    let one = start_entry(&fleet, "e1");
     (fleet, one)
 }
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn keys_asked_for() {
+fn keys_required() {
     let (fleet, one) = start();
     let to = one.callers;
     let path = format!("/q/{JOB}");
@@ -47,11 +47,11 @@
     assert_eq!(
         status(to, Method::Get, "/elsewhere/", None),
         404,
-        "a queue that is not there comes first"
+        "an unknown queue is reported before a missing key"
     );
     assert_eq!(status(to, Method::Post, &path, Some("shop-key-1")), 200);
     assert_eq!(status(to, Method::Get, "/q/", Some("dock-key")), 200);
-    until("completed", || fleet.starts() == 1);
+    wait_until("completed", || fleet.starts() == 1);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let path = format!("/open/{JOB}");
     assert_eq!(status(one.callers, Method::Post, &path, None), 200);
     assert_eq!(status(one.callers, Method::Get, &path, Some("no-key")), 200);
-    until("completed", || fleet.starts() == 1);
+    wait_until("completed", || fleet.starts() == 1);
 }
 
 #[test]
@@ -77,7 +77,7 @@
         assert_eq!(
             status(to, Method::Post, &path, other),
             503,
-            "the id is taken, and nothing tells so"
+            "the id is taken, and the answer does not reveal it"
         );
     }
     assert_eq!(status(to, Method::Get, &path, Some("shop-key-2")), 200);
@@ -92,7 +92,7 @@
     assert_eq!(status(to, Method::Post, &path, Some("shop-key-1")), 200);
     let left: [(&str, &[&str]); 2] = [("shop", &["shop-key-2"]), ("dock", &[])];
     fleet.configure_accounts(2, POOL, &left);
-    until("revoked", || {
+    wait_until("revoked", || {
         status(to, Method::Get, &path, Some("shop-key-1")) == 401
     });
     assert_eq!(status(to, Method::Get, &path, Some("dock-key")), 401);
@@ -102,17 +102,18 @@
         "the same job with another key of its account"
     );
     let lines = one.lines();
-    let told = |text: &str| lines.iter().any(|line| line.contains(text));
-    assert!(told("submit for shop: Accepted"));
-    assert!(!told("shop-key"), "a key is never logged");
+    let is_logged = |text: &str| lines.iter().any(|line| line.contains(text));
+    assert!(is_logged("submit for shop: Accepted"));
+    assert!(!is_logged("shop-key"), "a key is never logged");
 }
 
-/// An entry that can't know whether a key was revoked, or a queue added, takes nothing and denies nothing.
+/// An entry whose configuration may be outdated must answer 503: it may neither accept a key that could be revoked nor
+/// deny a queue that could have been added.
 #[test]
-fn keys_unsure_entry() {
+fn keys_stale_config() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
-    let one = entry_with(
+    let one = start_entry_with(
         &fleet,
         "e1",
         &["--config-within-ms", "800", "--config-outage-ms", "800"],
@@ -121,24 +122,24 @@
     let get = |path: &str, key| status(to, Method::Get, path, Some(key));
     assert_eq!(get("/elsewhere/", "shop-key-1"), 404);
     assert_eq!(get("/q/", "no-key"), 401);
-    fleet.set_fault(StoreFault::Mute);
-    until("unsure", || get("/elsewhere/", "shop-key-1") == 503);
+    fleet.set_store_fault(StoreFault::Mute);
+    wait_until("unsure", || get("/elsewhere/", "shop-key-1") == 503);
     assert_eq!(get("/q/", "no-key"), 503);
     assert_eq!(get(&format!("/q/{JOB}"), "shop-key-1"), 503);
-    fleet.set_fault(StoreFault::None);
-    until("sure", || get("/elsewhere/", "shop-key-1") == 404);
+    fleet.set_store_fault(StoreFault::None);
+    wait_until("sure", || get("/elsewhere/", "shop-key-1") == 404);
 }
 
-/// Large configurations come one after the other, each answer of the feed brings one of two, and takes a while: an entry
-/// that has not read the newest one denies no queue that is there, and takes no key that is gone.
+/// The feed returns one row per answer and answers slowly: an entry that has not read the newest configuration yet must
+/// neither deny an existing queue nor accept a revoked key.
 #[test]
 fn keys_slow_feed() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
-    let one = entry_with(&fleet, "e1", &["--config-within-ms", "600"]);
+    let one = start_entry_with(&fleet, "e1", &["--config-within-ms", "600"]);
     let to = one.callers;
     fleet.set_feed_pages(1, 500);
-    // Other words of the operator come first: the page holds no configuration at all.
+    // Other rows of the operator come first, so that the first answers of the feed hold no configuration.
     for n in 0..4 {
         fleet.put("op", "", &format!("other/{n}"), &json!({}));
     }
@@ -153,7 +154,7 @@
         assert!(answer == 503 || answer == 401, "{answer}");
         std::thread::sleep(std::time::Duration::from_millis(30));
     }
-    until("sure", || {
+    wait_until("sure", || {
         status(to, Method::Get, "/q/", Some("shop-key-1")) == 401
     });
 }
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,4 +1,4 @@
-//! All tests, one module a feature; those that need processes run the real binaries.
+//! All integration tests, one module for each feature. Tests that need processes run the real binaries.
 
 mod decide;
 mod fleet;
@@ -29,6 +29,7 @@
 mod test_foreign;
 mod test_fuzz;
 mod test_hosts;
+mod test_instances;
 mod test_intake;
 mod test_jobs;
 mod test_keys;
@@ -37,7 +38,6 @@
 mod test_left;
 mod test_links;
 mod test_listing;
-mod test_lives;
 mod test_load;
 mod test_model;
 mod test_offers;
@@ -59,6 +59,7 @@
 mod test_room;
 mod test_rounds;
 mod test_routing;
+mod test_run_log;
 mod test_runs;
 mod test_sched;
 mod test_sched_model;
@@ -71,7 +72,6 @@
 mod test_stop;
 mod test_timeout;
 mod test_times;
-mod test_told;
 mod test_unknown;
 mod test_waves;
 mod test_wide;
