--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -9,7 +9,7 @@
 use super::config::{self, Window};
 use super::drain::Grant;
 use super::members::expect;
-use super::reduce::{Effect, Purpose as Why, Ticket};
+use super::reduce::{Effect, Purpose as CommitPurpose, Ticket};
 use super::rows::{
     entry_key, history_key, job_key, wave_key, EntryState, HeadRow, HostState, JobRow, JobSpec,
     JobState, Purpose, WaveRow, WaveState, HEAD_KEY,
@@ -115,8 +115,8 @@
 impl State {
     /// Checks an edit and commits it, or refuses it.
     ///
-    /// Something unknown here may just have been committed by another entry, so an edit that names it is checked once
-    /// more after a fresh read of the table.
+    /// If an edit names something that this entry doesn't know, such as a host or a job, another entry may just have
+    /// committed it. The edit is then checked once more after a fresh read of the table.
     pub(super) fn edit(&mut self, ticket: Ticket, edit: Edit, now: Now, out: &mut Vec<Effect>) {
         match self.check_and_commit(ticket, edit.clone(), now, out) {
             Ok(()) => {}
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Checks edits that named something unknown again, after a read that began at `begun_ms`, or after a failed read
-    /// if it is `None`.
+    /// Repeats the check of each edit that named something unknown, after a read that began at `begun_ms`; `None`
+    /// stands for a failed read. An edit that arrived after the read began waits for the next read.
     pub(super) fn recheck_edits(&mut self, begun_ms: Option<u64>, now: Now, out: &mut Vec<Effect>) {
         for (ticket, edit, asked_ms) in std::mem::take(&mut self.edits_to_recheck) {
             if begun_ms.is_some_and(|t| t < asked_ms) {
@@ -184,7 +184,7 @@
         put: Put,
         out: &mut Vec<Effect>,
     ) {
-        let purpose = Why::Edit {
+        let purpose = CommitPurpose::Edit {
             ticket,
             reply,
             line,
@@ -195,7 +195,7 @@
     fn apply(
         &mut self,
         ticket: Ticket,
-        wanted: u64,
+        expected_version: u64,
         text: String,
         now: Now,
         out: &mut Vec<Effect>,
@@ -210,15 +210,15 @@
             out.push(Effect::Log(d));
             return Err(Kind::InvalidTemplate.with_detail(error.to_string()));
         }
-        if wanted != self.config_version || !self.is_unlocked(HEAD_KEY) {
+        if expected_version != self.config_version || !self.is_unlocked(HEAD_KEY) {
             let detail = format!(
-                "the version is {}, not {wanted}; read it and base the change on it",
+                "the version is {}, not {expected_version}; read it and base the change on it",
                 self.config_version
             );
             return Err(Kind::Conflict.with_detail(detail));
         }
         let head = HeadRow {
-            version: wanted + 1,
+            version: expected_version + 1,
             text,
             by: self.me.name.clone(),
             at_ms: now.wall_ms,
@@ -227,7 +227,7 @@
             Put::new(HEAD_KEY, expect(self.head_version), &head),
             Put::new(history_key(head.version), expect(0), &head),
         ];
-        let purpose = Why::Apply {
+        let purpose = CommitPurpose::Apply {
             ticket,
             version: head.version,
             base: Arc::clone(&self.config),
@@ -268,7 +268,7 @@
         Err(Kind::BudgetHolds.with_detail(detail))
     }
 
-    fn check_at_rest(&self, host: HostKey) -> Result<(), Refusal> {
+    fn check_free_or_serving(&self, host: HostKey) -> Result<(), Refusal> {
         let h = &self.hosts[host];
         match h.row.state {
             HostState::Free | HostState::Serving => Ok(()),
@@ -286,7 +286,7 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), Refusal> {
         let host = self.find_changeable_host(id)?;
-        self.check_at_rest(host)?;
+        self.check_free_or_serving(host)?;
         self.check_budget(host, out)?;
         let purpose = if reboot {
             Purpose::Maintenance
@@ -294,7 +294,7 @@
             Purpose::Hold
         };
         let reply = Reply::Done(format!("host {id} is draining"));
-        let make = |line| Why::Edit {
+        let make_purpose = |line| CommitPurpose::Edit {
             ticket,
             reply,
             line,
@@ -305,7 +305,7 @@
             wave: None,
             why: format!("operator: {why}"),
         };
-        self.grant_drain(grant, make, now, out);
+        self.grant_drain(grant, make_purpose, now, out);
         Ok(())
     }
 
@@ -330,7 +330,7 @@
         }
         let what = format!("returned by an operator while {}", state.as_str());
         let line = Decision::new(Code::HostReturned, Subject::Host, id, what.clone());
-        let purpose = Why::Edit {
+        let purpose = CommitPurpose::Edit {
             ticket,
             reply: Reply::Done(format!("host {id} is back")),
             line,
@@ -351,7 +351,7 @@
         if let Some(pool) = to.as_ref().filter(|p| !self.config.pools.contains_key(*p)) {
             return Err(Kind::UnknownPool.with_detail(pool.as_str()));
         }
-        self.check_at_rest(host)?;
+        self.check_free_or_serving(host)?;
         if self.hosts[host].row.pool == to {
             return Err(Kind::NotAllowed.with_detail("the host is already there"));
         }
@@ -364,7 +364,7 @@
             None => (Purpose::Release, "operator: to the free hosts".to_string()),
         };
         let reply = Reply::Done(format!("host {id} is draining, then moves"));
-        let make = |line| Why::Edit {
+        let make_purpose = |line| CommitPurpose::Edit {
             ticket,
             reply,
             line,
@@ -375,7 +375,7 @@
             wave: None,
             why,
         };
-        self.grant_drain(grant, make, now, out);
+        self.grant_drain(grant, make_purpose, now, out);
         Ok(())
     }
 
@@ -540,7 +540,7 @@
         Ok(())
     }
 
-    /// Answers a repeated key with the existing job, or refuses it if the request differs.
+    /// Answers a submission whose id is already taken: with the existing job, or with an error if the request differs.
     fn answer_repeated_submit(
         &self,
         ticket: Ticket,
--- a/src/core/sched/routing.rs
+++ b/src/core/sched/routing.rs
@@ -1,9 +1,9 @@
 //! Finds the queue that a request is for and the account whose key it carries, by indexes that are built once per
 //! configuration.
 //!
-//! A configuration may hold 1,500 queues and an entry has an eighth of a core: a scan of all queues took 7.3 us per
-//! request (0.05 with ten queues). The two indexes together take 0.52 us (0.35), and 1.1 ms to build (`cargo bench
-//! --bench decisions`, medians on a whole core).
+//! A configuration may hold 1,500 queues, and an entry may use only an eighth of a core. On a whole core, a scan of
+//! 1,500 queues takes 7.3 us per request (0.05 us for ten queues). Both indexes together answer in 0.52 us (0.35 us for
+//! ten queues) and take 1.1 ms to build.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,9 +14,10 @@
 /// A configuration with its indexes for requests.
 #[derive(Clone, Debug, Default)]
 pub struct Routing {
-    /// The configuration.
+    /// Configuration that the indexes are built from.
     pub config: Arc<FleetConfig>,
-    hosts: HashMap<String, Prefixes>,
+    /// Path prefixes of queues by HTTP host name.
+    by_host_name: HashMap<String, Prefixes>,
     /// Names of accounts by the hashes of their keys.
     accounts: HashMap<TokenHash, String>,
 }
@@ -35,14 +36,15 @@
         let prefix = queue.path_prefix.clone();
         let length = prefix.len();
         self.queues.insert(prefix, queue.name.clone());
-        if let Err(place) = self.lengths.binary_search_by(|l| length.cmp(l)) {
-            self.lengths.insert(place, length);
+        if let Err(index) = self.lengths.binary_search_by(|l| length.cmp(l)) {
+            self.lengths.insert(index, length);
         }
     }
 
-    fn longest(&self, path: &str) -> Option<&str> {
-        let beginnings = self.lengths.iter().filter_map(|length| path.get(..*length));
-        let mut queues = beginnings.filter_map(|beginning| self.queues.get(beginning));
+    /// Returns the name of the queue with the longest prefix of a path.
+    fn find_longest_match(&self, path: &str) -> Option<&str> {
+        let prefixes = self.lengths.iter().filter_map(|length| path.get(..*length));
+        let mut queues = prefixes.filter_map(|prefix| self.queues.get(prefix));
         queues.next().map(String::as_str)
     }
 }
@@ -50,23 +52,26 @@
 impl Routing {
     /// Builds the indexes of a configuration.
     pub fn new(config: Arc<FleetConfig>) -> Self {
-        let mut hosts: HashMap<String, Prefixes> = HashMap::new();
+        let mut by_host_name: HashMap<String, Prefixes> = HashMap::new();
         for queue in config.queues.values() {
-            hosts.entry(queue.host.clone()).or_default().add(queue);
+            by_host_name
+                .entry(queue.host.clone())
+                .or_default()
+                .add(queue);
         }
         let accounts = config.accounts.values();
         let keys =
             accounts.flat_map(|account| account.keys.iter().map(|key| (*key, &account.name)));
         Self {
             accounts: keys.map(|(key, name)| (key, name.clone())).collect(),
-            hosts,
+            by_host_name,
             config,
         }
     }
 
     /// Returns the queue for a host name and a path: the longest path prefix wins.
     pub fn queue(&self, host: &str, path: &str) -> Option<&QueueConfig> {
-        let name = self.hosts.get(host)?.longest(path)?;
+        let name = self.by_host_name.get(host)?.find_longest_match(path)?;
         self.config.queues.get(name)
     }
 
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -1,5 +1,5 @@
-//! Starts, stops and ends the runs of tasks, and ends jobs that are completed, failed or cancelled. The reducer passes
-//! in the workers' answers, and [`renewal`](super::renewal) the run ends that workers report.
+//! Starts, stops and ends the runs of tasks, and ends jobs that are completed, failed or cancelled. The reducer calls
+//! it with the workers' answers, and [`renewal`](super::renewal) calls it with the run ends that workers report.
 //!
 //! A recorded run may be executing until its worker reports otherwise, the worker's instance has ended, or every lease
 //! and order given to the worker has expired. Only then is the task's next run placed.
@@ -95,8 +95,8 @@
     ctx.out.push(Effect::Start(order, key, start));
 }
 
-/// Returns whether a refusal for a stale fencing token means that another entry owns the pool. If the worker's id has
-/// restarted, the refusal may be due to the restart.
+/// Returns whether a refusal for a stale fencing token means that another entry owns the pool. A worker that has
+/// restarted under the same id may refuse because of the restart instead.
 fn is_fenced_out(pool_state: &PoolState, worker: WorkerKey) -> bool {
     pool_state
         .workers
@@ -104,7 +104,7 @@
         .is_some_and(|w| !w.has_restarted())
 }
 
-/// Returns whether a reply from another instance at the worker's address proves that this instance has ended.
+/// Returns whether a reply from another instance at a worker's address proves that the worker's own instance has ended.
 fn has_answered_at_address(pool_state: &PoolState, worker: WorkerKey) -> bool {
     pool_state
         .workers
@@ -133,8 +133,8 @@
     }
     match reply {
         OrderReply::Accepted | OrderReply::Outdated => {
-            // `Outdated` means that the run has ended or was barred on the worker. The worker's next report shows
-            // which.
+            // `Outdated` means that this run or a later one has ended or was stopped on the worker. The worker's
+            // next report shows which.
             pool_state.set_phase(key, Phase::Running(worker), ctx.now.ms);
             mark_settled(pool_state, key, ctx);
             if let Some(task) = pool_state
@@ -199,8 +199,8 @@
     false
 }
 
-/// Handles a refused start. A refusal covers only the request that it answers: if an earlier request got no reply, a
-/// stop bars the run before the task is queued again.
+/// Handles a refused start. A refusal covers only the request that it answers: an earlier request without a reply may
+/// still start the run, so the run is stopped before the task is queued again.
 fn handle_refusal(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -216,7 +216,7 @@
     }
 }
 
-/// Notes that the worker answered the order which led to the task's phase.
+/// Notes that the worker has answered the start or stop that put the task into its phase.
 fn mark_settled(pool_state: &mut PoolState, key: TaskKey, ctx: &Ctx<'_>) {
     if let Some(task) = pool_state.task_mut(key) {
         task.settled_ms = Some(ctx.now.ms);
@@ -240,7 +240,7 @@
     let worker = match task.phase {
         Phase::Starting(w) | Phase::Running(w) | Phase::Suspect(w) | Phase::Stopping(w) => w,
         Phase::Recording(_) => {
-            // The start was never sent, and the next record overwrites the recorded run.
+            // The start was never sent, and the job's next recorded progress replaces the recorded run.
             note_never_started(pool_state, key);
             requeue(pool_state, key, "stopped before its start was sent", ctx);
             return;
@@ -328,8 +328,8 @@
     false
 }
 
-/// Notes that a task's current run never started. The platform's limit on starts counts runs, and a refused run must
-/// not use up a start of a task that crashed nothing.
+/// Notes that a task's current run never started. The platform limits the starts of a task by counting its runs, and a
+/// run that was refused must not use up a start of a task that crashed nothing.
 fn note_never_started(pool_state: &mut PoolState, key: TaskKey) {
     if let Some(task) = pool_state.task_mut(key) {
         task.losses.note_never_started();
@@ -342,7 +342,8 @@
     requeue_for(pool_state, key, why, None, ctx);
 }
 
-/// Same as [`requeue`]; `asked_ms` is when the report was requested that shows the run's end, if a report does.
+/// Same as [`requeue`]. If a worker's report shows the end of the run, `asked_ms` is the time when that report was
+/// requested; otherwise it is `None`.
 pub(super) fn requeue_for(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -361,11 +362,12 @@
         crashes::queue_if_given_up(pool_state, key);
         return;
     }
-    let is_noted = task.losses.has_losses();
+    let has_losses = task.losses.has_losses();
     let decision = run_log::task_requeued(pool_state, key, why, asked_ms, ctx.now.ms);
     pool_state.set_phase(key, Phase::Ready, ctx.now.ms);
-    if is_noted {
-        // The stored progress still shows the run, and the next owner would count its worker's end a second time.
+    if has_losses {
+        // Until the progress is stored again, it still lists the run, and a next owner would count the end of the
+        // run's worker a second time.
         pool_state.mark_dirty(key.job, ctx.now.ms);
     }
     if gang::is_member(pool_state, key) {
@@ -377,7 +379,7 @@
     }
 }
 
-/// Ends a worker's instance, or everything that runs on it, once it is certainly over.
+/// Requeues all tasks of a worker once its instance, or everything that ran on it, has certainly ended.
 pub fn end_worker(
     pool_state: &mut PoolState,
     worker: WorkerKey,
@@ -449,7 +451,7 @@
     pool_state: &mut PoolState,
     key: TaskKey,
     worker: WorkerKey,
-    (number, is_current): (u64, bool),
+    (end_number, is_current): (u64, bool),
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
@@ -464,7 +466,7 @@
     };
     if !is_current {
         for task in &completed {
-            stop_other_run(pool_state, *task, (worker, number), epoch, ctx);
+            stop_other_run(pool_state, *task, (worker, end_number), epoch, ctx);
         }
     }
     let started_ms = pool_state.task(key).and_then(|t| t.started_ms);
@@ -508,7 +510,7 @@
 fn stop_other_run(
     pool_state: &mut PoolState,
     key: TaskKey,
-    noticed: (WorkerKey, u64),
+    earlier_end: (WorkerKey, u64),
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
@@ -529,7 +531,7 @@
         charge: pool_state.charge(key),
         worker,
         demand: spec.demand(),
-        reported_end: noticed,
+        reported_end: earlier_end,
         settled_ms: None,
     };
     pool_state.keep_leftover_run(key, run, leftover);
@@ -594,7 +596,7 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
+    let is_lasting = pool_state.step_spec(key).is_some_and(|s| s.lasting);
     let attempts_max = pool_state.jobs[key.job].policy.attempts_max;
     let Some(task) = pool_state.task_mut(key) else {
         return;
@@ -622,7 +624,7 @@
     if is_current {
         requeue(pool_state, key, "run failed", ctx);
     }
-    if !lasts && fails >= attempts_max {
+    if !is_lasting && fails >= attempts_max {
         fail_exhausted(pool_state, key, epoch, ctx);
     }
 }
@@ -633,12 +635,12 @@
     let Some(task) = pool_state.task(key).filter(|t| t.failed_runs > 0) else {
         return false;
     };
-    let lasts = pool_state.step_spec(key).is_none_or(|s| s.lasting);
-    !lasts && task.fails() >= pool_state.jobs[key.job].policy.attempts_max
+    let is_lasting = pool_state.step_spec(key).is_none_or(|s| s.lasting);
+    !is_lasting && task.fails() >= pool_state.jobs[key.job].policy.attempts_max
 }
 
-/// Ends the jobs of waiting tasks that have no attempt left. This doesn't happen as a configuration changes, because
-/// the configuration after it, which may allow more attempts, may already be there.
+/// Ends the jobs of waiting tasks that have no attempt left. The periodic upkeep calls it, not the change of the
+/// configuration: a still newer configuration that allows more attempts may already exist.
 pub(super) fn end_exhausted_jobs(pool_state: &mut PoolState, epoch: u64, ctx: &mut Ctx<'_>) {
     let waiting = pool_state.ready.iter().map(|rank| rank.task);
     let exhausted: Vec<TaskKey> = waiting
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,4 +1,4 @@
-//! JSON documents that the operators' interface (`/v1/...`) answers.
+//! JSON bodies of the answers of the operators' interface (`/v1/...`).
 //!
 //! The admin server builds them from its state, and the commands of the binary parse them. Field names are part of
 //! that interface.
@@ -18,7 +18,7 @@
     pub state: String,
     /// Version of the configuration in force there, as it last reported; 0 if it never reported.
     pub config_version: u64,
-    /// Table sequence number up to which its routes are current, as it last reported.
+    /// Sequence number of the platform's table up to which its routes are current, as it last reported.
     pub view_seq: u64,
     /// Time since it was last heard from; `None` if it never was, or if it is the answering entry itself.
     pub silent_ms: Option<Millis>,
@@ -37,7 +37,7 @@
     pub isolated: bool,
     /// Version of the configuration in force here.
     pub config_version: u64,
-    /// Table sequence number up to which the rows are known here.
+    /// Sequence number of the platform's table up to which the rows are known here.
     pub seq: u64,
     /// All known entries.
     pub entries: Vec<EntryView>,
@@ -111,7 +111,7 @@
     pub row: JobRow,
 }
 
-/// The configuration in force, as `GET /v1/template` answers it.
+/// The configuration in force, as `GET /v1/template` returns it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TemplateView {
     /// Version; 0 if there is no configuration.
@@ -138,11 +138,11 @@
     pub fn from_decision(entry: &str, d: &Decision) -> Self {
         let names = d.names.iter().map(|(n, v)| format!("{n}={v}"));
         let figures = d.figures.iter().map(|(n, v)| format!("{n}={v}"));
-        let figures: Vec<String> = names.chain(figures).collect();
+        let pairs: Vec<String> = names.chain(figures).collect();
         let code = d.code.info();
-        let what = match figures.is_empty() {
+        let what = match pairs.is_empty() {
             true => format!("{}: {}", code.name, d.why),
-            false => format!("{}: {} ({})", code.name, d.why, figures.join(" ")),
+            false => format!("{}: {} ({})", code.name, d.why, pairs.join(" ")),
         };
         Line {
             at_ms: d.at_ms,
--- a/standin/src/fleet/restarts.rs
+++ b/standin/src/fleet/restarts.rs
@@ -1,5 +1,5 @@
-//! Workers that restart under the same id without any state of their former instance. Faults of the soak and ends of
-//! instances lead here.
+//! Restarts workers under the same id without any state of their former instance. The fault soak calls it to crash a
+//! worker, and the platform calls it when an instance ends.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -7,11 +7,11 @@
 
 use super::{Fleet, State};
 
-/// Largest error of a worker's wall clock.
-const CLOCK_STEP_MS: u64 = 3_000;
+/// Bound, exclusive, of how far a worker's wall clock may have been set back at a start.
+const CLOCK_SETBACK_MAX_MS: u64 = 3_000;
 
 impl State {
-    /// Returns a name for an instance that stays unique when its id is used again.
+    /// Returns a name for an instance of a worker id that differs from those of earlier instances with the same id.
     pub(super) fn label(&self, instance: &str) -> String {
         let serial = self.workers.get(instance).map_or(0, |w| w.serial);
         format!("{instance}#{serial}")
@@ -24,11 +24,12 @@
         worker.map_or(0, |w| w.serial)
     }
 
-    /// Draws the start time that an instance started now states: its wall clock may have been set back.
+    /// Returns the start time that an instance reports if it starts now. A random amount is subtracted, because the
+    /// worker's wall clock may have been set back.
     pub(super) fn born_ms(&mut self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let now_ms = since.unwrap_or_default().as_millis() as u64;
-        now_ms - self.births.u64(..CLOCK_STEP_MS)
+        now_ms - self.births.u64(..CLOCK_SETBACK_MAX_MS)
     }
 }
 
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that tests, the soak and the experiments share: the platform of workers and the in-memory table.
+//! Stand-ins that tests, the soak and the experiments share: a platform with workers and hosts, and an in-memory table.
 
 pub mod fleet;
 pub mod rows;
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -15,8 +15,8 @@
 /// Epoch of the entry that orders hosts.
 const EPOCH: u64 = 7;
 
-/// The entry that orders hosts. Pool `busy` lacks one host, and pool `idle` offers `h1`.
-struct Holder {
+/// The entry that owns pool `off` and therefore orders hosts. Pool `busy` lacks one host, and pool `idle` offers `h1`.
+struct Owner {
     controller: HostController,
     config: FleetConfig,
     now_ms: u64,
@@ -24,9 +24,9 @@
     offers: Offers,
 }
 
-impl Holder {
-    /// Creates an entry that takes over from a holder which had ordered the hosts `former`, and which reported the
-    /// times `reported_ms` in its last heartbeat two seconds ago.
+impl Owner {
+    /// Creates an owner whose former owner had ordered the hosts `former` and reported the times `reported_ms` of its
+    /// orders in its last heartbeat two seconds ago. The former owner sent no order after 49,500 ms.
     fn new(former: &[&str], reported_ms: &[(&str, u64)]) -> Self {
         let row = HostOrdersRow {
             hosts: former.iter().map(|host| host.to_string()).collect(),
@@ -45,13 +45,13 @@
         let mut offers = Offers::default();
         offers.row.offered = BTreeMap::from([("h1".to_string(), "life of h1".to_string())]);
         offers.revision = 3;
-        let mut holder = Self {
+        let mut owner = Self {
             controller: HostController::default(),
             config: donor_config("idle"),
             now_ms: 50_000,
             offers,
         };
-        holder.with_ctx(|controller, _, ctx| {
+        owner.with_ctx(|controller, _, ctx| {
             *controller = HostController::new(&[row], &former, false, ctx)
         });
         let list = ["h1", "h2"].map(|host| HostRecord {
@@ -61,9 +61,9 @@
             worker: format!("life of {host}"),
         });
         // The first pass asks for the list of hosts.
-        holder.reconcile_hosts();
-        hosts::apply_list(&mut holder.controller, list.to_vec());
-        holder
+        owner.reconcile_hosts();
+        hosts::apply_list(&mut owner.controller, list.to_vec());
+        owner
     }
 
     fn with_ctx(
@@ -96,7 +96,8 @@
         })
     }
 
-    /// Applies the answer to a take: the host was taken from `idle`, or its offer was withdrawn in the meantime.
+    /// Applies the answer to a take. If `is_done`, the host was taken from `idle`; otherwise `idle` had already
+    /// withdrawn its offer.
     fn apply_take_answer(&mut self, is_done: bool) -> Vec<Effect> {
         let outcome = match is_done {
             true => TxOutcome::Committed(10),
@@ -133,86 +134,91 @@
     vec![("h1".to_string(), HostTask::Move("busy".to_string()))]
 }
 
+/// An order that is sent before it is recorded is unknown to the next owner, which may then order the host too soon.
 #[test]
 fn hosts_recorded_first() {
-    let mut holder = Holder::new(&[], &[]);
-    let effects = holder.reconcile_hosts();
+    let mut owner = Owner::new(&[], &[]);
+    let effects = owner.reconcile_hosts();
     assert_eq!((count_records(&effects), count_takes(&effects)), (1, 1));
     assert_eq!(list_moves(&effects), []);
     assert_eq!(
-        list_moves(&holder.apply_take_answer(true)),
+        list_moves(&owner.apply_take_answer(true)),
         [],
         "the order is not recorded yet"
     );
-    assert_eq!(list_moves(&holder.apply_recorded_orders()), move_to_busy());
+    assert_eq!(list_moves(&owner.apply_recorded_orders()), move_to_busy());
 }
 
+/// An order that is sent before the host is taken from its pool moves a host on which the pool may still place work.
 #[test]
 fn hosts_taken_first() {
-    let mut holder = Holder::new(&[], &[]);
-    holder.reconcile_hosts();
+    let mut owner = Owner::new(&[], &[]);
+    owner.reconcile_hosts();
     assert_eq!(
-        list_moves(&holder.apply_recorded_orders()),
+        list_moves(&owner.apply_recorded_orders()),
         [],
         "the pool still offers the host"
     );
-    // A slow store: the take holds, however long its answer took.
-    holder.now_ms += 1_500;
-    assert_eq!(list_moves(&holder.apply_take_answer(true)), move_to_busy());
+    // The store answers slowly. The host counts as taken however late the answer arrives.
+    owner.now_ms += 1_500;
+    assert_eq!(list_moves(&owner.apply_take_answer(true)), move_to_busy());
 }
 
 /// The pool withdrew its offer before the host was taken, and may have placed work there, so the host is not moved.
 #[test]
 fn hosts_withdrawn() {
-    let mut holder = Holder::new(&[], &[]);
-    holder.reconcile_hosts();
-    holder.apply_recorded_orders();
-    assert_eq!(list_moves(&holder.apply_take_answer(false)), []);
-    holder.offers.replace_row(OffersRow::default(), 11);
-    holder.now_ms += 2_000;
-    let effects = holder.reconcile_hosts();
+    let mut owner = Owner::new(&[], &[]);
+    owner.reconcile_hosts();
+    owner.apply_recorded_orders();
+    assert_eq!(list_moves(&owner.apply_take_answer(false)), []);
+    owner.offers.replace_row(OffersRow::default(), 11);
+    owner.now_ms += 2_000;
+    let effects = owner.reconcile_hosts();
     assert_eq!((list_moves(&effects), count_takes(&effects)), (vec![], 0));
 }
 
+/// An order without a reply is sent again only as long as the host is still taken from its pool. Otherwise the retry
+/// moves a host that its pool may use again.
 #[test]
 fn hosts_silent_again() {
-    let mut holder = Holder::new(&[], &[]);
-    holder.reconcile_hosts();
-    holder.apply_recorded_orders();
-    assert_eq!(list_moves(&holder.apply_take_answer(true)).len(), 1);
-    holder.with_ctx(|controller, _, ctx| {
+    let mut owner = Owner::new(&[], &[]);
+    owner.reconcile_hosts();
+    owner.apply_recorded_orders();
+    assert_eq!(list_moves(&owner.apply_take_answer(true)).len(), 1);
+    owner.with_ctx(|controller, _, ctx| {
         hosts::apply_reply(controller, "h1", HostReply::Silent, ctx)
     });
-    holder.now_ms += 500;
+    owner.now_ms += 500;
     assert_eq!(
-        list_moves(&holder.reconcile_hosts()),
+        list_moves(&owner.reconcile_hosts()),
         move_to_busy(),
         "the host is taken, so the order is sent again"
     );
-    holder.with_ctx(|controller, _, ctx| {
+    owner.with_ctx(|controller, _, ctx| {
         hosts::apply_reply(controller, "h1", HostReply::Silent, ctx)
     });
-    holder.offers.replace_row(OffersRow::default(), 12);
-    holder.now_ms += 500;
+    owner.offers.replace_row(OffersRow::default(), 12);
+    owner.now_ms += 500;
     assert_eq!(
-        list_moves(&holder.reconcile_hosts()),
+        list_moves(&owner.reconcile_hosts()),
         [],
         "the host is no longer taken"
     );
 }
 
-/// A host that was taken but not moved goes back to its pool once no order can move it any more.
+/// The former owner took a host and did not move it, and its orders can't move the host any more. Since no pool lacks a
+/// host, the host must go back to its pool.
 #[test]
 fn hosts_given_back() {
-    let mut holder = Holder::new(&[], &[]);
-    holder.offers.row = OffersRow::default();
+    let mut owner = Owner::new(&[], &[]);
+    owner.offers.row = OffersRow::default();
     let taken = |epoch| Taken {
         life: "life of h1".to_string(),
         epoch,
     };
     let by_former = BTreeMap::from([("h1".to_string(), taken(EPOCH - 1))]);
-    holder.offers.row.taken = by_former;
-    let effects = holder.with_ctx(|controller, inputs, ctx| {
+    owner.offers.row.taken = by_former;
+    let effects = owner.with_ctx(|controller, inputs, ctx| {
         let needs = [inputs.needs[1]];
         let without_need = Inputs {
             needs: &needs,
@@ -220,63 +226,65 @@
         };
         hosts::reconcile(controller, &BTreeMap::new(), &without_need, ctx);
     });
-    // No pool lacks a host, so the former holder's mark is removed.
+    // No pool lacks a host, so the former owner's mark is removed.
     assert_eq!((count_takes(&effects), list_moves(&effects).len()), (1, 0));
-    holder.apply_take_answer(true);
-    assert!(holder.offers.row.taken.is_empty());
+    owner.apply_take_answer(true);
+    assert!(owner.offers.row.taken.is_empty());
 }
 
-/// A former holder marked an instance as taken that has ended since. The mark says nothing about the host's next
-/// instance, which came back to the pool.
+/// A former owner marked a host as taken, and the instance on the host has ended since then. The mark doesn't apply to
+/// the host's next instance, which came back to the pool, so the host must not be moved.
 #[test]
 fn hosts_stale_mark() {
-    let mut holder = Holder::new(&[], &[]);
-    holder.offers.row = OffersRow::default();
+    let mut owner = Owner::new(&[], &[]);
+    owner.offers.row = OffersRow::default();
     let earlier = Taken {
         life: "earlier life".to_string(),
         epoch: EPOCH - 1,
     };
-    holder.offers.row.taken = BTreeMap::from([("h1".to_string(), earlier)]);
-    let effects = holder.reconcile_hosts();
+    owner.offers.row.taken = BTreeMap::from([("h1".to_string(), earlier)]);
+    let effects = owner.reconcile_hosts();
     assert_eq!((count_records(&effects), count_takes(&effects)), (0, 1));
-    assert_eq!(list_moves(&holder.apply_take_answer(true)), []);
+    assert_eq!(list_moves(&owner.apply_take_answer(true)), []);
     assert!(
-        holder.offers.row.taken.is_empty(),
+        owner.offers.row.taken.is_empty(),
         "the stale mark is removed"
     );
 }
 
-/// The same for an offer: the host crashed, and its next instance may be running tasks.
+/// A pool offered a host, and the host then crashed. The offer doesn't apply to its next instance, which may be running
+/// tasks, so the host must not be taken.
 #[test]
 fn hosts_stale_offer() {
-    let mut holder = Holder::new(&[], &[]);
+    let mut owner = Owner::new(&[], &[]);
     let offered = BTreeMap::from([("h1".to_string(), "earlier life".to_string())]);
-    holder.offers.row.offered = offered;
-    let effects = holder.reconcile_hosts();
+    owner.offers.row.offered = offered;
+    let effects = owner.reconcile_hosts();
     assert_eq!((count_records(&effects), count_takes(&effects)), (0, 0));
 }
 
-/// Surplus hosts are turned off a few at a time, so that orders that a pool waits for are sent between them.
+/// Turning off all surplus hosts at once would delay the orders for pools that lack hosts, so only a few are turned off
+/// at a time.
 #[test]
 fn hosts_parked_slowly() {
-    let mut holder = Holder::new(&[], &[]);
+    let mut owner = Owner::new(&[], &[]);
     let names: Vec<String> = (0..100).map(|n| format!("h{n}")).collect();
     let offered = names.iter().map(|host| (host.clone(), String::new()));
-    holder.offers.row.offered = offered.collect();
+    owner.offers.row.offered = offered.collect();
     let list = names.iter().map(|host| HostRecord {
         host: host.clone(),
         pool: "idle".to_string(),
         state: HostState::Up,
         worker: String::new(),
     });
-    hosts::apply_list(&mut holder.controller, list.collect());
-    holder.reconcile_hosts();
-    holder.apply_recorded_orders();
-    holder.apply_take_answer(true);
-    holder.now_ms += 10_000;
-    holder.reconcile_hosts();
-    holder.apply_recorded_orders();
-    let sent = list_moves(&holder.apply_take_answer(true));
+    hosts::apply_list(&mut owner.controller, list.collect());
+    owner.reconcile_hosts();
+    owner.apply_recorded_orders();
+    owner.apply_take_answer(true);
+    owner.now_ms += 10_000;
+    owner.reconcile_hosts();
+    owner.apply_recorded_orders();
+    let sent = list_moves(&owner.apply_take_answer(true));
     let is_off = |(_, task): &&(String, HostTask)| *task == HostTask::Move("off".to_string());
     let off = sent.iter().filter(is_off).count();
     assert!(
@@ -285,25 +293,27 @@
     );
 }
 
+/// A new owner that orders a host soon after the former owner may send a second order while the first is under way.
 #[test]
 fn hosts_former_holder() {
-    let mut holder = Holder::new(&["h1"], &[]);
-    holder.now_ms = 49_500 + hosts::ORDERS_APART_MS - 1;
+    let mut owner = Owner::new(&["h1"], &[]);
+    owner.now_ms = 49_500 + hosts::ORDERS_APART_MS - 1;
     assert_eq!(
-        count_records(&holder.reconcile_hosts()),
+        count_records(&owner.reconcile_hosts()),
         0,
         "another entry ordered the host last"
     );
-    holder.now_ms += 1;
-    assert_eq!(count_records(&holder.reconcile_hosts()), 1);
+    owner.now_ms += 1;
+    assert_eq!(count_records(&owner.reconcile_hosts()), 1);
 }
 
-/// The former holder reported in its heartbeats when it ordered the host, so only the rest of the gap is waited for.
+/// The former owner reported in its heartbeats when it ordered the host. The gap between two orders counts from that
+/// time, not from the end of the former owner's lease.
 #[test]
 fn hosts_former_reported() {
-    let mut holder = Holder::new(&["h1"], &[("h1", 47_000)]);
-    holder.now_ms = 47_000 + hosts::ORDERS_APART_MS - 1;
-    assert_eq!(count_records(&holder.reconcile_hosts()), 0);
-    holder.now_ms += 1;
-    assert_eq!(count_records(&holder.reconcile_hosts()), 1);
+    let mut owner = Owner::new(&["h1"], &[("h1", 47_000)]);
+    owner.now_ms = 47_000 + hosts::ORDERS_APART_MS - 1;
+    assert_eq!(count_records(&owner.reconcile_hosts()), 0);
+    owner.now_ms += 1;
+    assert_eq!(count_records(&owner.reconcile_hosts()), 1);
 }
--- a/tests/test_reload.rs
+++ b/tests/test_reload.rs
@@ -1,11 +1,12 @@
-//! An owner reads its rows again within its ownership.
+//! An owner reads the rows of its pool again while it still owns the pool.
 
 use crate::world::{lasting, World};
 
 /// Time within which an entry has claimed the pool, and all leases of a former owner have expired.
 const SETTLE_MS: u64 = 8_000;
 
-/// Leases that the owner itself renewed do not expire because a former owner's leases have.
+/// Once all leases of a former owner have expired, a reload must not treat the leases that the owner itself renewed as
+/// expired, or it starts their tasks again.
 #[test]
 fn reload_keeps_leases() {
     let mut world = World::new(20, 1, 4);
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -8,8 +8,8 @@
 impl World {
     pub(super) fn put(&mut self, table: Table, part: &str, key: &str, value: Vec<u8>) {
         self.revision += 1;
-        let place = (table, part.to_string(), key.to_string());
-        self.store.insert(place, (value.clone(), self.revision));
+        let row_key = (table, part.to_string(), key.to_string());
+        self.store.insert(row_key, (value.clone(), self.revision));
         let row = StoredRow {
             part: part.to_string(),
             key: key.to_string(),
@@ -22,7 +22,7 @@
             }
             let incarnation = self.entries[n].incarnation;
             if let Some(event) = row_event(table, row.clone()) {
-                // All rows take the same time, so feeds keep the order of changes.
+                // Each change reaches an entry after the same delay, so feeds keep the order of changes.
                 self.schedule(FEED_MS, TimedEvent::Deliver(n, incarnation, event));
             }
         }
@@ -41,20 +41,20 @@
 
     pub(super) fn transact(&mut self, tx: &RowTx) -> TxOutcome {
         let mut found = Vec::new();
-        let mut holds = true;
+        let mut guards_hold = true;
         for guard in &tx.guards {
-            let place = (guard.table, tx.part.clone(), guard.key.clone());
-            let there = self.store.get(&place);
-            holds &= there.map_or(0, |(_, revision)| *revision) == guard.revision;
+            let row_key = (guard.table, tx.part.clone(), guard.key.clone());
+            let stored = self.store.get(&row_key);
+            guards_hold &= stored.map_or(0, |(_, revision)| *revision) == guard.revision;
             let row = StoredRow {
                 part: tx.part.clone(),
                 key: guard.key.clone(),
-                value: there.map(|(value, _)| value.clone()),
-                revision: there.map_or(0, |(_, revision)| *revision),
+                value: stored.map(|(value, _)| value.clone()),
+                revision: stored.map_or(0, |(_, revision)| *revision),
             };
             found.push((guard.table, row));
         }
-        if !holds {
+        if !guards_hold {
             return TxOutcome::Conflict(found);
         }
         let before = self.revision;
@@ -102,8 +102,8 @@
         let mut runs: HashMap<(u32, u16, Option<u16>), HashSet<u32>> = HashMap::new();
         for (task, failed) in self.failed_runs.iter().filter(|(task, _)| task.job == id) {
             let is_gang = steps[usize::from(task.step)].gang;
-            let alone = (!is_gang).then_some(task.index);
-            let key = (task.round, task.step, alone);
+            let own_index = (!is_gang).then_some(task.index);
+            let key = (task.round, task.step, own_index);
             runs.entry(key).or_default().extend(failed);
         }
         runs.values().map(HashSet::len).max().unwrap_or(0)
@@ -114,10 +114,10 @@
         let spec = &self.specs[id];
         if row.state == JobState::Failed {
             let most = self.most_failed_runs(id);
-            let (least, _) = self.attempts[id];
+            let (attempts_min, _) = self.attempts[id];
             assert!(
-                most >= least as usize || self.may_be_given_up(id),
-                "{id} is recorded as failed after {most} failed runs of {least}, without two crashes under one task"
+                most >= attempts_min as usize || self.may_be_given_up(id),
+                "{id} is recorded as failed: {most} failed runs, not {attempts_min}, and no task with two crashes"
             );
         }
         if row.state == JobState::Completed {
@@ -147,9 +147,9 @@
     }
 
     pub(super) fn was_done(&self, name: &TaskName) -> bool {
-        let is_it = |e: &RunEnd| e.task == *name && e.kind == EndKind::Done;
+        let is_done_end = |e: &RunEnd| e.task == *name && e.kind == EndKind::Done;
         let mut instances = self.workers.values().chain(&self.former);
-        self.acked_done.contains(name) || instances.any(|w| w.ended.iter().any(is_it))
+        self.acked_done.contains(name) || instances.any(|w| w.ended.iter().any(is_done_end))
     }
 
     /// Sends a transaction, subject to the faults of the world, and returns the time until the answer and the answer.
@@ -182,8 +182,9 @@
         TxOutcome::Committed(self.revision)
     }
 
+    /// Returns the rows and workers that an owner reads when it loads the pool.
     pub(super) fn rows(&self) -> LoadedRows {
-        let of = |table: Table, part: &str| -> Vec<StoredRow> {
+        let rows_of = |table: Table, part: &str| -> Vec<StoredRow> {
             let rows = self.store.iter();
             let rows =
                 rows.filter(|((t, p, _), _)| *t == table && (p == part || pool_of_part(p) == part));
@@ -196,13 +197,13 @@
             .collect()
         };
         LoadedRows {
-            intake: of(Table::Intake, POOL),
-            progress: of(Table::Progress, POOL),
-            owner: of(Table::Owners, POOL),
+            intake: rows_of(Table::Intake, POOL),
+            progress: rows_of(Table::Progress, POOL),
+            owner: rows_of(Table::Owners, POOL),
             workers: self.listed(),
             workers_asked_ms: self.now_ms,
-            waves: of(Table::Waves, ""),
-            host_orders: of(Table::HostOrders, POOL),
+            waves: rows_of(Table::Waves, ""),
+            host_orders: rows_of(Table::HostOrders, POOL),
         }
     }
 }
