--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -180,7 +180,7 @@
 /// An order without a reply is sent again only as long as the host is still taken from its pool. Otherwise the retry
 /// moves a host that its pool may use again.
 #[test]
-fn hosts_silent_again() {
+fn hosts_order_retried() {
     let mut owner = Owner::new(&[], &[]);
     owner.reconcile_hosts();
     owner.apply_recorded_orders();
