--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -266,7 +266,7 @@
 /// Turning off all surplus hosts at once would delay the orders for pools that lack hosts, so only a few are turned off
 /// at a time.
 #[test]
-fn hosts_parked_slowly() {
+fn hosts_off_gradually() {
     let mut owner = Owner::new(&[], &[]);
     let names: Vec<String> = (0..100).map(|n| format!("h{n}")).collect();
     let offered = names.iter().map(|host| (host.clone(), String::new()));
