--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -295,7 +295,7 @@
 
 /// A new owner that orders a host soon after the former owner may send a second order while the first is under way.
 #[test]
-fn hosts_former_holder() {
+fn hosts_former_owner() {
     let mut owner = Owner::new(&["h1"], &[]);
     owner.now_ms = 49_500 + hosts::ORDERS_APART_MS - 1;
     assert_eq!(
