--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -166,7 +166,7 @@
 
 /// The pool withdrew its offer before the host was taken, and may have placed work there, so the host is not moved.
 #[test]
-fn hosts_withdrawn() {
+fn hosts_offer_withdrawn() {
     let mut owner = Owner::new(&[], &[]);
     owner.reconcile_hosts();
     owner.apply_recorded_orders();
