--- a/src/core/sched/routing.rs
+++ b/src/core/sched/routing.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns the queue for a host name and a path: the longest path prefix wins.
-    pub fn queue(&self, host: &str, path: &str) -> Option<&QueueConfig> {
+    pub fn find_queue(&self, host: &str, path: &str) -> Option<&QueueConfig> {
         let name = self.by_host_name.get(host)?.find_longest_match(path)?;
         self.config.queues.get(name)
     }
--- a/tests/test_routing.rs
+++ b/tests/test_routing.rs
@@ -41,7 +41,7 @@
 #[test]
 fn routing_longest_prefix() {
     let routing = routing();
-    let name = |host, path| routing.queue(host, path).map(|q| q.name.clone());
+    let name = |host, path| routing.find_queue(host, path).map(|q| q.name.clone());
     assert_eq!(name("one", "/a/x").as_deref(), Some("short"));
     assert_eq!(name("one", "/a/b/x").as_deref(), Some("long"));
     assert_eq!(name("one", "/a/b").as_deref(), Some("short"));
@@ -77,7 +77,7 @@
         ..FleetConfig::default()
     }));
     for n in 0..1_500 {
-        let found = routing.queue(&format!("host-{}", n % 7), &format!("/p{n}/job"));
+        let found = routing.find_queue(&format!("host-{}", n % 7), &format!("/p{n}/job"));
         assert_eq!(found.map(|q| q.name.clone()), Some(format!("q-{n}")));
     }
 }
