--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -283,7 +283,7 @@
     let routing = Routing::new(Arc::new(routing_config(count)));
     bencher.bench_local(|| {
         let queue = routing.find_queue("host-1", "/p8/00000000000000aa");
-        (queue.is_some(), routing.account("b7").is_some())
+        (queue.is_some(), routing.find_account("b7").is_some())
     });
 }
 
--- a/src/core/sched/routing.rs
+++ b/src/core/sched/routing.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the account that a key belongs to.
-    pub fn account(&self, key: &str) -> Option<&AccountConfig> {
+    pub fn find_account(&self, key: &str) -> Option<&AccountConfig> {
         let name = self.accounts.get(&TokenHash::from_token(key))?;
         self.config.accounts.get(name)
     }
--- a/tests/test_routing.rs
+++ b/tests/test_routing.rs
@@ -58,7 +58,7 @@
 #[test]
 fn routing_keys() {
     let routing = routing();
-    let name = |key| routing.account(key).map(|a| a.name.clone());
+    let name = |key| routing.find_account(key).map(|a| a.name.clone());
     assert_eq!(name("k2").as_deref(), Some("shop"));
     assert_eq!(name("k3").as_deref(), Some("dock"));
     assert_eq!(name("k"), None);
