--- a/standin/src/fleet/restarts.rs
+++ b/standin/src/fleet/restarts.rs
@@ -12,7 +12,7 @@
 
 impl State {
     /// Returns a name for an instance of a worker id that differs from those of earlier instances with the same id.
-    pub(super) fn label(&self, instance: &str) -> String {
+    pub(super) fn instance_label(&self, instance: &str) -> String {
         let serial = self.workers.get(instance).map_or(0, |w| w.serial);
         format!("{instance}#{serial}")
     }
--- a/standin/src/fleet/workers.rs
+++ b/standin/src/fleet/workers.rs
@@ -76,7 +76,7 @@
         worker.next_end += 1;
         let row = json!([worker.next_end, task, run, how, ""]);
         worker.ended.push(row);
-        let label = self.label(instance);
+        let label = self.instance_label(instance);
         self.promises.record_end(task, how, (&label, run), at_ms);
     }
 
@@ -363,7 +363,7 @@
         let start = Start {
             at_ms: now_ms,
             instance: instance.to_string(),
-            label: state.label(instance),
+            label: state.instance_label(instance),
             run,
             fencing_token: body["fencing_token"].as_u64().unwrap_or(0),
         };
@@ -398,9 +398,9 @@
         let wait_ms = body["wait_ms"].as_u64().unwrap_or(0);
         let seen = body["last_seen"].as_u64().unwrap_or(0);
         let until = Instant::now() + Duration::from_millis(wait_ms);
-        let label = self.lock().label(instance);
+        let label = self.lock().instance_label(instance);
         loop {
-            if self.lock().label(instance) != label {
+            if self.lock().instance_label(instance) != label {
                 self.unanswered().await;
                 return answer(503, "application/json", Vec::new());
             }
@@ -429,7 +429,7 @@
         let running: Vec<Value> = running
             .map(|(task, r)| json!([task, r.run, "", 100, 0]))
             .collect();
-        let label = state.label(instance);
+        let label = state.instance_label(instance);
         for end in acknowledged {
             let text = |n: usize| end[n].as_str().unwrap_or("").to_string();
             let of = (&*label, end[2].as_u64().unwrap_or(0));
