--- a/standin/src/fleet/restarts.rs
+++ b/standin/src/fleet/restarts.rs
@@ -26,7 +26,7 @@
 
     /// Returns the start time that an instance reports if it starts now. A random amount is subtracted, because the
     /// worker's wall clock may have been set back.
-    pub(super) fn born_ms(&mut self) -> u64 {
+    pub(super) fn draw_born_ms(&mut self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let now_ms = since.unwrap_or_default().as_millis() as u64;
         now_ms - self.births.u64(..CLOCK_SETBACK_MAX_MS)
--- a/standin/src/fleet/workers.rs
+++ b/standin/src/fleet/workers.rs
@@ -111,7 +111,7 @@
                 (None, true) => WorkerClock::random(&mut state.late_rng, now_ms),
                 (None, false) => WorkerClock::default(),
             };
-            let born_ms = state.born_ms();
+            let born_ms = state.draw_born_ms();
             let worker = Worker {
                 serial,
                 born_ms,
