--- a/tests/world/effects.rs
+++ b/tests/world/effects.rs
@@ -49,7 +49,7 @@
                 // An unavailable partition cannot be read either.
                 let is_cut = self.entries[n].cut_until_ms > self.now_ms;
                 let reads = !is_cut && self.unavailable_parts.is_empty();
-                let rows = reads.then(|| self.rows());
+                let rows = reads.then(|| self.loaded_rows());
                 self.reply(n, 8, Event::Loaded(pool, epoch, rows));
             }
             Effect::ReadHosts(pool, epoch) => {
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -93,13 +93,13 @@
         let state = self.entries[n].state.as_ref();
         let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
         let epoch = ownership.expect("it owns the pool").epoch;
-        let rows = self.rows();
+        let rows = self.loaded_rows();
         self.deliver_logged(n, Event::Loaded(PoolKey(0), epoch, Some(rows)))
     }
 
     /// Returns the current rows of the pool.
     pub(crate) fn read_rows(&self) -> LoadedRows {
-        self.rows()
+        self.loaded_rows()
     }
 
     /// Delivers rows that were read earlier to an entry, within its ownership.
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -183,7 +183,7 @@
     }
 
     /// Returns the rows and workers that an owner reads when it loads the pool.
-    pub(super) fn rows(&self) -> LoadedRows {
+    pub(super) fn loaded_rows(&self) -> LoadedRows {
         let rows_of = |table: Table, part: &str| -> Vec<StoredRow> {
             let rows = self.store.iter();
             let rows =
