--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -64,7 +64,7 @@
         (4, Some(worker_id)) => world.crash(&worker_id, ms),
         (5, Some(worker_id)) => world.disconnect_worker(&worker_id, rng.u64(100..FAULT_MAX_MS)),
         _ if !jobs.is_empty() => {
-            world.touch_progress(&jobs[rng.usize(0..jobs.len())]);
+            world.rewrite_progress(&jobs[rng.usize(0..jobs.len())]);
         }
         _ => {}
     }
@@ -194,7 +194,7 @@
         for round in 0..400 {
             world.submit(&format!("job-{round}"), job(2, 500, 50));
             world.run(37);
-            world.touch_progress(&format!("job-{round}"));
+            world.rewrite_progress(&format!("job-{round}"));
         }
         world.run(cleanup_max_ms(3));
         assert!(world.waves_done.contains(&WAVES[0]), "seed {seed}");
@@ -221,7 +221,7 @@
                 world.submit(&format!("shop-{round}"), of_account(1 + round / 20, 50));
             }
             world.run(37);
-            world.touch_progress(&id);
+            world.rewrite_progress(&id);
         }
         world.run(cleanup_max_ms(3));
         world.submit("wide", of_account(30, 4 * cleanup_max_ms(3)));
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -113,7 +113,7 @@
             world.unlist(worker_id, rng.u64(100..6_000));
         }
         1 => {
-            world.touch_progress(&jobs[rng.usize(0..jobs.len())]);
+            world.rewrite_progress(&jobs[rng.usize(0..jobs.len())]);
         }
         2 => world.relist_ended_instance(),
         _ => {}
--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -53,7 +53,7 @@
         if seed.is_multiple_of(2) {
             world.reload(0);
         } else {
-            world.touch_progress(&jobs[round]);
+            world.rewrite_progress(&jobs[round]);
         }
     }
     world.run(60_000);
@@ -109,7 +109,7 @@
         let id = format!("job-{round}");
         world.submit(&id, job(4, 1_000, 500));
         world.run(200);
-        assert!(world.touch_progress(&id), "the job's progress is recorded");
+        assert!(world.rewrite_progress(&id), "the job's progress is recorded");
         world.run(2_000);
     }
     assert!(
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -117,7 +117,7 @@
     match extra {
         Extra::Reread => {
             if !jobs.is_empty() {
-                world.touch_progress(&jobs[rng.usize(0..jobs.len())]);
+                world.rewrite_progress(&jobs[rng.usize(0..jobs.len())]);
             }
         }
         Extra::Unlisted => world.unlist(&worker_id, ms),
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -83,7 +83,7 @@
 
     /// Rewrites the recorded progress of a job with other bytes of the same meaning. The owner's next record conflicts
     /// with a row that the owner did not write, so it reads all rows again. Returns whether the row exists.
-    pub(crate) fn touch_progress(&mut self, id: &str) -> bool {
+    pub(crate) fn rewrite_progress(&mut self, id: &str) -> bool {
         let mut rows = self.store.iter();
         let found = rows.find(|((table, _, key), _)| *table == Table::Progress && key == id);
         let Some(((_, part, _), (value, _))) = found else {
