--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -109,7 +109,10 @@
         let id = format!("job-{round}");
         world.submit(&id, job(4, 1_000, 500));
         world.run(200);
-        assert!(world.rewrite_progress(&id), "the job's progress is recorded");
+        assert!(
+            world.rewrite_progress(&id),
+            "the job's progress is recorded"
+        );
         world.run(2_000);
     }
     assert!(
