--- a/src/core/sched/limits.rs
+++ b/src/core/sched/limits.rs
@@ -5,7 +5,8 @@
 /// An owner that has not renewed its lease for this long may be replaced. See docs/MEASURES.md.
 pub const OWNER_LEASE_MS: Millis = 1_800;
 
-/// An owner stops sending this long before its lease ends, which covers an order's way out and a late timer.
+/// An owner stops sending this long before its lease ends, which covers an order's way to its receiver and a late
+/// timer.
 pub const OWNER_MARGIN_MS: Millis = 250;
 
 /// Interval of an owner's lease renewals. Three attempts fit into the lease.
@@ -29,35 +30,37 @@
 /// three may wait in turn.
 pub const TX_TIMEOUT_MAX_MS: Millis = 2_400;
 
-/// Timeout of a write that can also go to another partition: twenty answers of a store that answers normally.
+/// Timeout of a write that can also go to another partition: the time of twenty answers of a store that answers
+/// normally.
 pub const INTAKE_TIMEOUT_MS: Millis = 250;
 
 /// Pause before a transaction that was refused or lost is sent again.
 pub const TX_RETRY_MS: Millis = 60;
 
-/// Range over which entries that want the same pool spread their claims, so that two rarely try at once: ten answers of
-/// the store.
+/// Range over which entries that want the same pool spread their claims, so that two rarely try at once: the time of
+/// ten answers of the store.
 pub const CLAIM_SPREAD_MS: Millis = 120;
 
 /// Delay of a claim for each pool that the entry already owns, so that owners spread over the entries.
 pub const CLAIM_OWNED_MS: Millis = 150;
 
-/// An entry with this much processor time can own any pool of the users' sites: an owner of 85 workers used 120 of
-/// 1,000 at its peak. Entries with less claim later.
+/// An entry with this much processor time, in thousandths of a core, can own any pool of the users' sites: the owner of
+/// a pool of 85 workers used 120 at its peak. An entry with less processor time claims later.
 pub const CPU_FULL_MILLI: u64 = 250;
 
-/// Delay of a claim by an entry without any processor time. An entry with less than the strongest one it knows of is
-/// delayed in proportion. The delay must exceed the time in which strong entries notice that a store is back (1 s) plus
-/// their delay as owners of several pools. A day of 350 workers had a value of 0.08 and 0.10 when entries with an
-/// eighth of a core owned pools of 85 workers, and of 0.25 and 0.26 when entries with half a core did.
+/// Delay of a claim by an entry without any processor time. An entry with less processor time than the strongest one
+/// that it knows of is delayed in proportion. The delay must exceed the time in which strong entries notice that a
+/// store is back (1 s) plus their delay as owners of several pools. A day of 350 workers had a value of 0.08 and 0.10
+/// when entries with an eighth of a core owned pools of 85 workers, and of 0.25 and 0.26 when entries with half a core
+/// did.
 pub const CLAIM_WEAK_MS: Millis = 2_500;
 
-/// Changes of jobs are gathered for this long before they are committed: four answers of the store. Each call is
-/// charged for, and 25 ms gained nothing more.
+/// Changes of jobs are gathered for this long before they are committed: the time of four answers of the store. Each
+/// call is charged for, and gathering for 25 ms brought no further gain.
 pub const GATHER_MS: Millis = 16;
 
-/// A shard whose call has had no answer for this long, or for twice the store's last answer time, is skipped. Answers
-/// take 5 to 15 ms, and an owner must be able to renew in another shard within its lease.
+/// A shard whose call has had no answer for this long, or for twice the store's last answer time if that is longer, is
+/// skipped. Answers take 5 to 15 ms, and an owner must be able to renew in another shard within its lease.
 pub const SHARD_LATE_MS: Millis = 150;
 
 /// A shard that refused or lost a call is skipped for this long and then tried again.
@@ -67,14 +70,15 @@
 /// a store that serializes writes come within 300 ms, and a pool without an owner starts nothing.
 pub const STOP_RECORD_MS: Millis = 500;
 
-/// New jobs go to another shard once a shard has been busy with a batch for this long: twenty answers of a normal
-/// store, and a third of an answer of a store that serializes writes.
+/// New jobs go to another shard once a shard has been busy with a batch for this long: the time of twenty answers of a
+/// normal store, and a third of the time that a store that serializes writes takes for one answer.
 pub const SHARD_BUSY_MS: Millis = 100;
 
 /// Most jobs in one transaction. With the owner's row, this stays below the store's limit of 100 entries.
 pub const BATCH_JOBS: usize = 40;
 
-/// Lease granted to workers. It survives an owner's end and a takeover, which take 2.3 s and a renewal.
+/// Lease granted to workers. It outlasts an owner's end and a takeover, which together take 2.3 s and the time of one
+/// renewal.
 pub const WORKER_LEASE_MS: Millis = 4_500;
 
 /// Longest lease that a worker accepts. The platform's workers cut longer ones to 6 or 10 s.
@@ -108,8 +112,8 @@
 /// How long a worker without tasks may keep a renewal open. Less than half of its lease.
 pub const RENEWAL_IDLE_WAIT_MS: Millis = 2_000;
 
-/// A worker whose ends can't be recorded is renewed after this long without an acknowledgement of the ends. Its lease
-/// of 4.5 s leaves three attempts.
+/// A worker whose ends can't be recorded gets its lease renewed after this long all the same, and its ends stay
+/// unacknowledged. Its lease of 4.5 s leaves three attempts.
 pub const RECORDING_WAIT_MS: Millis = 1_000;
 
 /// Added to the wait of a renewal for the network's time in both directions.
@@ -136,8 +140,8 @@
 /// Longest suspension of a failing worker. Shorter than a gray failure of a worker lasts on trial days.
 pub const SUSPEND_MAX_MS: Millis = 6_000;
 
-/// A run that was started this long before its worker crashed is not to blame. Crashing tasks take a worker down 10 ms
-/// after their start, and an owner at its peak load learns of it up to 100 ms later.
+/// A run that was started this long before its worker crashed is not to blame, unless its task is lasting. Crashing
+/// tasks take a worker down 10 ms after their start, and an owner at its peak load learns of it up to 100 ms later.
 pub const BLAME_WINDOW_MS: Millis = 250;
 
 /// A run whose worker answered this long after its start has outlived its start. The start of a lasting task takes
@@ -167,48 +171,49 @@
 /// likely ones.
 pub const LIKELY_WEIGHT: u8 = 5;
 
-/// Weight of crashes at which a task is given up after the starts that the platform allows past the third end, however
-/// these ended.
+/// Weight of crashes at which a task is given up after the [`PAST_THIRD_MAX`] starts that the platform allows past the
+/// third end, however the runs of these starts ended.
 pub const STARTED_OUT_WEIGHT: u8 = 4;
 
-/// Weight of crashes at which a task is given up after [`ENDED_MAX`] ends. A value of 4 gave 5 sixth starts in place of
-/// 1 in 1,501 model worlds with crashing tasks, and as many jobs given up for nothing (2).
+/// Weight of crashes at which a task is given up after [`ENDED_MAX`] ends. In 1,501 model worlds with crashing tasks, a
+/// weight of 4 led to 5 sixth starts instead of 1, and the number of jobs given up without cause stayed at 2.
 pub const ENDED_WEIGHT: u8 = 3;
 
-/// A lasting task is given up at this number of certain crashes, together with [`LIKELY_MAX`] ends of any kind. While
-/// workers go down and up in turns, three ends may follow one start after the other.
+/// A lasting task is given up at this number of certain crashes, if [`LIKELY_MAX`] instances have ended under it in any
+/// unplanned way. While workers go down and up in turns, three starts in a row may each meet an end.
 pub const LASTING_CRASHED_MAX: u8 = 3;
 
-/// Number of starts after the third instance that may have ended under a task. The platform allows two, however these
-/// runs end.
+/// Number of further starts of a task once a third instance may have ended under it. The platform allows two, however
+/// their runs end.
 pub const PAST_THIRD_MAX: u32 = 2;
 
-/// Number of instances that ended unplanned under a task from which [`LIKELY_WEIGHT`] is enough to give it up. One
-/// start fewer than the platform allows.
+/// Number of instances with an unplanned end under a task from which [`LIKELY_WEIGHT`] is enough to give the task up.
+/// This is one start fewer than the platform allows.
 pub const LIKELY_MAX: u8 = 4;
 
-/// Number of instances that ended unplanned under a task, without the task being known to have outlived its start, from
-/// which [`ENDED_WEIGHT`] is enough to give it up. The platform allows five starts of a task that crashes workers.
+/// Number of instances with an unplanned end under a task that is not known to have outlived its start there, from
+/// which [`ENDED_WEIGHT`] is enough to give the task up. The platform allows five starts of a task that crashes
+/// workers.
 pub const ENDED_MAX: u8 = 5;
 
-/// Pause before the next start of a lasting task after two certain crashes. Doubles with each further one.
-pub const PAUSE_MS: Millis = 1_250;
+/// Pause before the next start of a lasting task after two certain crashes. Doubles with each further crash.
+pub const RESTART_PAUSE_MS: Millis = 1_250;
 
-/// Longest pause of a lasting task. The platform expects it to run from 6 s after its last run.
-pub const PAUSE_MAX_MS: Millis = 5_000;
+/// Longest pause before the next start of a lasting task. The platform expects it to run from 6 s after its last run.
+pub const RESTART_PAUSE_MAX_MS: Millis = 5_000;
 
 /// A pool counts as calm once none of its workers has crashed for this long. The next instance of a crashed worker
 /// comes within 3.4 s.
 pub const CALM_MS: Millis = 3_000;
 
-/// Longest time that a lasting task waits for a moment without crashes.
-pub const HELD_MAX_MS: Millis = 60_000;
+/// Longest time that a lasting task waits for its pool to be calm.
+pub const CALM_WAIT_MAX_MS: Millis = 60_000;
 
-/// A suspect that finds no worker without another suspect is placed next to one after this long. A report comes within
+/// A suspect that finds no worker without another suspect is placed next to one after this long. Workers report within
 /// a second.
-pub const APART_MS: Millis = 1_000;
+pub const SUSPECT_APART_MS: Millis = 1_000;
 
-/// A worker that refused a task for lack of capacity gets nothing for this long. Its report comes with a renewal.
+/// A worker that refused a task for lack of capacity gets no tasks for this long. Its report comes with a renewal.
 pub const FULL_PAUSE_MS: Millis = 200;
 
 /// Most waiting tasks that one round of placement examines from the front of the queue. Every [`RESORT_MS`] it examines
@@ -222,8 +227,8 @@
 /// This many core-milliseconds of work move a job back by one millisecond among those in time. See docs/MEASURES.md.
 pub const WORK_PER_MS: u64 = 3;
 
-/// Longest time by which its work moves a job back.
-pub const WEIGHT_MAX_MS: Millis = 8_000;
+/// Longest time by which a job's work moves the job back among those in time.
+pub const WORK_DELAY_MAX_MS: Millis = 8_000;
 
 /// Interval at which waiting tasks are sorted again.
 pub const RESORT_MS: Millis = 250;
@@ -231,14 +236,14 @@
 /// Most jobs whose rows are removed in one transaction. Each job has two rows, and the store accepts 100.
 pub const REMOVED_JOBS: usize = 45;
 
-/// Interval at which a part of intake is searched for old jobs. The 64 parts take 16 s.
+/// Interval at which old jobs are removed from one intake partition. All 64 partitions take 16 s.
 pub const REMOVE_MS: Millis = 250;
 
-/// Finished jobs are removed from the store after this long. The platform's pages ask for 120 s.
+/// Finished jobs are removed from the store after this long. The platform's documentation asks for 120 s.
 pub const FINISHED_KEPT_MS: Millis = 150_000;
 
-/// A removed job is remembered for this long, so that a row of it that was read earlier doesn't start it again. Parts
-/// of intake are read in four rounds of at most 0.8 s a page; at 100 jobs a second this is 6,000 ids.
+/// A removed job is remembered for this long, so that a row of the job that was read earlier doesn't start it again.
+/// Intake partitions are read in four rounds of at most 0.8 s a page. At 100 jobs a second, 6,000 ids are remembered.
 pub const FORGOTTEN_KEPT_MS: Millis = 60_000;
 
 /// Window over which the rate of arriving work is measured. It shows the rise of a peak before its queue does. See
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -11,7 +11,7 @@
 use super::free_index::FreeIndex;
 use super::job::{JobState, StepSpec};
 use super::keys::{AccountKey, JobKey, PoolStateId, TaskKey, WorkerKey};
-use super::limits::{ARRIVALS_MS, CALM_MS, FORGOTTEN_KEPT_MS, HELD_MAX_MS};
+use super::limits::{ARRIVALS_MS, CALM_MS, CALM_WAIT_MAX_MS, FORGOTTEN_KEPT_MS};
 use super::order::ScanCursor;
 use super::reservations::Reservations;
 use super::run_log::StartAnswers;
@@ -261,7 +261,8 @@
         let Some(task) = self.task(key) else {
             return false;
         };
-        let is_calm = now_ms >= self.crashed_ms + CALM_MS || now_ms >= task.since_ms + HELD_MAX_MS;
+        let is_calm =
+            now_ms >= self.crashed_ms + CALM_MS || now_ms >= task.since_ms + CALM_WAIT_MAX_MS;
         let waits_for_calm = task.losses.is_start_limited() && !is_calm;
         waits_for_calm || now_ms < task.held_until_ms
     }
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -178,7 +178,7 @@
                 }
             });
         }
-        Event::Store(answers) => store_changed(state, answers, now),
+        Event::Store(answers) => apply_store_change(state, answers, now),
         Event::Stop => handover::begin(state, now),
     }
     fire_timers(state, now, &mut out);
@@ -239,7 +239,7 @@
     if state.config.version == 0 {
         schedule_claims(state, now);
     }
-    // Pools that receive queues need an owner for their jobs. Parked pools need one for their hosts.
+    // Pools that queues are routed to need an owner for their jobs. Parked pools need one for their hosts.
     let names: Vec<String> = config.pools.keys().cloned().collect();
     state.config = config;
     for name in names {
@@ -327,13 +327,13 @@
             return;
         }
         let epoch = ownership.epoch;
-        let is_same_holder = pool.lease.former_owner == ctx.me;
+        let is_same_owner = pool.lease.former_owner == ctx.me;
         if !ownership.hosts.is_ready() {
             let former_host_orders = &pool.lease.former_host_orders;
             ownership.hosts = hosts::HostController::new(
                 &rows.host_orders,
                 former_host_orders,
-                is_same_holder,
+                is_same_owner,
                 ctx,
             );
         }
@@ -341,8 +341,8 @@
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
         let times = pool.lease.heartbeat.times.clone();
         let id = ownership.begin_reading(ctx);
-        // Counted from the claim, leases that this owner has granted since would seem expired at once, and all running
-        // tasks would be requeued.
+        // The workers' leases are counted from this time. If they were counted from the claim, leases that this owner
+        // has granted since would seem expired at once, and all running tasks would be requeued.
         let earlier_ms = ownership.earlier_orders_until_ms(ctx.now.ms);
         let mut pool_state = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
         ownership.restore_first_shards(&mut pool_state);
@@ -463,7 +463,7 @@
 }
 
 /// Records whether the store answers. Once it answers again, all pools are checked for a claim.
-fn store_changed(state: &mut State, answers: bool, now: Now) {
+fn apply_store_change(state: &mut State, answers: bool, now: Now) {
     state.store_since_ms = answers.then_some(now.ms);
     if answers {
         schedule_claims(state, now);
@@ -578,8 +578,8 @@
             runs::end_exhausted_jobs(pool_state, epoch, ctx);
             renewal::renew_stuck(pool_state, epoch, ctx);
             pool_state.wants_placing = true;
-            // Equal timers at the same moment are one entry. Setting this timer only if none is pending keeps a single
-            // cycle going.
+            // The set of timers merges only equal timers that are due at the same time. The check keeps further cycles
+            // of this timer from running side by side.
             let is_set =
                 |(_, p, t): &(Millis, PoolKey, Timer)| *p == ctx.pool && *t == Timer::Upkeep;
             if !ctx.timers.iter().any(is_set) {
@@ -604,7 +604,7 @@
     })
 }
 
-/// Reconciles the size of a pool, and brings the next heartbeat forward if its owner's needs changed.
+/// Reconciles the size of a pool, and brings the next heartbeat forward if the pool's needs changed.
 fn reconcile_size(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
     let pressed = another_pool_lacks_hosts(state, key, now.ms);
     with_pool(state, key, now, out, |pool, ctx, facts| {
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -59,7 +59,7 @@
     pub quota: QuotaController,
     /// Controller of the pool's size.
     pub sizing: Sizing,
-    /// Controller of orders to hosts, if this pool is the one that carries it.
+    /// Controller of orders to hosts; used only if this pool is the one that carries the orders.
     pub hosts: HostController,
 }
 
@@ -89,8 +89,9 @@
         }
     }
 
-    /// Returns the time until which earlier states of the pool may have sent orders: the claim for those of a former
-    /// owner, now for this owner's own.
+    /// Returns the time until which earlier in-memory states of the pool may have sent orders. On the first reading
+    /// these belonged to a former owner and sent nothing after the claim; later they belonged to this owner and may
+    /// have sent orders until now.
     pub(super) fn earlier_orders_until_ms(&self, now_ms: Millis) -> Millis {
         match self.readings {
             0 | 1 => self.began_ms,
@@ -127,18 +128,18 @@
     /// Revision of the row, or a newer one that an answer named.
     pub revision: Revision,
     /// Newest revision at which the row is known to have existed: as read, or as the guard of a successful write.
-    pub seen: Revision,
-    /// Whether every host has been through the wave.
+    pub seen_revision: Revision,
+    /// Whether every host of the wave is back.
     pub is_done: bool,
 }
 
 impl WaveKnown {
     /// Applies a row as read. Answers travel on different connections, so a row older than the known one is ignored.
     pub fn apply_read(&mut self, row: WaveRow, revision: Revision) {
-        if revision > self.seen {
+        if revision > self.seen_revision {
             self.row = row;
             self.revision = revision;
-            self.seen = revision;
+            self.seen_revision = revision;
         }
     }
 
@@ -146,10 +147,10 @@
     /// its newest revision, which may be later than the next write by another entry. Any row read at a revision later
     /// than `after` is this write or a newer one.
     pub fn apply_write(&mut self, row: WaveRow, after: Revision, newest: Revision) {
-        if self.seen <= after {
+        if self.seen_revision <= after {
             self.row = row;
             self.revision = newest;
-            self.seen = after;
+            self.seen_revision = after;
         }
     }
 }
@@ -209,7 +210,8 @@
     ResendStart(TaskKey, u32),
     /// Send a stop again.
     ResendStop(TaskKey, u32),
-    /// Reorder waiting tasks, begin rounds that are due, end exhausted jobs and log the pool's load.
+    /// Reorder waiting tasks, begin rounds that are due, end exhausted jobs, renew the leases of workers whose ends
+    /// can't be recorded, and log the pool's load.
     Upkeep,
     /// Reconcile waves.
     Wave,
@@ -301,7 +303,7 @@
     Stop,
 }
 
-/// Rows of a pool as read by a new owner.
+/// Rows that a pool's owner reads to build the in-memory state.
 #[derive(Clone, Debug, Default)]
 pub struct LoadedRows {
     /// Jobs as submitted, and cancels.
@@ -316,11 +318,11 @@
     pub workers_asked_ms: Millis,
     /// Rows of waves.
     pub waves: Vec<StoredRow>,
-    /// Hosts that the former owner ordered about, if this is the pool that carries orders to hosts.
+    /// Rows that list the hosts with recent or imminent orders, if this is the pool that carries orders to hosts.
     pub host_orders: Vec<StoredRow>,
 }
 
-/// Addressing of an order to a worker, which is sent only before `until_ms`.
+/// Origin, receiver and deadline of an order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// Pool that the order concerns.
@@ -329,7 +331,7 @@
     pub pool_state: PoolStateId,
     /// Worker that the order goes to, and its fencing token.
     pub to: OrderTarget,
-    /// End of the owner's lease; the order must not be sent later.
+    /// Time after which the order must not be sent: shortly before the owner's lease ends.
     pub until_ms: Millis,
 }
 
@@ -401,7 +403,7 @@
     pub pool_keys: BTreeMap<String, PoolKey>,
     /// Workers that the platform lists, by id.
     pub listed: BTreeMap<String, WorkerInfo>,
-    /// When the feed of the list last reported each worker, and the whole list.
+    /// When the feed of the list last reported each worker, and when it last reported the whole list.
     pub list_changes: ListChanges,
     /// Undecodable entries of the list by worker id, with the reason; limited to those that were logged.
     pub unreadable: BTreeMap<String, String>,
@@ -464,7 +466,7 @@
     pub me: &'a str,
     /// Processor time that this entry may use, in thousandths of a core.
     pub cpu_milli: u64,
-    /// End of the owner's lease: orders may be sent until then.
+    /// Time until which orders may be sent: shortly before the owner's lease ends.
     pub until_ms: Millis,
     /// Timers of all pools.
     pub timers: &'a mut Timers,
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -5,7 +5,7 @@
 
 use super::job::{JobSpec, JobState, QueuePolicy};
 use super::keys::{AccountKey, JobKey, TaskKey, WorkerKey};
-use super::limits::{APART_MS, WEIGHT_MAX_MS, WORK_PER_MS};
+use super::limits::{SUSPECT_APART_MS, WORK_DELAY_MAX_MS, WORK_PER_MS};
 use super::overload::{Contender, Deferral};
 pub use super::worker_losses::{Seen, WorkerLosses};
 use crate::clock::Millis;
@@ -103,7 +103,7 @@
 
     /// Returns whether it is still to be placed apart from other suspects.
     pub fn is_apart(&self, now_ms: Millis) -> bool {
-        self.is_suspect() && now_ms < self.since_ms + APART_MS
+        self.is_suspect() && now_ms < self.since_ms + SUSPECT_APART_MS
     }
 
     /// Returns the number of failed runs.
@@ -190,7 +190,7 @@
         let work: u64 = steps
             .map(|((spec, step), ms)| spec.cpu_milli * ms * step.tasks_left as u64)
             .sum();
-        (work / 1_000 / WORK_PER_MS).min(WEIGHT_MAX_MS)
+        (work / 1_000 / WORK_PER_MS).min(WORK_DELAY_MAX_MS)
     }
 
     /// Returns the capacity of the tasks that run or may start now.
--- a/src/core/sched/worker_losses.rs
+++ b/src/core/sched/worker_losses.rs
@@ -9,7 +9,8 @@
 
 use super::limits::{
     BLAMED_MAX, CRASHED_WEIGHT, CRASHER_WEIGHT, ENDED_MAX, ENDED_WEIGHT, LASTING_CRASHED_MAX,
-    LIKELY_MAX, LIKELY_WEIGHT, PAST_THIRD_MAX, PAUSE_MAX_MS, PAUSE_MS, STARTED_OUT_WEIGHT,
+    LIKELY_MAX, LIKELY_WEIGHT, PAST_THIRD_MAX, RESTART_PAUSE_MAX_MS, RESTART_PAUSE_MS,
+    STARTED_OUT_WEIGHT,
 };
 use crate::clock::Millis;
 
@@ -113,7 +114,7 @@
     pub fn pause_ms(self) -> Millis {
         match self.crashed {
             0 | 1 => 0,
-            n => (PAUSE_MS << (n - 2).min(8)).min(PAUSE_MAX_MS),
+            n => (RESTART_PAUSE_MS << (n - 2).min(8)).min(RESTART_PAUSE_MAX_MS),
         }
     }
 
