--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -74,7 +74,8 @@
     is_current.then_some(ownership)
 }
 
-/// Runs `work` on the host controller, if this pool is the one that carries it. Returns whether it is.
+/// Runs `work` on the controller of orders to hosts, if this pool carries these orders and is owned by this entry.
+/// Returns whether the pool carries them.
 pub(super) fn with_host_controller(
     state: &mut State,
     key: PoolKey,
@@ -124,8 +125,8 @@
     true
 }
 
-/// Runs `work` on the wave controller, with the epoch and the pool's name. There is no in-memory state while rows are
-/// being read, but an answer that arrives then still settles an earlier request.
+/// Runs `work` on the wave controller, with the epoch and the pool's name. `work` gets no in-memory state while the
+/// pool's rows are being read, but an answer that arrives then still settles an earlier request.
 pub(super) fn with_wave_controller(
     state: &mut State,
     key: PoolKey,
@@ -144,12 +145,12 @@
         let Some(ownership) = &mut pool.ownership else {
             return;
         };
-        let facts = (ownership.epoch, pool.name.as_str());
+        let epoch_and_name = (ownership.epoch, pool.name.as_str());
         work(
             ownership.pool_state.as_mut(),
             &mut ownership.waves,
             &mut waves,
-            facts,
+            epoch_and_name,
             ctx,
         );
     });
@@ -171,16 +172,16 @@
         epoch,
         now,
         out,
-        |pool_state, controller, with, ctx| {
+        |pool_state, controller, inputs, ctx| {
             if let Some(pool_state) = pool_state {
-                work(pool_state, controller, with, ctx);
+                work(pool_state, controller, inputs, ctx);
             }
         },
     );
 }
 
-/// Does the same also while the pool's rows are being read: an answer that arrives then still settles an earlier
-/// request.
+/// Runs `work` on the quota controller of a pool that this entry owns under `epoch`, even while the pool's rows are
+/// being read: an answer that arrives then still settles an earlier request.
 pub(super) fn with_grant_controller(
     state: &mut State,
     key: PoolKey,
@@ -194,7 +195,7 @@
         let Some(ownership) = pool.ownership.as_mut().filter(|t| t.epoch == epoch) else {
             return;
         };
-        let with = quota::Inputs {
+        let inputs = quota::Inputs {
             pool: &pool.name,
             epoch,
             config: facts.config,
@@ -204,7 +205,7 @@
         work(
             ownership.pool_state.as_mut(),
             &mut ownership.quota,
-            &with,
+            &inputs,
             ctx,
         );
         // Other owners return unneeded grants once they learn of the shortage.
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -9,7 +9,9 @@
     CLAIM_OWNED_MS, CLAIM_SPREAD_MS, CLAIM_WEAK_MS, CPU_FULL_MILLI, OWNER_LEASE_MS, RENEW_MS,
     TX_RETRY_MS,
 };
-use super::owner_lease::{guard, heartbeat, observe, send_release, write, Claim, OwnerLease};
+use super::owner_lease::{
+    heartbeat_row, observe, owners_guard, owners_write, send_release, Claim, OwnerLease,
+};
 use super::rows::{self, shard_part, OwnerRow, HEARTBEAT_KEY, OWNER_KEY, SHARDS};
 use super::state::{Ctx, Effect, Ownership, Pool, Timer};
 use crate::clock::Millis;
@@ -17,42 +19,42 @@
 use crate::port::fleet::{Revision, RowTx, TxOutcome};
 use crate::util::fnv1a;
 
-/// Returns a fixed delay that spreads entries over pools.
+/// Returns a delay that is fixed for an entry and a pool, and spreads the claims of different entries.
 fn spread_ms(me: &str, pool: &str) -> Millis {
     (fnv1a(me.bytes().chain(pool.bytes())) >> 32) % CLAIM_SPREAD_MS
 }
 
-/// An entry that may claim pools.
+/// This entry as one that may claim pools.
 #[derive(Clone, Copy, Debug)]
 pub struct Claimant {
-    /// Number of pools that it owns.
-    pub owned: usize,
-    /// Processor time that it may use, in thousandths of a core.
+    /// Number of pools that the entry owns.
+    pub owned_pools: usize,
+    /// Processor time that the entry may use, in thousandths of a core.
     pub cpu_milli: u64,
     /// Largest `cpu_milli` in the heartbeats seen; `None` before the first heartbeat.
     pub strongest_milli: Option<u64>,
     /// Since when the store has been answering; `None` while it does not answer.
     pub store_since_ms: Option<Millis>,
-    /// Whether it has a configuration.
+    /// Whether the entry has adopted a configuration.
     pub is_configured: bool,
-    /// Whether it was told to stop.
+    /// Whether the process was told to stop.
     pub is_stopping: bool,
-    /// Distinguishes its claims from those of an earlier process.
+    /// Distinguishes this process's claims from those of an earlier process of the entry.
     pub nonce: u64,
 }
 
 impl Claimant {
-    /// Returns how much later it claims than an entry that owns nothing and has enough processor time.
-    fn handicap_ms(&self) -> Millis {
+    /// Returns how much later the entry claims than one that owns nothing and has enough processor time.
+    fn extra_delay_ms(&self) -> Millis {
         let full_milli = self.strongest_milli.unwrap_or(CPU_FULL_MILLI).max(1);
         let lacking = full_milli.saturating_sub(self.cpu_milli);
         let weak_ms = lacking * CLAIM_WEAK_MS / full_milli;
-        weak_ms + self.owned as Millis * CLAIM_OWNED_MS
+        weak_ms + self.owned_pools as Millis * CLAIM_OWNED_MS
     }
 
-    /// Returns how long it waits before it claims a free pool.
+    /// Returns how long the entry waits before it claims a vacant pool.
     fn stagger_ms(&self, entry: &str, pool: &str) -> Millis {
-        spread_ms(entry, pool) + self.handicap_ms()
+        spread_ms(entry, pool) + self.extra_delay_ms()
     }
 }
 
@@ -104,8 +106,8 @@
     send_claim(pool, 0, 0, nonce, ctx);
 }
 
-/// Claims the shards that are not won yet, each once its heartbeat is a whole lease old: the previous owner may have
-/// renewed there while the first shard was claimed.
+/// Claims the shards that are not won yet, each once its heartbeat is a whole lease old, or at once if the previous
+/// owner has left. Otherwise the previous owner may have renewed there while the first shard was claimed.
 fn claim_other_shards(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
     let Some(claim) = pool.lease.claim.clone() else {
         return;
@@ -116,8 +118,8 @@
             continue;
         }
         let is_over = pool.lease.former_owner.is_empty() || pool.lease.former_owner == ctx.me;
-        // An entry that had won only the first shard is not the previous owner. The owner before it may still renew in
-        // the other shards and send orders.
+        // The entry that left may have won only the first shard. The owner before that entry may still renew in the
+        // other shards and send orders, and the heartbeat there is then not from the entry that left.
         let has_left = is_over && lease.heartbeat_entry == pool.lease.former_heartbeat_entry;
         let over_ms = lease.heartbeat_seen_ms + OWNER_LEASE_MS;
         if !has_left && ctx.now.ms < over_ms {
@@ -138,12 +140,12 @@
     let tx = RowTx {
         part: shard_part(&pool.name, shard),
         guards: vec![
-            guard(OWNER_KEY, lease.owner_revision),
-            guard(HEARTBEAT_KEY, lease.heartbeat_revision),
+            owners_guard(OWNER_KEY, lease.owner_revision),
+            owners_guard(HEARTBEAT_KEY, lease.heartbeat_revision),
         ],
         writes: vec![
-            write(OWNER_KEY, rows::encode(&owner)),
-            write(HEARTBEAT_KEY, rows::encode(&heartbeat(pool, ctx))),
+            owners_write(OWNER_KEY, rows::encode(&owner)),
+            owners_write(HEARTBEAT_KEY, rows::encode(&heartbeat_row(pool, ctx))),
         ],
     };
     pool.lease.shards[shard].is_claiming = true;
@@ -172,7 +174,7 @@
                 // An undecodable row was already logged when the feed brought it.
                 let _ = observe(pool, shard, row, ctx.now.ms);
             }
-            begin_if_claimed(pool, nonce, ctx);
+            resume_claim_if_ours(pool, nonce, ctx);
             if shard == 0 {
                 // Any earlier claim still in flight fails, since its guard no longer holds.
                 pool.lease.unsettled_claim_ms = None;
@@ -188,14 +190,14 @@
     if me.is_stopping {
         give_up_claim(pool, ctx);
     }
-    begin_if_won(pool, ctx);
+    begin_ownership_if_won(pool, ctx);
     if pool.ownership.is_none() {
         ctx.set_timer(pause_ms, Timer::Claim);
     }
 }
 
 /// Continues a claim that the feed shows in the store while its answer is lost or still in flight.
-pub fn begin_if_claimed(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
+pub fn resume_claim_if_ours(pool: &mut Pool, nonce: u64, ctx: &mut Ctx<'_>) {
     let lease = &mut pool.lease;
     let is_ours = lease.is_ours(ctx.me, nonce);
     // Drops the claim if another entry has claimed the first shard since.
@@ -207,7 +209,7 @@
     if let Some(sent_ms) = lease.unsettled_claim_ms.filter(|_| is_ours && !is_begun) {
         win_first_shard(pool, pool.lease.epoch, sent_ms, nonce, ctx);
     }
-    begin_if_won(pool, ctx);
+    begin_ownership_if_won(pool, ctx);
 }
 
 /// Records that the first shard is won, and claims the others.
@@ -267,7 +269,7 @@
 }
 
 /// Begins the ownership once all shards are won.
-fn begin_if_won(pool: &mut Pool, ctx: &mut Ctx<'_>) {
+fn begin_ownership_if_won(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let Some(claim) = &pool.lease.claim else {
         return;
     };
@@ -329,7 +331,7 @@
     );
 }
 
-/// Releases a pool of which only the first shard is won, when the entry is stopping.
+/// Releases a pool whose first shard is won but whose ownership has not begun, when the entry is stopping.
 fn give_up_claim(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     if let Some(claim) = pool.lease.claim.take() {
         pool.lease.held_epoch = claim.epoch;
--- a/src/core/sched/handover.rs
+++ b/src/core/sched/handover.rs
@@ -18,14 +18,15 @@
     }
 }
 
-/// Records the pending changes of each pool, and releases the pools that are done or have reached the time limit.
+/// Records the pending changes of each pool. Releases a pool once all its changes are recorded, or after
+/// [`STOP_RECORD_MS`].
 pub(super) fn settle(state: &mut State, now: Now, out: &mut Vec<Effect>) {
     let stopped_ms = state.stopped_ms.unwrap_or(now.ms);
     let is_over = now.ms >= stopped_ms + STOP_RECORD_MS;
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, _| {
             commit::flush(pool, ctx);
-            let is_done = pool.ownership.as_ref().is_some_and(has_nothing_left);
+            let is_done = pool.ownership.as_ref().is_some_and(has_recorded_all);
             if is_done || is_over {
                 owner_lease::release(pool, ctx);
             }
@@ -38,7 +39,7 @@
 
 /// Returns whether all changes are recorded. A worker's report that nobody recorded is lost when the worker goes, and
 /// the next owner would start a finished task again.
-fn has_nothing_left(ownership: &Ownership) -> bool {
+fn has_recorded_all(ownership: &Ownership) -> bool {
     let has_dirty = ownership
         .pool_state
         .as_ref()
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -5,9 +5,9 @@
 //! first shard is the epoch, which fences all orders; its revision in each shard guards all writes there. A heartbeat
 //! in any shard renews the lease, so an owner carries on while a partition is unavailable.
 //!
-//! [`claim`](super::claim) decides when an entry takes a pool. It claims the first shard, which settles who takes the
-//! pool, then each of the others on condition that their heartbeat has not changed since this entry saw it a whole
-//! lease ago. An owner that renewed in any shard meanwhile makes that claim fail.
+//! [`claim`](super::claim) decides when an entry takes a pool. The entry claims the first shard, which settles who
+//! takes the pool, then each of the others on condition that the heartbeat there has not changed since this entry saw
+//! it a whole lease ago. An owner that renewed in a shard meanwhile makes the claim of that shard fail.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -26,14 +26,14 @@
 
 /// Maximum number of sent heartbeats kept until the feed shows them. Each batch carries one, up to 50 a second at peak,
 /// and the feed is read four times a second.
-const UNSEEN_MAX: usize = 64;
+const UNSEEN_HEARTBEATS_MAX: usize = 64;
 
 /// Orders to hosts by the owner before a claim, as far as its last heartbeat reported them.
 #[derive(Clone, Debug, Default)]
 pub struct FormerHostOrders {
     /// Latest time of an order to each host that the last heartbeat names.
     pub reported_ms: BTreeMap<String, Millis>,
-    /// Time after which the former owner sent no order: the end of its lease.
+    /// Time after which the former owner sent no order: [`OWNER_MARGIN_MS`] before its lease ended.
     pub over_ms: Millis,
 }
 
@@ -48,7 +48,8 @@
     pub heartbeat: HeartbeatRow,
     /// Revision of the newest heartbeat.
     pub heartbeat_revision: Revision,
-    /// When this entry saw the newest heartbeat, or the last change of the owner in the first shard.
+    /// When this entry saw the newest heartbeat or the last change of the owner row in the first shard, whichever came
+    /// later.
     pub heartbeat_seen_ms: Millis,
     /// Lease state by shard.
     pub shards: [ShardLease; SHARDS],
@@ -62,18 +63,18 @@
     pub former_owner_revision: Revision,
     /// When the owner before this entry's last claim was last seen alive.
     pub former_seen_ms: Millis,
-    /// When the earliest of this process's claims was sent whose outcome is unknown.
+    /// Send time of this process's earliest claim whose outcome is unknown.
     pub unsettled_claim_ms: Option<Millis>,
-    /// Epoch of this process's last ownership.
+    /// Epoch of this process's last ownership, or of the last claim that it gave up after winning the first shard.
     pub held_epoch: Revision,
     /// Orders to hosts by the owner before this entry's last claim.
     pub former_host_orders: FormerHostOrders,
     /// When the last acknowledged renewal was sent.
     pub renewed_ms: Millis,
     /// Count of the last heartbeat sent, and when it was sent.
-    pub sent: (u64, Millis),
+    pub last_heartbeat_sent: (u64, Millis),
     /// Sent heartbeats that the feed has not shown yet: count and send time.
-    pub unseen: VecDeque<(u64, Millis)>,
+    pub unseen_heartbeats: VecDeque<(u64, Millis)>,
     /// When the next heartbeat is due. Batches of job changes carry heartbeats, too.
     pub heartbeat_due_ms: Millis,
     /// How long the store took to answer the last renewal.
@@ -121,7 +122,7 @@
     /// Returns the count of the next heartbeat. No count is used twice, even when the feed lags: an older heartbeat
     /// that the feed brings under a later one's count would renew the lease from the later one's send time.
     fn next_count(&self) -> u64 {
-        self.heartbeat.count.max(self.sent.0) + 1
+        self.heartbeat.count.max(self.last_heartbeat_sent.0) + 1
     }
 
     /// Returns the orders to hosts that the last heartbeat seen reports.
@@ -215,7 +216,7 @@
             lease.epoch = row.revision;
             lease.heartbeat_seen_ms = now_ms;
         } else {
-            note_won(lease, shard, &owner, row.revision);
+            note_won_shard(lease, shard, &owner, row.revision);
         }
     }
     if row.key == HEARTBEAT_KEY && row.revision > lease.shards[shard].heartbeat_revision {
@@ -243,25 +244,25 @@
     if !is_ours {
         return;
     }
-    while let Some((count, sent_ms)) = lease.unseen.front().copied() {
+    while let Some((count, sent_ms)) = lease.unseen_heartbeats.front().copied() {
         if count > lease.heartbeat.count {
             return;
         }
         if count == lease.heartbeat.count {
             lease.renewed_ms = lease.renewed_ms.max(sent_ms);
         }
-        lease.unseen.pop_front();
+        lease.unseen_heartbeats.pop_front();
     }
 }
 
-/// Records an owner row of another shard if it belongs to the claim that won the first shard.
-fn note_won(lease: &mut OwnerLease, shard: usize, owner: &OwnerRow, revision: Revision) {
+/// Records an owner row of a shard other than the first if the row belongs to the claim that won the first shard.
+fn note_won_shard(lease: &mut OwnerLease, shard: usize, owner: &OwnerRow, revision: Revision) {
     if let Some(claim) = lease.claim.as_mut().filter(|c| c.epoch == owner.epoch) {
         claim.owner_revisions[shard] = Some(revision);
     }
 }
 
-pub(super) fn guard(key: &str, revision: Revision) -> Guard {
+pub(super) fn owners_guard(key: &str, revision: Revision) -> Guard {
     Guard {
         table: Table::Owners,
         key: key.to_string(),
@@ -269,7 +270,7 @@
     }
 }
 
-pub(super) fn write(key: &str, value: Vec<u8>) -> Write {
+pub(super) fn owners_write(key: &str, value: Vec<u8>) -> Write {
     Write {
         table: Table::Owners,
         key: key.to_string(),
@@ -280,10 +281,10 @@
 /// Returns the guard that every write of an owner carries: the revision of its owner row in the shard. In the first
 /// shard that revision is the epoch.
 pub fn epoch_guard(owner_revision: Revision) -> Guard {
-    guard(OWNER_KEY, owner_revision)
+    owners_guard(OWNER_KEY, owner_revision)
 }
 
-pub(super) fn heartbeat(pool: &Pool, ctx: &Ctx<'_>) -> HeartbeatRow {
+pub(super) fn heartbeat_row(pool: &Pool, ctx: &Ctx<'_>) -> HeartbeatRow {
     let pool_state = pool.ownership.as_ref().and_then(|t| t.pool_state.as_ref());
     let sizing = pool.ownership.as_ref().map(|t| &t.sizing);
     HeartbeatRow {
@@ -291,7 +292,7 @@
         needed: sizing.map_or(0, |s| s.needed),
         serving: sizing.map_or(0, |s| s.serving),
         short_accounts: short_accounts(pool),
-        ordered: ordered(pool, ctx.now.ms),
+        ordered: host_order_ages(pool, ctx.now.ms),
         times: pool_state.map_or_else(|| pool.lease.heartbeat.times.clone(), |b| b.times.clone()),
         entry: ctx.me.to_string(),
         cpu_milli: ctx.cpu_milli,
@@ -305,9 +306,9 @@
     ownership.map(|t| t.quota.short.clone()).unwrap_or_default()
 }
 
-/// Returns the hosts that were ordered about recently and how long ago, by this owner or, before a claim is won, by the
-/// owner that it replaces.
-fn ordered(pool: &Pool, now_ms: Millis) -> BTreeMap<String, Millis> {
+/// Returns the hosts that recently received orders and how long ago: from this owner or, before a claim is won, from
+/// the owner that the claim replaces.
+fn host_order_ages(pool: &Pool, now_ms: Millis) -> BTreeMap<String, Millis> {
     let reported_ms = match &pool.ownership {
         Some(ownership) => ownership.hosts.ordered_ms(now_ms),
         None => pool.lease.former_orders().reported_ms,
@@ -334,7 +335,7 @@
     if pool.lease.answer_ms >= SLOW_ANSWER_MS {
         return;
     }
-    let due_ms = pool.lease.sent.1 + HEARTBEAT_MIN_GAP_MS;
+    let due_ms = pool.lease.last_heartbeat_sent.1 + HEARTBEAT_MIN_GAP_MS;
     pool.lease.heartbeat_due_ms = pool.lease.heartbeat_due_ms.min(due_ms);
     ctx.set_timer(due_ms.saturating_sub(ctx.now.ms), Timer::Renew);
 }
@@ -363,11 +364,13 @@
 
 /// Returns the write of the next heartbeat and records it as sent now.
 pub fn next_heartbeat(pool: &mut Pool, ctx: &Ctx<'_>) -> Write {
-    let write = write(HEARTBEAT_KEY, rows::encode(&heartbeat(pool, ctx)));
-    pool.lease.sent = (pool.lease.next_count(), ctx.now.ms);
-    pool.lease.unseen.push_back(pool.lease.sent);
-    if pool.lease.unseen.len() > UNSEEN_MAX {
-        pool.lease.unseen.pop_front();
+    let write = owners_write(HEARTBEAT_KEY, rows::encode(&heartbeat_row(pool, ctx)));
+    pool.lease.last_heartbeat_sent = (pool.lease.next_count(), ctx.now.ms);
+    pool.lease
+        .unseen_heartbeats
+        .push_back(pool.lease.last_heartbeat_sent);
+    if pool.lease.unseen_heartbeats.len() > UNSEEN_HEARTBEATS_MAX {
+        pool.lease.unseen_heartbeats.pop_front();
     }
     // While a slow store has not answered one heartbeat, the next would only queue behind it.
     let pause_ms = (pool.lease.answer_ms * 3 / 2).clamp(RENEW_MS, RENEW_SLOW_MS);
@@ -467,14 +470,14 @@
     let tx = RowTx {
         part: pool.to_string(),
         guards: vec![epoch_guard(epoch)],
-        writes: vec![write(OWNER_KEY, rows::encode(&OwnerRow::default()))],
+        writes: vec![owners_write(OWNER_KEY, rows::encode(&OwnerRow::default()))],
     };
     ctx.out.push(Effect::Release(tx));
     let decision = Decision::new(Code::PoolReleased, Subject::Pool, pool, "stopping");
     ctx.log(decision.with("epoch", epoch));
 }
 
-/// Drops the in-memory state of a pool that another entry owns now.
+/// Drops the ownership of a pool that another entry owns now, together with the pool's in-memory state.
 pub fn lose_ownership(pool: &mut Pool, why: &str, ctx: &mut Ctx<'_>) {
     let Some(mut ownership) = pool.ownership.take() else {
         return;
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -95,8 +95,8 @@
                 pool,
                 now,
                 &mut out,
-                |pool_state, controller, waves, with, ctx| {
-                    if with.0 == epoch {
+                |pool_state, controller, waves, (pool_epoch, _), ctx| {
+                    if pool_epoch == epoch {
                         wave::apply_settled(pool_state, controller, waves, outcome, ctx);
                     }
                 },
@@ -135,8 +135,15 @@
                 epoch,
                 now,
                 &mut out,
-                |pool_state, controller, with, ctx| {
-                    quota::apply_settled(pool_state, controller, with.pool, &account, outcome, ctx);
+                |pool_state, controller, inputs, ctx| {
+                    quota::apply_settled(
+                        pool_state,
+                        controller,
+                        inputs.pool,
+                        &account,
+                        outcome,
+                        ctx,
+                    );
                 },
             );
         }
@@ -167,11 +174,17 @@
             });
         }
         Event::HostsRead(pool, epoch, list) => {
-            with_wave_controller(state, pool, now, &mut out, |_, controller, _, with, _| {
-                if with.0 == epoch {
-                    wave::apply_list(controller, list.clone());
-                }
-            });
+            with_wave_controller(
+                state,
+                pool,
+                now,
+                &mut out,
+                |_, controller, _, (pool_epoch, _), _| {
+                    if pool_epoch == epoch {
+                        wave::apply_list(controller, list.clone());
+                    }
+                },
+            );
             with_host_controller(state, pool, now, &mut out, |controller, _, inputs, _| {
                 if inputs.epoch == epoch {
                     hosts::apply_list(controller, list);
@@ -284,7 +297,7 @@
         if is_newer && !is_ours {
             owner_lease::lose_ownership(pool, "another entry owns the pool", ctx);
         }
-        claim::begin_if_claimed(pool, nonce, ctx);
+        claim::resume_claim_if_ours(pool, nonce, ctx);
         let is_free = pool.lease.owner.entry.is_empty() || pool.lease.owner.entry == me;
         if pool.ownership.is_none() && is_free {
             ctx.set_timer(0, Timer::Claim);
@@ -485,7 +498,7 @@
         .iter()
         .map(|pool| pool.lease.heartbeat.cpu_milli);
     claim::Claimant {
-        owned: state.owned_count(),
+        owned_pools: state.owned_count(),
         cpu_milli: state.cpu_milli,
         strongest_milli: heartbeat_cpus.max().filter(|milli| *milli > 0),
         store_since_ms: state.store_since_ms,
@@ -516,11 +529,11 @@
         return;
     }
     if timer == Timer::Hosts {
-        let is_ours =
+        let carries_orders =
             with_host_controller(state, key, now, out, |controller, waves, inputs, ctx| {
                 hosts::reconcile(controller, waves, inputs, ctx);
             });
-        if !is_ours {
+        if !carries_orders {
             let at_ms = now.ms + hosts::IDLE_RECONCILE_MS;
             state.timers.insert((at_ms, key, timer));
         }
@@ -620,7 +633,7 @@
         let Some(pool_state) = &mut ownership.pool_state else {
             return;
         };
-        let with = sizing::Inputs {
+        let inputs = sizing::Inputs {
             pool: &pool.name,
             epoch,
             can_park,
@@ -631,7 +644,7 @@
             pool_state,
             &mut ownership.sizing,
             &mut pool.offers,
-            &with,
+            &inputs,
             ctx,
         ) {
             owner_lease::hasten_heartbeat(pool, ctx);
