--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -43,7 +43,7 @@
         return;
     }
     if pool_state.dirty.is_empty() {
-        remove::flush(pool, ctx);
+        remove::remove_progress(pool, ctx);
         return;
     }
     let due_ms = pool_state.dirty_since_ms + GATHER_MS;
@@ -100,8 +100,8 @@
     };
     let mut batch = build_batch(pool_state, jobs, tx, ctx.now.ms);
     batch.is_complete = is_complete;
-    // The heartbeat travels with the batch to save one write: the store takes a partition's writes in turn, 300 ms each
-    // on slow days.
+    // The heartbeat travels with the batch to save one write: on the users' slow days the store takes a partition's
+    // writes one after another, 300 ms each.
     batch.tx.writes.push(owner_lease::next_heartbeat(pool, ctx));
     pool.lease.note_sent(shard, ctx.now.ms);
     ctx.out
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns the jobs whose changes go into a shard now, and assigns new jobs to it if it takes them.
+/// Returns the jobs whose changes go into a shard now. If the shard takes new jobs, assigns them to it.
 fn pick_jobs(pool_state: &mut PoolState, shard: usize, takes_new: bool) -> Vec<JobKey> {
     let mut jobs = Vec::new();
     for key in &pool_state.dirty {
@@ -241,9 +241,9 @@
     for (task, run) in &batch.starts {
         runs::send_start(pool_state, *task, *run, epoch, ctx);
     }
-    // While more changes wait than fit into a batch, workers are not asked for more ends, since each report costs
-    // processor time that is short then. Resuming renewals at once delayed task starts at peak: 95 of 100 started
-    // within 1,447 ms instead of 961 ms.
+    // While more changes wait than fit into a batch, workers are not asked for more ends, since each report costs the
+    // owner processor time that is short then. With renewals resumed at once, 95 of 100 tasks of a peak day started
+    // within 1,447 ms; with this delay, within 961 ms.
     if batch.is_complete {
         resume_renewals(pool_state, epoch, ctx);
     }
@@ -264,11 +264,11 @@
         return Verdict::Diverged;
     };
     let is_ours = |row: &StoredRow| conflict::is_ours(lease, ctx.me, row);
-    let unexpected_key = conflict::unexpected(batch, found);
+    let unexpected_key = conflict::first_unexpected_key(batch, found);
     let verdict = conflict::judge_conflict(batch, pool_state, found, is_ours);
     let part = batch.tx.part.clone();
-    let own = found.iter().find(|(table, _)| *table == Table::Owners);
-    if let Some((_, row)) = own.filter(|_| verdict == Verdict::Again) {
+    let owner_row = found.iter().find(|(table, _)| *table == Table::Owners);
+    if let Some((_, row)) = owner_row.filter(|_| verdict == Verdict::Again) {
         ownership.owner_revisions[shard] = row.revision;
     }
     if !matches!(verdict, Verdict::Done(_)) {
--- a/src/core/sched/conflict.rs
+++ b/src/core/sched/conflict.rs
@@ -31,7 +31,7 @@
     value.map_or(0, |bytes| fnv1a(bytes.iter().copied()))
 }
 
-/// Returns whether an owner row was written by this process, which is also the owner seen last.
+/// Returns whether an owner row was written by this process, and this process is also the owner seen last.
 pub fn is_ours(lease: &OwnerLease, me: &str, row: &StoredRow) -> bool {
     let owner = rows::decode::<OwnerRow>(row.value.as_deref().unwrap_or_default());
     // A row that cannot be decoded belongs to no entry.
@@ -66,7 +66,7 @@
 }
 
 /// Returns the key of the first row whose revision is not the one that the batch expects; empty if there is none.
-pub fn unexpected(batch: &Batch, found: &[(Table, StoredRow)]) -> String {
+pub fn first_unexpected_key(batch: &Batch, found: &[(Table, StoredRow)]) -> String {
     let is_unexpected =
         |row: &&StoredRow| guard_of(batch, row).is_some_and(|g| g.revision != row.revision);
     let mut rows = found.iter().map(|(_, row)| row);
--- a/src/core/sched/exchange.rs
+++ b/src/core/sched/exchange.rs
@@ -1,7 +1,7 @@
 //! Exchange of hosts between pools by way of their offers.
 //!
-//! Handles changes of offers by pool owners, and hosts taken by the entry that orders hosts about. The reducer calls it
-//! with rows and answers of the store.
+//! Handles changes of offers by pool owners, and hosts taken by the entry that sends orders to hosts. The reducer calls
+//! this module with rows and answers of the store.
 
 use super::access::{with_host_controller, with_pool};
 use super::hosts;
@@ -13,7 +13,7 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{StoredRow, Table, TxOutcome};
 
-/// Marks workers on hosts that are on offer or were taken, so that a new owner places no work there either.
+/// Marks workers on hosts that are on offer or were taken, so that a new owner, too, places no work there.
 pub(super) fn close_offered_hosts(pool_state: &mut PoolState, offers: &Offers) {
     sizing::mark_offered(pool_state, offers);
     for (_, worker) in &mut pool_state.workers {
@@ -74,7 +74,7 @@
     rows.find(|row| row.key == OFFERS_KEY && row.value.is_some())
 }
 
-/// Handles the answer to a transaction that takes hosts on offer by pool `from`.
+/// Handles the answer to a transaction that takes hosts which pool `from` offers.
 pub(super) fn settle_taken_hosts(
     state: &mut State,
     key: PoolKey,
--- a/src/core/sched/fencing_token.rs
+++ b/src/core/sched/fencing_token.rs
@@ -2,8 +2,8 @@
 //!
 //! A worker refuses an order whose token is lower than the highest that it has seen. The token combines three counters:
 //! the owner's epoch rejects orders of a former owner, the owner's reading of the rows rejects orders from its earlier
-//! in-memory state, and the restarts of the worker's id reject orders meant for an earlier instance, which reveal the
-//! later instance as well.
+//! in-memory state, and the restarts of the worker's id reject orders meant for an earlier instance. An order names its
+//! worker by id alone, so an order to an earlier instance may reach the later one as well.
 
 use super::keys::PoolStateId;
 
--- a/src/core/sched/keys.rs
+++ b/src/core/sched/keys.rs
@@ -29,7 +29,7 @@
 pub struct TaskKey {
     /// Job that the task belongs to.
     pub job: JobKey,
-    /// Number of the round.
+    /// Number of the round, counted from 0.
     pub round: u32,
     /// Index of the step in the job's specification.
     pub step: u16,
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -27,7 +27,7 @@
 pub const FOREIGN_LEASE_MS: Millis =
     WORKER_LEASE_MS * 100 / (100 - CLOCK_SLOW_PERCENT) + LEASE_SLACK_MS;
 
-/// Builds the in-memory state of a pool.
+/// Builds the in-memory state of a pool. Orders of earlier in-memory states may have been sent until `began_ms`.
 pub fn build(
     pool: &str,
     id: PoolStateId,
@@ -63,7 +63,7 @@
     }
     let keys: Vec<JobKey> = pool_state.jobs.keys().collect();
     for key in keys {
-        begin_if_new(&mut pool_state, key, ctx);
+        begin_new_rounds(&mut pool_state, key, ctx);
     }
     for row in cancels {
         apply_intake(&mut pool_state, &row, state.config, id.epoch, ctx);
@@ -90,7 +90,7 @@
     }
 }
 
-/// Adds a worker instance to the in-memory state.
+/// Adds a worker instance to the in-memory state. Its lease is taken to end [`FOREIGN_LEASE_MS`] after `began_ms`.
 pub fn add_worker(pool_state: &mut PoolState, fact: WorkerInfo, began_ms: Millis) -> WorkerKey {
     pool_state.add_worker(Worker::new(fact, began_ms + FOREIGN_LEASE_MS))
 }
@@ -140,7 +140,7 @@
     }
     if let Some(key) = add_job(pool_state, row, config, ctx) {
         pool_state.meter_job(key, ctx.now.ms);
-        begin_if_new(pool_state, key, ctx);
+        begin_new_rounds(pool_state, key, ctx);
         let Some(job) = pool_state.jobs.get(key) else {
             return;
         };
@@ -219,7 +219,7 @@
 }
 
 /// Begins the rounds of a job that are due and have never begun.
-pub fn begin_if_new(pool_state: &mut PoolState, key: JobKey, ctx: &mut Ctx<'_>) {
+pub fn begin_new_rounds(pool_state: &mut PoolState, key: JobKey, ctx: &mut Ctx<'_>) {
     loop {
         let Some(job) = pool_state.jobs.get(key) else {
             return;
@@ -261,8 +261,8 @@
         Err(e) => {
             let why = format!("cannot decode the progress row: {e}");
             ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
-            // If the job began anew, it might run twice, and its record would conflict forever together with the rest
-            // of its batch.
+            // If the job began anew, it might run twice. The write of its record would also conflict every time, and
+            // with it the whole batch.
             pool_state.set_state(key, JobState::Running, ctx.now.ms);
             let job = &mut pool_state.jobs[key];
             job.revision = row.revision;
@@ -275,7 +275,7 @@
     pool_state.jobs[key].revision = row.revision;
     pool_state.jobs[key].recorded_digest = conflict::digest(row.value.as_deref());
     pool_state.jobs[key].shard = Some(shard);
-    pool_state.jobs[key].rounds_begun = progress.begun();
+    pool_state.jobs[key].rounds_begun = progress.first_unbegun_round();
     if progress.state.is_final() {
         return;
     }
@@ -348,10 +348,10 @@
     pool_state.jobs[job].rounds.insert(row.round, round);
     for (step, tasks) in row.steps.iter().enumerate() {
         for (index, task) in tasks.iter().enumerate() {
-            let TaskProgress::Started(place) = task.2 else {
+            let TaskProgress::Started(worker_index) = task.2 else {
                 continue;
             };
-            let Some(worker) = named_workers.get(usize::from(place)) else {
+            let Some(worker) = named_workers.get(usize::from(worker_index)) else {
                 continue;
             };
             let key = TaskKey {
--- a/src/core/sched/operation.rs
+++ b/src/core/sched/operation.rs
@@ -1,4 +1,5 @@
-//! Requests of callers about jobs, and their outcomes.
+//! Requests of callers about jobs, and their outcomes. The server decodes HTTP requests into these types, carries them
+//! out and turns the outcomes into answers.
 
 use super::job::{JobSpec, JobState};
 use crate::clock::Millis;
@@ -31,7 +32,7 @@
     pub deadline_ms: Millis,
 }
 
-/// Outcome of a request, as the caller is told.
+/// Outcome of a request, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The job is recorded.
@@ -40,7 +41,7 @@
     Cancelled,
     /// Current state of the job.
     State(JobState),
-    /// Number of jobs that wait in the queue.
+    /// Number of jobs of the queue that have not begun.
     Waiting(u64),
     /// No queue has this name.
     UnknownQueue,
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -43,7 +43,7 @@
         }
         // A later round may end first. If the row did not distinguish it from a round that never began, the next owner
         // would begin it again.
-        if row.begun() < job.rounds_begun {
+        if row.first_unbegun_round() < job.rounds_begun {
             row.rounds_begun = job.rounds_begun;
         }
         Some(row)
@@ -67,15 +67,15 @@
             },
             _ => TaskProgress::Idle,
         };
-        let is_reported = task.losses.has_losses() || task.seen >= Seen::Gone;
-        let ended = WorkerLosses {
-            seen: if is_reported {
+        let records_seen = task.losses.has_losses() || task.seen >= Seen::Gone;
+        let losses = WorkerLosses {
+            seen: if records_seen {
                 task.seen
             } else {
                 Seen::Nothing
             },
             ..task.losses
         };
-        TaskRow(task.run, task.failed_runs, task_progress, ended)
+        TaskRow(task.run, task.failed_runs, task_progress, losses)
     }
 }
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -118,7 +118,7 @@
         Event::IntakeRemoved(pool, id, outcome) => {
             with_pool(state, pool, now, &mut out, |pool, _, _| {
                 if let Some(ownership) = ownership_of(&mut pool.ownership, id) {
-                    remove::intake_removed(ownership, &outcome);
+                    remove::settle_intake_removal(ownership, &outcome);
                 }
             });
         }
--- a/src/core/sched/remove.rs
+++ b/src/core/sched/remove.rs
@@ -59,7 +59,7 @@
 }
 
 /// Handles the answer to a removal of intake rows. After a failure, the next timer tries again.
-pub(super) fn intake_removed(ownership: &mut Ownership, outcome: &TxOutcome) {
+pub(super) fn settle_intake_removal(ownership: &mut Ownership, outcome: &TxOutcome) {
     let (Some((part, keys)), Some(pool_state)) =
         (ownership.removing.take(), &mut ownership.pool_state)
     else {
@@ -80,8 +80,9 @@
     }
 }
 
-/// Removes progress rows without a job, in each shard without a batch in flight.
-pub(super) fn flush(pool: &mut Pool, ctx: &mut Ctx<'_>) {
+/// Removes the progress rows of old jobs whose intake rows are gone, and orphaned progress rows, in each shard without
+/// a batch in flight.
+pub(super) fn remove_progress(pool: &mut Pool, ctx: &mut Ctx<'_>) {
     let Some(ownership) = &mut pool.ownership else {
         return;
     };
@@ -105,7 +106,7 @@
             });
         ownership.removable = later;
         let removed: Vec<JobKey> = removed;
-        let mut ids = orphans_of(pool_state, shard);
+        let mut ids = take_orphans(pool_state, shard);
         let jobs = removed.iter().filter_map(|key| pool_state.jobs.get(*key));
         ids.extend(jobs.map(|job| job.id.clone()));
         if ids.is_empty() {
@@ -135,7 +136,7 @@
 }
 
 /// Takes the orphaned progress rows of a shard, as many as one transaction may remove.
-fn orphans_of(pool_state: &mut PoolState, shard: usize) -> Vec<String> {
+fn take_orphans(pool_state: &mut PoolState, shard: usize) -> Vec<String> {
     let mut ids = Vec::new();
     pool_state.orphans.retain(|(of, id)| {
         let is_taken = *of == shard && ids.len() < REMOVED_JOBS;
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -262,7 +262,7 @@
     let mut ends_log = run_log::EndsLog::new(pool_state, key, sent_ms, epoch);
     for end in &report.ended {
         if end.number <= pool_state.workers[key].taken_through {
-            ends_log.add_again(end);
+            ends_log.add_repeated(end);
         } else {
             ends_log.add(pool_state, end, ctx);
             runs::apply_end(pool_state, key, end, epoch, ctx);
--- a/src/core/sched/rows.rs
+++ b/src/core/sched/rows.rs
@@ -64,15 +64,15 @@
     /// Recent running times of steps, for the next owner.
     #[serde(default)]
     pub times: Times,
-    /// Hosts that were ordered about recently, and the age of the order in milliseconds.
+    /// Hosts that recently received orders, and the age of the latest order in milliseconds.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub ordered: BTreeMap<String, Millis>,
 }
 
-/// Key of the row that lists hosts that were ordered about.
+/// Key of the row that lists the hosts with recent or imminent orders.
 pub const HOST_ORDERS_KEY: &str = "hosts";
 
-/// Hosts that were ordered about recently or are about to be. No other owner orders them soon afterwards.
+/// Hosts that recently received orders or are about to receive some. No other owner sends them orders soon afterwards.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostOrdersRow {
     /// Names of the hosts.
@@ -87,8 +87,8 @@
     /// Rounds below this number are done.
     #[serde(default, skip_serializing_if = "is_default")]
     pub rounds_done: u32,
-    /// Rounds below this number have begun, even if they are over and no listed round reaches it; 0 if the other fields
-    /// imply it.
+    /// Rounds below this number have begun, including those that are over and come after the last listed round; 0 if
+    /// the other fields imply the number.
     #[serde(default, skip_serializing_if = "is_default")]
     pub rounds_begun: u32,
     /// Policy that applies to the job, if it changed since the job was accepted.
@@ -121,8 +121,8 @@
         dated_workers.map(|((id, host), born)| (&**id, &**host, born.filter(|ms| *ms > 0)))
     }
 
-    /// Returns the number below which all rounds have begun; those that are not listed are done.
-    pub fn begun(&self) -> u32 {
+    /// Returns the number of the first round that has not begun. Earlier rounds that are not listed are done.
+    pub fn first_unbegun_round(&self) -> u32 {
         let last = self.rounds.last().map_or(0, |round| round.round + 1);
         self.rounds_begun.max(self.rounds_done).max(last)
     }
@@ -139,7 +139,7 @@
 /// One round of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoundRow {
-    /// Number of the round.
+    /// Number of the round, counted from 0.
     pub round: u32,
     /// Tasks by step.
     pub steps: Vec<Vec<TaskRow>>,
@@ -192,8 +192,8 @@
     pub is_ordered: bool,
 }
 
-/// Number of partitions that a pool's intake is spread over. The store takes a partition's writes in turn, at 5 ms each
-/// and 57 times as long on slow days, when 100 jobs a second keep 29 partitions busy.
+/// Number of partitions that a pool's intake is spread over. The store takes a partition's writes one after another, at
+/// 5 ms each. On the users' slow days a write takes 57 times as long, and 100 jobs a second keep 29 partitions busy.
 const INTAKE_PARTS: u64 = 64;
 
 /// Separates a pool's name from the suffix of a partition.
@@ -204,8 +204,8 @@
 
 /// Number of shards of a pool, each a partition with an owner row, a heartbeat and progress of jobs. An owner keeps its
 /// lease and records new jobs while at least one shard answers: with a quarter of the partitions unavailable, all four
-/// are unavailable in one case of 256. When the store takes a partition's writes in turn at 300 ms each, four writes
-/// proceed at a time.
+/// are unavailable in one case of 256. When the store takes a partition's writes one after another at 300 ms each, four
+/// writes proceed at a time.
 pub const SHARDS: usize = 4;
 
 /// Returns the partition of a shard; that of the first shard is named like the pool.
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -1,7 +1,7 @@
 //! Logs what happens to runs, in enough detail to see why a task was started again after one of its runs had ended.
 //!
 //! A run is written as `job.round.step.task#run`. At a peak, ends and answers come by the hundred per second, and a
-//! line for each would cost processor time that small entries lack. They are gathered into lists of up to
+//! line for each would cost processor time that small entries lack. Ends and answers are gathered into lists of up to
 //! `LISTED_MAX` entries.
 
 use std::fmt::{Display, Write};
@@ -19,7 +19,8 @@
 /// Most entries in a list. Further ones go on another line.
 const LISTED_MAX: usize = 16;
 
-/// Most workers named in the line about the runs that a new owner found on record. Bounds the length of the line.
+/// Most workers named in the line about the started tasks that a reading of the pool's rows found. Bounds the length of
+/// the line.
 const LOADED_MAX: usize = 48;
 
 /// Answers to starts are logged after this long, or before the next decision on a run.
@@ -80,8 +81,8 @@
     pool_state.workers.get(worker).map_or("-", |w| &w.fact.id)
 }
 
-/// Describes a task as the pool's state has it when something is reported of one of its runs on a worker: the phase,
-/// and the current run and worker if they differ from those.
+/// Describes a task's state for a log entry about its run `run` on `worker`: the phase, and the task's current run and
+/// worker if these differ from `run` and `worker`.
 fn describe_task(pool_state: &PoolState, task: &TaskName, run: u32, worker: WorkerKey) -> String {
     let Some(job) = pool_state
         .by_id
@@ -116,9 +117,9 @@
     /// Number of the last end that was applied before this report.
     taken: u64,
     /// Number of ends that had been applied before and are listed again.
-    again: u64,
+    repeated: u64,
     /// The first of the ends that are listed again.
-    again_list: List,
+    repeated_list: List,
     list: List,
 }
 
@@ -135,8 +136,8 @@
             epoch,
             asked_ms,
             taken: pool_state.workers[worker].taken_through,
-            again: 0,
-            again_list: List::default(),
+            repeated: 0,
+            repeated_list: List::default(),
             list: List::default(),
         }
     }
@@ -155,17 +156,18 @@
     }
 
     /// Adds an end that was applied before.
-    pub(super) fn add_again(&mut self, end: &RunEnd) {
-        self.again += 1;
-        if !self.again_list.is_full() {
+    pub(super) fn add_repeated(&mut self, end: &RunEnd) {
+        self.repeated += 1;
+        if !self.repeated_list.is_full() {
             let name = RunName(&end.task, end.run);
-            self.again_list.add(format_args!("{}={name}", end.number));
+            self.repeated_list
+                .add(format_args!("{}={name}", end.number));
         }
     }
 
     /// Logs what is not logged yet.
     pub(super) fn finish(mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
-        if self.list.count > 0 || self.again > 0 {
+        if self.list.count > 0 || self.repeated > 0 {
             self.log(pool_state, ctx);
         }
     }
@@ -176,8 +178,8 @@
         let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.fact.id, why)
             .with_name("on", &*w.fact.host)
             .with_name(RUNS_KEY, self.list.take());
-        if self.again_list.count > 0 {
-            decision = decision.with_name("again_runs", self.again_list.take());
+        if self.repeated_list.count > 0 {
+            decision = decision.with_name("again_runs", self.repeated_list.take());
         }
         ctx.log(
             decision
@@ -185,11 +187,11 @@
                 .with("epoch", self.epoch)
                 .with("asked_ago_ms", ctx.now.ms.saturating_sub(self.asked_ms))
                 .with("taken_before", self.taken)
-                .with("again", self.again)
+                .with("again", self.repeated)
                 .with("recorded", w.recorded_through)
                 .with("told_seen", w.acked_through),
         );
-        self.again = 0;
+        self.repeated = 0;
     }
 }
 
@@ -200,8 +202,8 @@
     waiting: Vec<(Millis, String)>,
 }
 
-/// Notes the answer to a start, with the time since the run was recorded. The worker is the one on which the pool's
-/// state has the task.
+/// Notes the answer to a start, with the time since the run was recorded. The text names the worker that the pool's
+/// in-memory state gives for the task.
 pub(super) fn add_start_answer(
     pool_state: &mut PoolState,
     key: TaskKey,
@@ -292,7 +294,7 @@
     );
 }
 
-/// Logs what a new owner found on record: the number of done tasks, and the started tasks by worker.
+/// Logs what a reading of a pool's rows found: the number of done tasks, and the started tasks by worker.
 pub(super) fn log_loaded_pool(
     name: &str,
     pool_state: &PoolState,
@@ -332,13 +334,14 @@
     wall_ms.unwrap_or(0)
 }
 
-/// Builds the event of a worker that reports another start time than the known one. `by` is what reported it.
+/// Builds the event of a worker whose start time is reported to differ from the known one. `why` names the source of
+/// the report.
 pub(super) fn worker_restarted(
     w: &Worker,
     reported_wall_ms: Option<Millis>,
-    by: &'static str,
+    why: &'static str,
 ) -> Decision {
-    Decision::new(Code::WorkerRestarted, Subject::Host, &w.fact.id, by)
+    Decision::new(Code::WorkerRestarted, Subject::Host, &w.fact.id, why)
         .with_name("on", &*w.fact.host)
         .with("born_wall_ms", born_or_zero(reported_wall_ms))
         .with("known_born_wall_ms", born_or_zero(w.fact.born_wall_ms))
@@ -368,8 +371,8 @@
         .with("told_seen", w.acked_through)
 }
 
-/// Builds the event of a task that is queued again, with what the decision on its run rests on. `asked_ms` is when the
-/// report was requested that lacks the run.
+/// Builds the event of a task that is queued again, with the facts behind the decision on its run. `asked_ms` is the
+/// request time of the report that lacks the run, if the decision rests on one.
 pub(super) fn task_requeued(
     pool_state: &PoolState,
     key: TaskKey,
@@ -379,7 +382,8 @@
 ) -> Option<Decision> {
     let task = pool_state.task(key)?;
     let job = &pool_state.jobs.get(key.job)?.id;
-    // When a worker ends, these figures tell the run that may have caused it from runs that had long been executing.
+    // When a worker ends, these figures distinguish the run that may have caused the end from runs that had long been
+    // executing.
     let mut decision = Decision::new(Code::TaskRequeued, Subject::Job, job, why)
         .with("round", u64::from(key.round))
         .with("step", u64::from(key.step))
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -776,6 +776,6 @@
         .map(|(key, _)| key)
         .collect();
     for key in timed {
-        load::begin_if_new(pool_state, key, ctx);
+        load::begin_new_rounds(pool_state, key, ctx);
     }
 }
--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -72,7 +72,10 @@
     let row = |text: &str| rows::decode::<ProgressRow>(text.as_bytes()).expect("the row decodes");
     let open =
         row(r#"{"state":"Running","rounds":[{"round":0,"steps":[]},{"round":3,"steps":[]}]}"#);
-    assert_eq!((open.rounds_begun, open.begun()), (0, 4));
+    assert_eq!((open.rounds_begun, open.first_unbegun_round()), (0, 4));
     let between = row(r#"{"state":"Running","rounds_done":2}"#);
-    assert_eq!((between.rounds_begun, between.begun()), (0, 2));
+    assert_eq!(
+        (between.rounds_begun, between.first_unbegun_round()),
+        (0, 2)
+    );
 }
