--- a/src/core/sched/access.rs
+++ b/src/core/sched/access.rs
@@ -38,8 +38,8 @@
     Some(work(pool, &mut ctx, &facts))
 }
 
-/// Runs `work` on the in-memory state `id` of a pool, if that is still the current one. `work` returns whether a worker
-/// has seen a later owner, in which case the pool is lost.
+/// Runs `work` on the in-memory state `id` of a pool, if this state is still the current one. `work` returns whether a
+/// worker has seen a later owner, in which case the pool is lost.
 pub(super) fn with_pool_state(
     state: &mut State,
     key: PoolKey,
--- a/src/core/sched/claim.rs
+++ b/src/core/sched/claim.rs
@@ -32,7 +32,7 @@
     /// Processor time that the entry may use, in thousandths of a core.
     pub cpu_milli: u64,
     /// Largest `cpu_milli` in the heartbeats seen; `None` before the first heartbeat.
-    pub strongest_milli: Option<u64>,
+    pub strongest_cpu_milli: Option<u64>,
     /// Since when the store has been answering; `None` while it does not answer.
     pub store_since_ms: Option<Millis>,
     /// Whether the entry has adopted a configuration.
@@ -46,7 +46,7 @@
 impl Claimant {
     /// Returns how much later the entry claims than one that owns nothing and has enough processor time.
     fn extra_delay_ms(&self) -> Millis {
-        let full_milli = self.strongest_milli.unwrap_or(CPU_FULL_MILLI).max(1);
+        let full_milli = self.strongest_cpu_milli.unwrap_or(CPU_FULL_MILLI).max(1);
         let lacking = full_milli.saturating_sub(self.cpu_milli);
         let weak_ms = lacking * CLAIM_WEAK_MS / full_milli;
         weak_ms + self.owned_pools as Millis * CLAIM_OWNED_MS
--- a/src/core/sched/commit.rs
+++ b/src/core/sched/commit.rs
@@ -57,8 +57,9 @@
     }
 }
 
-/// Returns the shard for jobs without a record: the first one while it answers, else the next free one. An unavailable
-/// partition then delays only the jobs that began in it.
+/// Returns the shard for jobs without a record: the first one that answers, unless its batch has been in flight for
+/// [`SHARD_BUSY_MS`]. Returns `None` while a younger batch of that shard is in flight. If there is no such shard,
+/// returns the first one without a batch. An unavailable partition thus delays only the jobs that began in it.
 fn shard_for_new(ownership: &Ownership, lease: &OwnerLease, ctx: &mut Ctx<'_>) -> Option<usize> {
     for (shard, batch) in ownership.batches.iter().enumerate() {
         let Some(batch) = batch else {
@@ -140,7 +141,7 @@
     let mut kept = Vec::with_capacity(jobs.len());
     for key in jobs {
         pool_state.dirty.remove(&key);
-        let Some(progress) = pool_state.progress(key) else {
+        let Some(progress) = pool_state.progress_row(key) else {
             continue;
         };
         let job = &pool_state.jobs[key];
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -8,8 +8,8 @@
 use super::tasks::{Phase, Seen, Task, WorkerLosses};
 
 impl PoolState {
-    /// Returns the progress row of a job.
-    pub fn progress(&self, key: JobKey) -> Option<ProgressRow> {
+    /// Returns the progress row of a job as it is now, which may be newer than the recorded one.
+    pub fn progress_row(&self, key: JobKey) -> Option<ProgressRow> {
         let job = self.jobs.get(key)?;
         let mut row = ProgressRow {
             state: job.state,
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -500,7 +500,7 @@
     claim::Claimant {
         owned_pools: state.owned_count(),
         cpu_milli: state.cpu_milli,
-        strongest_milli: heartbeat_cpus.max().filter(|milli| *milli > 0),
+        strongest_cpu_milli: heartbeat_cpus.max().filter(|milli| *milli > 0),
         store_since_ms: state.store_since_ms,
         is_configured: state.config.version > 0,
         is_stopping: state.is_stopping(),
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -465,7 +465,10 @@
 fn restarts_on_record() {
     let scene = Scene::new();
     let key = scene.pool_state.by_id["a"];
-    let row = scene.pool_state.progress(key).expect("the job is there");
+    let row = scene
+        .pool_state
+        .progress_row(key)
+        .expect("the job is there");
     let named: Vec<_> = row.instances().collect();
     assert_eq!(named, [(ID, "host", Some(BORN_MS[0]))]);
     let read: rows::ProgressRow = rows::decode(&rows::encode(&row)).expect("it decodes");
