--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -313,7 +313,7 @@
     }
     let why = match ownership.readings {
         1 => "rows read",
-        _ => "rows read again, within the tenure",
+        _ => "rows read again, by the same owner",
     };
     ctx.log(
         Decision::new(Code::PoolLoaded, Subject::Pool, name, why)
--- a/tests/test_run_log.rs
+++ b/tests/test_run_log.rs
@@ -464,7 +464,7 @@
     let owner = world.owner_entry().expect("the pool has an owner");
     let again = world.reload(owner);
     let log_line = again.iter().find(loaded).expect("the line is logged");
-    assert_eq!(log_line.why, "rows read again, within the tenure");
+    assert_eq!(log_line.why, "rows read again, by the same owner");
     assert_eq!(figure(log_line, "reads"), Some(2));
 }
 
