--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -96,7 +96,7 @@
     pub is_claiming: bool,
     /// Whether a renewal in this shard awaits its answer.
     pub is_renewing: bool,
-    /// When the earliest unanswered call was sent.
+    /// Send time of the earliest call since the shard last answered any call; `None` if there is no such call.
     pub unanswered_ms: Option<Millis>,
     /// The shard refused or lost a call; other shards are preferred until this time.
     pub passed_over_until_ms: Millis,
