--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -95,8 +95,8 @@
                 pool,
                 now,
                 &mut out,
-                |pool_state, controller, waves, with, ctx| {
-                    if with.0 == epoch {
+                |pool_state, controller, waves, (pool_epoch, _), ctx| {
+                    if pool_epoch == epoch {
                         wave::apply_settled(pool_state, controller, waves, outcome, ctx);
                     }
                 },
@@ -118,7 +118,7 @@
         Event::IntakeRemoved(pool, id, outcome) => {
             with_pool(state, pool, now, &mut out, |pool, _, _| {
                 if let Some(ownership) = ownership_of(&mut pool.ownership, id) {
-                    remove::intake_removed(ownership, &outcome);
+                    remove::settle_intake_removal(ownership, &outcome);
                 }
             });
         }
@@ -135,8 +135,15 @@
                 epoch,
                 now,
                 &mut out,
-                |pool_state, controller, with, ctx| {
-                    quota::apply_settled(pool_state, controller, with.pool, &account, outcome, ctx);
+                |pool_state, controller, inputs, ctx| {
+                    quota::apply_settled(
+                        pool_state,
+                        controller,
+                        inputs.pool,
+                        &account,
+                        outcome,
+                        ctx,
+                    );
                 },
             );
         }
@@ -167,18 +174,24 @@
             });
         }
         Event::HostsRead(pool, epoch, list) => {
-            with_wave_controller(state, pool, now, &mut out, |_, controller, _, with, _| {
-                if with.0 == epoch {
-                    wave::apply_list(controller, list.clone());
-                }
-            });
+            with_wave_controller(
+                state,
+                pool,
+                now,
+                &mut out,
+                |_, controller, _, (pool_epoch, _), _| {
+                    if pool_epoch == epoch {
+                        wave::apply_list(controller, list.clone());
+                    }
+                },
+            );
             with_host_controller(state, pool, now, &mut out, |controller, _, inputs, _| {
                 if inputs.epoch == epoch {
                     hosts::apply_list(controller, list);
                 }
             });
         }
-        Event::Store(answers) => store_changed(state, answers, now),
+        Event::Store(answers) => apply_store_change(state, answers, now),
         Event::Stop => handover::begin(state, now),
     }
     fire_timers(state, now, &mut out);
@@ -239,7 +252,7 @@
     if state.config.version == 0 {
         schedule_claims(state, now);
     }
-    // Pools that receive queues need an owner for their jobs. Parked pools need one for their hosts.
+    // Pools that queues are routed to need an owner for their jobs. Parked pools need one for their hosts.
     let names: Vec<String> = config.pools.keys().cloned().collect();
     state.config = config;
     for name in names {
@@ -284,7 +297,7 @@
         if is_newer && !is_ours {
             owner_lease::lose_ownership(pool, "another entry owns the pool", ctx);
         }
-        claim::begin_if_claimed(pool, nonce, ctx);
+        claim::resume_claim_if_ours(pool, nonce, ctx);
         let is_free = pool.lease.owner.entry.is_empty() || pool.lease.owner.entry == me;
         if pool.ownership.is_none() && is_free {
             ctx.set_timer(0, Timer::Claim);
@@ -327,13 +340,13 @@
             return;
         }
         let epoch = ownership.epoch;
-        let is_same_holder = pool.lease.former_owner == ctx.me;
+        let is_same_owner = pool.lease.former_owner == ctx.me;
         if !ownership.hosts.is_ready() {
             let former_host_orders = &pool.lease.former_host_orders;
             ownership.hosts = hosts::HostController::new(
                 &rows.host_orders,
                 former_host_orders,
-                is_same_holder,
+                is_same_owner,
                 ctx,
             );
         }
@@ -341,8 +354,8 @@
         observe_offers(&mut pool.offers, &pool.name, offers, ctx);
         let times = pool.lease.heartbeat.times.clone();
         let id = ownership.begin_reading(ctx);
-        // Counted from the claim, leases that this owner has granted since would seem expired at once, and all running
-        // tasks would be requeued.
+        // The workers' leases are counted from this time. If they were counted from the claim, leases that this owner
+        // has granted since would seem expired at once, and all running tasks would be requeued.
         let earlier_ms = ownership.earlier_orders_until_ms(ctx.now.ms);
         let mut pool_state = load::build(&name, id, earlier_ms, times, rows, facts, ctx);
         ownership.restore_first_shards(&mut pool_state);
@@ -463,7 +476,7 @@
 }
 
 /// Records whether the store answers. Once it answers again, all pools are checked for a claim.
-fn store_changed(state: &mut State, answers: bool, now: Now) {
+fn apply_store_change(state: &mut State, answers: bool, now: Now) {
     state.store_since_ms = answers.then_some(now.ms);
     if answers {
         schedule_claims(state, now);
@@ -485,9 +498,9 @@
         .iter()
         .map(|pool| pool.lease.heartbeat.cpu_milli);
     claim::Claimant {
-        owned: state.owned_count(),
+        owned_pools: state.owned_count(),
         cpu_milli: state.cpu_milli,
-        strongest_milli: heartbeat_cpus.max().filter(|milli| *milli > 0),
+        strongest_cpu_milli: heartbeat_cpus.max().filter(|milli| *milli > 0),
         store_since_ms: state.store_since_ms,
         is_configured: state.config.version > 0,
         is_stopping: state.is_stopping(),
@@ -516,11 +529,11 @@
         return;
     }
     if timer == Timer::Hosts {
-        let is_ours =
+        let carries_orders =
             with_host_controller(state, key, now, out, |controller, waves, inputs, ctx| {
                 hosts::reconcile(controller, waves, inputs, ctx);
             });
-        if !is_ours {
+        if !carries_orders {
             let at_ms = now.ms + hosts::IDLE_RECONCILE_MS;
             state.timers.insert((at_ms, key, timer));
         }
@@ -578,8 +591,8 @@
             runs::end_exhausted_jobs(pool_state, epoch, ctx);
             renewal::renew_stuck(pool_state, epoch, ctx);
             pool_state.wants_placing = true;
-            // Equal timers at the same moment are one entry. Setting this timer only if none is pending keeps a single
-            // cycle going.
+            // The set of timers merges only equal timers that are due at the same time. The check keeps further cycles
+            // of this timer from running side by side.
             let is_set =
                 |(_, p, t): &(Millis, PoolKey, Timer)| *p == ctx.pool && *t == Timer::Upkeep;
             if !ctx.timers.iter().any(is_set) {
@@ -604,7 +617,7 @@
     })
 }
 
-/// Reconciles the size of a pool, and brings the next heartbeat forward if its owner's needs changed.
+/// Reconciles the size of a pool, and brings the next heartbeat forward if the pool's needs changed.
 fn reconcile_size(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
     let pressed = another_pool_lacks_hosts(state, key, now.ms);
     with_pool(state, key, now, out, |pool, ctx, facts| {
@@ -620,7 +633,7 @@
         let Some(pool_state) = &mut ownership.pool_state else {
             return;
         };
-        let with = sizing::Inputs {
+        let inputs = sizing::Inputs {
             pool: &pool.name,
             epoch,
             can_park,
@@ -631,7 +644,7 @@
             pool_state,
             &mut ownership.sizing,
             &mut pool.offers,
-            &with,
+            &inputs,
             ctx,
         ) {
             owner_lease::hasten_heartbeat(pool, ctx);
