--- a/src/core/sched/accounts.rs
+++ b/src/core/sched/accounts.rs
@@ -66,7 +66,7 @@
         Some((account, self.step_spec(key)?.charge()))
     }
 
-    /// Whether `count` tasks like this one may start within their account's limit.
+    /// Returns whether `count` tasks like this one may start within their account's limit.
     pub fn is_within_quota(&self, key: TaskKey, count: u64) -> bool {
         let Some((account, charge)) = self.charge(key) else {
             return true;
@@ -90,7 +90,7 @@
         self.jobs[key].is_excess = !is_within;
     }
 
-    /// Whether the account uses and waits for more than this pool could be granted.
+    /// Returns whether the account uses and waits for more than this pool could be granted.
     pub fn is_beyond_quota(&self, account: AccountKey) -> bool {
         let account = &self.accounts[usize::from(account.0)];
         let mut sum = account.used;
--- a/src/core/sched/conflict.rs
+++ b/src/core/sched/conflict.rs
@@ -92,7 +92,7 @@
 /// Returns whether a progress row is as this owner last recorded it.
 fn is_as_recorded(pool_state: &PoolState, row: &StoredRow) -> bool {
     let job = pool_state
-        .by_id
+        .jobs_by_id
         .get(&row.key)
         .and_then(|key| pool_state.jobs.get(*key));
     job.is_some_and(|job| job.recorded_digest == digest(row.value.as_deref()))
@@ -113,7 +113,7 @@
         has_changed |= guard.revision != row.revision;
         guard.revision = row.revision;
         let job = pool_state
-            .by_id
+            .jobs_by_id
             .get(&row.key)
             .and_then(|key| pool_state.jobs.get_mut(*key));
         if let Some(job) = job.filter(|_| *table == Table::Progress) {
--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -5,14 +5,14 @@
 //! 18 other tasks go down with the worker for 3 s. The end of an instance doesn't show its cause, and its tasks are
 //! queued again, so each task counts the instances that ended while it ran. A crash closes the worker's connections,
 //! which gives its time. A run that had been executing for long by then is not to blame; the others are suspects. A
-//! suspect's next run goes to the worker with the fewest runs, and apart from other suspects until it has outlived its
+//! suspect's next run goes to the worker with the fewest tasks, and apart from other suspects until it has outlived its
 //! start. A second crash then singles out one task, and its job is given up. The counts are recorded, and a new owner
 //! continues from them.
 //!
-//! A pool of 16 workers with 300 jobs of 8 tasks in 30 s, one job in 30 of this kind, eight times (81 such jobs), lost
-//! 162 workers and 938 runs of other jobs, and 1 of 2,319 other jobs was given up. Without placing suspects apart it
-//! was 1,574 runs and 30 jobs given up. Giving up only on the third crash cost 243 workers and 1,080 runs, and no other
-//! job.
+//! Measured eight times on a pool of 16 workers that got 300 jobs of 8 tasks in 30 s, one job in 30 of this kind (81 in
+//! all): 162 workers and 938 runs of other jobs were lost, and 1 of 2,319 other jobs was given up. Without placing
+//! suspects apart, 1,574 runs were lost and 30 other jobs given up. With giving up only on the third crash, 243 workers
+//! and 1,080 runs were lost, and no other job was given up.
 
 use super::gang;
 use super::job::StepSpec;
@@ -33,7 +33,7 @@
 /// end may go unreported.
 const LONG_RUN_FACTOR: Millis = 4;
 
-/// From this number of instances on that may have ended under a task, each further one is logged.
+/// From this number of losses of a task on, each of its losses is logged.
 const LOSSES_LOGGED_FROM: u8 = 2;
 
 /// Why everything that ran on a worker is over.
@@ -88,30 +88,30 @@
 /// What is known of a worker's end.
 #[derive(Clone, Copy, Debug)]
 struct WorkerEnd {
-    /// Another instance took its place, and no planned end is known, neither of the worker itself nor of its host for a
-    /// move or maintenance.
+    /// Whether another instance took its place and no planned end is known, neither of the worker itself nor of its
+    /// host for a move or maintenance.
     is_crash: bool,
     /// When its connections closed, if they did.
-    broke_ms: Option<Millis>,
-    /// Its reports left no gap in which the end of a run could go unreported.
+    disconnected_ms: Option<Millis>,
+    /// Whether its reports left no gap in which the end of a run could go unreported.
     is_gapless: bool,
     /// When it last answered.
-    heard_ms: Millis,
+    answered_ms: Millis,
 }
 
 impl WorkerEnd {
     fn new(worker: &Worker, cause: EndCause) -> Self {
         Self {
             is_crash: cause != EndCause::Lease && !worker.is_leaving(),
-            broke_ms: worker.disconnected_ms,
+            disconnected_ms: worker.disconnected_ms,
             is_gapless: worker.is_gapless,
-            heard_ms: worker.answered_ms,
+            answered_ms: worker.answered_ms,
         }
     }
 
     /// Returns when the worker ended, as far as that is known.
     fn lost_ms(self) -> Millis {
-        self.broke_ms.unwrap_or(self.heard_ms)
+        self.disconnected_ms.unwrap_or(self.answered_ms)
     }
 
     /// Returns what this end adds to the losses of a task that ran on the worker.
@@ -128,16 +128,18 @@
             return WorkerLosses::NONE;
         }
         let begun_ms = task.begun_ms.unwrap_or(task.since_ms);
-        let is_starting = self.heard_ms < begun_ms + START_WINDOW_MS;
+        let is_starting = self.answered_ms < begun_ms + START_WINDOW_MS;
         let may_be_crash = self.is_crash && order != GangLossOrder::Later && has_begun;
         let is_first_loss = may_be_crash && order == GangLossOrder::First;
         let was_seen = matches!(task.phase, Phase::Suspect(_)) && task.seen >= Seen::Gone;
         let is_certain = is_first_loss && (was_seen || self.was_running_to_end(task, spec, now_ms));
         // A worker that fell silent first may have been cut off, so that its runs had already expired when it crashed.
-        let is_confirmed = self.broke_ms.is_some() || matches!(task.phase, Phase::Suspect(_));
+        let is_confirmed =
+            self.disconnected_ms.is_some() || matches!(task.phase, Phase::Suspect(_));
         let is_likely =
             may_be_crash && !is_certain && is_starting && is_confirmed && !was_stopped(task);
-        let is_fresh = task.seen == Seen::GoneFresh || self.broke_within(task, BLAME_WINDOW_MS);
+        let is_fresh =
+            task.seen == Seen::GoneFresh || self.was_disconnected_within(task, BLAME_WINDOW_MS);
         let is_blamed = is_certain && (spec.lasting || is_fresh);
         WorkerLosses {
             blamed: u8::from(is_blamed),
@@ -148,18 +150,18 @@
         }
     }
 
-    /// Returns whether the worker certainly crashed within `ms` of the run's first sending by this owner. The time at
-    /// which the run became known to have begun doesn't show this: a new owner finds runs that are seconds old, and a
-    /// reply may wait just as long for an owner that was stalled.
-    fn broke_within(self, task: &Task, ms: Millis) -> bool {
-        let (Some(sent_ms), Some(broke_ms)) = (task.sent_ms, self.broke_ms) else {
+    /// Returns whether the worker certainly crashed within `ms` after this owner first sent the run's start. The time
+    /// at which this owner learned that the run had begun can't be used: a new owner finds runs that are seconds old,
+    /// and a reply may wait just as long for an owner that was stalled.
+    fn was_disconnected_within(self, task: &Task, ms: Millis) -> bool {
+        let (Some(sent_ms), Some(disconnected_ms)) = (task.sent_ms, self.disconnected_ms) else {
             return false;
         };
-        broke_ms < sent_ms + ms
+        disconnected_ms < sent_ms + ms
     }
 
     /// Returns whether the run was still executing when the worker ended. This isn't known of a run that a former owner
-    /// started.
+    /// started and no report to this owner lists.
     fn was_running_to_end(self, task: &Task, spec: &StepSpec, now_ms: Millis) -> bool {
         if was_stopped(task) {
             return false;
@@ -167,16 +169,16 @@
         let Some(begun_ms) = task.begun_ms else {
             return false;
         };
-        let is_starting = self.heard_ms < begun_ms + START_WINDOW_MS;
+        let is_starting = self.answered_ms < begun_ms + START_WINDOW_MS;
         if spec.lasting {
             // A lasting run executes until its lease ends.
-            return is_starting && now_ms < self.heard_ms.max(begun_ms) + WORKER_LEASE_MS;
+            return is_starting && now_ms < self.answered_ms.max(begun_ms) + WORKER_LEASE_MS;
         }
-        // The run may have ended by itself after half of its estimated time. A later end would have been reported,
+        // The run may have ended by itself from half of its estimated time on. Such an end would have been reported,
         // unless it fell into the last moments before the crash, which is likely only for short runs.
         let is_long = spec.estimate_ms >= LONG_RUN_FACTOR * REPORT_GAP_MAX_MS;
-        let is_heard = is_starting && is_long && self.is_gapless;
-        is_heard || self.broke_within(task, spec.estimate_ms / 2)
+        let is_end_unlikely = is_starting && is_long && self.is_gapless;
+        is_end_unlikely || self.was_disconnected_within(task, spec.estimate_ms / 2)
     }
 }
 
@@ -212,8 +214,8 @@
 }
 
 /// Records the runs that were on a worker when its connections closed, for an owner that takes over before the next
-/// instance answers. Without the record, an owner that had seen three of five crashes and was replaced before each of
-/// them was confirmed took that knowledge with it.
+/// instance answers. In one case, the owner that had seen the crash was replaced before that answer in three of five
+/// crashes, and what it had seen was lost.
 pub(super) fn record_connection_loss(
     pool_state: &mut PoolState,
     worker: WorkerKey,
@@ -236,11 +238,11 @@
         let Some(task) = pool_state.task_mut(key) else {
             continue;
         };
-        let one = end.losses_for(task, &spec, GangLossOrder::First, now_ms);
-        if !is_first || one.crashed == 0 {
+        let losses = end.losses_for(task, &spec, GangLossOrder::First, now_ms);
+        if !is_first || losses.crashed == 0 {
             continue;
         }
-        task.seen = match one.blamed {
+        task.seen = match losses.blamed {
             0 => Seen::Gone,
             _ => Seen::GoneFresh,
         };
@@ -295,8 +297,8 @@
     }
 }
 
-/// Adds a worker's end to the losses of one task, and logs it from [`LOSSES_LOGGED_FROM`] losses on or if the task is a
-/// suspect or given up.
+/// Adds a worker's end to the losses of one task. Logs the losses if the task is blamed for this end, has at least
+/// [`LOSSES_LOGGED_FROM`] losses, or is given up.
 fn count_loss(pool_state: &mut PoolState, key: TaskKey, end: WorkerEnd, ctx: &mut Ctx<'_>) {
     let Some(spec) = pool_state.step_spec(key).cloned() else {
         return;
@@ -306,18 +308,18 @@
         return;
     };
     task.lost_ms = Some(end.lost_ms());
-    let one = end.losses_for(task, &spec, order, ctx.now.ms);
-    if one == WorkerLosses::NONE {
+    let added = end.losses_for(task, &spec, order, ctx.now.ms);
+    if added == WorkerLosses::NONE {
         return;
     }
-    task.losses.add(one, task.run);
-    let (ended, run) = (task.losses, task.run);
-    let pause_ms = if spec.lasting { ended.pause_ms() } else { 0 };
+    task.losses.add(added, task.run);
+    let (losses, run) = (task.losses, task.run);
+    let pause_ms = if spec.lasting { losses.pause_ms() } else { 0 };
     task.held_until_ms = ctx.now.ms + pause_ms;
     pool_state.mark_dirty(key.job, ctx.now.ms);
     let is_given_up = is_given_up(pool_state, key);
     queue_if_given_up(pool_state, key);
-    if one.blamed > 0 || ended.all >= LOSSES_LOGGED_FROM || is_given_up {
+    if added.blamed > 0 || losses.all >= LOSSES_LOGGED_FROM || is_given_up {
         let id = &pool_state.jobs[key.job].id;
         ctx.log(
             Decision::new(
@@ -329,11 +331,11 @@
             .with("step", u64::from(key.step))
             .with("task", u64::from(key.index))
             .with("run", u64::from(run))
-            .with("blamed", u64::from(ended.blamed))
-            .with("crashed", u64::from(ended.crashed))
-            .with("likely", u64::from(ended.likely))
-            .with("ended", u64::from(ended.all))
-            .with("third_run", u64::from(ended.third_run))
+            .with("blamed", u64::from(losses.blamed))
+            .with("crashed", u64::from(losses.crashed))
+            .with("likely", u64::from(losses.likely))
+            .with("ended", u64::from(losses.all))
+            .with("third_run", u64::from(losses.third_run))
             .with("pause_ms", pause_ms)
             .with("given_up", u64::from(is_given_up)),
         );
@@ -359,19 +361,19 @@
     if is_over || !is_given_up(pool_state, key) {
         return;
     }
-    let may_miss = |task: &TaskKey| {
+    let limits_away = |task: &TaskKey| {
         pool_state
             .step_spec(*task)
             .is_some_and(|s| s.away_max.is_some())
     };
-    let mut all = pool_state.tasks_of(key.job).into_iter();
-    let has_run = |task| {
+    let mut tasks = pool_state.tasks_of(key.job).into_iter();
+    let may_run = |task| {
         pool_state
             .task(task)
             .is_some_and(|t| t.phase.worker().is_some())
     };
     let continues =
-        may_miss(&key) && all.any(|task| has_run(task) || !is_given_up(pool_state, task));
+        limits_away(&key) && tasks.any(|task| may_run(task) || !is_given_up(pool_state, task));
     if !continues {
         pool_state.given_up.push(key.job);
     }
--- a/src/core/sched/gang.rs
+++ b/src/core/sched/gang.rs
@@ -109,7 +109,7 @@
                 Some(Phase::Starting(_) | Phase::Running(_) | Phase::Recording(_))
             );
             if goes_on {
-                runs::stop(pool_state, member, epoch, ctx);
+                runs::stop_run(pool_state, member, epoch, ctx);
             }
         }
     }
--- a/src/core/sched/instances.rs
+++ b/src/core/sched/instances.rs
@@ -1,7 +1,7 @@
 //! Keeps the worker instances of a pool's state, by id and by host.
 //!
-//! A worker may restart under the same id. What it runs, counts and was acknowledged ends with the instance, so each
-//! instance is a worker of its own here, named by its id and its start time.
+//! A worker may restart under the same id. Its runs, the numbers of its run ends and their acknowledgements belong to
+//! one instance only, so each instance is a worker of its own here, identified by its id and its start time.
 
 use std::collections::HashMap;
 
@@ -14,8 +14,8 @@
 impl PoolState {
     /// Adds a worker instance.
     pub fn add_worker(&mut self, mut worker: Worker) -> WorkerKey {
-        worker.is_closing |= self.closing.contains(&worker.fact.host);
-        worker.may_leave |= self.going.contains(&worker.fact.host);
+        worker.is_closing |= self.closing_hosts.contains(&worker.fact.host);
+        worker.may_leave |= self.hosts_that_may_leave.contains(&worker.fact.host);
         let (id, host) = (worker.fact.id.clone(), worker.fact.host.clone());
         if let Some(restarts) = self.restarts(&id) {
             worker.restarts = restarts;
@@ -23,10 +23,10 @@
         }
         let key = self.workers.insert(worker);
         self.workers_by_id.entry(id).or_default().push(key);
-        // Workers that name no host don't share one. Treated as instances of one host, each report would end all
-        // others.
+        // Workers that name no host don't share one. When they were treated as instances of one host, each report ended
+        // all other workers.
         if !host.is_empty() {
-            self.by_host.entry(host).or_default().push(key);
+            self.workers_by_host.entry(host).or_default().push(key);
         }
         self.update_free_index(key);
         key
@@ -35,7 +35,7 @@
     /// Returns how often an id has restarted, or `None` if this owner has not met the id.
     pub fn restarts(&self, id: &str) -> Option<u32> {
         let met = self.instances_of(id).filter(|(_, w)| w.has_been_listed());
-        let dropped = self.dropped.get(id).map(|(restarts, _)| *restarts);
+        let dropped = self.dropped_ids.get(id).map(|(restarts, _)| *restarts);
         met.map(|(_, w)| w.restarts).chain(dropped).max()
     }
 
@@ -44,17 +44,17 @@
         let Some(worker) = self.workers.remove(key) else {
             return;
         };
-        self.dropped
+        self.dropped_ids
             .retain(|_, (restarts, at_ms)| *restarts > 0 || now_ms < *at_ms + DROPPED_KEPT_MS);
         if worker.has_been_listed() {
             let id = worker.fact.id.clone();
-            let dropped = self.dropped.entry(id).or_default();
+            let dropped = self.dropped_ids.entry(id).or_default();
             *dropped = (dropped.0.max(worker.restarts), now_ms);
         }
         self.recording.remove(&key);
         self.free_index.remove(key);
         drop_instance(&mut self.workers_by_id, &worker.fact.id, key);
-        drop_instance(&mut self.by_host, &worker.fact.host, key);
+        drop_instance(&mut self.workers_by_host, &worker.fact.host, key);
     }
 
     /// Updates the index of free capacity for a worker.
@@ -98,7 +98,7 @@
 
     /// Returns the instances on a host, including those that have ended and are not removed yet.
     pub fn instances_on(&self, host: &str) -> impl Iterator<Item = (WorkerKey, &Worker)> {
-        let keys = self.by_host.get(host).into_iter().flatten();
+        let keys = self.workers_by_host.get(host).into_iter().flatten();
         keys.filter_map(|key| Some((*key, self.workers.get(*key)?)))
     }
 
--- a/src/core/sched/job.rs
+++ b/src/core/sched/job.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns the same policy with another configuration version.
-    pub fn at(self, config: u64) -> Self {
+    pub fn with_config_version(self, config: u64) -> Self {
         Self { config, ..self }
     }
 }
@@ -168,7 +168,7 @@
 
     /// Returns the length of the longest chain of steps, if each step takes the time in `step_ms` and those that
     /// `counts` excludes take none.
-    pub fn longest_ms(&self, step_ms: &[Millis], counts: impl Fn(usize) -> bool) -> Millis {
+    pub fn longest_chain_ms(&self, step_ms: &[Millis], counts: impl Fn(usize) -> bool) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.steps.len());
         for (n, step) in self.steps.iter().enumerate() {
             let begin = step
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -125,7 +125,7 @@
         return;
     }
     if let Some(id) = cancelled_job(&row.key) {
-        if let Some(key) = pool_state.by_id.get(id).copied() {
+        if let Some(key) = pool_state.jobs_by_id.get(id).copied() {
             runs::cancel_job(pool_state, key, epoch, ctx);
         }
         return;
@@ -158,7 +158,7 @@
 /// run all its finished tasks again. A row older than the claim was present in the reading that followed the claim,
 /// unless the job had been removed.
 fn is_stale(pool_state: &PoolState, row: &StoredRow, epoch: u64) -> bool {
-    let is_known = pool_state.by_id.contains_key(&row.key);
+    let is_known = pool_state.jobs_by_id.contains_key(&row.key);
     !is_known && (row.revision < epoch || pool_state.recently_dropped.contains_key(&row.key))
 }
 
@@ -168,7 +168,7 @@
     config: &FleetConfig,
     ctx: &mut Ctx<'_>,
 ) -> Option<JobKey> {
-    if let Some(key) = pool_state.by_id.get(&row.key).copied() {
+    if let Some(key) = pool_state.jobs_by_id.get(&row.key).copied() {
         let parts = &mut pool_state.jobs[key].intake;
         if !parts.contains(&row.part) {
             parts.push(row.part.clone());
@@ -185,9 +185,12 @@
         }
     };
     let policy = policy::initial_policy(&spec, config);
-    let step_ms = pool_state.times.expect(&spec);
+    let step_ms = pool_state.times.expected_step_ms(&spec);
     let deadlines = Deadlines::new(&spec, &step_ms, policy, ctx.now);
-    *pool_state.waiting.entry(spec.queue.clone()).or_default() += 1;
+    *pool_state
+        .waiting_jobs
+        .entry(spec.queue.clone())
+        .or_default() += 1;
     let account = spec.account.as_deref();
     let named_by = spec.policy.map_or(0, |policy| policy.config);
     let account =
@@ -214,7 +217,7 @@
         step_ms,
         spec,
     });
-    pool_state.by_id.insert(row.key.clone(), key);
+    pool_state.jobs_by_id.insert(row.key.clone(), key);
     Some(key)
 }
 
@@ -250,7 +253,7 @@
         ctx.log(Decision::new(Code::BadRow, Subject::Job, &row.key, why));
         return;
     };
-    let Some(key) = pool_state.by_id.get(&row.key).copied() else {
+    let Some(key) = pool_state.jobs_by_id.get(&row.key).copied() else {
         if !pool_state.undecodable.contains(&row.key) {
             pool_state.orphans.push((shard, row.key.clone()));
         }
--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -94,7 +94,7 @@
             now_cpu_milli += room;
             free_cpu_milli += room.saturating_sub(worker.used.cpu_milli);
         }
-        let coming = self.coming.filter(|c| now_ms < c.at_ms);
+        let coming = self.expected_capacity.filter(|c| now_ms < c.at_ms);
         Supply {
             now_cpu_milli,
             free_cpu_milli,
--- a/src/core/sched/owner_lease.rs
+++ b/src/core/sched/owner_lease.rs
@@ -296,7 +296,7 @@
         entry: ctx.me.to_string(),
         cpu_milli: ctx.cpu_milli,
         count: pool.lease.next_count(),
-        waiting: pool_state.map(|b| b.waiting.clone()),
+        waiting: pool_state.map(|b| b.waiting_jobs.clone()),
     }
 }
 
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -96,7 +96,9 @@
         spec,
         key,
         now_ms,
-        is_apart: pool_state.task(key).is_some_and(|t| t.is_apart(now_ms)),
+        is_apart: pool_state
+            .task(key)
+            .is_some_and(|t| t.must_be_placed_apart(now_ms)),
         has_room: Cell::new(false),
         takes_reserved: false,
     };
@@ -146,7 +148,11 @@
 
 impl Search<'_> {
     fn choose(&self) -> Option<WorkerKey> {
-        match self.pool_state.task(self.key).is_some_and(Task::is_suspect) {
+        match self
+            .pool_state
+            .task(self.key)
+            .is_some_and(Task::is_crash_suspect)
+        {
             true => choose_for_suspect(self),
             false => choose_cheapest(self),
         }
@@ -211,7 +217,7 @@
     let Some(task) = pool_state.task(key).filter(|t| t.failed_on == Some(worker)) else {
         return false;
     };
-    let until_ms = task.failed_ms + avoidance_ms(task.fails());
+    let until_ms = task.failed_ms + avoidance_ms(task.failed_run_count());
     let mut others = pool_state
         .workers
         .iter()
--- a/src/core/sched/policy.rs
+++ b/src/core/sched/policy.rs
@@ -30,7 +30,7 @@
 /// Returns the newer of two policies. If only their versions differ, returns `known`, so that nothing is recorded.
 fn newer(known: QueuePolicy, other: Option<QueuePolicy>) -> QueuePolicy {
     let other = other.filter(|other| other.config > known.config);
-    let is_same = |other: &QueuePolicy| other.at(known.config) == known;
+    let is_same = |other: &QueuePolicy| other.with_config_version(known.config) == known;
     other.filter(|other| !is_same(other)).unwrap_or(known)
 }
 
@@ -46,7 +46,7 @@
 impl Deadlines {
     /// Computes the deadlines of a job whose steps are expected to take the times in `step_ms`.
     pub(super) fn new(spec: &JobSpec, step_ms: &[Millis], policy: QueuePolicy, now: Now) -> Self {
-        let chain_ms = spec.longest_ms(step_ms, |_| true);
+        let chain_ms = spec.longest_chain_ms(step_ms, |_| true);
         let objective_ms = policy.target_ms + chain_ms * policy.stretch_milli / 1_000;
         let age_ms = now.wall_ms.saturating_sub(spec.accepted_wall_ms);
         let begun_ms = now.ms.saturating_sub(age_ms);
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -32,7 +32,7 @@
     pub worker: WorkerKey,
     /// Capacity that the run takes there.
     pub demand: Capacity,
-    /// Worker that reported the end, and the end's number. The end is confirmed to the worker only after this run is
+    /// Worker that reported the end, and the end's number. The end is acknowledged to the worker only after this run is
     /// over.
     pub reported_end: (WorkerKey, u64),
     /// When the stop of the run was answered. A report requested later must not list the run.
@@ -41,7 +41,7 @@
 
 /// Capacity that the pool will have once the hosts that it lacks have arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Coming {
+pub struct ExpectedCapacity {
     /// Processors of the pool by then, in thousandths of a core.
     pub cpu_milli: u64,
     /// When the hosts are expected.
@@ -51,27 +51,27 @@
 /// In-memory state of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct PoolState {
-    /// Reading of the rows that this state was built from.
+    /// Identifies the reading of the pool's rows that this state was built from.
     pub id: PoolStateId,
     /// Name of the pool.
     pub name: String,
     /// Jobs of the pool.
     pub jobs: SlotMap<JobKey, Job>,
     /// Keys of jobs by id.
-    pub by_id: HashMap<String, JobKey>,
+    pub jobs_by_id: HashMap<String, JobKey>,
     /// Worker instances of the pool, including some that are no longer listed.
     pub workers: SlotMap<WorkerKey, Worker>,
-    /// Worker instances by id; an id may come up again.
+    /// Worker instances by id. A worker that restarts may keep its id.
     pub workers_by_id: HashMap<String, Vec<WorkerKey>>,
-    /// Restarts of ids whose workers were dropped, and when they were dropped. Orders to these workers may still be in
-    /// flight.
-    pub dropped: HashMap<String, (u32, Millis)>,
+    /// Number of restarts of each id whose workers were removed, and when the last one was removed. Orders to these
+    /// workers may still be in flight.
+    pub dropped_ids: HashMap<String, (u32, Millis)>,
     /// Worker instances by host.
-    pub by_host: HashMap<String, Vec<WorkerKey>>,
-    /// Hosts that are to leave for maintenance, until they were ordered out. No work is placed there.
-    pub closing: BTreeSet<String>,
-    /// Closing hosts whose slot was requested; they may be ordered out from then on.
-    pub going: BTreeSet<String>,
+    pub workers_by_host: HashMap<String, Vec<WorkerKey>>,
+    /// Hosts that are to leave for maintenance, until they are ordered out. No work is placed there.
+    pub closing_hosts: BTreeSet<String>,
+    /// Closing hosts whose maintenance slot was requested. They may be ordered out at any time.
+    pub hosts_that_may_leave: BTreeSet<String>,
     /// Workers by free capacity.
     pub free_index: FreeIndex,
     /// Workers that are reserved for tasks that need most of one.
@@ -80,7 +80,7 @@
     pub recording: BTreeSet<WorkerKey>,
     /// Tasks that wait for placement, in order.
     pub ready: BTreeSet<Rank>,
-    /// Position of the scan of tasks far back in that order.
+    /// Position of the scan of the tasks far back in the order of `ready`.
     pub scan_cursor: ScanCursor,
     /// Jobs with progress to be recorded.
     pub dirty: BTreeSet<JobKey>,
@@ -91,10 +91,10 @@
     /// Leftover runs of tasks that are done, by task and run.
     pub leftover_runs: BTreeMap<(TaskKey, u32), LeftoverRun>,
     /// Number of jobs that have not begun, by queue.
-    pub waiting: BTreeMap<String, u64>,
+    pub waiting_jobs: BTreeMap<String, u64>,
     /// One member of each gang that lost a member: the other members are to be stopped.
     pub broken_gangs: Vec<TaskKey>,
-    /// Tasks suspected of crashing workers whose run may still crash its worker, and that worker.
+    /// Tasks that are suspected of crashing workers and whose current run may still do so, with the worker of that run.
     pub watched: BTreeMap<TaskKey, WorkerKey>,
     /// When a worker last crashed, as far as is known.
     pub crashed_ms: Millis,
@@ -112,8 +112,8 @@
     pub arrivals: VecDeque<(Millis, u64)>,
     /// When the pool's load was last logged.
     pub load_logged_ms: Millis,
-    /// Hosts that are expected to arrive, if any.
-    pub coming: Option<Coming>,
+    /// Capacity that is expected once the hosts that the pool lacks have arrived; `None` if it lacks none.
+    pub expected_capacity: Option<ExpectedCapacity>,
     /// Client accounts that have or had jobs here.
     pub accounts: Vec<AccountUse>,
     /// Keys of these accounts by name.
@@ -153,7 +153,7 @@
     /// Returns the key of the task with this name.
     pub fn find_task(&self, name: &TaskName) -> Option<TaskKey> {
         let key = TaskKey {
-            job: *self.by_id.get(&name.job)?,
+            job: *self.jobs_by_id.get(&name.job)?,
             round: name.round,
             step: name.step,
             index: name.index,
@@ -161,10 +161,10 @@
         self.task(key).map(|_| key)
     }
 
-    /// Returns whether a job's progress cannot be decoded. It is unknown what runs of the job, so its runs are left
-    /// alone.
+    /// Returns whether the progress of a job that has not ended cannot be decoded. Which of its tasks run is unknown,
+    /// so its runs are left alone.
     pub fn has_unreadable_progress(&self, id: &str) -> bool {
-        let job = self.by_id.get(id).and_then(|key| self.jobs.get(*key));
+        let job = self.jobs_by_id.get(id).and_then(|key| self.jobs.get(*key));
         job.is_some_and(|job| job.is_unreadable && !job.state.is_final())
     }
 
@@ -212,10 +212,10 @@
             Phase::Stopping(_) => task.begun_ms,
             _ => None,
         };
-        let is_suspect = task.is_suspect();
+        let is_suspect = task.is_crash_suspect();
         // Without this record, a new owner could not learn of the run's start if the worker is gone by then.
-        let is_news = task.begun_ms == Some(now_ms) && task.losses.has_losses();
-        if is_news {
+        let must_record_start = task.begun_ms == Some(now_ms) && task.losses.has_losses();
+        if must_record_start {
             self.mark_dirty(key.job, now_ms);
         }
         if before.worker() != phase.worker() {
@@ -254,9 +254,9 @@
         self.wants_placing |= before.is_some();
     }
 
-    /// Returns whether a long-running task must wait before its next start. Its last attempts are made while no other
-    /// worker crashes, so that a crash can be attributed to the task. Without this, 195 of 240 such tasks were never
-    /// started again when a third of the workers crashed every 0.6 s for 36 s.
+    /// Returns whether a lasting task must wait before its next start. Its last attempts are made while no other worker
+    /// crashes, so that a crash can be attributed to the task. Without this, 195 of 240 such tasks were never started
+    /// again when a third of the workers crashed every 0.6 s for 36 s.
     pub fn must_delay_start(&self, key: TaskKey, now_ms: Millis) -> bool {
         let Some(task) = self.task(key) else {
             return false;
@@ -300,7 +300,8 @@
         }
     }
 
-    /// Records that a worker's end was applied. The end counts as recorded once the change that it caused is recorded.
+    /// Notes that a run end reported by a worker was applied. The end counts as recorded once the change that it caused
+    /// is recorded.
     pub fn note_applied_end(&mut self, worker: WorkerKey, number: u64, job: Option<JobKey>) {
         let change = job.and_then(|key| Some((key, self.jobs.get(key)?.changes)));
         let Some(w) = self.workers.get_mut(worker) else {
@@ -310,7 +311,8 @@
         w.unrecorded.push_back(TakenEnd { number, change });
     }
 
-    /// Advances a worker's recorded ends as far as their changes are recorded, and returns whether all are.
+    /// Updates the number of a worker's last recorded run end, and returns whether all of its applied ends are
+    /// recorded.
     pub fn settle_ends(&mut self, worker: WorkerKey) -> bool {
         let Some(w) = self.workers.get_mut(worker) else {
             return true;
@@ -325,14 +327,14 @@
         true
     }
 
-    /// Returns whether a worker carries nothing, and all ends that it reported are recorded.
+    /// Returns whether a worker has no tasks and all run ends that it reported are recorded.
     pub fn is_drained(&self, worker: WorkerKey) -> bool {
         self.workers.get(worker).is_none_or(|w| w.tasks.is_empty())
             && self.has_recorded_all_ends(worker)
     }
 
-    /// Returns whether all ends that a worker reported are recorded. Unrecorded ends are lost when a host leaves: when
-    /// the owner was replaced in such a case, all of six finished tasks were started again.
+    /// Returns whether all run ends that a worker reported are recorded. Unrecorded ends are lost when a host leaves:
+    /// when the owner was replaced in such a case, all of six finished tasks were started again.
     pub fn has_recorded_all_ends(&self, worker: WorkerKey) -> bool {
         let ends = self.workers.get(worker).map(|w| &w.unrecorded);
         let mut ends = ends.into_iter().flatten();
@@ -346,7 +348,7 @@
         };
         let queue = job.spec.queue.clone();
         if job.state == JobState::Queued && state != JobState::Queued {
-            if let Some(n) = self.waiting.get_mut(&queue) {
+            if let Some(n) = self.waiting_jobs.get_mut(&queue) {
                 *n = n.saturating_sub(1);
             }
         }
@@ -442,8 +444,8 @@
         self.recent_work(now_ms).sum::<u64>() * 1_000 / ARRIVALS_MS
     }
 
-    /// Returns the same less the standard deviation of the sum of the jobs' work, which may be due to chance. A single
-    /// large job does not indicate a rate.
+    /// Returns [`Self::arriving_cpu_milli`] less the standard deviation of the sum of the jobs' work, since that much
+    /// may have arrived by chance. A single large job does not indicate a rate.
     pub fn min_arriving_cpu_milli(&self, now_ms: Millis) -> u64 {
         let sum: u64 = self.recent_work(now_ms).sum();
         let squares: u64 = self.recent_work(now_ms).map(|work| work * work).sum();
@@ -462,32 +464,32 @@
         self.recently_dropped
             .retain(|_, at_ms| now_ms < *at_ms + FORGOTTEN_KEPT_MS);
         if let Some(job) = self.jobs.remove(key) {
-            self.by_id.remove(&job.id);
+            self.jobs_by_id.remove(&job.id);
             self.watched.retain(|task, _| task.job != key);
             self.recently_dropped.insert(job.id, now_ms);
         }
     }
 
     /// Keeps a leftover run of a done task, with its capacity, until it is certainly over.
-    pub fn keep_leftover_run(&mut self, key: TaskKey, run: u32, left: LeftoverRun) {
-        if let Some(w) = self.workers.get_mut(left.worker) {
-            w.used.add(left.demand);
+    pub fn keep_leftover_run(&mut self, key: TaskKey, run: u32, leftover: LeftoverRun) {
+        if let Some(w) = self.workers.get_mut(leftover.worker) {
+            w.used.add(leftover.demand);
         }
-        if let Some((account, charge)) = left.charge {
+        if let Some((account, charge)) = leftover.charge {
             self.account_mut(account).used.add(charge);
         }
-        self.update_free_index(left.worker);
-        self.leftover_runs.insert((key, run), left);
+        self.update_free_index(leftover.worker);
+        self.leftover_runs.insert((key, run), leftover);
     }
 
     /// Moves a leftover run and its capacity to the worker that turned out to have it.
     pub fn move_leftover_run(&mut self, run: (TaskKey, u32), to: WorkerKey) {
-        let Some(left) = self.leftover_runs.get_mut(&run) else {
+        let Some(leftover) = self.leftover_runs.get_mut(&run) else {
             return;
         };
-        let from = std::mem::replace(&mut left.worker, to);
-        left.settled_ms = None;
-        let demand = left.demand;
+        let from = std::mem::replace(&mut leftover.worker, to);
+        leftover.settled_ms = None;
+        let demand = leftover.demand;
         if let Some(w) = self.workers.get_mut(from) {
             w.used.sub(demand);
         }
@@ -500,30 +502,36 @@
 
     /// Drops the leftover runs that `is_over` selects, and frees their capacity.
     pub fn drop_leftover_runs(&mut self, is_over: impl Fn(&LeftoverRun) -> bool) {
-        let over = self.leftover_runs.iter().filter(|(_, left)| is_over(left));
+        let over = self
+            .leftover_runs
+            .iter()
+            .filter(|(_, leftover)| is_over(leftover));
         let over: Vec<(TaskKey, u32)> = over.map(|(key, _)| *key).collect();
         for key in over {
-            let Some(left) = self.leftover_runs.remove(&key) else {
+            let Some(leftover) = self.leftover_runs.remove(&key) else {
                 continue;
             };
-            if let Some(w) = self.workers.get_mut(left.worker) {
-                w.used.sub(left.demand);
+            if let Some(w) = self.workers.get_mut(leftover.worker) {
+                w.used.sub(leftover.demand);
                 self.wants_placing = true;
             }
-            if let Some((account, charge)) = left.charge {
+            if let Some((account, charge)) = leftover.charge {
                 self.account_mut(account).used.sub(charge);
             }
-            self.update_free_index(left.worker);
+            self.update_free_index(leftover.worker);
         }
     }
 
-    /// Returns the number of the last end that may be confirmed to a worker: ends are confirmed in order once recorded,
-    /// up to the first whose task left another run behind.
-    pub fn last_confirmable_end(&self, worker: WorkerKey) -> u64 {
+    /// Returns the number of the last run end that may be acknowledged to a worker. Ends are acknowledged in order once
+    /// they are recorded, but none from the first one on whose task left another run behind.
+    pub fn last_acknowledgeable_end(&self, worker: WorkerKey) -> u64 {
         let recorded = self.workers.get(worker).map_or(0, |w| w.recorded_through);
-        let blocked = self.leftover_runs.values().map(|left| left.reported_end);
+        let blocked = self
+            .leftover_runs
+            .values()
+            .map(|leftover| leftover.reported_end);
         let blocked = blocked.filter(|(by, _)| *by == worker);
-        blocked.fold(recorded, |seen, (_, end)| seen.min(end.saturating_sub(1)))
+        blocked.fold(recorded, |last, (_, end)| last.min(end.saturating_sub(1)))
     }
 
     /// Returns all tasks of a job.
@@ -550,29 +558,29 @@
     /// earlier.
     pub fn set_closing(&mut self, host: &str, is_closing: bool) {
         match is_closing {
-            true => self.closing.insert(host.to_string()),
-            false => self.closing.remove(host),
+            true => self.closing_hosts.insert(host.to_string()),
+            false => self.closing_hosts.remove(host),
         };
         if !is_closing {
-            self.going.remove(host);
+            self.hosts_that_may_leave.remove(host);
         }
         // The list of a host's instances does not tell which of them is alive.
-        for key in self.by_host.get(host).into_iter().flatten() {
+        for key in self.workers_by_host.get(host).into_iter().flatten() {
             if let Some(worker) = self.workers.get_mut(*key) {
                 worker.is_closing = is_closing;
-                // A worker that was ordered out and does not answer has left as planned. The list of hosts shows this
-                // before the host's next instance is listed.
+                // A worker that was ordered out and does not answer has left as planned. The list of hosts may show the
+                // host as back before its next worker instance is listed.
                 worker.may_leave &= is_closing || !worker.is_answering;
             }
         }
         self.wants_placing |= !is_closing;
     }
 
-    /// Records that a closed host may be ordered out from now on. An end on that host before this point was not
-    /// planned.
-    pub fn set_going(&mut self, host: &str) {
-        self.going.insert(host.to_string());
-        for key in self.by_host.get(host).into_iter().flatten() {
+    /// Records that a closed host may be ordered out from now on. A worker that ended on the host earlier did not end
+    /// as planned.
+    pub fn set_may_leave(&mut self, host: &str) {
+        self.hosts_that_may_leave.insert(host.to_string());
+        for key in self.workers_by_host.get(host).into_iter().flatten() {
             if let Some(worker) = self.workers.get_mut(*key) {
                 // A worker whose connections broke earlier was not ordered out.
                 worker.may_leave |= worker.disconnected_ms.is_none();
@@ -580,13 +588,13 @@
         }
     }
 
-    /// Returns whether a worker carries a long-running task.
+    /// Returns whether a worker has a lasting task.
     pub fn carries_lasting(&self, worker: &Worker) -> bool {
         let mut tasks = worker.tasks.iter();
         tasks.any(|key| self.step_spec(*key).is_some_and(|s| s.lasting))
     }
 
-    /// Returns how many tasks of the same step and round a worker carries.
+    /// Returns how many tasks of the same step and round a worker has.
     pub fn siblings_on(&self, key: TaskKey, worker: &Worker) -> usize {
         let same = |t: &&TaskKey| t.job == key.job && t.round == key.round && t.step == key.step;
         worker.tasks.iter().filter(same).count()
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -378,8 +378,8 @@
         match &mut ownership.pool_state {
             None => ownership.early_intake.push(row.clone()),
             Some(pool_state) => {
-                let is_new =
-                    cancelled_job(&row.key).is_none() && !pool_state.by_id.contains_key(&row.key);
+                let is_new = cancelled_job(&row.key).is_none()
+                    && !pool_state.jobs_by_id.contains_key(&row.key);
                 load::apply_intake(pool_state, row, facts.config, epoch, ctx);
                 if is_new {
                     log_taken_job(pool_state, &row.key, facts.config.version, ctx);
@@ -392,7 +392,7 @@
 /// Logs a new job with the figures that decide its place in the queue.
 fn log_taken_job(pool_state: &PoolState, id: &str, config_version: u64, ctx: &mut Ctx<'_>) {
     let Some(job) = pool_state
-        .by_id
+        .jobs_by_id
         .get(id)
         .and_then(|key| pool_state.jobs.get(*key))
     else {
@@ -406,7 +406,10 @@
             queue_and_account(&job.spec),
         )
         .with("work_core_ms", job.spec.work(&job.step_ms))
-        .with("chain_ms", job.spec.longest_ms(&job.step_ms, |_| true))
+        .with(
+            "chain_ms",
+            job.spec.longest_chain_ms(&job.step_ms, |_| true),
+        )
         .with("due_in_ms", job.due_ms.saturating_sub(ctx.now.ms))
         .with("excess", u64::from(job.is_excess))
         .with("attempts_max", u64::from(job.policy.attempts_max))
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -1,5 +1,5 @@
-//! Renews the leases of workers and applies their reports. Each worker has at most one renewal request out at a time;
-//! its settlement sends the next one.
+//! Renews the leases of workers and applies their reports. Each worker has at most one renewal request in flight, and
+//! the next one is sent after its result was applied.
 //!
 //! A renewal extends the lease of everything that runs on the worker, acknowledges the run ends that are recorded, and
 //! waits at the worker for the next end. The report in the answer is the worker's state at some moment after the
@@ -27,9 +27,9 @@
 /// Most ends that a worker lists in one report. A report with this many may be incomplete.
 const ENDS_LISTED_MAX: usize = 500;
 
-/// Sends the next renewal to a worker unless one is out.
+/// Sends the next renewal to a worker unless one is in flight.
 pub fn send_next(pool_state: &mut PoolState, key: WorkerKey, epoch: u64, ctx: &mut Ctx<'_>) {
-    let seen = pool_state.last_confirmable_end(key);
+    let last_acknowledgeable = pool_state.last_acknowledgeable_end(key);
     let Some(w) = pool_state.workers.get_mut(key) else {
         return;
     };
@@ -58,7 +58,11 @@
     // Ends are acknowledged only to the instance that reported them. A later instance would discard its own ends with
     // the same numbers before it had reported them.
     let is_same_instance = w.is_answering && ctx.now.ms < w.answered_ms + SAME_INSTANCE_MS;
-    let seen = if is_same_instance { seen } else { 0 };
+    let acked_through = if is_same_instance {
+        last_acknowledgeable
+    } else {
+        0
+    };
     let wait_ms = match (lease_until_ms, w.tasks.is_empty()) {
         (None, _) => 0,
         // The worker would not wait in any case: it answers at once with the ends that are not recorded yet.
@@ -68,11 +72,11 @@
     };
     let request = RenewalRequest {
         lease_until_ms,
-        acked_through: seen,
+        acked_through,
         wait_ms,
     };
     w.renewal = RenewalPhase::Sent(ctx.now.ms);
-    w.acked_through = w.acked_through.max(seen);
+    w.acked_through = w.acked_through.max(acked_through);
     if let Some(order) = runs::order_to(pool_state, key, epoch, ctx) {
         ctx.out.push(Effect::RenewWorker(order, key, request));
     }
@@ -238,7 +242,7 @@
     drop_leftover_runs(pool_state, key, sent_ms, &report.running);
     let is_recorded = pool_state.settle_ends(key);
     let is_blocked =
-        pool_state.last_confirmable_end(key) < pool_state.workers[key].recorded_through;
+        pool_state.last_acknowledgeable_end(key) < pool_state.workers[key].recorded_through;
     if !is_recorded {
         pool_state.workers[key].renewal = RenewalPhase::Recording(ctx.now.ms);
         pool_state.recording.insert(key);
@@ -266,7 +270,7 @@
         } else {
             ends_log.add(pool_state, end, ctx);
             runs::apply_end(pool_state, key, end, epoch, ctx);
-            let job = pool_state.by_id.get(&end.task.job).copied();
+            let job = pool_state.jobs_by_id.get(&end.task.job).copied();
             pool_state.note_applied_end(key, end.number, job);
         }
     }
@@ -302,7 +306,7 @@
 }
 
 /// Ends earlier instances that a worker's report proves to be over. An id has one instance at a time, so the others of
-/// the id are over if they were last heard before this report was requested or are known only from work that a former
+/// the id are over if they last answered before this report was requested or are known only from work that a former
 /// owner gave them. Other instances of the host are over if this one came after their crash.
 fn end_earlier_instances(
     pool_state: &mut PoolState,
@@ -378,7 +382,7 @@
 ) {
     let listed: HashMap<&TaskName, u32> = running.iter().map(|r| (&r.task, r.run)).collect();
     for run in running {
-        expect(pool_state, key, sent_ms, run, epoch, ctx);
+        check_reported_run(pool_state, key, sent_ms, run, epoch, ctx);
     }
     if !is_whole {
         return;
@@ -390,7 +394,7 @@
             .is_some_and(|name| listed.contains_key(&name));
         if !is_there && must_be_listed(pool_state, task, sent_ms) {
             let why = "not among what the worker runs";
-            runs::requeue_for(pool_state, task, why, Some(sent_ms), ctx);
+            runs::requeue_task_by_report(pool_state, task, why, Some(sent_ms), ctx);
         }
     }
 }
@@ -410,7 +414,7 @@
 }
 
 /// Checks a run that a worker reports against the pool's state, and stops it if it is stray.
-fn expect(
+fn check_reported_run(
     pool_state: &mut PoolState,
     worker: WorkerKey,
     sent_ms: Millis,
@@ -435,7 +439,7 @@
                 task.settled_ms = Some(ctx.now.ms);
             }
             if pool_state.jobs[key.job].state.is_final() {
-                runs::stop(pool_state, key, epoch, ctx);
+                runs::stop_run(pool_state, key, epoch, ctx);
             }
         }
         Phase::Running(_) if is_here => {
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -163,7 +163,8 @@
             return false;
         };
         let is_long = now_ms >= task.since_ms + WAIT_MS;
-        let may_start = !spec.gang && !task.is_suspect() && !is_held(pool_state, rank.task, now_ms);
+        let may_start =
+            !spec.gang && !task.is_crash_suspect() && !is_held(pool_state, rank.task, now_ms);
         is_long && may_start && !pool_state.reserved.is_for(rank.task)
     };
     let ready = pool_state.ready.iter();
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -1,7 +1,7 @@
 //! Handles workers that restart under the same id. Called by [`renewal`] as reports come in.
 //!
-//! An order names its worker by id alone, so a later instance may carry out what was sent to an earlier one. Until a
-//! report of the later instance is in, nothing that may be on its way to it counts as over.
+//! An order names its worker by id alone, so a later instance may carry out what was sent to an earlier one. Until the
+//! later instance has reported, no order that may still reach it counts as over.
 
 use std::collections::HashSet;
 
@@ -17,14 +17,15 @@
 use crate::port::fleet::{RenewalReport, TaskName};
 
 /// Notes that an instance answers where earlier ones of its id were known. Its next renewal raises the fencing token,
-/// which bars everything still on its way to them, so the report that answers that renewal is the first that counts.
+/// so that the instance refuses all orders to the earlier ones that are still on their way. The report that answers
+/// that renewal is therefore the first that counts.
 pub(super) fn confirm_instance(pool_state: &mut PoolState, key: WorkerKey, ctx: &mut Ctx<'_>) {
     let Some(w) = pool_state.workers.get_mut(key) else {
         return;
     };
     w.is_unconfirmed = false;
     w.restarts += 1;
-    // A deadline that was meant for an earlier instance is never shortened.
+    // An order for an earlier instance may have given this one a longer lease, and a lease is never shortened.
     w.lease_end_ms = w.lease_end_ms.max(ctx.now.ms + STRAY_LEASE_MS);
     let born_wall_ms = w.fact.born_wall_ms;
     let id = w.fact.id.clone();
@@ -37,8 +38,8 @@
     }
 }
 
-/// Marks an instance as superseded because another one answered what was sent to it. What may still run under its id
-/// shows in the report of the instance that is there now.
+/// Marks an instance as superseded because another one answered what was sent to it. Runs that may still be executing
+/// under its id are listed in the report of the instance that is there now.
 pub(super) fn supersede(
     pool_state: &mut PoolState,
     key: WorkerKey,
@@ -67,7 +68,8 @@
     renewal::remove_if_over(pool_state, key, ctx);
 }
 
-/// Moves runs that an instance reports to it from earlier instances of its id, because their starts reached this one.
+/// Moves the runs that an instance reports from earlier instances of its id to this instance, because their starts
+/// reached it.
 pub(super) fn adopt_runs(
     pool_state: &mut PoolState,
     key: WorkerKey,
@@ -129,6 +131,6 @@
         task.settled_ms = Some(ctx.now.ms);
     }
     if is_stopping {
-        runs::stop(pool_state, key, epoch, ctx);
+        runs::stop_run(pool_state, key, epoch, ctx);
     }
 }
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -84,7 +84,7 @@
 /// and the current run and worker if they differ from those.
 fn describe_task(pool_state: &PoolState, task: &TaskName, run: u32, worker: WorkerKey) -> String {
     let Some(job) = pool_state
-        .by_id
+        .jobs_by_id
         .get(&task.job)
         .and_then(|k| pool_state.jobs.get(*k))
     else {
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -22,7 +22,7 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{EndKind, OrderReply, OrderTarget, RunEnd, RunStart, TaskName};
 
-/// Pause for a worker that reports that it is unwell or refuses connections.
+/// Pause for a worker that reports itself unwell or refuses connections, or at whose address another instance answers.
 const UNWELL_PAUSE_MS: u64 = 500;
 
 /// Returns the target of orders to a worker, or `None` once a later instance has taken over its id.
@@ -153,7 +153,7 @@
         }
         OrderReply::TooLate => ctx.set_timer(ORDER_RETRY_MS, Timer::ResendStart(key, run)),
         OrderReply::NoRoom => {
-            pause(pool_state, worker, FULL_PAUSE_MS, ctx);
+            suspend_worker(pool_state, worker, FULL_PAUSE_MS, ctx);
             handle_refusal(
                 pool_state,
                 key,
@@ -163,7 +163,7 @@
             );
         }
         OrderReply::Unwell | OrderReply::Refused => {
-            pause(pool_state, worker, UNWELL_PAUSE_MS, ctx);
+            suspend_worker(pool_state, worker, UNWELL_PAUSE_MS, ctx);
             handle_refusal(
                 pool_state,
                 key,
@@ -176,7 +176,7 @@
             end_worker(pool_state, worker, &Evidence::Answer("start"), ctx);
         }
         OrderReply::OtherLife => {
-            pause(pool_state, worker, UNWELL_PAUSE_MS, ctx);
+            suspend_worker(pool_state, worker, UNWELL_PAUSE_MS, ctx);
             handle_refusal(
                 pool_state,
                 key,
@@ -209,10 +209,10 @@
     ctx: &mut Ctx<'_>,
 ) {
     if pool_state.task(key).is_some_and(|t| t.is_start_open) {
-        stop(pool_state, key, epoch, ctx);
+        stop_run(pool_state, key, epoch, ctx);
     } else {
         note_never_started(pool_state, key);
-        requeue(pool_state, key, why, ctx);
+        requeue_task(pool_state, key, why, ctx);
     }
 }
 
@@ -224,7 +224,7 @@
 }
 
 /// Suspends a worker for at least `ms` from now.
-fn pause(pool_state: &mut PoolState, worker: WorkerKey, ms: u64, ctx: &mut Ctx<'_>) {
+fn suspend_worker(pool_state: &mut PoolState, worker: WorkerKey, ms: u64, ctx: &mut Ctx<'_>) {
     if let Some(w) = pool_state.workers.get_mut(worker) {
         w.suspended_until_ms = w.suspended_until_ms.max(ctx.now.ms + ms);
         ctx.set_timer(ms, Timer::Upkeep);
@@ -232,7 +232,7 @@
 }
 
 /// Stops a task's current run.
-pub fn stop(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
+pub fn stop_run(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
     let Some(task) = pool_state.task(key) else {
         return;
     };
@@ -242,7 +242,7 @@
         Phase::Recording(_) => {
             // The start was never sent, and the job's next recorded progress replaces the recorded run.
             note_never_started(pool_state, key);
-            requeue(pool_state, key, "stopped before its start was sent", ctx);
+            requeue_task(pool_state, key, "stopped before its start was sent", ctx);
             return;
         }
         _ => return,
@@ -329,7 +329,7 @@
 }
 
 /// Notes that a task's current run never started. The platform limits the starts of a task by counting its runs, and a
-/// run that was refused must not use up a start of a task that crashed nothing.
+/// refused run once used up the last start of a task that had crashed nothing.
 fn note_never_started(pool_state: &mut PoolState, key: TaskKey) {
     if let Some(task) = pool_state.task_mut(key) {
         task.losses.note_never_started();
@@ -338,13 +338,13 @@
 
 /// Puts a task whose run has certainly ended back into the queue, or blocks it if its job has ended or the task is
 /// given up.
-pub fn requeue(pool_state: &mut PoolState, key: TaskKey, why: &str, ctx: &mut Ctx<'_>) {
-    requeue_for(pool_state, key, why, None, ctx);
+pub fn requeue_task(pool_state: &mut PoolState, key: TaskKey, why: &str, ctx: &mut Ctx<'_>) {
+    requeue_task_by_report(pool_state, key, why, None, ctx);
 }
 
-/// Same as [`requeue`]. If a worker's report shows the end of the run, `asked_ms` is the time when that report was
-/// requested; otherwise it is `None`.
-pub(super) fn requeue_for(
+/// Requeues a task like [`requeue_task`]. `asked_ms` is when the worker's report that doesn't list the run was
+/// requested, or `None` if no such report is the reason.
+pub(super) fn requeue_task_by_report(
     pool_state: &mut PoolState,
     key: TaskKey,
     why: &str,
@@ -366,8 +366,8 @@
     let decision = run_log::task_requeued(pool_state, key, why, asked_ms, ctx.now.ms);
     pool_state.set_phase(key, Phase::Ready, ctx.now.ms);
     if has_losses {
-        // Until the progress is stored again, it still lists the run, and a next owner would count the end of the
-        // run's worker a second time.
+        // The stored progress lists the run until it is written again. The next owner would count the end of the run's
+        // worker a second time.
         pool_state.mark_dirty(key.job, ctx.now.ms);
     }
     if gang::is_member(pool_state, key) {
@@ -400,7 +400,7 @@
         if pool_state.task(key).is_some_and(is_unsent) {
             note_never_started(pool_state, key);
         }
-        requeue(pool_state, key, cause.why(), ctx);
+        requeue_task(pool_state, key, cause.why(), ctx);
     }
     pool_state.drop_leftover_runs(|leftover| leftover.worker == worker);
 }
@@ -440,7 +440,7 @@
             if let Some(task) = pool_state.task_mut(key) {
                 task.checkpoint.clone_from(&end.checkpoint);
             }
-            requeue(pool_state, key, "run ended before the task was done", ctx);
+            requeue_task(pool_state, key, "run ended before the task was done", ctx);
         }
         _ => {}
     }
@@ -466,7 +466,7 @@
     };
     if !is_current {
         for task in &completed {
-            stop_other_run(pool_state, *task, (worker, end_number), epoch, ctx);
+            stop_later_run(pool_state, *task, (worker, end_number), epoch, ctx);
         }
     }
     let started_ms = pool_state.task(key).and_then(|t| t.started_ms);
@@ -506,8 +506,9 @@
 }
 
 /// Stops a later run that may be executing elsewhere when an earlier run turns out to be done. The later run stays in
-/// the pool's state until its stop is answered, since its start may be carried out seconds late.
-fn stop_other_run(
+/// the pool's state until its stop is answered and a later report of the worker no longer lists it, since its start may
+/// be carried out seconds late.
+fn stop_later_run(
     pool_state: &mut PoolState,
     key: TaskKey,
     earlier_end: (WorkerKey, u64),
@@ -610,7 +611,7 @@
     }
     task.failed_on = Some(worker);
     task.failed_ms = ctx.now.ms;
-    let fails = task.fails();
+    let fails = task.failed_run_count();
     if gang::is_member(pool_state, key) {
         // The gang has failed, so the run counts as failed for every member.
         for member in gang::members(pool_state, key) {
@@ -622,7 +623,7 @@
     pool_state.mark_dirty(key.job, ctx.now.ms);
     count_failure(pool_state, worker, ctx);
     if is_current {
-        requeue(pool_state, key, "run failed", ctx);
+        requeue_task(pool_state, key, "run failed", ctx);
     }
     if !is_lasting && fails >= attempts_max {
         fail_exhausted(pool_state, key, epoch, ctx);
@@ -636,7 +637,7 @@
         return false;
     };
     let is_lasting = pool_state.step_spec(key).is_none_or(|s| s.lasting);
-    !is_lasting && task.fails() >= pool_state.jobs[key.job].policy.attempts_max
+    !is_lasting && task.failed_run_count() >= pool_state.jobs[key.job].policy.attempts_max
 }
 
 /// Ends the jobs of waiting tasks that have no attempt left. The periodic upkeep calls it, not the change of the
@@ -657,7 +658,9 @@
         return;
     }
     let job = &pool_state.jobs[key.job];
-    let (fails, run) = pool_state.task(key).map_or((0, 0), |t| (t.fails(), t.run));
+    let (fails, run) = pool_state
+        .task(key)
+        .map_or((0, 0), |t| (t.failed_run_count(), t.run));
     ctx.log(
         Decision::new(
             Code::JobEnded,
@@ -687,7 +690,7 @@
     // A single further failure after the pause suspends the worker again.
     w.fails_in_row = FAILS_IN_A_ROW - 1;
     let id = w.fact.id.clone();
-    pause(pool_state, worker, pause_ms, ctx);
+    suspend_worker(pool_state, worker, pause_ms, ctx);
     ctx.log(
         Decision::new(
             Code::WorkerSuspended,
@@ -721,7 +724,7 @@
                 pool_state.set_phase(task, Phase::Blocked, ctx.now.ms);
             }
             Some(Phase::Starting(_) | Phase::Running(_) | Phase::Suspect(_)) => {
-                stop(pool_state, task, epoch, ctx);
+                stop_run(pool_state, task, epoch, ctx);
             }
             _ => {}
         }
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -10,7 +10,7 @@
 use super::limits::PLACE_SCAN_MAX;
 use super::offers::Offers;
 use super::overload::COMING_MS;
-use super::pool_state::{Coming, PoolState};
+use super::pool_state::{ExpectedCapacity, PoolState};
 use super::state::{Ctx, Effect, Timer};
 use super::tasks::{Class, Job, Outlook, Rank, Task};
 use crate::clock::Millis;
@@ -156,12 +156,14 @@
 /// the lack begins, so hosts that don't come by then no longer count.
 fn note_expected_hosts(pool_state: &mut PoolState, sizing: &Sizing, now_ms: Millis) {
     if sizing.needed <= sizing.serving {
-        pool_state.coming = None;
+        pool_state.expected_capacity = None;
         return;
     }
     let host_cpu = mean_capacity(pool_state).cpu_milli;
-    let at_ms = pool_state.coming.map_or(now_ms + COMING_MS, |c| c.at_ms);
-    pool_state.coming = Some(Coming {
+    let at_ms = pool_state
+        .expected_capacity
+        .map_or(now_ms + COMING_MS, |c| c.at_ms);
+    pool_state.expected_capacity = Some(ExpectedCapacity {
         cpu_milli: host_cpu * sizing.needed,
         at_ms,
     });
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -80,7 +80,7 @@
     pub(super) fn restore_first_shards(&mut self, pool_state: &mut PoolState) {
         for (id, shard) in std::mem::take(&mut self.first_shards) {
             let job = pool_state
-                .by_id
+                .jobs_by_id
                 .get(&id)
                 .and_then(|key| pool_state.jobs.get_mut(*key));
             if let Some(job) = job {
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -19,7 +19,7 @@
     Blocked,
     /// It waits to be placed.
     Ready,
-    /// A worker was chosen, which is not recorded yet, so nothing was sent.
+    /// A worker was chosen. The choice is not recorded yet, so no start was sent.
     Recording(WorkerKey),
     /// The start was sent and is not answered yet.
     Starting(WorkerKey),
@@ -68,9 +68,10 @@
     pub settled_ms: Option<Millis>,
     /// When the start of its run was accepted, if it was.
     pub started_ms: Option<Millis>,
-    /// When this owner first sent the start, so that the run is no older. `None` if a former owner sent it.
+    /// When this owner first sent the start; the run began no earlier. `None` if a former owner sent it.
     pub sent_ms: Option<Millis>,
-    /// When the worker was known to have the run, so that the run is no younger. Kept while the run is being stopped.
+    /// When this owner learned that the worker had the run; the run began no later. Kept while the run is being
+    /// stopped.
     pub begun_ms: Option<Millis>,
     /// Whether a request to start it got no reply and may still be carried out seconds later.
     pub is_start_open: bool,
@@ -80,7 +81,7 @@
     pub seen: Seen,
     /// Whether the worker reported that the task is past its start-up.
     pub is_at_work: bool,
-    /// Worker instances that ended under it.
+    /// Counts of worker instances that may have ended while they ran it.
     pub losses: WorkerLosses,
     /// When the worker of its last run ended, if it did.
     pub lost_ms: Option<Millis>,
@@ -97,17 +98,17 @@
     }
 
     /// Returns whether it may have crashed a worker.
-    pub fn is_suspect(&self) -> bool {
+    pub fn is_crash_suspect(&self) -> bool {
         self.losses.blamed > 0
     }
 
     /// Returns whether it is still to be placed apart from other suspects.
-    pub fn is_apart(&self, now_ms: Millis) -> bool {
-        self.is_suspect() && now_ms < self.since_ms + APART_MS
+    pub fn must_be_placed_apart(&self, now_ms: Millis) -> bool {
+        self.is_crash_suspect() && now_ms < self.since_ms + APART_MS
     }
 
     /// Returns the number of failed runs.
-    pub fn fails(&self) -> u32 {
+    pub fn failed_run_count(&self) -> u32 {
         self.failed_runs.count_ones()
     }
 }
@@ -181,7 +182,7 @@
 
 impl Job {
     /// Returns the time that is added to the job's objective when waiting tasks are ordered, in proportion to the work
-    /// left in the round. Under overload, small jobs gain more for the same work.
+    /// left in the round. Under overload, small jobs bring more value for the same work.
     pub(super) fn weight_ms(&self, round: u32) -> Millis {
         let Some(round) = self.rounds.get(&round) else {
             return 0;
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Returns whether the job could still meet its objective if it had the pool to itself.
+    /// Returns what the job could still achieve if it had the pool to itself.
     pub fn outlook(&self, now_ms: Millis) -> Outlook {
         if now_ms > self.hopeless_ms {
             return Outlook::Nothing;
@@ -235,7 +236,7 @@
             .values()
             .map(|r| {
                 self.spec
-                    .longest_ms(&self.step_ms, |n| r.steps[n].tasks_left > 0)
+                    .longest_chain_ms(&self.step_ms, |n| r.steps[n].tasks_left > 0)
             })
             .max();
         if now_ms + left_ms.unwrap_or(0) > self.due_ms {
@@ -286,7 +287,7 @@
 pub struct Rank {
     /// Class of the job.
     pub class: Class,
-    /// Objective of the job, the earliest first.
+    /// Objective of the job, plus the weight of its remaining work if the task isn't lasting. The earliest comes first.
     pub due_ms: Millis,
     /// Breaks ties.
     pub task: TaskKey,
--- a/src/core/sched/times.rs
+++ b/src/core/sched/times.rs
@@ -15,7 +15,7 @@
 /// Steps of a queue that must have ended before the learned times are used.
 const SAMPLES_MIN: u32 = 12;
 
-/// Number of recent steps that the running average covers.
+/// Approximate number of recent steps that the running average covers.
 const SAMPLES_KEPT: u32 = 200;
 
 /// Lower bound of both variances, so that no weight grows without bound.
@@ -78,7 +78,7 @@
     }
 
     /// Returns how long the steps of a job are expected to take.
-    pub fn expect(&self, spec: &JobSpec) -> Vec<Millis> {
+    pub fn expected_step_ms(&self, spec: &JobSpec) -> Vec<Millis> {
         let times = self.by_queue.get(&spec.queue);
         let expected = spec.steps.iter().map(|step| match times {
             Some(times) if !step.lasting => times.expected_ms(step.estimate_ms),
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -193,7 +193,7 @@
             continue;
         }
         pool_state.set_closing(host, true);
-        pool_state.set_going(host);
+        pool_state.set_may_leave(host);
     }
 }
 
@@ -209,7 +209,7 @@
         }
         pool_state.set_closing(host, true);
         if *turn == Turn::Holding || asked.is_some_and(|pending| pending.host == *host) {
-            pool_state.set_going(host);
+            pool_state.set_may_leave(host);
         }
     }
 }
@@ -253,7 +253,7 @@
             Turn::Closing(since_ms) => {
                 if clear_host(pool_state, &host, since_ms, epoch, ctx) {
                     if take_slot(controller, wave, &host, (pool, epoch), ctx) {
-                        pool_state.set_going(&host);
+                        pool_state.set_may_leave(&host);
                     }
                 } else if ctx.now.ms >= since_ms + CLOSE_MAX_MS {
                     reopen(
@@ -300,7 +300,7 @@
             .task(*key)
             .is_some_and(|t| matches!(t.phase, Phase::Running(_)));
         if is_running && may_stop_lasting(pool_state, *key, ctx.now.ms) {
-            runs::stop(pool_state, *key, epoch, ctx);
+            runs::stop_run(pool_state, *key, epoch, ctx);
         }
     }
     lasting_left == 0 && pool_state.is_drained(worker)
@@ -311,7 +311,7 @@
 fn stop_short_task(pool_state: &mut PoolState, key: TaskKey, epoch: u64, ctx: &mut Ctx<'_>) {
     let phase = pool_state.task(key).map(|task| task.phase);
     if matches!(phase, Some(Phase::Starting(_) | Phase::Running(_))) {
-        runs::stop(pool_state, key, epoch, ctx);
+        runs::stop_run(pool_state, key, epoch, ctx);
     }
 }
 
@@ -478,8 +478,8 @@
         return;
     }
     // The worker instance on the host has ended. The next one is open at once, or once its slot was returned.
-    pool_state.closing.remove(host);
-    pool_state.going.remove(host);
+    pool_state.closing_hosts.remove(host);
+    pool_state.hosts_that_may_leave.remove(host);
     let turn = Turn::Away(ctx.now.ms);
     controller
         .turns
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -26,12 +26,12 @@
 /// State of a worker's lease renewal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RenewalPhase {
-    /// None is out. The next one is sent at once or by a timer.
+    /// No renewal is in flight. The next one is sent at once or by a timer.
     #[default]
     Idle,
-    /// One was sent at this time and has no answer yet.
+    /// A renewal was sent at this time and has no answer yet.
     Sent(Millis),
-    /// The ends that the worker reported are being recorded since this time. The next renewal is sent after that.
+    /// Since this time, the run ends that the worker reported are being recorded. The next renewal is sent after that.
     Recording(Millis),
 }
 
@@ -51,7 +51,7 @@
     pub fact: WorkerInfo,
     /// Whether it is in the platform's list.
     pub is_listed: bool,
-    /// Capacity that its tasks take.
+    /// Capacity that its tasks and the leftover runs on it take.
     pub used: Capacity,
     /// Tasks placed on it.
     pub tasks: BTreeSet<TaskKey>,
@@ -74,15 +74,16 @@
     /// When its connections closed: it closed one or refused one right after it had answered. It stays `None` for a
     /// worker that first falls silent, which may have been cut off, so that its runs may have ended before it crashed.
     pub disconnected_ms: Option<Millis>,
-    /// Whether its last renewal followed the report before without a gap, so that no end can have gone unreported.
+    /// Whether the renewal during which its connections closed was sent right after its last report, so that no run end
+    /// can have gone unreported.
     pub is_gapless: bool,
-    /// Number of the last end that was applied to the pool's state.
+    /// Number of the last run end that was applied to the pool's state.
     pub taken_through: u64,
-    /// Number of the last end that is recorded.
+    /// Number of the last run end that is recorded.
     pub recorded_through: u64,
-    /// Number of the last end that was acknowledged to the worker. Used for the log only.
+    /// Number of the last run end that was acknowledged to the worker. Used for the log only.
     pub acked_through: u64,
-    /// Ends after `recorded_through`, in order.
+    /// Applied run ends after `recorded_through`, in order.
     pub unrecorded: VecDeque<TakenEnd>,
     /// Number of entries in its last report that could not be read.
     pub unreadable: usize,
@@ -106,7 +107,8 @@
     pub is_withdrawn: bool,
     /// Whether a later instance answered under its id. Nothing more is sent to it.
     pub is_superseded: bool,
-    /// Number of restarts of its id when the instance became known; part of the fencing token of all orders to it.
+    /// Number of restarts of its id up to this instance, as far as this owner knows; part of the fencing token of all
+    /// orders to it.
     pub restarts: u32,
     /// Whether an earlier instance of its id may still be running in its place. The first answer settles it.
     pub is_unconfirmed: bool,
@@ -161,7 +163,8 @@
             && now_ms >= self.suspended_until_ms
     }
 
-    /// Returns whether it is the instance that started at that time. If either time is unknown, the id alone decides.
+    /// Returns whether it is the instance that started at `born_wall_ms`. If either time is unknown, the id alone
+    /// decides.
     pub fn has_start_time(&self, born_wall_ms: Option<Millis>) -> bool {
         let ours = self.fact.born_wall_ms;
         ours.is_none() || born_wall_ms.is_none() || ours == born_wall_ms
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -21,7 +21,7 @@
 /// Time for which changes reported by the feed are kept for comparison with readings requested earlier.
 const CHANGES_KEPT_MS: Millis = 60_000;
 
-/// Number of noted workers from which on old ones are dropped with each addition.
+/// From this number of noted workers on, each addition first drops the old ones.
 const CHANGES_MAX: usize = 4_096;
 
 /// Records when the feed of the list last reported each worker. The feed reports each change once, in order. A separate
@@ -29,7 +29,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListChanges {
     by_id: BTreeMap<String, Millis>,
-    all_ms: Millis,
+    /// When the feed last reported the whole list.
+    whole_list_ms: Millis,
 }
 
 impl ListChanges {
@@ -43,13 +44,13 @@
     /// Records that the feed reported the whole list.
     fn note_all(&mut self, now_ms: Millis) {
         self.by_id.clear();
-        self.all_ms = now_ms;
+        self.whole_list_ms = now_ms;
     }
 
     /// Returns whether the feed reported a worker since a reading was requested.
     fn is_reported_since(&self, id: &str, asked_ms: Millis) -> bool {
         let reported_ms = self.by_id.get(id).copied().unwrap_or(0);
-        reported_ms.max(self.all_ms) >= asked_ms
+        reported_ms.max(self.whole_list_ms) >= asked_ms
     }
 
     fn drop_old(&mut self, now_ms: Millis) {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Maximum number of undecodable entries that are logged, until they are removed or become valid.
+/// Maximum number of undecodable entries that are logged. An entry that is removed or becomes valid no longer counts.
 const UNREADABLE_LOGGED_MAX: usize = 256;
 
 pub(super) fn apply_worker_event(
@@ -82,8 +83,8 @@
     }
 }
 
-/// Handles an undecodable entry. It names no worker to use, whatever the entry before it named, but runs on that worker
-/// continue.
+/// Handles an undecodable entry. The worker that the entry named before counts as unlisted and gets no new tasks, but
+/// its runs continue.
 fn apply_unreadable_entry(
     state: &mut State,
     id: String,
@@ -169,7 +170,7 @@
             match is_its_pool {
                 true => apply_worker_entry(pool_state, &fact, offers, epoch, ctx),
                 // An instance of the same id has appeared in another pool.
-                false => note_gone(pool_state, &fact.id, ctx),
+                false => note_unlisted(pool_state, &fact.id, ctx),
             }
         });
     }
@@ -244,12 +245,12 @@
             else {
                 return;
             };
-            note_gone(pool_state, id, ctx);
+            note_unlisted(pool_state, id, ctx);
         });
     }
 }
 
-fn note_gone(pool_state: &mut PoolState, id: &str, ctx: &Ctx<'_>) {
+fn note_unlisted(pool_state: &mut PoolState, id: &str, ctx: &Ctx<'_>) {
     let instances: Vec<WorkerKey> = pool_state.instances_of(id).map(|(key, _)| key).collect();
     for key in instances {
         let w = &mut pool_state.workers[key];
--- a/src/core/sched/worker_losses.rs
+++ b/src/core/sched/worker_losses.rs
@@ -13,10 +13,10 @@
 };
 use crate::clock::Millis;
 
-/// The platform starts to count a task's starts once the third instance may have ended under it.
+/// The platform starts to count a task's starts once the third instance may have ended while it ran the task.
 const STARTS_LIMITED_FROM: u8 = 3;
 
-/// Counts of worker instances that ended under a task, without planned ends.
+/// Counts of worker instances that may have ended while they ran a task. Planned ends are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerLosses {
     /// Instances that crashed when they had just started the task, so that the task may be the cause.
@@ -75,7 +75,8 @@
         seen: Seen::Nothing,
     };
 
-    /// Returns whether an instance has ended under the task, so that more of its runs is recorded.
+    /// Returns whether an instance may have ended while it ran the task, so that more about the task's runs is
+    /// recorded.
     pub fn has_losses(self) -> bool {
         self.all > 0
     }
--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -63,7 +63,7 @@
         load::apply_intake(pool_state, &row, &config(1), EPOCH, ctx);
     });
     TaskKey {
-        job: pool_state.by_id[id],
+        job: pool_state.jobs_by_id[id],
         round: 0,
         step: 0,
         index: 0,
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -95,7 +95,7 @@
     decide(90_000, |ctx| {
         load::apply_intake(&mut pool_state, &row, &config(1), 1, ctx)
     });
-    let key = pool_state.by_id["job"];
+    let key = pool_state.jobs_by_id["job"];
     for worker in &workers {
         pool_state.mark_dirty(key, 100_000);
         pool_state.note_applied_end(*worker, 1, Some(key));
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -136,7 +136,7 @@
     found.extend(closed.map(|w| format!("{} of {} is closed", w.fact.id, w.fact.host)));
     found.extend(
         pool_state
-            .closing
+            .closing_hosts
             .iter()
             .map(|host| format!("{host} is closed")),
     );
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -464,7 +464,7 @@
 #[test]
 fn restarts_on_record() {
     let scene = Scene::new();
-    let key = scene.pool_state.by_id["a"];
+    let key = scene.pool_state.jobs_by_id["a"];
     let row = scene.pool_state.progress(key).expect("the job is there");
     let named: Vec<_> = row.instances().collect();
     assert_eq!(named, [(ID, "host", Some(BORN_MS[0]))]);
--- a/tests/test_times.rs
+++ b/tests/test_times.rs
@@ -5,7 +5,7 @@
 use crate::world::{job, QUEUE};
 
 fn expected_ms(times: &Times, estimate_ms: u64) -> u64 {
-    times.expect(&job(4, 1_000, estimate_ms))[0]
+    times.expected_step_ms(&job(4, 1_000, estimate_ms))[0]
 }
 
 #[test]
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -78,7 +78,8 @@
     /// Returns whether a job has ended in its owner's in-memory state, whatever its record says.
     pub(crate) fn has_ended_in_memory(&self, id: &str) -> bool {
         let pool_state = self.owner_pool_state();
-        pool_state.is_some_and(|pool_state| pool_state.jobs[pool_state.by_id[id]].state.is_final())
+        pool_state
+            .is_some_and(|pool_state| pool_state.jobs[pool_state.jobs_by_id[id]].state.is_final())
     }
 
     /// Returns the number of the entry that owns the pool.
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -493,7 +493,10 @@
         let Some(pool_state) = self.owner_pool_state() else {
             return "no owner has loaded the pool".to_string();
         };
-        let job = pool_state.by_id.get(id).map(|key| &pool_state.jobs[*key]);
+        let job = pool_state
+            .jobs_by_id
+            .get(id)
+            .map(|key| &pool_state.jobs[*key]);
         let instances = pool_state
             .workers
             .values()
