--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -51,9 +51,9 @@
     /// Returns the text for the log.
     pub fn why(self) -> &'static str {
         match self {
-            EndCause::OtherInstance => "another life answered",
-            EndCause::LaterInstance => "a later life of its host answers",
-            EndCause::Lease => "its lease is over",
+            EndCause::OtherInstance => "another instance answered in the worker's place",
+            EndCause::LaterInstance => "a later instance on the worker's host answers",
+            EndCause::Lease => "the worker's lease has expired",
         }
     }
 }
--- a/tests/test_run_log.rs
+++ b/tests/test_run_log.rs
@@ -303,7 +303,10 @@
     let runs = "a.0.0.0#1@life-1:Silent,30,50 a.0.0.0#1@life-1:OtherLife,80,0";
     assert_eq!(name_in(log_line, "runs"), runs);
     let log_line = only_line(&effects, Code::WorkerOver);
-    assert_eq!(log_line.why, "another life answered");
+    assert_eq!(
+        log_line.why,
+        "another instance answered in the worker's place"
+    );
     assert_eq!(name_in(log_line, "to"), "start");
 }
 
@@ -331,7 +334,7 @@
         renewal::expire_lease(&mut pool_state, worker, ctx)
     });
     let log_line = only_line(&effects, Code::WorkerOver);
-    assert_eq!(log_line.why, "its lease is over");
+    assert_eq!(log_line.why, "the worker's lease has expired");
     assert_eq!(name_in(log_line, "on"), "host");
     assert_eq!(name_in(log_line, "by"), "-");
     assert_eq!(figure(log_line, "unheard_ms"), Some(over_ms - 900));
@@ -355,7 +358,10 @@
     assert!(lines(&effects, Code::WorkerOver).is_empty());
     let effects = apply_report(&mut pool_state, later, 1_500, Vec::new(), &[]);
     let log_line = only_line(&effects, Code::WorkerOver);
-    assert_eq!(log_line.why, "a later life of its host answers");
+    assert_eq!(
+        log_line.why,
+        "a later instance on the worker's host answers"
+    );
     assert_eq!(
         (&*log_line.id, name_in(log_line, "by")),
         ("life-1", "life-2")
@@ -379,7 +385,10 @@
         );
     });
     let log_line = only_line(&effects, Code::WorkerOver);
-    assert_eq!(log_line.why, "another life answered");
+    assert_eq!(
+        log_line.why,
+        "another instance answered in the worker's place"
+    );
     assert_eq!(name_in(log_line, "to"), "hold");
 }
 
