--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -394,7 +394,7 @@
     let ran_ms = sent_ms.saturating_sub(begun_ms);
     // A lasting task meets many ends that it didn't cause, so its losses are cleared once it has outlived its start.
     // Other tasks end before that matters.
-    let has_outlived_start = lasts && (ran_ms >= START_DONE_MS || task.is_at_work);
+    let has_outlived_start = lasts && (ran_ms >= START_DONE_MS || task.is_past_startup);
     if has_outlived_start && task.losses != WorkerLosses::NONE {
         task.losses = WorkerLosses::NONE;
         pool_state.mark_dirty(key.job, now_ms);
--- a/src/core/sched/pool_state.rs
+++ b/src/core/sched/pool_state.rs
@@ -17,7 +17,7 @@
 use super::run_log::StartAnswers;
 use super::tasks::{Job, Phase, Rank, Round, Seen, StepRun, Task};
 use super::times::Times;
-use super::worker::{TakenEnd, Worker};
+use super::worker::{AppliedEnd, Worker};
 use crate::clock::Millis;
 use crate::port::fleet::{Capacity, TaskName};
 
@@ -127,7 +127,7 @@
 }
 
 impl PoolState {
-    /// Returns a task.
+    /// Returns a task, or `None` if its job was dropped or its round is not in progress.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         let round = self.jobs.get(key.job)?.rounds.get(&key.round)?;
         let step = round.steps.get(usize::from(key.step))?;
@@ -201,7 +201,7 @@
             Phase::Stopping(_) | Phase::Suspect(_) => task.seen,
             _ => Seen::Nothing,
         };
-        task.is_at_work = false;
+        task.is_past_startup = false;
         task.sent_ms = match phase {
             Phase::Starting(_) => Some(now_ms),
             Phase::Running(_) | Phase::Stopping(_) => task.sent_ms,
@@ -271,12 +271,12 @@
         self.watched.values().any(|on| *on == worker)
     }
 
-    /// Adds a task to the waiting tasks at `rank`, or removes it from them.
+    /// Adds a task to the waiting tasks at `rank`, or removes it from them if `rank` is `None`.
     pub(super) fn set_queued(&mut self, key: TaskKey, rank: Option<Rank>) {
         let Some(task) = self.task_mut(key) else {
             return;
         };
-        let before = std::mem::replace(&mut task.queued, rank);
+        let before = std::mem::replace(&mut task.waiting_rank, rank);
         if let Some(before) = before {
             self.ready.remove(&before);
         }
@@ -307,8 +307,8 @@
         let Some(w) = self.workers.get_mut(worker) else {
             return;
         };
-        w.taken_through = number;
-        w.unrecorded.push_back(TakenEnd { number, change });
+        w.applied_through = number;
+        w.unrecorded.push_back(AppliedEnd { number, change });
     }
 
     /// Updates the number of a worker's last recorded run end, and returns whether all of its applied ends are
@@ -602,7 +602,7 @@
 }
 
 /// Returns whether the change that an end caused is recorded.
-fn is_recorded(jobs: &SlotMap<JobKey, Job>, end: &TakenEnd) -> bool {
+fn is_recorded(jobs: &SlotMap<JobKey, Job>, end: &AppliedEnd) -> bool {
     let Some((job, change)) = end.change else {
         return true;
     };
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -113,7 +113,7 @@
             send_next(pool_state, key, epoch, ctx);
         }
         Ok(report) if w.is_superseded => {
-            take_ends(pool_state, key, sent_ms, &report, epoch, ctx);
+            apply_ends(pool_state, key, sent_ms, &report, epoch, ctx);
         }
         Ok(report) => apply_report(pool_state, key, sent_ms, report, epoch, ctx),
         Err(OrderReply::Fenced) if !w.has_restarted() => return true,
@@ -229,7 +229,7 @@
     }
     log_unreadable(&mut pool_state.workers[key], report.unreadable, ctx);
     let is_whole = report.ended.len() < ENDS_LISTED_MAX;
-    take_ends(pool_state, key, sent_ms, &report, epoch, ctx);
+    apply_ends(pool_state, key, sent_ms, &report, epoch, ctx);
     compare_runs(
         pool_state,
         key,
@@ -255,7 +255,7 @@
 }
 
 /// Applies the ends in a report that are not known yet.
-fn take_ends(
+fn apply_ends(
     pool_state: &mut PoolState,
     key: WorkerKey,
     sent_ms: Millis,
@@ -265,7 +265,7 @@
 ) {
     let mut ends_log = run_log::EndsLog::new(pool_state, key, sent_ms, epoch);
     for end in &report.ended {
-        if end.number <= pool_state.workers[key].taken_through {
+        if end.number <= pool_state.workers[key].applied_through {
             ends_log.add_again(end);
         } else {
             ends_log.add(pool_state, end, ctx);
@@ -444,7 +444,7 @@
         }
         Phase::Running(_) if is_here => {
             if let Some(task) = pool_state.task_mut(key) {
-                task.is_at_work = run.percent >= 100;
+                task.is_past_startup = run.percent >= 100;
             }
             crashes::note_reported(pool_state, key, sent_ms, ctx.now.ms);
         }
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -134,7 +134,7 @@
             worker,
             epoch,
             asked_ms,
-            taken: pool_state.workers[worker].taken_through,
+            taken: pool_state.workers[worker].applied_through,
             again: 0,
             again_list: List::default(),
             list: List::default(),
@@ -343,7 +343,7 @@
         .with("born_wall_ms", born_or_zero(reported_wall_ms))
         .with("known_born_wall_ms", born_or_zero(w.fact.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
-        .with("taken", w.taken_through)
+        .with("taken", w.applied_through)
 }
 
 /// Builds the event of a worker whose runs are over, with the evidence and the state of its ends and its lease.
@@ -363,7 +363,7 @@
         .with("tasks", w.tasks.len() as u64)
         .with("unheard_ms", now_ms.saturating_sub(w.answered_ms))
         .with("lease_left_ms", w.lease_end_ms.saturating_sub(now_ms))
-        .with("taken", w.taken_through)
+        .with("taken", w.applied_through)
         .with("recorded", w.recorded_through)
         .with("told_seen", w.acked_through)
 }
--- a/src/core/sched/tasks.rs
+++ b/src/core/sched/tasks.rs
@@ -80,15 +80,15 @@
     /// What this owner or a former one observed of its run.
     pub seen: Seen,
     /// Whether the worker reported that the task is past its start-up.
-    pub is_at_work: bool,
+    pub is_past_startup: bool,
     /// Counts of worker instances that may have ended while they ran it.
     pub losses: WorkerLosses,
     /// When the worker of its last run ended, if it did.
     pub lost_ms: Option<Millis>,
     /// Time before which it is not placed again, because its workers crashed as they started it.
     pub held_until_ms: Millis,
-    /// Its rank among the waiting tasks.
-    pub queued: Option<Rank>,
+    /// Its rank among the waiting tasks; `None` if it doesn't wait.
+    pub waiting_rank: Option<Rank>,
 }
 
 impl Task {
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -359,7 +359,7 @@
 
 /// Whether a task is at work according to a recent report of its worker.
 fn is_at_work(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
-    let Some(task) = pool_state.task(key).filter(|t| t.is_at_work) else {
+    let Some(task) = pool_state.task(key).filter(|t| t.is_past_startup) else {
         return false;
     };
     let worker = task.phase.worker().and_then(|w| pool_state.workers.get(w));
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -37,7 +37,7 @@
 
 /// A run end that was applied to the pool's state and is not recorded yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TakenEnd {
+pub struct AppliedEnd {
     /// Number of the end, as the worker counts them.
     pub number: u64,
     /// The job that the end changed and the number of that change, or `None` if it changed no job.
@@ -78,13 +78,13 @@
     /// can have gone unreported.
     pub is_gapless: bool,
     /// Number of the last run end that was applied to the pool's state.
-    pub taken_through: u64,
+    pub applied_through: u64,
     /// Number of the last run end that is recorded.
     pub recorded_through: u64,
     /// Number of the last run end that was acknowledged to the worker. Used for the log only.
     pub acked_through: u64,
     /// Applied run ends after `recorded_through`, in order.
-    pub unrecorded: VecDeque<TakenEnd>,
+    pub unrecorded: VecDeque<AppliedEnd>,
     /// Number of entries in its last report that could not be read.
     pub unreadable: usize,
     /// Number of tasks that failed on it in a row.
@@ -110,7 +110,7 @@
     /// Number of restarts of its id up to this instance, as far as this owner knows; part of the fencing token of all
     /// orders to it.
     pub restarts: u32,
-    /// Whether an earlier instance of its id may still be running in its place. The first answer settles it.
+    /// Whether an earlier instance of its id may still be running in its place. Cleared when the worker first answers.
     pub is_unconfirmed: bool,
 }
 
@@ -132,7 +132,7 @@
             is_refusing: false,
             disconnected_ms: None,
             is_gapless: false,
-            taken_through: 0,
+            applied_through: 0,
             recorded_through: 0,
             acked_through: 0,
             unrecorded: VecDeque::new(),
@@ -242,8 +242,8 @@
         self.fact.labels.get(1).map_or("", String::as_str)
     }
 
-    /// Extends the end of its lease to cover a lease until `lease_until_ms` on its clock, which was or may have been
-    /// granted.
+    /// Extends `lease_end_ms` to cover a lease that was or may have been granted until `lease_until_ms` on the worker's
+    /// clock.
     pub fn note_lease(&mut self, lease_until_ms: Millis) {
         let Some(clock) = self.clock else { return };
         let ahead_ms = lease_until_ms.saturating_sub(clock.worker_ms);
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -136,7 +136,7 @@
         let w = &mut pool_state.workers[earlier];
         w.is_answering = true;
         w.answered_ms = LAST_REPORT_MS;
-        w.taken_through = 9;
+        w.applied_through = 9;
         w.recorded_through = 9;
         w.clock = Some(ClockSample {
             local_ms: LAST_REPORT_MS,
@@ -454,7 +454,10 @@
     let (later, _) = scene.confirm_later(3_000);
     scene.apply_report(later, 3_020, report(BORN_MS[1], 20));
     let w = &scene.pool_state.workers[later];
-    assert_eq!((w.fails_in_row, w.suspensions, w.taken_through), (0, 0, 0));
+    assert_eq!(
+        (w.fails_in_row, w.suspensions, w.applied_through),
+        (0, 0, 0)
+    );
     assert!(w.is_open(3_020));
     assert!(scene.pool_state.workers.get(scene.earlier).is_none());
 }
