--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     /// Thousandths of a request earned per second; 0 for no limit.
-    rate_per_s: u64,
+    rate_milli_per_s: u64,
     /// Maximum of `saved_milli`.
     burst_milli: u64,
     saved_milli: u64,
@@ -28,7 +28,7 @@
         // Rounded down so that the shares together do not exceed the limit, but each share holds at least one request.
         let burst_milli = (burst * MILLI / parts).max(MILLI);
         Self {
-            rate_per_s: rate_per_s * MILLI / parts,
+            rate_milli_per_s: rate_per_s * MILLI / parts,
             burst_milli,
             saved_milli: burst_milli,
             filled_ms: now_ms,
@@ -37,13 +37,13 @@
 
     /// Takes one request from the bucket, or returns how many milliseconds to wait for it.
     pub fn take(&mut self, now_ms: Millis) -> Result<(), Millis> {
-        if self.rate_per_s == 0 {
+        if self.rate_milli_per_s == 0 {
             return Ok(());
         }
         let passed_ms = now_ms.saturating_sub(self.filled_ms);
         self.filled_ms = now_ms;
         // Thousandths per second times milliseconds; the division by 1000 ms gives thousandths.
-        let earned = self.rate_per_s * passed_ms / 1_000;
+        let earned = self.rate_milli_per_s * passed_ms / 1_000;
         if earned == 0 {
             self.filled_ms = now_ms - passed_ms;
         }
@@ -53,7 +53,7 @@
             return Ok(());
         }
         let lacking = MILLI - self.saved_milli;
-        Err((lacking * 1_000).div_ceil(self.rate_per_s.max(1)))
+        Err((lacking * 1_000).div_ceil(self.rate_milli_per_s.max(1)))
     }
 }
 
@@ -62,7 +62,7 @@
 pub enum Shed {
     /// The queue has reached its maximum length.
     Full,
-    /// The request would miss its deadline while it waits.
+    /// The expected wait and exchange would end after the request's deadline.
     TooLate,
 }
 
@@ -70,8 +70,9 @@
 #[derive(Debug)]
 pub struct Queue<T> {
     waiting: [VecDeque<T>; 3],
-    /// Smoothed duration of an exchange; the next field is its smoothed deviation.
+    /// Smoothed duration of an exchange.
     exchange_ms: u64,
+    /// Smoothed deviation of exchanges from `exchange_ms`.
     deviation_ms: u64,
 }
 
@@ -120,28 +121,29 @@
         self.exchange_ms = (self.exchange_ms * 7 + ms) / 8;
     }
 
-    /// Returns a duration that most exchanges do not exceed: the mean plus two deviations, 0 before the first exchange.
+    /// Returns a duration that most exchanges do not exceed: the smoothed mean plus two deviations, 0 before the
+    /// first exchange.
     pub fn likely_exchange_ms(&self) -> Millis {
         self.exchange_ms + 2 * self.deviation_ms
     }
 
-    /// Returns the expected wait of a new request of `class` while `places` requests run at once.
-    pub fn expected_wait_ms(&self, class: Class, places: usize) -> Millis {
-        let turns = (self.ahead_of(class) as u64 + 1).div_ceil(places.max(1) as u64);
+    /// Returns the expected wait of a new request of `class` while `concurrency` requests run at once.
+    pub fn expected_wait_ms(&self, class: Class, concurrency: usize) -> Millis {
+        let turns = (self.ahead_of(class) as u64 + 1).div_ceil(concurrency.max(1) as u64);
         turns * self.exchange_ms
     }
 
-    /// Adds a request to the queue, unless it would miss its deadline. If the queue is full, it replaces the youngest
-    /// waiting request of the lowest class below its own, which is returned.
+    /// Adds a request to the queue, unless it would miss its deadline in `left_ms`. If the queue is full, the request
+    /// replaces the youngest waiting request of the lowest class below its own, and the replaced one is returned.
     pub fn enqueue(
         &mut self,
         class: Class,
         waiter: T,
         len_max: usize,
-        places: usize,
+        concurrency: usize,
         left_ms: Millis,
     ) -> Result<Option<T>, Shed> {
-        let needed_ms = self.expected_wait_ms(class, places) + self.likely_exchange_ms();
+        let needed_ms = self.expected_wait_ms(class, concurrency) + self.likely_exchange_ms();
         if needed_ms > left_ms {
             return Err(Shed::TooLate);
         }
@@ -164,7 +166,7 @@
             .find_map(VecDeque::pop_back)
     }
 
-    /// Puts a request that was taken and found no free slot back at the head of its class.
+    /// Returns a dequeued request that found no free slot to the head of its class, so that it keeps its turn.
     pub fn put_back_first(&mut self, class: Class, waiter: T) {
         self.waiting[class as usize].push_front(waiter);
     }
--- a/src/core/budget.rs
+++ b/src/core/budget.rs
@@ -1,5 +1,5 @@
 //! The availability budget of a pool: whether a host may leave, with failed hosts and hosts in maintenance counted
-//! together. Operators' drains, waves and the sizing of pools ask it.
+//! together. Operators' drains and moves, waves and the sizing of pools check the budget.
 
 use super::config::Reserve;
 
@@ -60,11 +60,11 @@
         match self.reserve {
             Reserve::None => 0,
             Reserve::Host => serving.len().min(1),
-            Reserve::Rack => largest_rack(serving),
+            Reserve::Rack => largest_rack_size(serving),
         }
     }
 
-    /// Returns how many hosts may be out at once while none has failed.
+    /// Returns how many hosts could be out at once if none had failed and all served.
     pub fn max_unavailable(&self, members: &[Member]) -> usize {
         let all: Vec<Member> = members.to_vec();
         let reserved = self.reserved(&all);
@@ -72,7 +72,7 @@
     }
 }
 
-fn largest_rack(members: &[Member]) -> usize {
+fn largest_rack_size(members: &[Member]) -> usize {
     let mut racks: Vec<usize> = members.iter().map(|m| m.rack).collect();
     racks.sort_unstable();
     racks
--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -97,7 +97,7 @@
     valid.then_some((h * 60 + m) * MINUTE_MS)
 }
 
-/// Whether one of the windows is open, or there is none, which allows any time.
+/// Whether one of the windows is open; an empty list allows any time.
 pub fn any_open(windows: &[Window], wall_ms: Millis) -> bool {
     windows.is_empty() || windows.iter().any(|w| w.contains(wall_ms))
 }
@@ -157,7 +157,7 @@
     pub reserve: Reserve,
     /// Windows in which its hosts may leave for maintenance; empty for any time.
     pub windows: Vec<Window>,
-    /// Percentage of the hosts that the budget can spare which a wave may take at once.
+    /// How many hosts a wave may take at once, as a percentage of those that the budget can spare.
     pub pace_percent: u64,
 }
 
@@ -299,7 +299,7 @@
         })
     }
 
-    fn name(&self, name: &Spanned<String>) -> Checked<String> {
+    fn check_name(&self, name: &Spanned<String>) -> Checked<String> {
         let s = name.get_ref();
         let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
         if s.is_empty() || s.len() > 64 || !s.bytes().all(fits) {
@@ -311,15 +311,19 @@
         Ok(s.clone())
     }
 
-    fn unique<V>(&self, seen: &BTreeMap<String, V>, name: &Spanned<String>) -> Checked<String> {
-        let plain = self.name(name)?;
-        if seen.contains_key(&plain) {
-            return self.error_at(name, format!("{plain:?} is defined twice"));
+    fn check_unique_name<V>(
+        &self,
+        seen: &BTreeMap<String, V>,
+        name: &Spanned<String>,
+    ) -> Checked<String> {
+        let checked = self.check_name(name)?;
+        if seen.contains_key(&checked) {
+            return self.error_at(name, format!("{checked:?} is defined twice"));
         }
-        Ok(plain)
+        Ok(checked)
     }
 
-    fn bounded(
+    fn check_range(
         &self,
         value: &Option<Spanned<i64>>,
         what: &str,
@@ -339,16 +343,20 @@
         Ok(u64::try_from(*v.get_ref()).unwrap_or(default))
     }
 
-    fn service(&self, raw: &RawService, seen: &BTreeMap<String, Service>) -> Checked<Service> {
-        let name = self.unique(seen, &raw.name)?;
-        let plain = Service::new(&name);
-        let timeout_ms = self.bounded(
+    fn check_service(
+        &self,
+        raw: &RawService,
+        seen: &BTreeMap<String, Service>,
+    ) -> Checked<Service> {
+        let name = self.check_unique_name(seen, &raw.name)?;
+        let defaults = Service::new(&name);
+        let timeout_ms = self.check_range(
             &raw.timeout_ms,
             "timeout_ms",
             10..=3_600_000,
-            plain.timeout_ms,
+            defaults.timeout_ms,
         )?;
-        let queue_max = self.bounded(&raw.queue_max, "queue_max", 0..=65_536, 256)?;
+        let queue_max = self.check_range(&raw.queue_max, "queue_max", 0..=65_536, 256)?;
         Ok(Service {
             name,
             repeatable: raw.repeatable,
@@ -357,8 +365,12 @@
         })
     }
 
-    fn account(&self, raw: &RawAccount, seen: &BTreeMap<String, Account>) -> Checked<Account> {
-        let name = self.unique(seen, &raw.name)?;
+    fn check_account(
+        &self,
+        raw: &RawAccount,
+        seen: &BTreeMap<String, Account>,
+    ) -> Checked<Account> {
+        let name = self.check_unique_name(seen, &raw.name)?;
         let hash = raw.token_sha256.get_ref().to_ascii_lowercase();
         if hash.len() != 64 || !hash.bytes().all(|b| b.is_ascii_hexdigit()) {
             return self.error_at(
@@ -366,8 +378,8 @@
                 "token_sha256: must be 64 hexadecimal digits",
             );
         }
-        let rate_per_s = self.bounded(&raw.rate_per_s, "rate_per_s", 0..=1_000_000, 0)?;
-        let burst = self.bounded(&raw.burst, "burst", 1..=1_000_000, rate_per_s.max(1))?;
+        let rate_per_s = self.check_range(&raw.rate_per_s, "rate_per_s", 0..=1_000_000, 0)?;
+        let burst = self.check_range(&raw.burst, "burst", 1..=1_000_000, rate_per_s.max(1))?;
         Ok(Account {
             name,
             token_sha256: hash,
@@ -376,13 +388,13 @@
         })
     }
 
-    fn pool(
+    fn check_pool(
         &self,
         raw: &RawPool,
         templates: &HashMap<String, &RawTemplate>,
         config: &Config,
     ) -> Checked<Pool> {
-        let name = self.unique(&config.pools, &raw.name)?;
+        let name = self.check_unique_name(&config.pools, &raw.name)?;
         let account = raw.account.get_ref().clone();
         if !config.accounts.contains_key(&account) {
             return self.error_at(&raw.account, format!("no account {account:?}"));
@@ -405,20 +417,20 @@
                 return self.error_at(key, reason);
             }
         }
-        let hosts = self.integer(raw, template, 0)?;
-        let least = self.integer(raw, template, 1)?;
-        let percent = self.integer(raw, template, 2)?;
+        let hosts = self.read_integer(raw, template, 0)?;
+        let least = self.read_integer(raw, template, 1)?;
+        let percent = self.read_integer(raw, template, 2)?;
         let serving_min = least.max((hosts * percent).div_ceil(100));
         if serving_min > hosts {
             let reason = format!("{serving_min} hosts must serve, but the pool has {hosts}");
             return self.error_at(&raw.name, reason);
         }
-        let reserve = match self.value(raw, template, 3)?.as_str() {
+        let reserve = match self.read_value(raw, template, 3)?.as_str() {
             "none" => Reserve::None,
             "rack" => Reserve::Rack,
             _ => Reserve::Host,
         };
-        let windows = self.value(raw, template, 4)?;
+        let windows = self.read_value(raw, template, 4)?;
         Ok(Pool {
             name,
             account,
@@ -430,18 +442,18 @@
                 .split_whitespace()
                 .filter_map(Window::parse)
                 .collect(),
-            pace_percent: self.integer(raw, template, 5)? as u64,
+            pace_percent: self.read_integer(raw, template, 5)? as u64,
         })
     }
 
-    fn integer(&self, raw: &RawPool, template: &RawTemplate, field: usize) -> Checked<usize> {
-        let text = self.value(raw, template, field)?;
+    fn read_integer(&self, raw: &RawPool, template: &RawTemplate, field: usize) -> Checked<usize> {
+        let text = self.read_value(raw, template, field)?;
         Ok(text.parse().unwrap_or(0))
     }
 
     /// Returns the value of a field as text: the account's parameter, else the template's default, else the default in
     /// `FIELDS`.
-    fn value(&self, raw: &RawPool, template: &RawTemplate, field: usize) -> Checked<String> {
+    fn read_value(&self, raw: &RawPool, template: &RawTemplate, field: usize) -> Checked<String> {
         let (name, kind, default) = FIELDS[field];
         let limits = template.fields.get(name);
         if let Some(given) = raw.parameters.get(name) {
@@ -521,16 +533,16 @@
     })?;
     let mut config = Config::default();
     for s in &raw.service {
-        let service = checker.service(s, &config.services)?;
+        let service = checker.check_service(s, &config.services)?;
         config.services.insert(service.name.clone(), service);
     }
     for a in &raw.account {
-        let account = checker.account(a, &config.accounts)?;
+        let account = checker.check_account(a, &config.accounts)?;
         config.accounts.insert(account.name.clone(), account);
     }
     let templates = check_templates(&checker, &raw)?;
     for p in &raw.pool {
-        let pool = checker.pool(p, &templates, &config)?;
+        let pool = checker.check_pool(p, &templates, &config)?;
         config.pools.insert(pool.name.clone(), pool);
     }
     Ok(config)
@@ -542,7 +554,7 @@
 ) -> Checked<HashMap<String, &'a RawTemplate>> {
     let mut templates = HashMap::new();
     for t in &raw.template {
-        let name = checker.name(&t.name)?;
+        let name = checker.check_name(&t.name)?;
         for (field, limits) in &t.fields {
             let Some((_, kind, _)) = FIELDS.iter().find(|(n, _, _)| n == field.get_ref()) else {
                 let known: Vec<&str> = FIELDS.iter().map(|(n, _, _)| *n).collect();
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -23,7 +23,8 @@
 /// Time for which a backend server counts as full after a refusal; each further refusal in a row doubles it.
 const FULL_MS: Millis = 5;
 
-/// Maximum time for which it counts as full. It is short because the refusals may concern a single request.
+/// Maximum time for which a backend server counts as full. The time is short because the refusals may concern a
+/// single request.
 const FULL_MAX_MS: Millis = 100;
 
 /// The outcome of an exchange with a backend server.
@@ -50,11 +51,11 @@
 /// How an outcome changed the health of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It changed nothing that must be acted on.
+    /// Nothing changed that must be acted on.
     None,
-    /// It is ejected and gets no requests until the given time.
+    /// The backend server is ejected and gets no requests until the given time.
     Ejected(Millis),
-    /// It answered well for the first time after an ejection.
+    /// The backend server answered well for the first time after an ejection.
     Readmitted,
 }
 
@@ -62,11 +63,11 @@
     /// Records an outcome. `may_eject` says whether the number of ejected backend servers allows one more.
     pub fn record_outcome(
         &mut self,
-        sign: ExchangeOutcome,
+        outcome: ExchangeOutcome,
         may_eject: bool,
         now_ms: Millis,
     ) -> Change {
-        match sign {
+        match outcome {
             ExchangeOutcome::Full => {
                 let full_ms = (FULL_MS << self.refusals.min(16)).min(FULL_MAX_MS);
                 self.refusals += 1;
@@ -76,18 +77,18 @@
             ExchangeOutcome::Good => {
                 self.failures = 0;
                 self.refusals = 0;
-                let was_out = std::mem::take(&mut self.ejections) > 0;
-                if was_out {
+                let was_ejected = std::mem::take(&mut self.ejections) > 0;
+                if was_ejected {
                     Change::Readmitted
                 } else {
                     Change::None
                 }
             }
-            ExchangeOutcome::Bad => self.note_bad(may_eject, now_ms),
+            ExchangeOutcome::Bad => self.record_failure(may_eject, now_ms),
         }
     }
 
-    fn note_bad(&mut self, may_eject: bool, now_ms: Millis) -> Change {
+    fn record_failure(&mut self, may_eject: bool, now_ms: Millis) -> Change {
         self.failures += 1;
         let on_probation = self.ejections > 0;
         let too_many = self.failures >= FAILURES_MAX || on_probation;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions of an entry, as pure functions over its in-memory state.
+//! The decisions of an entry, and in [`sched`] those of the job scheduler, as functions over in-memory state.
 //!
 //! Nothing here does I/O or reads a clock, and random numbers come only from a seeded generator, so that a run can be
 //! repeated exactly.
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -1,7 +1,7 @@
 //! The choice of a backend server for a request, from what one entry knows by itself.
 //!
-//! Several entries share a backend server's slots without coordination: each keeps a window of how many requests it
-//! may have in flight there. A refusal shrinks the window, and answers let it grow again.
+//! Several entries, for example nine, share a backend server's slots without coordination: each keeps a window of how
+//! many requests it may have in flight there. A refusal shrinks the window, and answers let it grow again.
 
 use super::config::Class;
 
@@ -11,7 +11,7 @@
 /// Parts that an answer adds while the window is in full use, which makes sixteen answers for one more request.
 const GROW_PARTS: u32 = 1;
 
-/// Batch requests leave one slot in `BATCH_RESERVE_DIVISOR` free for the other classes.
+/// Batch requests leave one in `BATCH_RESERVE_DIVISOR` of a service's slots free for the other classes.
 const BATCH_RESERVE_DIVISOR: u32 = 8;
 
 /// The number of requests that this entry may have in flight at a backend server.
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -70,7 +70,10 @@
                 let known = services
                     .entry(b.service.clone())
                     .or_insert_with(|| RouteService::new(Service::new(&b.service)));
-                if fact.life == HostStatus::Live && open && self.belongs(host, &b.service) {
+                if fact.life == HostStatus::Live
+                    && open
+                    && self.takes_requests_for(host, &b.service)
+                {
                     known.backends.push(BackendSpec {
                         host: host.id.clone(),
                         hall: fact.hall.clone(),
@@ -91,9 +94,9 @@
 
     /// Whether a host's backend server for `service` takes that service's requests.
     ///
-    /// It does if the host's pool has the service. While no pool with the service has a host yet, the free hosts take
-    /// its requests, so that a fleet can be taken under management while it serves.
-    fn belongs(&self, host: &Host, service: &str) -> bool {
+    /// The backend server takes them if the host's pool has the service. While no pool with the service has a host yet,
+    /// the free hosts take its requests, so that a fleet can be taken under management while it serves.
+    fn takes_requests_for(&self, host: &Host, service: &str) -> bool {
         let serves = |pool: &str| {
             self.config
                 .pools
--- a/src/core/tuning.rs
+++ b/src/core/tuning.rs
@@ -9,17 +9,17 @@
     pub tick_ms: Millis,
     /// Time without an answer from the table or a peer after which the entry is isolated and takes no new work.
     pub isolation_ms: Millis,
-    /// Gap between two ticks from which on the process counts as paused.
+    /// Minimum gap between two ticks at which the process counts as paused.
     pub pause_ms: Millis,
     /// Time without an exchange after which a peer is no longer considered alive and owns no pools.
     pub peer_ms: Millis,
-    /// Length of a drain from which on the log says what holds it up.
+    /// Length of a drain after which the log says what holds the drain up.
     pub drain_ms: Millis,
-    /// Time for which a host that came back must be seen before it serves again.
+    /// Time for which a host that came back is watched, in the state `Returning`, before it serves again.
     pub return_ms: Millis,
     /// Time after which a host that is not live is replaced in its pool.
     pub replace_ms: Millis,
-    /// Length of a task's lease; it is renewed after a third of this.
+    /// Length of a task's lease; the owner of the job's pool renews leases after a third of it.
     pub lease_ms: Millis,
     /// Time after which the reboot of a host that has not come back is ordered again.
     pub reboot_ms: Millis,
