--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -1,10 +1,10 @@
 //! Draining of hosts: the grant, the release by every entry, the reboot or the move, and the return to service.
 //!
-//! The entry that owns a host's pool advances its draining hosts on every decision. Operators' edits, waves and the
-//! sizing of pools grant drains through this module.
+//! Each time an entry decides, it advances the hosts out of service whose pools it owns, and those without a pool that
+//! it owns by their ids. Operators' edits, waves and the sizing of pools grant drains through this module.
 
 use super::members::expect;
-use super::reduce::{Effect, Purpose as Why};
+use super::reduce::{Effect, Purpose as CommitPurpose};
 use super::rows::{
     host_key, pool_key, push_step, HostRow, HostState, PoolRow, Purpose, Step, HEAD_KEY,
 };
@@ -76,13 +76,14 @@
         pool_free && self.is_unlocked(&host_key(&host.id))
     }
 
-    /// Marks a host as draining and lists it in its pool's row, in one transaction conditional on both rows.
+    /// Marks a host as draining and lists it in its pool's row, in one transaction conditional on both rows and
+    /// on the configuration.
     ///
-    /// `make` turns the log line into the purpose of the transaction.
+    /// `make_purpose` turns the log line into the purpose of the transaction.
     pub(super) fn grant_drain(
         &mut self,
         grant: Grant,
-        make: impl FnOnce(Decision) -> Why,
+        make_purpose: impl FnOnce(Decision) -> CommitPurpose,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -107,7 +108,7 @@
         }
         let line = Decision::new(Code::DrainGranted, Subject::Host, &id, why.as_str());
         let checks = self.config_check();
-        self.commit(checks, puts, make(line), out);
+        self.commit(checks, puts, make_purpose(line), out);
     }
 
     /// Returns the jobs whose current attempt may be running on a host.
@@ -115,15 +116,15 @@
         self.placed_on.get(host).map_or(&[], Vec::as_slice)
     }
 
-    /// Advances every host out of service that this entry owns by one step.
+    /// Advances by one step every host that is draining, out or returning and that this entry owns.
     pub(super) fn advance_drains(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
         let keys: Vec<HostKey> = self
             .hosts
             .iter()
             .filter(|(_, h)| {
-                let owner = h.row.pool.as_deref().unwrap_or(&h.id);
+                let owned_name = h.row.pool.as_deref().unwrap_or(&h.id);
                 !matches!(h.row.state, HostState::Free | HostState::Serving)
-                    && self.owns(owner, alive)
+                    && self.owns(owned_name, alive)
                     && self.may_change(h)
             })
             .map(|(k, _)| k)
@@ -144,7 +145,7 @@
         let jobs = self.jobs_on(&host.id);
         held_by.extend(jobs.iter().map(|j| format!("job {}", self.jobs[*j].id)));
         if !held_by.is_empty() {
-            self.report_held(key, &held_by, now, out);
+            self.report_drain_held(key, &held_by, now, out);
             return;
         }
         match self.hosts[key].row.purpose.clone() {
@@ -154,7 +155,13 @@
         }
     }
 
-    fn report_held(&mut self, key: HostKey, held_by: &[String], now: Now, out: &mut Vec<Effect>) {
+    fn report_drain_held(
+        &mut self,
+        key: HostKey,
+        held_by: &[String],
+        now: Now,
+        out: &mut Vec<Effect>,
+    ) {
         let drain_ms = self.tuning.drain_ms;
         let host = &mut self.hosts[key];
         let draining_ms = now.wall_ms.saturating_sub(host.row.since_ms);
@@ -178,7 +185,7 @@
         let line = Decision::new(Code::HostLetGo, Subject::Host, &host.id, why)
             .with("mark_seq", host.version);
         let puts = vec![self.put_host(host, &row)];
-        self.commit(vec![], puts, Why::Decision(line), out);
+        self.commit(vec![], puts, CommitPurpose::Decision(line), out);
     }
 
     fn move_drained(&mut self, key: HostKey, to: Option<&str>, now: Now, out: &mut Vec<Effect>) {
@@ -208,7 +215,7 @@
             }));
         }
         let line = Decision::new(Code::HostMoved, Subject::Host, &id, why);
-        self.commit(vec![], puts, Why::Decision(line), out);
+        self.commit(vec![], puts, CommitPurpose::Decision(line), out);
     }
 
     fn advance_out(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
@@ -241,7 +248,7 @@
         out.push(Effect::Log(d));
     }
 
-    /// Forgets a reboot order that the platform refused, so that the next tick sends it again.
+    /// Forgets a reboot order that the platform did not accept, so that the next tick sends the order again.
     pub(super) fn forget_reboot_order(&mut self, host: &str) {
         if let Some(key) = self.host_ids.get(host) {
             self.hosts[*key].asked_ms = None;
@@ -261,7 +268,7 @@
         )
         .with("boots", boots);
         let puts = vec![self.put_host(host, &row)];
-        self.commit(vec![], puts, Why::Decision(line), out);
+        self.commit(vec![], puts, CommitPurpose::Decision(line), out);
     }
 
     fn advance_returning(&mut self, key: HostKey, now: Now, out: &mut Vec<Effect>) {
@@ -277,7 +284,7 @@
         );
         self.return_to_service(
             key,
-            Why::Decision(line),
+            CommitPurpose::Decision(line),
             "serving: back and steady",
             now,
             out,
@@ -288,7 +295,7 @@
     pub(super) fn return_to_service(
         &mut self,
         key: HostKey,
-        purpose: Why,
+        purpose: CommitPurpose,
         what: &str,
         now: Now,
         out: &mut Vec<Effect>,
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -21,10 +21,10 @@
 /// An event at an entry.
 #[derive(Debug)]
 pub enum Event {
-    /// Time passed. Carries the leaving hosts that have requests in flight here, as counted while the routes in force
-    /// included the table's changes up to `published_seq`.
+    /// Time passed. Carries the leaving hosts on which this entry has requests in flight, as counted while the routes
+    /// in force included the table's changes up to `published_seq`.
     Tick {
-        /// Number of the table's changes up to which the routes in force include them.
+        /// The table's sequence number up to which the routes in force include all changes.
         published_seq: u64,
         /// Ids of leaving hosts with requests in flight.
         busy: Vec<String>,
@@ -66,7 +66,7 @@
         ticket: Ticket,
         /// The peer's report about itself.
         digest: Digest,
-        /// Number of the table's changes up to which the peer has all rows.
+        /// The table's sequence number up to which the peer has all rows.
         since: u64,
     },
     /// An operator or a caller requested a change.
@@ -106,14 +106,14 @@
 pub enum Effect {
     /// Read the table's changes.
     ReadTable {
-        /// Number of the last change that is known.
+        /// The table's sequence number up to which all changes are known.
         since: u64,
     },
     /// Read the host list.
     ReadHosts,
     /// Read the task reports.
     ReadReports {
-        /// Number of the last report that is known.
+        /// The sequence number up to which all reports are known.
         since: u64,
     },
     /// Commit a transaction and report its outcome as [`Event::Committed`].
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, HashSet};
 
 use super::place::FAILING_JOBS;
-use super::reduce::{Effect, Purpose as Why};
+use super::reduce::{Effect, Purpose as CommitPurpose};
 use super::rows::{job_key, push_step, HostState, JobRow, JobState};
 use super::state::{JobKey, PoolKey, State};
 use crate::clock::{Millis, Now};
@@ -28,10 +28,10 @@
 const PLACEMENTS_MAX: usize = 16;
 
 /// Maximum number of run times kept per account and pool.
-const LEARNED_MAX: usize = 64;
+const RUN_TIMES_MAX: usize = 64;
 
 impl State {
-    /// Stores task reports, and drops those on ended jobs and earlier attempts.
+    /// Stores task reports, and drops those of ended jobs and earlier attempts.
     pub(super) fn apply_reports(&mut self, r: Reports, out: &mut Vec<Effect>) {
         self.reports_seq = r.seq;
         self.reports_known = true;
@@ -61,7 +61,7 @@
         let key = (j.row.account.clone(), j.row.spec.pool.clone());
         let times = self.run_times.entry(key).or_default();
         times.push_back(ran_ms);
-        if times.len() > LEARNED_MAX {
+        if times.len() > RUN_TIMES_MAX {
             times.pop_front();
         }
     }
@@ -167,7 +167,7 @@
     fn commit_placement(&mut self, key: JobKey, host: &str, now: Now, out: &mut Vec<Effect>) {
         let attempt = self.jobs[key].row.attempt + 1;
         let what = format!("attempt {attempt} placed on host {host}");
-        let mut row = self.next_job(key, &what, now);
+        let mut row = self.next_job_row(key, &what, now);
         row.state = JobState::Placed;
         row.attempt = attempt;
         row.host = Some(host.to_string());
@@ -180,10 +180,10 @@
         let put = self.put_job(key, &row);
         // Counted at once, so that the next placement does not use the same capacity.
         self.placing.insert(key, host.to_string());
-        self.commit(vec![], vec![put], Why::Decision(line), out);
+        self.commit(vec![], vec![put], CommitPurpose::Decision(line), out);
     }
 
-    fn next_job(&self, key: JobKey, what: &str, now: Now) -> JobRow {
+    fn next_job_row(&self, key: JobKey, what: &str, now: Now) -> JobRow {
         let mut row = self.jobs[key].row.clone();
         push_step(&mut row.history, self.step(now, what));
         row
@@ -215,7 +215,8 @@
         }
     }
 
-    /// Whether an attempt must be stopped: the caller cancelled the job, or its host drains and the job is repeatable.
+    /// Whether an attempt must be stopped: a cancellation of the job was requested, or its host drains and the job is
+    /// repeatable.
     fn must_stop(&self, key: JobKey) -> bool {
         let row = &self.jobs[key].row;
         let host = row.host.as_ref().and_then(|h| self.host_ids.get(h));
@@ -286,7 +287,7 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) {
-        let mut row = self.next_job(key, why, now);
+        let mut row = self.next_job_row(key, why, now);
         row.state = state;
         let what = format!("{}: {why}", state.as_str());
         self.write_job(key, &row, Code::JobEnded, what, out);
@@ -303,7 +304,7 @@
         let line = Decision::new(code, Subject::Job, &self.jobs[key].id, why)
             .with("attempt", u64::from(row.attempt));
         let put = self.put_job(key, row);
-        self.commit(vec![], vec![put], Why::Decision(line), out);
+        self.commit(vec![], vec![put], CommitPurpose::Decision(line), out);
     }
 
     fn requeue(
@@ -314,7 +315,7 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) {
-        let mut row = self.next_job(key, why, now);
+        let mut row = self.next_job_row(key, why, now);
         row.state = JobState::Waiting;
         row.host = None;
         row.losses += 1;
@@ -371,8 +372,8 @@
     fn find_current_attempt(&self, task: &TaskRef) -> Option<JobKey> {
         let key = *self.job_ids.get(&task.job)?;
         let job = &self.jobs[key];
-        let is_present = job.row.attempt == task.attempt && job.row.state == JobState::Placed;
-        is_present.then_some(key)
+        let is_current = job.row.attempt == task.attempt && job.row.state == JobState::Placed;
+        is_current.then_some(key)
     }
 
     fn renew_leases(&mut self, owned_jobs: &[JobKey], now: Now, out: &mut Vec<Effect>) {
@@ -409,6 +410,6 @@
             &id,
             "the row is removed, its retention time has passed",
         );
-        self.commit(vec![], vec![put], Why::Decision(line), out);
+        self.commit(vec![], vec![put], CommitPurpose::Decision(line), out);
     }
 }
--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -15,8 +15,8 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::{Expect, Put};
 
-/// Time after a host began to drain when this entry also writes its release to the table, in case a peer was not
-/// reached.
+/// Time from when this entry sees that a host drains until it also writes its release of the host to the table, in
+/// case a peer has not received the release.
 const ACK_BY_TABLE_MS: Millis = 1_500;
 
 /// Minimum interval between writes of this entry's row for acknowledgements.
@@ -31,11 +31,11 @@
     pub incarnation: u64,
     /// Whether its own row is in its view of the table.
     pub registered: bool,
-    /// Number of the table's changes up to which its routes include them.
+    /// The table's sequence number up to which its routes include all changes.
     pub view_seq: u64,
     /// Version of the configuration in force at the entry.
     pub config_version: u64,
-    /// Whether it has read the list of hosts.
+    /// Whether it has the list of hosts, from the platform or from a peer.
     pub hosts_known: bool,
     /// Leaving hosts on which it has requests in flight.
     pub busy: Vec<String>,
@@ -61,7 +61,7 @@
 pub struct Sponsored {
     /// Incarnation of the peer.
     pub incarnation: u64,
-    /// Number of the table's changes up to which its routes include them.
+    /// The table's sequence number up to which its routes include all changes.
     pub view_seq: u64,
     /// Leaving hosts on which it has requests in flight.
     pub busy: Vec<String>,
@@ -104,7 +104,7 @@
     /// Returns the entries that may still send requests to a host whose current row marks it as leaving.
     ///
     /// Every registered entry counts until it reports that its routes include the row and that it has no request in
-    /// flight on the host, or until the platform reports the entry as ended.
+    /// flight on the host, or until the platform reports that the entry's host has ended.
     pub fn holders(&self, host: &Host) -> Vec<String> {
         let mut names = Vec::new();
         for (name, m) in &self.members {
@@ -232,17 +232,17 @@
             return false;
         };
         let digest = self.digest();
-        let is_in_row = |h: &Host| row.view_seq >= h.version && !row.busy.contains(&h.id);
-        let free = |h: &Host| digest.view_seq >= h.version && !digest.busy.contains(&h.id);
+        let is_released_in_row = |h: &Host| row.view_seq >= h.version && !row.busy.contains(&h.id);
+        let is_released = |h: &Host| digest.view_seq >= h.version && !digest.busy.contains(&h.id);
         self.hosts.values().any(|h| {
             h.row.state == HostState::Draining
                 && now.ms >= h.row_seen_ms + ACK_BY_TABLE_MS
-                && free(h)
-                && !is_in_row(h)
+                && is_released(h)
+                && !is_released_in_row(h)
         })
     }
 
-    /// Writes this entry's row.
+    /// Commits this entry's row in `state`, with the same releases that it reports to its peers.
     pub fn write_own_row(&mut self, state: EntryState, purpose: Purpose, out: &mut Vec<Effect>) {
         let key = entry_key(&self.me.name);
         let version = self.members.get(&self.me.name).map_or(0, |m| m.version);
@@ -264,7 +264,7 @@
     }
 }
 
-/// Returns the condition that a row still has the given version, or is absent if that is 0.
+/// Returns the condition that a row still has the given version; version 0 stands for an absent row.
 pub fn expect(version: u64) -> Expect {
     match version {
         0 => Expect::Absent,
