--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -131,9 +131,9 @@
     /// Repeats the check of each edit that named something unknown, after a read that began at `begun_ms`; `None`
     /// stands for a failed read. An edit that arrived after the read began waits for the next read.
     pub(super) fn recheck_edits(&mut self, begun_ms: Option<u64>, now: Now, out: &mut Vec<Effect>) {
-        for (ticket, edit, asked_ms) in std::mem::take(&mut self.edits_to_recheck) {
-            if begun_ms.is_some_and(|t| t < asked_ms) {
-                self.edits_to_recheck.push((ticket, edit, asked_ms));
+        for (ticket, edit, requested_ms) in std::mem::take(&mut self.edits_to_recheck) {
+            if begun_ms.is_some_and(|t| t < requested_ms) {
+                self.edits_to_recheck.push((ticket, edit, requested_ms));
                 self.read_soon(now, out);
             } else if let Err(failure) = self.check_and_commit(ticket, edit, now, out) {
                 refuse(ticket, failure, out);
--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -1,11 +1,11 @@
 //! Placement: which host belongs to which pool, and which host runs which job.
 //!
-//! The reducer calls it for the pools that this entry owns.
+//! The reducer assigns hosts to the pools that this entry owns, and `job` chooses the hosts of their waiting jobs.
 
 use super::config::Class;
 use super::drain::Grant;
 use super::members::expect;
-use super::reduce::{Effect, Purpose as Why};
+use super::reduce::{Effect, Purpose as CommitPurpose};
 use super::rows::{pool_key, HostState, JobState, Purpose, WaveState};
 use super::state::{Host, HostKey, JobKey, PoolKey, State};
 use super::wave::EVERY_POOL;
@@ -39,10 +39,10 @@
         let have = self.count_lasting_hosts(pool, now);
         if have < wanted {
             if let Some(host) = self.choose_free_host(pool) {
-                self.assign(host, pool, have, wanted, now, out);
+                self.commit_assignment(host, pool, have, wanted, now, out);
             }
         } else if have > wanted {
-            self.release_one(pool, now, out);
+            self.release_one_host(pool, now, out);
         }
     }
 
@@ -82,9 +82,9 @@
             .count()
     }
 
-    /// Returns the best free host for a pool. It must run all of the pool's services. One that no running wave still
-    /// has to take comes first, then one in the rack and the hall with the fewest hosts of the pool, then one with few
-    /// cores.
+    /// Returns the best free host for a pool among those that run all of the pool's services. A host that no running
+    /// wave still has to take is preferred, then one in the rack and in the hall with the fewest hosts of the pool,
+    /// then one with the fewest cores.
     fn choose_free_host(&self, pool: PoolKey) -> Option<HostKey> {
         let p = &self.pools[pool];
         let services = &self.config.pools.get(&p.name)?.services;
@@ -123,7 +123,7 @@
             })
     }
 
-    fn assign(
+    fn commit_assignment(
         &mut self,
         host: HostKey,
         pool: PoolKey,
@@ -146,10 +146,10 @@
             self.put_pool(pool, |p| p.moves += 1),
         ];
         let checks = self.config_check();
-        self.commit(checks, puts, Why::Decision(line), out);
+        self.commit(checks, puts, CommitPurpose::Decision(line), out);
     }
 
-    fn release_one(&mut self, pool: PoolKey, now: Now, out: &mut Vec<Effect>) {
+    fn release_one_host(&mut self, pool: PoolKey, now: Now, out: &mut Vec<Effect>) {
         let view = self.pool_view(pool);
         let candidate = view
             .keys
@@ -157,8 +157,8 @@
             .copied()
             .filter(|k| {
                 let h = &self.hosts[*k];
-                let idle = h.row.state == HostState::Serving && self.may_change(h);
-                idle && view.may_leave(*k).is_some_and(|v| v.allowed)
+                let may_drain = h.row.state == HostState::Serving && self.may_change(h);
+                may_drain && view.may_leave(*k).is_some_and(|v| v.allowed)
             })
             .min_by_key(|k| {
                 let h = &self.hosts[*k];
@@ -175,7 +175,7 @@
                 wave: None,
                 why: "its pool has more hosts than it asks for".to_string(),
             };
-            self.grant_drain(grant, Why::Decision, now, out);
+            self.grant_drain(grant, CommitPurpose::Decision, now, out);
         }
     }
 
@@ -211,8 +211,8 @@
     }
 
     /// Returns the host for a job's next attempt: a suitable host with enough free cores and memory that is not in
-    /// `reserved`. One that no running wave still has to take comes first, then the one with the fewest free cores,
-    /// which leaves the emptier hosts to large jobs.
+    /// `reserved`. A host that no running wave still has to take is preferred, then the one with the fewest free
+    /// cores, which leaves the emptier hosts to large jobs.
     pub(super) fn choose_host(
         &self,
         job: JobKey,
@@ -238,19 +238,19 @@
         let pool = self.pool_names.get(&row.spec.pool);
         let members = pool.map(|p| self.pools[*p].members.as_slice());
         let members = members.unwrap_or_default();
-        let sound = move |k: &HostKey| {
+        let usable = move |k: &HostKey| {
             let h = &self.hosts[*k];
             h.is_serving() && !self.is_failing(h, now)
         };
         let untried = move |k: &HostKey| !row.failed_on.contains(&self.hosts[*k].id);
-        let any_untried = members.iter().any(|k| sound(k) && untried(k));
-        let fits = move |k: &HostKey| sound(k) && (untried(k) || !any_untried);
-        members.iter().copied().filter(fits)
+        let any_untried = members.iter().any(|k| usable(k) && untried(k));
+        let suitable = move |k: &HostKey| usable(k) && (untried(k) || !any_untried);
+        members.iter().copied().filter(suitable)
     }
 
     /// Returns the host to reserve for a job that has waited for `CLASS_BOOST_MS` and fits nowhere now: the suitable
     /// host with the fewest jobs on which it would fit if the host were empty. Without this, smaller jobs could take
-    /// the free capacity ahead of it for ever.
+    /// the free capacity ahead of that job for ever.
     pub(super) fn host_to_reserve(
         &self,
         job: JobKey,
@@ -281,8 +281,9 @@
             .is_some_and(|t| now.ms < t + FAILING_MS)
     }
 
-    /// Returns the cores and the memory in MB that a job of a class may still take on a live host.
-    fn free_capacity(&self, host: HostKey, class: Class, asked: u32) -> Option<(u32, u64)> {
+    /// Returns the cores and the memory in MB that a job of `class` with `cores_needed` may still take on a host, or
+    /// `None` if the host is not live.
+    fn free_capacity(&self, host: HostKey, class: Class, cores_needed: u32) -> Option<(u32, u64)> {
         let h = &self.hosts[host];
         let fact = h.fact.as_ref().filter(|f| f.life == HostStatus::Live)?;
         let (mut cores, mut memory_mb) = (fact.cores, fact.memory_mb);
@@ -296,7 +297,7 @@
             others += 1;
         }
         // A batch job that needs more than the batch share may have an empty host, since it could never run otherwise.
-        let alone = others == 0 && asked > fact.cores - fact.cores / BATCH_RESERVE_DIVISOR;
+        let alone = others == 0 && cores_needed > fact.cores - fact.cores / BATCH_RESERVE_DIVISOR;
         if class == Class::Batch && !alone {
             cores = cores.saturating_sub(fact.cores / BATCH_RESERVE_DIVISOR);
         }
@@ -322,12 +323,19 @@
             .filter(|(_, j)| j.row.state == JobState::Waiting && j.row.spec.pool == pool)
             .map(|(k, j)| {
                 let waited_ms = now.wall_ms.saturating_sub(j.row.submitted_ms);
-                let lifted = (j.row.spec.class as u64).saturating_sub(waited_ms / CLASS_BOOST_MS);
-                let share = cores_in_use
+                let boosted_class =
+                    (j.row.spec.class as u64).saturating_sub(waited_ms / CLASS_BOOST_MS);
+                let account_cores = cores_in_use
                     .get(j.row.account.as_str())
                     .copied()
                     .unwrap_or(0);
-                (lifted, share, j.row.submitted_ms, j.id.clone(), k)
+                (
+                    boosted_class,
+                    account_cores,
+                    j.row.submitted_ms,
+                    j.id.clone(),
+                    k,
+                )
             })
             .collect();
         waiting.sort();
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -54,7 +54,7 @@
             if !state.hosts_known && !hosts.is_empty() {
                 state.apply_host_list(hosts, now.ms, &mut out);
             }
-            take_peer_rows(state, begun_ms, changes, complete, now, &mut out);
+            apply_peer_rows(state, begun_ms, changes, complete, now, &mut out);
         }
         Event::PeerPolled {
             ticket,
@@ -104,7 +104,8 @@
     }
 }
 
-/// Reads the table anew after the process was paused: an answer that was on its way is lost, so the state is stale.
+/// Reads the table anew after a pause of the process: the view may be stale, and a read that was outstanding before the
+/// pause may never be answered.
 fn handle_pause(state: &mut State, gap_ms: Millis, out: &mut Vec<Effect>) {
     let me = state.me.name.clone();
     let d = Decision::new(
@@ -174,9 +175,9 @@
         .collect::<Vec<_>>();
     for pool in &owned {
         state.assign_hosts(*pool, now, out);
-        state.grant_wave(*pool, now, out);
+        state.grant_wave_drain(*pool, now, out);
     }
-    state.grant_free_hosts(&alive, now, out);
+    state.grant_free_host_drains(&alive, now, out);
     state.advance_drains(&alive, now, out);
     state.close_waves(&alive, now, out);
     let owned: HashSet<_> = owned.into_iter().collect();
@@ -255,7 +256,7 @@
     }
 }
 
-fn take_peer_rows(
+fn apply_peer_rows(
     state: &mut State,
     begun_ms: Millis,
     changes: Changes,
@@ -268,7 +269,7 @@
     }
     let more = changes.more;
     state.apply_rows(changes.rows, changes.seq, now.ms, out);
-    // An unregistered entry is sponsored by the peer, which records it before it answers the poll.
+    // The peer sponsors an unregistered entry that polls it, and records this before it answers the poll.
     state.is_sponsored |= !state.is_registered();
     if !more {
         state.reads.complete = true;
@@ -342,8 +343,8 @@
 }
 
 impl State {
-    /// Stops counting a placement that was not committed against its host's free capacity. If the outcome is unknown
-    /// and the placement was committed, the next read of the table shows it, and it counts from then on.
+    /// Stops counting a pending placement as capacity in use on its host. If the transaction's outcome is unknown and
+    /// the placement was committed, the next read of the table shows the placement, which counts from then on.
     fn forget_placement(&mut self, key: &str) {
         let job = key.strip_prefix("job/").and_then(|id| self.job_ids.get(id));
         if let Some(job) = job {
@@ -383,12 +384,12 @@
             }
         }
     }
-    // The next decision waits until the outcome is in the view, so the table is read at once.
+    // The next decision on these rows waits until the outcome is in the view, so the table is read at once.
     state.read_soon(now, out);
-    settle(state, pending.purpose, outcome, out);
+    act_on_outcome(state, pending.purpose, outcome, out);
 }
 
-fn settle(state: &mut State, purpose: Purpose, outcome: Outcome, out: &mut Vec<Effect>) {
+fn act_on_outcome(state: &mut State, purpose: Purpose, outcome: Outcome, out: &mut Vec<Effect>) {
     let done = matches!(outcome, Outcome::Committed(_));
     match purpose {
         Purpose::Register | Purpose::Acknowledge | Purpose::Leave => {}
@@ -402,7 +403,7 @@
             reply,
             line,
         } => {
-            let result = match failure(outcome) {
+            let result = match failure_kind(outcome) {
                 None => {
                     out.push(Effect::Log(line));
                     Ok(reply)
@@ -415,7 +416,7 @@
             ticket,
             version,
             base,
-        } => match failure(outcome) {
+        } => match failure_kind(outcome) {
             None => {
                 let d = Decision::new(
                     Code::ConfigAccepted,
@@ -437,7 +438,7 @@
     }
 }
 
-fn failure(outcome: Outcome) -> Option<Kind> {
+fn failure_kind(outcome: Outcome) -> Option<Kind> {
     match outcome {
         Outcome::Committed(_) => None,
         Outcome::Conflict => Some(Kind::Conflict),
--- a/src/core/wave.rs
+++ b/src/core/wave.rs
@@ -8,7 +8,7 @@
 use super::config::any_open;
 use super::drain::Grant;
 use super::members::expect;
-use super::reduce::{Effect, Purpose as Why};
+use super::reduce::{Effect, Purpose as CommitPurpose};
 use super::rows::{wave_key, HostState, Purpose, WaveState};
 use super::state::{HostKey, PoolKey, State};
 use crate::clock::{Millis, Now};
@@ -33,7 +33,7 @@
 
 impl PoolView {
     /// Counts the hosts that are draining, out or returning.
-    pub fn out(&self) -> usize {
+    pub fn count_out(&self) -> usize {
         self.members.iter().filter(|m| m.out).count()
     }
 
@@ -94,7 +94,7 @@
             .is_some_and(|w| h.row.wave.as_ref() != Some(&w))
     }
 
-    fn window_open(&self, pool: &str, wave: &str, now: Now) -> bool {
+    fn is_window_open(&self, pool: &str, wave: &str, now: Now) -> bool {
         let own = &self.waves[wave].1.windows;
         let pools = self.config.pools.get(pool).map(|p| p.windows.as_slice());
         any_open(own, now.wall_ms) && any_open(pools.unwrap_or_default(), now.wall_ms)
@@ -104,12 +104,12 @@
     ///
     /// A pool has one grant at a time: each is conditional on the pool's row, and the next is decided on a view that
     /// includes it.
-    pub(super) fn grant_wave(&mut self, pool: PoolKey, now: Now, out: &mut Vec<Effect>) {
+    pub(super) fn grant_wave_drain(&mut self, pool: PoolKey, now: Now, out: &mut Vec<Effect>) {
         let name = self.pools[pool].name.clone();
         let Some(wave) = self.running_wave(&name) else {
             return;
         };
-        if !self.window_open(&name, &wave, now) {
+        if !self.is_window_open(&name, &wave, now) {
             self.report_wave_held(pool, &wave, "the maintenance window is closed", now, out);
             return;
         }
@@ -126,7 +126,7 @@
         }
         let pace = self.config.pools.get(&name).map_or(100, |p| p.pace_percent);
         let out_max = pace_limit(view.budget.max_unavailable(&view.members), pace);
-        if view.out() >= out_max {
+        if view.count_out() >= out_max {
             return;
         }
         let Some(next) = self.choose_next_host(&view, &waiting) else {
@@ -140,11 +140,11 @@
             why: format!("wave {wave}"),
             wave: Some(wave),
         };
-        self.grant_drain(grant, Why::Decision, now, out);
+        self.grant_drain(grant, CommitPurpose::Decision, now, out);
     }
 
-    /// Returns the host to drain next: the one whose leaving makes the reserve for a failure smallest, then the one
-    /// with the fewest jobs, then one in the rack with the most hosts out, then the first by id.
+    /// Returns the host to drain next: the one after whose leaving the fewest hosts must be reserved for a failure,
+    /// then the one with the fewest jobs, then one in the rack with the most hosts out, then the first by id.
     fn choose_next_host(&self, view: &PoolView, waiting: &[HostKey]) -> Option<HostKey> {
         waiting
             .iter()
@@ -153,11 +153,11 @@
             .filter(|(_, v)| v.allowed)
             .min_by_key(|(k, v)| {
                 let h = &self.hosts[*k];
-                let count_rack_out = self.count_rack_out(view, *k);
+                let rack_out = self.count_rack_out(view, *k);
                 (
                     v.reserved,
                     self.jobs_on(&h.id).len(),
-                    usize::MAX - count_rack_out,
+                    usize::MAX - rack_out,
                     h.id.clone(),
                 )
             })
@@ -197,13 +197,18 @@
         )));
     }
 
-    /// Grants the drains of free hosts for a wave over every host. No budget applies to them; those that take requests
-    /// because no pool for their services has hosts yet stay.
-    pub(super) fn grant_free_hosts(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
+    /// Grants the drains of free hosts for a wave over every host. No budget applies to them. Free hosts that take
+    /// requests because no pool for one of their services has hosts yet are not drained.
+    pub(super) fn grant_free_host_drains(
+        &mut self,
+        alive: &[&str],
+        now: Now,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(wave) = self.running_wave(EVERY_POOL) else {
             return;
         };
-        if !self.window_open("", &wave, now) {
+        if !self.is_window_open("", &wave, now) {
             return;
         }
         let free: Vec<HostKey> = self
@@ -222,17 +227,17 @@
                 wave: Some(wave.clone()),
                 why: format!("wave {wave}, free"),
             };
-            self.grant_drain(grant, Why::Decision, now, out);
+            self.grant_drain(grant, CommitPurpose::Decision, now, out);
         }
     }
 
-    /// Marks waves as done that no host is left in.
+    /// Marks the waves as done that have no hosts left to take or to return.
     pub(super) fn close_waves(&mut self, alive: &[&str], now: Now, out: &mut Vec<Effect>) {
         let done: Vec<String> = self
             .waves
             .iter()
             .filter(|(id, (_, w))| w.state == WaveState::Running && self.owns(id, alive))
-            .filter(|(id, _)| self.is_unlocked(&wave_key(id)) && self.wave_left(id) == 0)
+            .filter(|(id, _)| self.is_unlocked(&wave_key(id)) && self.count_hosts_left(id) == 0)
             .map(|(id, _)| id.clone())
             .collect();
         for id in done {
@@ -248,13 +253,13 @@
             )
             .with("took_ms", took_ms);
             let put = Put::new(wave_key(&id), expect(version), &row);
-            self.commit(vec![], vec![put], Why::Decision(line), out);
+            self.commit(vec![], vec![put], CommitPurpose::Decision(line), out);
         }
     }
 
     /// Counts the hosts that a wave still has to take, or has taken and not yet returned. A host that is not live and
     /// was never taken does not count.
-    pub fn wave_left(&self, id: &str) -> usize {
+    pub fn count_hosts_left(&self, id: &str) -> usize {
         let Some((_, wave)) = self.waves.get(id) else {
             return 0;
         };
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -228,7 +228,7 @@
         wanted: config.map_or(0, |c| c.hosts),
         serving: view.members.iter().filter(|m| m.serving).count(),
         serving_min: view.budget.serving_min,
-        out: view.out(),
+        out: view.count_out(),
         reserve: format!("{:?}", view.budget.reserve).to_lowercase(),
         decided_by: state
             .owner(&pool.name, &alive)
@@ -272,7 +272,7 @@
     Some(WaveView {
         id: id.to_string(),
         row: row.clone(),
-        left: state.wave_left(id),
+        left: state.count_hosts_left(id),
     })
 }
 
