--- a/src/core/drain.rs
+++ b/src/core/drain.rs
@@ -92,7 +92,7 @@
         let mut row = self.next_row(h, now, &format!("drain: {why}"));
         row.state = HostState::Draining;
         row.purpose = grant.purpose;
-        row.boots = h.fact.as_ref().map_or(0, |f| f.boots);
+        row.boots = h.info.as_ref().map_or(0, |i| i.boots);
         if grant.wave.is_some() {
             row.wave = grant.wave;
         }
@@ -165,11 +165,13 @@
         let drain_ms = self.tuning.drain_ms;
         let host = &mut self.hosts[key];
         let draining_ms = now.wall_ms.saturating_sub(host.row.since_ms);
-        let logged = host.asked_ms.is_some_and(|t| t + HELD_LOG_MS > now.ms);
-        if draining_ms < drain_ms || logged {
+        let logged_recently = host
+            .last_order_or_log_ms
+            .is_some_and(|t| t + HELD_LOG_MS > now.ms);
+        if draining_ms < drain_ms || logged_recently {
             return;
         }
-        host.asked_ms = Some(now.ms);
+        host.last_order_or_log_ms = Some(now.ms);
         let why = format!("held by {}", held_by.join(", "));
         let d = Decision::new(Code::DrainHeld, Subject::Host, &host.id, why)
             .with("draining_ms", draining_ms);
@@ -181,7 +183,7 @@
         let why = "every entry let go, no task is left";
         let mut row = self.next_row(host, now, &format!("out: {why}"));
         row.state = HostState::Out;
-        row.boots = host.fact.as_ref().map_or(row.boots, |f| f.boots);
+        row.boots = host.info.as_ref().map_or(row.boots, |i| i.boots);
         let line = Decision::new(Code::HostLetGo, Subject::Host, &host.id, why)
             .with("mark_seq", host.version);
         let puts = vec![self.put_host(host, &row)];
@@ -224,16 +226,18 @@
         if host.row.purpose != Purpose::Maintenance {
             return;
         }
-        let boots = host.fact.as_ref().map_or(0, |f| f.boots);
+        let boots = host.info.as_ref().map_or(0, |i| i.boots);
         if boots > host.row.boots && host.is_live() {
             self.mark_returning(key, boots, now, out);
             return;
         }
-        let asked = host.asked_ms.is_some_and(|t| t + reboot_ms > now.ms);
-        if asked {
+        let ordered_recently = host
+            .last_order_or_log_ms
+            .is_some_and(|t| t + reboot_ms > now.ms);
+        if ordered_recently {
             return;
         }
-        host.asked_ms = Some(now.ms);
+        host.last_order_or_log_ms = Some(now.ms);
         // The row's version identifies this maintenance, so a repeated order has no further effect.
         let token = format!("{}-{}", host.id, host.version);
         let id = host.id.clone();
@@ -251,7 +255,7 @@
     /// Forgets a reboot order that the platform did not accept, so that the next tick sends the order again.
     pub(super) fn forget_reboot_order(&mut self, host: &str) {
         if let Some(key) = self.host_ids.get(host) {
-            self.hosts[*key].asked_ms = None;
+            self.hosts[*key].last_order_or_log_ms = None;
         }
     }
 
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -86,7 +86,7 @@
         {
             return;
         }
-        let tick_ms = self.tick_ms;
+        let last_tick_ms = self.last_tick_ms;
         let Some(key) = self.host_ids.get(&report.host) else {
             return;
         };
@@ -99,7 +99,7 @@
             TaskState::Failed if !host.failed_jobs.contains(&report.job) => {
                 host.failed_jobs.push(report.job.clone());
                 if host.failed_jobs.len() >= FAILING_JOBS && host.failing_since_ms.is_none() {
-                    host.failing_since_ms = Some(tick_ms);
+                    host.failing_since_ms = Some(last_tick_ms);
                     let why = "several different jobs failed on this host in a row";
                     let d = Decision::new(Code::HostFailsJobs, Subject::Host, &host.id, why);
                     out.push(Effect::Log(d.with("jobs", host.failed_jobs.len() as u64)));
@@ -200,17 +200,17 @@
             None => {}
         }
         let due = self.jobs[key]
-            .asked_ms
+            .last_order_ms
             .is_none_or(|t| t + ORDER_INTERVAL_MS <= now.ms);
         if !due {
             return;
         }
         if self.jobs[key].stopping || self.must_stop(key) {
             self.jobs[key].stopping = true;
-            self.jobs[key].asked_ms = Some(now.ms);
+            self.jobs[key].last_order_ms = Some(now.ms);
             out.push(Effect::StopTask(task));
         } else if !self.jobs[key].start_confirmed && self.reports_known {
-            self.jobs[key].asked_ms = Some(now.ms);
+            self.jobs[key].last_order_ms = Some(now.ms);
             out.push(Effect::StartTask(self.task_start(key)));
         }
     }
@@ -340,7 +340,7 @@
                 // Only a stop makes sure that this attempt never starts. It may be fenced by a stop whose answer was
                 // lost, or by an entry that crashed before it could record the stop.
                 self.jobs[key].stopping = true;
-                self.jobs[key].asked_ms = Some(now.ms);
+                self.jobs[key].last_order_ms = Some(now.ms);
                 out.push(Effect::StopTask(task.clone()));
             }
             _ => {}
--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -71,7 +71,7 @@
     /// Returns the sorted names of the entries considered alive, with this one unless it is stopping.
     pub fn alive_entries(&self) -> Vec<&str> {
         let peer_ms = self.tuning.peer_ms;
-        let heard = |m: &Member| m.heard_ms.is_some_and(|t| t + peer_ms > self.tick_ms);
+        let heard = |m: &Member| m.heard_ms.is_some_and(|t| t + peer_ms > self.last_tick_ms);
         let mut names: Vec<&str> = self
             .members
             .iter()
--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -89,17 +89,17 @@
         let p = &self.pools[pool];
         let services = &self.config.pools.get(&p.name)?.services;
         let suits = |h: &Host| {
-            let fact = h.fact.as_ref();
+            let info = h.info.as_ref();
             services
                 .iter()
-                .all(|s| fact.is_some_and(|f| f.backends.iter().any(|b| b.service == *s)))
+                .all(|s| info.is_some_and(|i| i.backends.iter().any(|b| b.service == *s)))
         };
         let in_rack = |h: &Host| {
-            let same = |k: &&HostKey| self.hosts[**k].place() == h.place();
+            let same = |k: &&HostKey| self.hosts[**k].hall_and_rack() == h.hall_and_rack();
             p.members.iter().filter(same).count()
         };
         let in_hall = |h: &Host| {
-            let same = |k: &&HostKey| self.hosts[**k].place().0 == h.place().0;
+            let same = |k: &&HostKey| self.hosts[**k].hall_and_rack().0 == h.hall_and_rack().0;
             p.members.iter().filter(same).count()
         };
         self.host_ids
@@ -112,7 +112,7 @@
             })
             .min_by_key(|k| {
                 let h = &self.hosts[*k];
-                let cores = h.fact.as_ref().map_or(0, |f| f.cores);
+                let cores = h.info.as_ref().map_or(0, |i| i.cores);
                 (
                     self.awaits_wave(*k),
                     in_rack(h),
@@ -181,10 +181,10 @@
 
     /// Whether a free host takes requests because no pool for one of its services has any host yet.
     pub(super) fn serves_unassigned(&self, host: &Host) -> bool {
-        let Some(fact) = &host.fact else {
+        let Some(info) = &host.info else {
             return false;
         };
-        fact.backends.iter().any(|b| {
+        info.backends.iter().any(|b| {
             !self.pools.values().any(|p| {
                 let config = self.config.pools.get(&p.name);
                 let serves = config.is_some_and(|c| c.services.contains(&b.service));
@@ -201,8 +201,8 @@
             .map(|k| self.pools[*k].members.clone())
             .unwrap_or_default();
         let fits = |h: &Host| {
-            let fact = h.fact.as_ref();
-            fact.is_some_and(|f| f.cores >= cores && f.memory_mb >= memory_mb)
+            let info = h.info.as_ref();
+            info.is_some_and(|i| i.cores >= cores && i.memory_mb >= memory_mb)
         };
         if members.is_empty() {
             return self.hosts.values().any(fits);
@@ -262,8 +262,8 @@
             return None;
         }
         let fits = |k: &HostKey| {
-            let fact = self.hosts[*k].fact.as_ref();
-            fact.is_some_and(|f| f.cores >= row.spec.cores && f.memory_mb >= row.spec.memory_mb)
+            let info = self.hosts[*k].info.as_ref();
+            info.is_some_and(|i| i.cores >= row.spec.cores && i.memory_mb >= row.spec.memory_mb)
         };
         self.suitable_hosts(job, now)
             .filter(|k| !reserved.contains(k) && fits(k))
@@ -285,8 +285,8 @@
     /// `None` if the host is not live.
     fn free_capacity(&self, host: HostKey, class: Class, cores_needed: u32) -> Option<(u32, u64)> {
         let h = &self.hosts[host];
-        let fact = h.fact.as_ref().filter(|f| f.life == HostStatus::Live)?;
-        let (mut cores, mut memory_mb) = (fact.cores, fact.memory_mb);
+        let info = h.info.as_ref().filter(|i| i.life == HostStatus::Live)?;
+        let (mut cores, mut memory_mb) = (info.cores, info.memory_mb);
         let mut others = 0;
         let placing = self.placing.iter().filter(|(_, at)| **at == h.id);
         let coming = placing.map(|(job, _)| *job);
@@ -297,9 +297,9 @@
             others += 1;
         }
         // A batch job that needs more than the batch share may have an empty host, since it could never run otherwise.
-        let alone = others == 0 && cores_needed > fact.cores - fact.cores / BATCH_RESERVE_DIVISOR;
+        let alone = others == 0 && cores_needed > info.cores - info.cores / BATCH_RESERVE_DIVISOR;
         if class == Class::Batch && !alone {
-            cores = cores.saturating_sub(fact.cores / BATCH_RESERVE_DIVISOR);
+            cores = cores.saturating_sub(info.cores / BATCH_RESERVE_DIVISOR);
         }
         Some((cores, memory_mb))
     }
--- a/src/core/reduce.rs
+++ b/src/core/reduce.rs
@@ -88,11 +88,11 @@
 }
 
 fn tick(state: &mut State, published_seq: u64, busy: Vec<String>, now: Now, out: &mut Vec<Effect>) {
-    let gap_ms = now.ms.saturating_sub(state.tick_ms);
-    if state.tick_ms > 0 && gap_ms >= state.tuning.pause_ms {
+    let gap_ms = now.ms.saturating_sub(state.last_tick_ms);
+    if state.last_tick_ms > 0 && gap_ms >= state.tuning.pause_ms {
         handle_pause(state, gap_ms, out);
     }
-    state.tick_ms = now.ms;
+    state.last_tick_ms = now.ms;
     state.published_seq = state.published_seq.max(published_seq);
     state.busy = busy;
     state.watch_members(now, out);
@@ -288,7 +288,7 @@
     state.sponsor(&digest, out);
     let hosts = match digest.hosts_known {
         true => Vec::new(),
-        false => state.host_facts(),
+        false => state.host_infos(),
     };
     state.apply_digest(digest, now.ms, out);
     let (rows, seq) = state.rows_changed_after(since, PEER_ROWS_MAX);
@@ -315,8 +315,8 @@
         }
     }
 
-    fn host_facts(&self) -> Vec<HostInfo> {
-        self.hosts.values().filter_map(|h| h.fact.clone()).collect()
+    fn host_infos(&self) -> Vec<HostInfo> {
+        self.hosts.values().filter_map(|h| h.info.clone()).collect()
     }
 
     /// Sends a transaction and locks its rows until its outcome is in the view.
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -64,19 +64,19 @@
         }
         for key in self.host_ids.values() {
             let host = &self.hosts[*key];
-            let Some(fact) = &host.fact else { continue };
+            let Some(info) = &host.info else { continue };
             let open = matches!(host.row.state, HostState::Serving | HostState::Free);
-            for b in &fact.backends {
+            for b in &info.backends {
                 let known = services
                     .entry(b.service.clone())
                     .or_insert_with(|| RouteService::new(Service::new(&b.service)));
-                if fact.life == HostStatus::Live
+                if info.life == HostStatus::Live
                     && open
                     && self.takes_requests_for(host, &b.service)
                 {
                     known.backends.push(BackendSpec {
                         host: host.id.clone(),
-                        hall: fact.hall.clone(),
+                        hall: info.hall.clone(),
                         address: b.address,
                         slots: b.slots,
                         connections: b.connections,
--- a/src/core/rows.rs
+++ b/src/core/rows.rs
@@ -1,6 +1,6 @@
 //! The rows that entries keep in the platform's table, and their keys.
 //!
-//! All modules of the core read and write these types. They are stored as JSON.
+//! The decisions of an entry read and write these rows. The table stores them as JSON.
 
 use serde::{Deserialize, Serialize};
 
@@ -139,7 +139,7 @@
     pub purpose: Purpose,
     /// The last wave that took it.
     pub wave: Option<String>,
-    /// The platform's count of its boots when it began to drain or went out.
+    /// The platform's count of its boots when it last began to drain, went out or came back.
     pub boots: u64,
     /// Wall-clock time of the row's last change.
     pub since_ms: Millis,
@@ -285,7 +285,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryState {
-    /// Registered; a draining host waits until it has released it.
+    /// Registered; a draining host is not rebooted or moved before this entry has released the host.
     Live,
     /// Shut down, or confirmed by an operator to have ended.
     Left,
@@ -302,7 +302,7 @@
     pub peer: String,
     /// Name of its data hall.
     pub hall: String,
-    /// Number of the table's changes up to which its routes include them.
+    /// The table's sequence number up to which its routes include all changes.
     pub view_seq: u64,
     /// Leaving hosts on which it has requests in flight.
     pub busy: Vec<String>,
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -39,8 +39,8 @@
 pub struct Host {
     /// Id under which the platform lists the host.
     pub id: String,
-    /// The host's entry in the platform's list; `None` if the platform does not list it.
-    pub fact: Option<HostInfo>,
+    /// The host as the platform lists it; `None` if the platform does not list the host.
+    pub info: Option<HostInfo>,
     /// The host's row in the table; the default if there is none.
     pub row: HostRow,
     /// Version of the row, 0 if there is none.
@@ -49,8 +49,8 @@
     pub gone_since_ms: Option<Millis>,
     /// When this entry first saw the current version of the row.
     pub row_seen_ms: Millis,
-    /// When this entry last ordered the host's reboot, or logged what holds its drain.
-    pub asked_ms: Option<Millis>,
+    /// When this entry last ordered the host's reboot, or logged what holds up its drain.
+    pub last_order_or_log_ms: Option<Millis>,
     /// Different jobs that failed here since the last success, the latest last.
     pub failed_jobs: Vec<String>,
     /// When jobs began to avoid the host because several of them had failed here.
@@ -60,9 +60,9 @@
 impl Host {
     /// Whether the platform lists it as live.
     pub fn is_live(&self) -> bool {
-        self.fact
+        self.info
             .as_ref()
-            .is_some_and(|f| f.life == HostStatus::Live)
+            .is_some_and(|i| i.life == HostStatus::Live)
     }
 
     /// Whether it serves its pool and is live.
@@ -76,10 +76,10 @@
         self.row.state == HostState::Draining && leaves
     }
 
-    /// Returns hall and rack, both empty while the platform does not list the host.
-    pub fn place(&self) -> (&str, &str) {
-        match &self.fact {
-            Some(f) => (&f.hall, &f.rack),
+    /// Returns the names of the hall and the rack, both empty while the platform does not list the host.
+    pub fn hall_and_rack(&self) -> (&str, &str) {
+        match &self.info {
+            Some(i) => (&i.hall, &i.rack),
             None => ("", ""),
         }
     }
@@ -88,7 +88,7 @@
 /// A pool's row and members. Its size and budget are in the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    /// Name of the pool in the configuration.
+    /// Name of the pool in the configuration and in the rows of its hosts.
     pub name: String,
     /// The pool's row in the table; the default if there is none.
     pub row: PoolRow,
@@ -110,7 +110,7 @@
     /// Version of the row.
     pub version: u64,
     /// When this entry last ordered a start or a stop of the current attempt.
-    pub asked_ms: Option<Millis>,
+    pub last_order_ms: Option<Millis>,
     /// Whether the platform confirmed the start of the current attempt to this entry.
     pub start_confirmed: bool,
     /// Whether a stop was ordered, which ends the current attempt or keeps it from ever starting.
@@ -150,10 +150,10 @@
     pub tuning: Tuning,
     /// Seeded random generator, so that a run can be repeated.
     pub rng: fastrand::Rng,
-    /// Number of the table's changes up to which this entry has all rows.
+    /// The table's sequence number up to which this entry has all rows.
     pub seq: u64,
     /// Undecoded rows by key, to answer peers with.
-    pub raw: HashMap<String, Row>,
+    pub raw_rows: HashMap<String, Row>,
     /// Row keys by version, to find the rows that a peer lacks.
     pub row_keys_by_version: BTreeMap<u64, String>,
     /// All hosts that have a row or are listed by the platform.
@@ -178,7 +178,7 @@
     pub sponsored: BTreeMap<String, Sponsored>,
     /// Whether a peer that gave this entry its view sponsors it until it is registered.
     pub is_sponsored: bool,
-    /// Entries that the platform reports as ended for certain.
+    /// Entries whose host the platform has certainly ended.
     pub ended_entries: Vec<String>,
     /// The configuration in force.
     pub config: Arc<Config>,
@@ -190,9 +190,9 @@
     pub reads: Reads,
     /// When the host list and the task reports may be read next.
     pub lists_next_ms: Millis,
-    /// Whether the host list was read at least once.
+    /// Whether a host list was received at least once, from the platform or from a peer.
     pub hosts_known: bool,
-    /// Number of the last task report read.
+    /// The sequence number up to which all task reports were read.
     pub reports_seq: u64,
     /// Whether the task reports were read at least once.
     pub reports_known: bool,
@@ -203,8 +203,8 @@
     /// Whether neither the table nor a peer has confirmed the view for too long.
     pub isolated: bool,
     /// Time of the last tick.
-    pub tick_ms: Millis,
-    /// Number of the table's changes up to which the routes in force include them.
+    pub last_tick_ms: Millis,
+    /// The table's sequence number up to which the routes in force include all changes.
     pub published_seq: u64,
     /// Leaving hosts on which this entry has requests in flight.
     pub busy: Vec<String>,
@@ -212,7 +212,8 @@
     pub ack_written_ms: Millis,
     /// Transactions whose outcome is not known yet.
     pub pending: SlotMap<TxnKey, Pending>,
-    /// Rows that a transaction of this entry changes, with the change number that the view must reach to unlock them.
+    /// Rows that a transaction of this entry changes, with the sequence number that the view must reach to
+    /// unlock them.
     pub locked: HashMap<String, u64>,
     /// Operators' `apply` requests that met a conflict, to be answered with what changed.
     pub lost_applies: Vec<(Ticket, Arc<Config>, u64)>,
@@ -239,7 +240,7 @@
             tuning,
             rng: fastrand::Rng::with_seed(seed),
             seq: 0,
-            raw: HashMap::new(),
+            raw_rows: HashMap::new(),
             row_keys_by_version: BTreeMap::new(),
             hosts: SlotMap::with_key(),
             host_ids: BTreeMap::new(),
@@ -264,7 +265,7 @@
             reports: HashMap::new(),
             confirmed_ms: 0,
             isolated: false,
-            tick_ms: 0,
+            last_tick_ms: 0,
             published_seq: 0,
             busy: Vec::new(),
             ack_written_ms: 0,
@@ -296,14 +297,14 @@
     /// Stores rows from a read or from a peer, and ignores those that are not newer than the known ones.
     pub fn apply_rows(&mut self, rows: Vec<Row>, upto: u64, now_ms: Millis, out: &mut Vec<Effect>) {
         for row in rows {
-            let known = self.raw.get(&row.key).map_or(0, |r| r.version);
+            let known = self.raw_rows.get(&row.key).map_or(0, |r| r.version);
             if row.version <= known {
                 continue;
             }
             self.row_keys_by_version.remove(&known);
             self.row_keys_by_version
                 .insert(row.version, row.key.clone());
-            self.raw.insert(row.key.clone(), row.clone());
+            self.raw_rows.insert(row.key.clone(), row.clone());
             self.apply_row(&row, now_ms, out);
         }
         self.seq = self.seq.max(upto);
@@ -315,7 +316,7 @@
         let Some((space, name)) = row.key.split_once('/') else {
             return;
         };
-        let taken = match space {
+        let applied = match space {
             "host" => self.apply_host_row(row, name, now_ms),
             "pool" => self.apply_pool_row(row, name),
             "wave" => self.apply_wave_row(row, name),
@@ -324,7 +325,7 @@
             "config" if row.key == HEAD_KEY => self.apply_head_row(row, out),
             _ => Ok(()),
         };
-        if let Err(why) = taken {
+        if let Err(why) = applied {
             let d = Decision::new(Code::BadRow, Subject::Entry, &self.me.name, why)
                 .with("version", row.version);
             out.push(Effect::Log(d));
@@ -338,7 +339,7 @@
             host.row = body.unwrap_or_default();
             host.version = row.version;
             host.row_seen_ms = now_ms;
-            host.asked_ms = None;
+            host.last_order_or_log_ms = None;
         }
         self.rebuild_members();
         self.routes_dirty = true;
@@ -390,7 +391,7 @@
                 if job.row.attempt != body.attempt || job.row.state != body.state {
                     job.start_confirmed = false;
                     job.stopping = false;
-                    job.asked_ms = None;
+                    job.last_order_ms = None;
                 }
                 job.row = body;
                 job.version = row.version;
@@ -400,7 +401,7 @@
                     id: id.to_string(),
                     row: body,
                     version: row.version,
-                    asked_ms: None,
+                    last_order_ms: None,
                     start_confirmed: false,
                     stopping: false,
                 });
@@ -465,12 +466,12 @@
         }
         let key = self.hosts.insert(Host {
             id: id.to_string(),
-            fact: None,
+            info: None,
             row: HostRow::default(),
             version: 0,
             gone_since_ms: None,
             row_seen_ms: 0,
-            asked_ms: None,
+            last_order_or_log_ms: None,
             failed_jobs: Vec::new(),
             failing_since_ms: None,
         });
@@ -511,20 +512,20 @@
     }
 
     /// Stores the platform's list of hosts.
-    pub fn apply_host_list(&mut self, facts: Vec<HostInfo>, now_ms: Millis, out: &mut Vec<Effect>) {
+    pub fn apply_host_list(&mut self, infos: Vec<HostInfo>, now_ms: Millis, out: &mut Vec<Effect>) {
         let mut listed = std::collections::HashSet::new();
-        for fact in facts {
-            listed.insert(fact.id.clone());
-            let key = self.find_or_add_host(&fact.id);
+        for info in infos {
+            listed.insert(info.id.clone());
+            let key = self.find_or_add_host(&info.id);
             if let Some(host) = self.hosts.get_mut(key) {
-                if host.fact.as_ref() != Some(&fact) {
+                if host.info.as_ref() != Some(&info) {
                     self.routes_dirty = true;
                 }
-                host.fact = Some(fact);
+                host.info = Some(info);
             }
         }
         for host in self.hosts.values_mut() {
-            if !listed.contains(&host.id) && host.fact.take().is_some() {
+            if !listed.contains(&host.id) && host.info.take().is_some() {
                 self.routes_dirty = true;
             }
             let gone = !host.is_live();
@@ -544,14 +545,15 @@
         self.hosts_known = true;
     }
 
-    /// Returns at most `rows_max` rows that changed after `since`, and the change number up to which they are complete.
+    /// Returns at most `rows_max` rows that changed after `since`, and the sequence number up to which they are
+    /// complete.
     pub fn rows_changed_after(&self, since: u64, rows_max: usize) -> (Vec<Row>, u64) {
         let mut rows = Vec::new();
         for (version, key) in self.row_keys_by_version.range(since + 1..) {
             if rows.len() == rows_max {
                 return (rows, version - 1);
             }
-            rows.extend(self.raw.get(key).cloned());
+            rows.extend(self.raw_rows.get(key).cloned());
         }
         (rows, self.seq)
     }
--- a/src/core/wave.rs
+++ b/src/core/wave.rs
@@ -64,7 +64,7 @@
             let h = &self.hosts[*key];
             let next = racks.len();
             members.push(Member {
-                rack: *racks.entry(h.place()).or_insert(next),
+                rack: *racks.entry(h.hall_and_rack()).or_insert(next),
                 serving: h.is_serving(),
                 out: h.row.state != HostState::Serving,
             });
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -173,7 +173,7 @@
             state: member_state.to_string(),
             config_version: digest.map_or(0, |d| d.config_version),
             view_seq: digest.map_or(0, |d| d.view_seq),
-            silent_ms: m.heard_ms.map(|t| state.tick_ms.saturating_sub(t)),
+            silent_ms: m.heard_ms.map(|t| state.last_tick_ms.saturating_sub(t)),
         });
     }
     let shared = &control.shared;
@@ -207,7 +207,7 @@
 
 fn template_view(state: &State) -> TemplateView {
     let head = state
-        .raw
+        .raw_rows
         .get(HEAD_KEY)
         .and_then(|r| decode::<HeadRow>(r).ok().flatten());
     TemplateView {
@@ -244,13 +244,13 @@
 
 fn host_view(state: &State, key: HostKey) -> HostView {
     let host = &state.hosts[key];
-    let life = match host.fact.as_ref().map(|f| f.life) {
+    let life = match host.info.as_ref().map(|i| i.life) {
         Some(HostStatus::Live) => "live",
         Some(HostStatus::Leaving) => "leaving",
         Some(HostStatus::Gone) => "gone",
         None => "unlisted",
     };
-    let (hall, rack) = host.place();
+    let (hall, rack) = host.hall_and_rack();
     let jobs = state.jobs_on(&host.id);
     let held_by = match host.row.state {
         HostState::Draining => state.holders(host),
