--- a/src/core/config.rs
+++ b/src/core/config.rs
@@ -1,6 +1,7 @@
 //! The configuration: services, accounts, pool templates and the parameters that accounts fill in.
 //!
-//! Operators write it as TOML. [`parse`] checks a whole text, and an entry accepts or adopts it as a whole.
+//! Operators write it as TOML. [`parse`] checks a whole text, which an entry accepts from an operator or adopts from
+//! the table.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -1,4 +1,6 @@
 //! The input and output of the reducer: events that happen to an entry, and effects to be performed for it.
+//!
+//! The entry's control thread creates the events and carries out the effects.
 
 use std::sync::Arc;
 
--- a/src/core/health.rs
+++ b/src/core/health.rs
@@ -17,7 +17,7 @@
 const RAMP_MS: Millis = 5_000;
 
 /// Maximum percentage of a service's backend servers that are ejected at once. If more of them fail, the cause is
-/// more likely this entry or common to all, and further ejections would leave no backend server.
+/// more likely this entry or a fault common to all of them, and further ejections would leave no backend server.
 const EJECTED_MAX_PERCENT: usize = 50;
 
 /// Time for which a backend server counts as full after a refusal; each further refusal in a row doubles it.
--- a/src/core/job.rs
+++ b/src/core/job.rs
@@ -337,8 +337,8 @@
         match answer {
             Some(OrderAnswer::Accepted) => self.jobs[key].start_confirmed = true,
             Some(OrderAnswer::NoHost | OrderAnswer::Fenced) => {
-                // Only a stop makes sure that this attempt never starts. It may be fenced by a stop whose answer was
-                // lost, or by an entry that crashed before it could record the stop.
+                // Only a stop makes sure that this attempt never starts. The attempt may be fenced by a stop whose
+                // answer was lost, or by an entry that crashed before it could record the stop.
                 self.jobs[key].stopping = true;
                 self.jobs[key].last_order_ms = Some(now.ms);
                 out.push(Effect::StopTask(task.clone()));
--- a/src/core/retry.rs
+++ b/src/core/retry.rs
@@ -1,4 +1,6 @@
 //! Retries: pauses that grow with jitter, and a budget of retries as a share of the traffic.
+//!
+//! The reducer pauses between failed reads of the table, and the traffic threads spend the budget on repeated requests.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
--- a/src/core/tuning.rs
+++ b/src/core/tuning.rs
@@ -1,4 +1,6 @@
 //! The identity of an entry, and the intervals and timeouts of its decisions.
+//!
+//! The control thread fills in both when the entry starts, and the reducer's state keeps them unchanged.
 
 use crate::clock::{Millis, SECOND_MS};
 
