--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -64,16 +64,19 @@
         }
         for key in self.host_ids.values() {
             let host = &self.hosts[*key];
-            let Some(fact) = &host.fact else { continue };
+            let Some(info) = &host.info else { continue };
             let open = matches!(host.row.state, HostState::Serving | HostState::Free);
-            for b in &fact.backends {
+            for b in &info.backends {
                 let known = services
                     .entry(b.service.clone())
                     .or_insert_with(|| RouteService::new(Service::new(&b.service)));
-                if fact.life == HostStatus::Live && open && self.belongs(host, &b.service) {
+                if info.life == HostStatus::Live
+                    && open
+                    && self.takes_requests_for(host, &b.service)
+                {
                     known.backends.push(BackendSpec {
                         host: host.id.clone(),
-                        hall: fact.hall.clone(),
+                        hall: info.hall.clone(),
                         address: b.address,
                         slots: b.slots,
                         connections: b.connections,
@@ -91,9 +94,9 @@
 
     /// Whether a host's backend server for `service` takes that service's requests.
     ///
-    /// It does if the host's pool has the service. While no pool with the service has a host yet, the free hosts take
-    /// its requests, so that a fleet can be taken under management while it serves.
-    fn belongs(&self, host: &Host, service: &str) -> bool {
+    /// The backend server takes them if the host's pool has the service. While no pool with the service has a host yet,
+    /// the free hosts take its requests, so that a fleet can be taken under management while it serves.
+    fn takes_requests_for(&self, host: &Host, service: &str) -> bool {
         let serves = |pool: &str| {
             self.config
                 .pools
