--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -32,8 +32,8 @@
 /// The longest sleep of the event loop while nothing is due.
 const IDLE_MS: Millis = 1_000;
 
-/// Shorter suspensions are not logged: the two clocks are read one after the other, so small differences mean
-/// nothing.
+/// The shortest suspension of the host that is logged. The suspended time is the difference of two clocks that are read
+/// one after the other, so small values mean nothing.
 const SUSPENSION_MS: Millis = 100;
 
 /// Runs effects on the platform and sends their outcomes back to the reducer as events.
@@ -104,10 +104,12 @@
     }
 }
 
-/// Logs a suspension of the host since the last call and returns the total suspended time so far.
+/// Logs how long the host was suspended since the suspended time was `known_ms`. Returns the total suspended time so
+/// far, or `known_ms` if the difference is too small to log.
 ///
-/// It runs before the next event is reduced. Leases, configurations and views that became too old meanwhile are dropped
-/// by their age, which counts the suspended time.
+/// The control thread calls this before it reduces an event, so the log line precedes the decisions that follow.
+/// Leases, configurations and views that became too old during the suspension are dropped by their age, which counts
+/// the suspended time.
 fn log_suspension(shared: &Shared, known_ms: Millis) -> Millis {
     let suspended_ms = shared.clock.suspended_ms();
     let for_ms = suspended_ms.saturating_sub(known_ms);
@@ -141,7 +143,7 @@
     received.or(timer).await
 }
 
-/// Publishes the number of waiting jobs from the heartbeat of a pool's owner to the traffic thread.
+/// Publishes the numbers of waiting jobs in the heartbeat of a pool's owner to the traffic thread.
 fn publish_waiting(shared: &Shared, row: &StoredRow) {
     let Some(value) = row
         .value
@@ -156,7 +158,7 @@
     // The reducer logs a row that can't be decoded.
     if let Ok(heartbeat) = rows::decode::<rows::HeartbeatRow>(value) {
         if let Some(waiting) = heartbeat.waiting {
-            shared.set_waiting(pool, waiting);
+            shared.set_waiting_counts(pool, waiting);
         }
     }
 }
@@ -353,7 +355,7 @@
     }
 }
 
-/// Whether the authority behind an order is still valid.
+/// Whether the owner's lease, on which an order is sent, is still valid.
 fn may_send(shared: &Shared, order: &Order) -> bool {
     shared.clock.now_ms() < order.until_ms
 }
--- a/src/serve/feeds.rs
+++ b/src/serve/feeds.rs
@@ -1,4 +1,4 @@
-//! Feeds: follow the store's tables and send every change to the control thread as an event.
+//! Follows the store's tables and sends every change to the control thread as an event.
 //!
 //! The control thread starts one task per feed: the operator's table, workers, owners, waves and intake. The operator's
 //! feed also decides whether the store counts as reachable.
@@ -23,7 +23,7 @@
 };
 use crate::util::join_all;
 
-/// How long the store may delay the answer to a feed that has no changes. It also bounds the time until an entry
+/// How long the store may delay the answer to a feed that has no changes. This wait also bounds the time until an entry
 /// notices that the store refuses its calls.
 const FEED_WAIT_MS: Millis = 1_000;
 
@@ -39,7 +39,7 @@
 const PROBE_TIMEOUT_MS: Millis = 300;
 
 /// The pause after a failed read. Up to the same time is added at random, so that entries do not retry together.
-const RETRY_MS: Millis = 100;
+const RETRY_PAUSE_MS: Millis = 100;
 
 /// The pause after an answer of the owners feed: each answer costs CPU time, so heartbeats are batched.
 const OWNERS_PAUSE_MS: Millis = 250;
@@ -75,7 +75,7 @@
 }
 
 async fn pause_after_failure() {
-    pause(RETRY_MS + fastrand::u64(0..RETRY_MS)).await;
+    pause(RETRY_PAUSE_MS + fastrand::u64(0..RETRY_PAUSE_MS)).await;
 }
 
 /// Sends an event to the control thread, whose receiver is closed only when the process ends.
@@ -104,20 +104,21 @@
                 Some(revision) => platform.operator_feed(revision, call_wait_ms).await,
             }
         };
-        let unanswered_call = async {
-            shared.wait_for_unanswered().await;
+        let unanswered_transaction = async {
+            shared.wait_for_unanswered_transaction().await;
             Err(ReadError::Down)
         };
         let result = match is_store_up {
-            // A transaction without an answer ends the wait early, to check the store at once.
-            true => call.or(unanswered_call).await,
+            // A transaction without an answer ends the wait early, so that the store is checked at once.
+            true => call.or(unanswered_transaction).await,
             false => call.await,
         };
-        let answers = result.is_ok() || result.as_ref().err() == Some(&ReadError::HistoryGone);
-        shared.set_operator_answers(answers);
+        let is_operator_table_up =
+            result.is_ok() || result.as_ref().err() == Some(&ReadError::HistoryGone);
+        shared.set_operator_table_up(is_operator_table_up);
         // The operator's partition may be the only one that is down.
-        is_store_up = answers || probe_other_parts(&platform, &shared).await;
-        if set_store_answers(&shared, is_store_up) {
+        is_store_up = is_operator_table_up || probe_other_parts(&platform, &shared).await;
+        if record_store_up(&shared, is_store_up) {
             send(&events, Event::Store(is_store_up)).await;
         }
         since = match result {
@@ -142,7 +143,8 @@
     }
 }
 
-/// Whether the store answers a read of one of a few partitions, drawn at random among the pools' shards.
+/// Reads from [`PROBES`] shards, drawn at random among those of all pools, and returns whether the store answers any of
+/// these reads.
 async fn probe_other_parts<P: Rows>(platform: &P, shared: &Shared) -> bool {
     let pools = shared.pools();
     if pools.is_empty() {
@@ -170,11 +172,11 @@
 }
 
 /// Records whether the store answers, logs a change and returns whether there was one.
-fn set_store_answers(shared: &Shared, answers: bool) -> bool {
-    if !shared.set_store_answers(answers) {
+fn record_store_up(shared: &Shared, is_up: bool) -> bool {
+    if !shared.set_store_up(is_up) {
         return false;
     }
-    let (code, why) = if answers {
+    let (code, why) = if is_up {
         (Code::StoreFound, "the store answers")
     } else {
         (
@@ -277,11 +279,11 @@
 
 /// Returns the workers that a list shows as present.
 pub(super) fn present_workers(feed: &Feed<WorkerEvent>) -> Vec<crate::port::fleet::WorkerInfo> {
-    let facts = feed.changes.iter().filter_map(|change| match change {
-        WorkerEvent::Present(fact) => Some(fact.clone()),
+    let workers = feed.changes.iter().filter_map(|change| match change {
+        WorkerEvent::Present(worker) => Some(worker.clone()),
         _ => None,
     });
-    facts.collect()
+    workers.collect()
 }
 
 /// Follows the owner rows of all pools, whether or not this entry owns one.
@@ -314,7 +316,8 @@
     }
 }
 
-/// Reads the owner rows of all pools; the feed goes on from the revision of the first read.
+/// Reads the owner rows of all pools. The result carries the revision of the first read, so a feed from there repeats
+/// what has changed during the later reads.
 async fn read_owners<P: Rows>(
     platform: &P,
 ) -> Result<Feed<crate::port::fleet::StoredRow>, ReadError> {
--- a/src/serve/mod.rs
+++ b/src/serve/mod.rs
@@ -30,14 +30,14 @@
 /// How often the main thread checks for signals, and for the end of a stop.
 const SIGNAL_POLL_MS: u64 = 50;
 
-/// How long connections stay open after SIGTERM. The balancer needs two checks, a second apart, before it sends new
-/// requests to other entries, and callers may take 3 s to send one.
+/// How long after SIGTERM connections stay open for requests that are under way. The balancer needs two checks, a
+/// second apart, before it sends new requests to other entries, and callers may take 3 s to send one.
 pub(crate) const KEEP_OPEN_MS: u64 = 3_200;
 
 /// Serves until SIGTERM or SIGINT, and returns when the stop is complete.
 pub fn run(settings: ServeSettings) -> Result<()> {
-    let callers = bind("listen", settings.listen)?;
-    let balancer = bind("ready", settings.ready)?;
+    let caller_listener = bind("listen", settings.listen)?;
+    let readiness_listener = bind("ready", settings.ready)?;
     let metrics_listener = settings.metrics.map(|a| bind("metrics", a)).transpose()?;
     let shared = Arc::new(Shared::new(settings, Log::new()?));
     log_start(&shared);
@@ -45,19 +45,26 @@
     let traffic = Arc::clone(&shared);
     std::thread::Builder::new()
         .name("traffic".to_string())
-        .spawn(move || traffic::run(&traffic, callers, balancer, metrics_listener))
+        .spawn(move || {
+            traffic::run(
+                &traffic,
+                caller_listener,
+                readiness_listener,
+                metrics_listener,
+            )
+        })
         .map_err(|e| Error::Io("traffic thread".to_string(), e))?;
     let control = Arc::clone(&shared);
     std::thread::Builder::new()
         .name("control".to_string())
-        .spawn(move || control::run(platform(&control), &control, stop_receiver))
+        .spawn(move || control::run(new_platform(&control), &control, stop_receiver))
         .map_err(|e| Error::Io("control thread".to_string(), e))?;
-    smol::block_on(until_stopped(&shared, stop_sender))?;
+    smol::block_on(wait_until_stopped(&shared, stop_sender))?;
     shared.log.close();
     Ok(())
 }
 
-fn platform(shared: &Shared) -> Platform {
+fn new_platform(shared: &Shared) -> Platform {
     Platform::new(shared.settings.store, shared.settings.hosts)
 }
 
@@ -100,9 +107,10 @@
     Ok(signal_flag)
 }
 
-/// Waits for SIGTERM or SIGINT and then for the end of the stop. The entry is not ready and gives up its pools at once,
-/// and callers are answered until their connections are closed or the time is over.
-async fn until_stopped(shared: &Shared, stop_sender: smol::channel::Sender<()>) -> Result<()> {
+/// Waits for SIGTERM or SIGINT and then until the process may end. After the signal, the entry reports at once that it
+/// is not ready and releases its pools; callers are answered until their connections are closed or the time for a stop
+/// is over.
+async fn wait_until_stopped(shared: &Shared, stop_sender: smol::channel::Sender<()>) -> Result<()> {
     let term = signal_flag(signal_hook::consts::SIGTERM)?;
     let int = signal_flag(signal_hook::consts::SIGINT)?;
     let hup = signal_flag(signal_hook::consts::SIGHUP)?;
@@ -122,7 +130,7 @@
         name,
         "signal",
     ));
-    // The control thread ends only with the process; a full channel means that it has the message already.
+    // The control thread ends only with the process; a full channel means that the thread has this message already.
     let _ = stop_sender.try_send(());
     let mut stop = Stop::new();
     loop {
--- a/src/serve/operations.rs
+++ b/src/serve/operations.rs
@@ -1,7 +1,7 @@
 //! Callers' operations on jobs: submit, read, cancel and count.
 //!
 //! They use only rows of the store, so any entry can run them, whether or not it owns the pool. The traffic thread
-//! calls [`carry_out`]; the scans of whole partitions at the end also serve the control thread.
+//! calls [`run_operation`]; the scans of whole partitions at the end also serve the control thread.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -31,17 +31,18 @@
 /// partition that was down for 6 s.
 const READ_PAUSE_MAX_MS: Millis = 500;
 
-/// The number of refusals after which the caller is sent to another entry: two for each of the two partitions.
+/// The number of refusals after which the caller is sent to another entry: two for each of the two partitions of a job.
 const REFUSALS_MAX: u32 = 4;
 
-/// The time after which a caller learns that the outcome of a write is unknown, so that it can try another entry. It is
-/// twice the time of one attempt.
+/// The time after which a caller learns that the outcome of a write is unknown, so that the caller can try another
+/// entry. It is about twice the timeout of one attempt.
 const WRITE_TIMEOUT_MS: Millis = 1_700;
 
 /// The part of a caller's deadline that is reserved for sending the answer.
 const ANSWER_RESERVE_MS: Millis = 100;
 
-/// The usual `retry-after` of a call that was not accepted: the balancer needs two seconds to send it to another entry.
+/// The usual `retry-after` of a call that was not accepted. The balancer needs two seconds until it sends the caller to
+/// another entry.
 const RETRY_AFTER_S: u32 = 1;
 
 /// The longest `retry-after`, given while the store is down. Callers give up after a few tries, and outages on the
@@ -55,17 +56,18 @@
 /// The interval between checks while a submission waits for the store.
 const STORE_POLL_MS: Millis = 25;
 
-/// The greatest age of an owner's count that is given to a caller; callers are promised a count of at most 2 s.
+/// The greatest age of an owner's count that is given to a caller. Callers are promised a count at most 2 s old.
 const COUNT_AGE_MAX_MS: Millis = 1_600;
 
-/// The number of intake partitions that are read in parallel, each over its own connection: it takes four rounds.
+/// The number of intake partitions that are read in parallel, each over its own connection. The partitions of a pool
+/// take four rounds.
 const PARALLEL_PARTS: usize = 16;
 
 /// The largest number of rows in one page of a scan.
 const PAGE_ROWS: u32 = 500;
 
-/// Runs one operation of a caller that arrived at `began_ms`.
-pub(super) async fn carry_out<R: Rows>(
+/// Runs one operation for a call that arrived at `began_ms`, within the deadline of the call.
+pub(super) async fn run_operation<R: Rows>(
     shared: &Shared,
     store: &R,
     request: &Request,
@@ -74,16 +76,16 @@
     let until_ms = began_ms + request.deadline_ms.saturating_sub(ANSWER_RESERVE_MS);
     match &request.operation {
         Operation::Submit(id, spec) => {
-            submit(shared, store, &request.pool, id, spec, until_ms).await
+            submit_job(shared, store, &request.pool, id, spec, until_ms).await
         }
-        Operation::Read(id) => read(shared, store, request, id, until_ms).await,
-        Operation::Cancel(id) => cancel(shared, store, request, id, until_ms).await,
-        Operation::CountWaiting => count(shared, store, request, until_ms).await,
+        Operation::Read(id) => read_job_state(shared, store, request, id, until_ms).await,
+        Operation::Cancel(id) => cancel_job(shared, store, request, id, until_ms).await,
+        Operation::CountWaiting => count_waiting_jobs(shared, store, request, until_ms).await,
     }
 }
 
 /// The outcome of inserting a row that must not exist yet.
-enum Insert {
+enum InsertOutcome {
     Done,
     /// The row existed already, with this content.
     Found(Vec<u8>),
@@ -108,32 +110,32 @@
     }
 }
 
-/// Inserts a row that must not exist yet into one of `parts`. It tries them in turn until the outcome is known, the
-/// store has refused too often, or the time is over.
-async fn insert<R: Rows>(
+/// Inserts a row that must not exist yet into one of `parts`. The partitions are tried in turn until the outcome is
+/// known, the store has refused too often, or the time is over.
+async fn insert_row<R: Rows>(
     shared: &Shared,
     store: &R,
     parts: &[String],
     key: &str,
     value: Vec<u8>,
     until_ms: Millis,
-) -> Insert {
+) -> InsertOutcome {
     let until_ms = until_ms.min(shared.clock.now_ms() + WRITE_TIMEOUT_MS);
     let mut may_be_done = false;
     let mut refusals = 0;
     for part in parts.iter().cycle() {
         let left_ms = until_ms.saturating_sub(shared.clock.now_ms());
         let timeout_max_ms = match parts.len() {
-            // With another partition to try, this one gets only the adaptive timeout and not all the time that is left.
+            // If there is another partition to try, each attempt gets the adaptive timeout and not all the time left.
             2.. => shared.intake_timeout.current_ms(),
             _ => left_ms.max(TX_TIMEOUT_MS),
         };
         let tx = insert_tx(part, key, &value);
         match shared.transact(store, &tx, timeout_max_ms).await {
-            TxOutcome::Committed(_) => return Insert::Done,
+            TxOutcome::Committed(_) => return InsertOutcome::Done,
             TxOutcome::Conflict(found) => {
                 let value = found.into_iter().find_map(|(_, row)| row.value);
-                return value.map_or(Insert::Unsure, Insert::Found);
+                return value.map_or(InsertOutcome::Unsure, InsertOutcome::Found);
             }
             TxOutcome::Unknown => may_be_done = true,
             TxOutcome::Refused => refusals += 1,
@@ -147,12 +149,13 @@
         Timer::after(Duration::from_millis(RETRY_PAUSE_MS)).await;
     }
     match may_be_done {
-        true => Insert::Unsure,
-        false => Insert::NotDone,
+        true => InsertOutcome::Unsure,
+        false => InsertOutcome::NotDone,
     }
 }
 
-/// Waits a moment for a store that does not answer; returns for how long it has been down if it stays down.
+/// Waits up to [`STORE_RECOVERY_WAIT_MS`] for a store that does not answer. Returns how long the store has been down,
+/// or `None` if it answers.
 async fn wait_for_store(shared: &Shared) -> Option<Millis> {
     let until_ms = shared.clock.now_ms() + STORE_RECOVERY_WAIT_MS;
     loop {
@@ -164,7 +167,7 @@
     }
 }
 
-async fn submit<R: Rows>(
+async fn submit_job<R: Rows>(
     shared: &Shared,
     store: &R,
     pool: &str,
@@ -179,20 +182,21 @@
         return Outcome::NotTaken { retry_after_s };
     }
     let parts = intake_parts_of(pool, id);
-    match insert(shared, store, &parts, id, rows::encode(spec), until_ms).await {
-        Insert::Done => Outcome::Accepted,
-        Insert::Found(bytes) => match rows::decode::<JobSpec>(&bytes) {
+    match insert_row(shared, store, &parts, id, rows::encode(spec), until_ms).await {
+        InsertOutcome::Done => Outcome::Accepted,
+        InsertOutcome::Found(bytes) => match rows::decode::<JobSpec>(&bytes) {
             Ok(existing) if existing.account != spec.account => Outcome::NotTaken {
-                // It will never be accepted, but another answer would reveal that another account's job exists.
+                // The job will never be accepted, but any other answer would reveal that this id belongs to a job of
+                // another account.
                 retry_after_s: RETRY_AFTER_MAX_S,
             },
             Ok(existing) if is_same_job(&existing, spec) => Outcome::Accepted,
             _ => Outcome::OtherBody,
         },
-        Insert::NotDone => Outcome::NotTaken {
+        InsertOutcome::NotDone => Outcome::NotTaken {
             retry_after_s: RETRY_AFTER_S,
         },
-        Insert::Unsure => Outcome::Unsure,
+        InsertOutcome::Unsure => Outcome::Unsure,
     }
 }
 
@@ -226,13 +230,13 @@
 
 /// Looks for a job in the pool of its queue, then in all other pools, as the queue may have been moved to another pool
 /// since.
-async fn find<R: Rows>(
+async fn find_job<R: Rows>(
     store: &R,
     pool: &str,
     id: &str,
     timeout_ms: Millis,
 ) -> Result<Option<JobRows>, ReadError> {
-    if let Some(found) = find_in_pool(store, pool, id, timeout_ms).await? {
+    if let Some(found) = find_job_in_pool(store, pool, id, timeout_ms).await? {
         return Ok(Some(found));
     }
     let parts = store.parts(Table::Intake).await?;
@@ -241,32 +245,32 @@
         if other == pool {
             continue;
         }
-        if let Some(found) = find_in_pool(store, other, id, timeout_ms).await? {
+        if let Some(found) = find_job_in_pool(store, other, id, timeout_ms).await? {
             return Ok(Some(found));
         }
     }
     Ok(None)
 }
 
-async fn find_in_pool<R: Rows>(
+async fn find_job_in_pool<R: Rows>(
     store: &R,
     pool: &str,
     id: &str,
     timeout_ms: Millis,
 ) -> Result<Option<JobRows>, ReadError> {
     let [first, second] = intake_parts_of(pool, id);
-    match find_in_part(store, pool, first, id, timeout_ms).await {
+    match find_job_in_part(store, pool, first, id, timeout_ms).await {
         Ok(Some(found)) => Ok(Some(found)),
-        Ok(None) => find_in_part(store, pool, second, id, timeout_ms).await,
-        // The job may be in the partition that can't be read, so only a hit in the other one is an answer.
-        Err(e) => match find_in_part(store, pool, second, id, timeout_ms).await? {
+        Ok(None) => find_job_in_part(store, pool, second, id, timeout_ms).await,
+        // The job may be in the partition that can't be read, so the other one settles the call only if it has the job.
+        Err(e) => match find_job_in_part(store, pool, second, id, timeout_ms).await? {
             Some(found) => Ok(Some(found)),
             None => Err(e),
         },
     }
 }
 
-async fn find_in_part<R: Rows>(
+async fn find_job_in_part<R: Rows>(
     store: &R,
     pool: &str,
     part: String,
@@ -292,7 +296,7 @@
     let owner = owner.map_err(|_| ReadError::Down)?;
     let progress = match progress.rows.into_iter().next() {
         Some(row) => Some(row),
-        None => find_in_other_shards(store, pool, range, timeout_ms).await?,
+        None => find_progress_in_other_shards(store, pool, range, timeout_ms).await?,
     };
     let mut keys = intake.rows.iter().map(|row| &row.key);
     Ok(Some(JobRows {
@@ -303,8 +307,8 @@
     }))
 }
 
-/// Looks for a job's progress in the shards after the first one; few jobs have theirs there.
-async fn find_in_other_shards<R: Rows>(
+/// Looks for a job's progress in the shards after the first one, which hold the progress of few jobs.
+async fn find_progress_in_other_shards<R: Rows>(
     store: &R,
     pool: &str,
     range: Range,
@@ -323,7 +327,7 @@
 
 /// Finds a job that the caller may see, and retries until `until_ms`. Returns `None` if no read succeeds, and
 /// `Some(None)` if there is no job that the caller may see.
-async fn find_until<R: Rows>(
+async fn find_visible_job<R: Rows>(
     shared: &Shared,
     store: &R,
     request: &Request,
@@ -338,7 +342,7 @@
         if timeout_ms == 0 {
             return None;
         }
-        if let Ok(found) = find(store, &request.pool, id, timeout_ms).await {
+        if let Ok(found) = find_job(store, &request.pool, id, timeout_ms).await {
             return Some(found.filter(|job| job.owner.is_visible_to(account)));
         }
         Timer::after(Duration::from_millis(pause_ms)).await;
@@ -346,14 +350,14 @@
     }
 }
 
-async fn read<R: Rows>(
+async fn read_job_state<R: Rows>(
     shared: &Shared,
     store: &R,
     request: &Request,
     id: &str,
     until_ms: Millis,
 ) -> Outcome {
-    let found = match find_until(shared, store, request, id, until_ms).await {
+    let found = match find_visible_job(shared, store, request, id, until_ms).await {
         None => return Outcome::Unsure,
         Some(None) => return Outcome::UnknownJob,
         Some(Some(found)) => found,
@@ -372,14 +376,14 @@
     Outcome::State(recorded)
 }
 
-async fn cancel<R: Rows>(
+async fn cancel_job<R: Rows>(
     shared: &Shared,
     store: &R,
     request: &Request,
     id: &str,
     until_ms: Millis,
 ) -> Outcome {
-    let found = match find_until(shared, store, request, id, until_ms).await {
+    let found = match find_visible_job(shared, store, request, id, until_ms).await {
         None => return Outcome::Unsure,
         Some(None) => return Outcome::UnknownJob,
         Some(Some(found)) => found,
@@ -388,7 +392,7 @@
         return Outcome::Cancelled;
     }
     let parts = [found.part];
-    match insert(
+    match insert_row(
         shared,
         store,
         &parts,
@@ -398,28 +402,28 @@
     )
     .await
     {
-        Insert::Done | Insert::Found(_) => Outcome::Cancelled,
-        Insert::NotDone => Outcome::NotTaken {
+        InsertOutcome::Done | InsertOutcome::Found(_) => Outcome::Cancelled,
+        InsertOutcome::NotDone => Outcome::NotTaken {
             retry_after_s: RETRY_AFTER_S,
         },
-        Insert::Unsure => Outcome::Unsure,
+        InsertOutcome::Unsure => Outcome::Unsure,
     }
 }
 
-async fn count<R: Rows>(
+async fn count_waiting_jobs<R: Rows>(
     shared: &Shared,
     store: &R,
     request: &Request,
     until_ms: Millis,
 ) -> Outcome {
-    if let Some(reported) = shared.waiting(&request.pool) {
-        if shared.clock.now_ms().saturating_sub(reported.seen_ms) <= COUNT_AGE_MAX_MS {
+    if let Some(reported) = shared.waiting_counts(&request.pool) {
+        if shared.clock.now_ms().saturating_sub(reported.received_ms) <= COUNT_AGE_MAX_MS {
             let waiting = reported.by_queue.get(&request.queue).copied().unwrap_or(0);
             return Outcome::Waiting(waiting);
         }
     }
     loop {
-        if let Ok(waiting) = count_rows(store, &request.pool, &request.queue).await {
+        if let Ok(waiting) = count_waiting_in_rows(store, &request.pool, &request.queue).await {
             return Outcome::Waiting(waiting);
         }
         if shared.clock.now_ms() + RETRY_PAUSE_MS >= until_ms {
@@ -430,7 +434,11 @@
 }
 
 /// Counts the jobs of a queue that have neither begun nor been cancelled, by reading the rows.
-async fn count_rows<R: Rows>(store: &R, pool: &str, queue: &str) -> Result<u64, ReadError> {
+async fn count_waiting_in_rows<R: Rows>(
+    store: &R,
+    pool: &str,
+    queue: &str,
+) -> Result<u64, ReadError> {
     let intake = scan_intake(store, pool).await?;
     let progress = scan_progress(store, pool).await?;
     let begun = |id: &str| progress.iter().any(|row| row.key == id);
@@ -500,7 +508,7 @@
         let last = scan.rows.last().map(|row| row.key.clone());
         rows.extend(scan.rows);
         match last {
-            // It is the least key after the last one, unless a key contains control characters.
+            // The next page starts at the least key after the last one, unless a key contains control characters.
             Some(key) if scan.more => range.from = format!("{key}\u{1}"),
             _ => return Ok(rows),
         }
--- a/src/serve/settings.rs
+++ b/src/serve/settings.rs
@@ -106,7 +106,7 @@
     pub ready: SocketAddr,
     /// The address of the metrics endpoint, if there is one.
     pub metrics: Option<SocketAddr>,
-    /// The processor share of the entry, in thousandths of a core; entries with more own pools first.
+    /// The processor share of the entry, in thousandths of a core; an entry with a larger share claims pools earlier.
     pub cpu_milli: u64,
     /// The address of the platform's row store.
     pub store: SocketAddr,
@@ -126,17 +126,25 @@
             hall: check_name("hall", self.hall)?,
             listen: parse_address("listen", &self.listen)?,
             ready: parse_address("ready", &self.ready)?,
-            metrics: optional("metrics", &self.metrics)?,
-            cpu_milli: cpu_milli(self.cpu_share)?,
+            metrics: parse_optional_address("metrics", &self.metrics)?,
+            cpu_milli: check_cpu_share(self.cpu_share)?,
             store: parse_address("store", &self.store)?,
-            hosts: optional("hosts", &self.hosts)?,
-            config_within_ms: bound("config-within-ms", &self.config_within_ms, CONFIG_WITHIN_MS)?,
-            config_outage_ms: bound("config-outage-ms", &self.config_outage_ms, CONFIG_OUTAGE_MS)?,
+            hosts: parse_optional_address("hosts", &self.hosts)?,
+            config_within_ms: parse_time_limit_ms(
+                "config-within-ms",
+                &self.config_within_ms,
+                CONFIG_WITHIN_MS,
+            )?,
+            config_outage_ms: parse_time_limit_ms(
+                "config-outage-ms",
+                &self.config_outage_ms,
+                CONFIG_OUTAGE_MS,
+            )?,
         })
     }
 }
 
-fn cpu_milli(share: f64) -> Result<u64> {
+fn check_cpu_share(share: f64) -> Result<u64> {
     let milli = (share * 1_000.0).round();
     if (1.0..=1_000_000.0).contains(&milli) {
         return Ok(milli as u64);
@@ -144,8 +152,9 @@
     usage_error("cpu-share", &share.to_string(), "0.001 to 1000 cores")
 }
 
-/// Parses a bound in milliseconds, which must leave time for a few answers of a store; `fallback_ms` if it is empty.
-fn bound(flag: &str, value: &str, fallback_ms: Millis) -> Result<Millis> {
+/// Parses a time limit in milliseconds, which must be long enough for a few answers of the store. Returns `fallback_ms`
+/// for an empty value.
+fn parse_time_limit_ms(flag: &str, value: &str, fallback_ms: Millis) -> Result<Millis> {
     if value.is_empty() {
         return Ok(fallback_ms);
     }
@@ -155,7 +164,7 @@
     }
 }
 
-fn optional(flag: &str, value: &str) -> Result<Option<SocketAddr>> {
+fn parse_optional_address(flag: &str, value: &str) -> Result<Option<SocketAddr>> {
     if value.is_empty() {
         return Ok(None);
     }
--- a/src/serve/shared.rs
+++ b/src/serve/shared.rs
@@ -22,17 +22,17 @@
 use crate::port::timeout::AdaptiveTimeout;
 use crate::util::lock;
 
-/// The divisor of `config_within_ms` that gives the margin kept back from it: a call that is accepted now takes effect
-/// later.
+/// `config_within_ms` divided by this number is the margin that is subtracted from `config_within_ms`, because a call
+/// that is decided now takes effect later.
 const CONFIG_MARGIN_DIVISOR: Millis = 5;
 
-/// The number of waiting jobs of a pool, as its owner reported it.
+/// The numbers of waiting jobs of a pool, as its owner reported them.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Waiting {
+pub(super) struct WaitingCounts {
     /// The number of waiting jobs by the name of their queue.
     pub(super) by_queue: BTreeMap<String, u64>,
     /// When the owner's report arrived here.
-    pub(super) seen_ms: Millis,
+    pub(super) received_ms: Millis,
 }
 
 /// The state that the threads of one process share.
@@ -41,7 +41,7 @@
     pub(super) settings: ServeSettings,
     /// The clock that all times in this struct are read from.
     pub(super) clock: Clock,
-    /// Writes decisions and keeps the latest of them by subject.
+    /// Writes decisions and keeps the latest ones in memory for the explain endpoint.
     pub(super) log: Log,
     /// The counters and timings that the metrics endpoint renders.
     pub(super) metrics: Metrics,
@@ -50,7 +50,7 @@
     routing_known_ms: AtomicU64,
     /// Signals that a transaction got no answer, so the store may be down.
     unanswered: (Sender<()>, Receiver<()>),
-    /// Whether the last read of the operator's table failed.
+    /// Whether the last read of the operator's table failed, or was cut short because a transaction got no answer.
     is_operator_table_down: AtomicBool,
     /// Since when the store has not answered this entry; 0 while it answers.
     store_down_since_ms: AtomicU64,
@@ -62,7 +62,7 @@
     pub(super) intake_timeout: AdaptiveTimeout,
     /// The number of open connections of callers.
     pub(super) connections: AtomicU64,
-    waiting: Mutex<BTreeMap<String, Waiting>>,
+    waiting_by_pool: Mutex<BTreeMap<String, WaitingCounts>>,
 }
 
 impl Shared {
@@ -82,7 +82,7 @@
             store_timeout: AdaptiveTimeout::new(TX_TIMEOUT_MS, TX_TIMEOUT_MAX_MS),
             intake_timeout: AdaptiveTimeout::new(INTAKE_TIMEOUT_MS, TX_TIMEOUT_MAX_MS),
             connections: AtomicU64::new(0),
-            waiting: Mutex::new(BTreeMap::new()),
+            waiting_by_pool: Mutex::new(BTreeMap::new()),
         }
     }
 
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Sends a transaction once and adapts the timeouts to how long the answer took. It waits for `timeout_max_ms` at
-    /// the most.
+    /// Sends a transaction once and adapts the timeouts to how long the answer took. The timeout of this call is the
+    /// adaptive one, but `timeout_max_ms` at the most.
     pub(super) async fn transact<P: Rows>(
         &self,
         platform: &P,
@@ -141,19 +141,19 @@
     }
 
     /// Waits until a transaction gets no answer.
-    pub(super) async fn wait_for_unanswered(&self) {
+    pub(super) async fn wait_for_unanswered_transaction(&self) {
         // The sender is kept next to the receiver, so the channel is never closed.
         let _ = self.unanswered.1.recv().await;
     }
 
     /// Records whether the store answers and returns whether that changed.
-    pub(super) fn set_store_answers(&self, answers: bool) -> bool {
-        if answers {
+    pub(super) fn set_store_up(&self, is_up: bool) -> bool {
+        if is_up {
             return self.store_down_since_ms.swap(0, Ordering::SeqCst) > 0;
         }
         let now_ms = self.clock.now_ms().max(1);
         let before = self.store_down_since_ms.load(Ordering::SeqCst);
-        // Only the control thread writes it, so the load and the store need not be atomic together.
+        // Only the control thread writes this field, so the load and the store need not be one atomic operation.
         if before == 0 {
             self.store_down_since_ms.store(now_ms, Ordering::SeqCst);
         }
@@ -180,16 +180,16 @@
     }
 
     /// Records whether the operator's table could be read.
-    pub(super) fn set_operator_answers(&self, answers: bool) {
-        self.is_operator_table_down
-            .store(!answers, Ordering::SeqCst);
+    pub(super) fn set_operator_table_up(&self, is_up: bool) {
+        self.is_operator_table_down.store(!is_up, Ordering::SeqCst);
     }
 
     /// Returns the routing of the configuration in force here, if that configuration is recent enough.
     ///
-    /// An entry that has lost touch with the store would still accept revoked keys and refuse queues that exist now. It
-    /// can't know, so it accepts no calls. While reads of the operator's table fail, no entry can learn of newer
-    /// configurations, so calls are decided by the last one for longer.
+    /// An entry whose connection to the store is overloaded or brings no answers would still accept revoked keys and
+    /// refuse queues that exist now. Such an entry can't tell whether its configuration is current, so it accepts no
+    /// calls. While reads of the operator's table fail, it is assumed that no entry can learn of newer configurations,
+    /// so the last one decides calls for longer, up to `config_outage_ms`.
     pub(super) fn current_routing(&self) -> Option<Arc<Routing>> {
         let within_ms = self.settings.config_within_ms;
         let age_max_ms = match self.is_operator_table_down.load(Ordering::SeqCst) {
@@ -227,16 +227,16 @@
     }
 
     /// Stores the numbers of waiting jobs that a pool's owner reported.
-    pub(super) fn set_waiting(&self, pool: &str, by_queue: BTreeMap<String, u64>) {
-        let waiting = Waiting {
+    pub(super) fn set_waiting_counts(&self, pool: &str, by_queue: BTreeMap<String, u64>) {
+        let waiting = WaitingCounts {
             by_queue,
-            seen_ms: self.clock.now_ms(),
+            received_ms: self.clock.now_ms(),
         };
-        lock(&self.waiting).insert(pool.to_string(), waiting);
+        lock(&self.waiting_by_pool).insert(pool.to_string(), waiting);
     }
 
     /// Returns what the pool's owner reported last.
-    pub(super) fn waiting(&self, pool: &str) -> Option<Waiting> {
-        lock(&self.waiting).get(pool).cloned()
+    pub(super) fn waiting_counts(&self, pool: &str) -> Option<WaitingCounts> {
+        lock(&self.waiting_by_pool).get(pool).cloned()
     }
 }
--- a/src/serve/status.rs
+++ b/src/serve/status.rs
@@ -13,10 +13,10 @@
 use crate::view::Line;
 
 /// The media type of the Prometheus text format.
-const TEXT: &str = "text/plain; version=0.0.4";
+const METRICS_MEDIA_TYPE: &str = "text/plain; version=0.0.4";
 
 /// The path prefix under which the decisions on one subject are found.
-const EXPLAIN: &str = "/v1/explain/";
+const EXPLAIN_PREFIX: &str = "/v1/explain/";
 
 /// Answers 200 while the balancer should send callers here, else 503.
 pub(super) async fn answer_readiness(shared: Arc<Shared>, _incoming: Incoming) -> Response {
@@ -24,17 +24,17 @@
     answer(status, "text/plain", Vec::new())
 }
 
-/// Answers with the metrics, or under `/v1/explain/KIND/ID` with the decisions of this entry on one subject.
+/// Answers with the metrics, or under `/v1/explain/KIND/ID` with this entry's latest decisions on one subject.
 pub(super) async fn answer_metrics(shared: Arc<Shared>, incoming: Incoming) -> Response {
-    if let Some(subject_path) = incoming.head.url().path().strip_prefix(EXPLAIN) {
+    if let Some(subject_path) = incoming.head.url().path().strip_prefix(EXPLAIN_PREFIX) {
         return answer_explain(&shared, subject_path);
     }
     let uptime_ms = shared.clock.now_ms();
     let text = shared.metrics.render(shared.log.dropped(), uptime_ms);
-    answer(200, TEXT, text.into_bytes())
+    answer(200, METRICS_MEDIA_TYPE, text.into_bytes())
 }
 
-/// Answers with the decisions that the log keeps on one subject, in the form that `rockwick explain` reads.
+/// Answers with the decisions on one subject that the log keeps in memory, in the form that `rockwick explain` reads.
 fn answer_explain(shared: &Shared, subject_path: &str) -> Response {
     let Some((kind, id)) = subject_path.split_once('/') else {
         return answer(404, "text/plain", Vec::new());
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -1,23 +1,25 @@
 //! Decides when a stopping process ends: once its callers are gone, or once its time is over.
 //!
-//! `serve::run` creates a [`Stop`] after SIGTERM and polls it until it gives a reason to end.
+//! `serve::run` creates a [`Stop`] after SIGTERM or SIGINT and polls it until it gives a reason to end.
 
 use super::KEEP_OPEN_MS;
 use crate::clock::Millis;
 
-/// The time after SIGTERM at which the process ends even with open connections; the platform kills it after 6 s.
+/// The time after the signal at which the process ends even with open connections, unless a standstill extends the
+/// stop. The platform kills the process after 6 s.
 pub(super) const STOP_MS: Millis = 5_300;
 
 /// The gap between two polls that counts as a standstill of the process; polls are normally a tenth of it apart.
 const STANDSTILL_MS: Millis = 500;
 
-/// The time for answers after a standstill: as much as a stop without one has after [`KEEP_OPEN_MS`].
+/// The time for answers after a standstill: as much as a stop without a standstill has after [`KEEP_OPEN_MS`].
 const GRACE_MS: Millis = STOP_MS - KEEP_OPEN_MS;
 
-/// The time after a standstill in which callers that connected meanwhile are accepted before the process may end.
+/// The least time between a standstill and the end of the process, in which callers that connected during the
+/// standstill are accepted.
 const ACCEPT_GRACE_MS: Millis = 500;
 
-/// The number of standstills that extend the stop; the limit makes sure that it ends.
+/// The largest number of standstills that extend a stop, so that every stop ends.
 const EXTENSIONS_MAX: u64 = 2;
 
 /// The state of a stop; all times count from the signal to stop.
@@ -26,7 +28,7 @@
     last_poll_ms: Millis,
     /// When the process ends in any case.
     end_ms: Millis,
-    /// From when the process ends if no connection is open.
+    /// The earliest time at which the process ends because no connection is open.
     idle_end_from_ms: Millis,
     standstills: u64,
 }
@@ -42,8 +44,8 @@
         }
     }
 
-    /// Returns why the process ends now, or nothing while it goes on. It must be called regularly, as
-    /// gaps between calls count as standstills.
+    /// Returns why the process ends now, or nothing while it runs on. The caller must poll regularly, since a long gap
+    /// between two polls counts as a standstill.
     pub(super) fn poll(&mut self, since_ms: Millis, open_connections: u64) -> Option<&'static str> {
         let stood_still = since_ms >= self.last_poll_ms + STANDSTILL_MS;
         self.last_poll_ms = since_ms;
--- a/src/serve/traffic.rs
+++ b/src/serve/traffic.rs
@@ -15,7 +15,7 @@
 
 use super::operations;
 use super::shared::Shared;
-use super::{platform, status, KEEP_OPEN_MS};
+use super::{new_platform, status, KEEP_OPEN_MS};
 use crate::clock::wall_ms;
 use crate::core::sched::operation::{Operation, Outcome, Request};
 use crate::event::{Code, Decision, Subject};
@@ -32,39 +32,51 @@
 /// The `retry-after` of an entry that is about to end: other entries answer at once.
 const RETRY_ELSEWHERE_S: u32 = 1;
 
-/// The pause after a failed `accept`, which is most likely out of file descriptors.
+/// The pause after a failed `accept`; the most likely cause is that the process has no file descriptors left.
 const ACCEPT_PAUSE_MS: u64 = 10;
 
 /// Serves all listeners; returns only when the process ends.
 pub(super) fn run(
     shared: &Arc<Shared>,
-    callers: Async<TcpListener>,
-    balancer: Async<TcpListener>,
+    caller_listener: Async<TcpListener>,
+    readiness_listener: Async<TcpListener>,
     metrics_listener: Option<Async<TcpListener>>,
 ) {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
-    let platform = platform(shared);
+    let platform = new_platform(shared);
     let serve_caller = {
         let (shared, platform) = (Arc::clone(shared), platform.clone());
         move |stream| serve_connection(Arc::clone(&shared), platform.clone(), stream)
     };
     executor
-        .spawn(accept(Rc::clone(&executor), callers, serve_caller))
+        .spawn(accept_connections(
+            Rc::clone(&executor),
+            caller_listener,
+            serve_caller,
+        ))
         .detach();
-    let serve_readiness = side_server(shared, status::answer_readiness);
+    let serve_readiness = make_status_server(shared, status::answer_readiness);
     executor
-        .spawn(accept(Rc::clone(&executor), balancer, serve_readiness))
+        .spawn(accept_connections(
+            Rc::clone(&executor),
+            readiness_listener,
+            serve_readiness,
+        ))
         .detach();
     if let Some(listener) = metrics_listener {
-        let serve_metrics = side_server(shared, status::answer_metrics);
+        let serve_metrics = make_status_server(shared, status::answer_metrics);
         executor
-            .spawn(accept(Rc::clone(&executor), listener, serve_metrics))
+            .spawn(accept_connections(
+                Rc::clone(&executor),
+                listener,
+                serve_metrics,
+            ))
             .detach();
     }
     smol::block_on(executor.run(std::future::pending::<()>()));
 }
 
-async fn accept<F: Future<Output = ()> + 'static>(
+async fn accept_connections<F: Future<Output = ()> + 'static>(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
     serve: impl Fn(Async<TcpStream>) -> F,
@@ -80,7 +92,7 @@
 }
 
 /// Returns a function that serves connections of the balancer or of the metrics endpoint.
-fn side_server<F: Future<Output = Response> + 'static>(
+fn make_status_server<F: Future<Output = Response> + 'static>(
     shared: &Arc<Shared>,
     handler: impl Fn(Arc<Shared>, Incoming) -> F + Copy + 'static,
 ) -> impl Fn(Async<TcpStream>) -> std::pin::Pin<Box<dyn Future<Output = ()>>> {
@@ -102,12 +114,12 @@
             .stopping_for_ms()
             .is_some_and(|ms| ms >= KEEP_OPEN_MS)
     };
-    let handle = |incoming| handle(&shared, &platform, incoming);
+    let handle = |incoming| answer_call(&shared, &platform, incoming);
     server::serve(Wire::for_requests(stream), CALLER_LIMITS, stopping, handle).await;
     shared.connections.fetch_sub(1, Ordering::SeqCst);
 }
 
-async fn handle(shared: &Shared, platform: &Platform, incoming: Incoming) -> Response {
+async fn answer_call(shared: &Shared, platform: &Platform, incoming: Incoming) -> Response {
     let began = Instant::now();
     let began_ms = shared.clock.now_ms();
     shared.metrics.requests.fetch_add(1, Ordering::Relaxed);
@@ -120,7 +132,7 @@
     };
     let outcome = match decoded {
         Ok(request) => {
-            let outcome = operations::carry_out(shared, platform, &request, began_ms).await;
+            let outcome = operations::run_operation(shared, platform, &request, began_ms).await;
             log_call(shared, &request, &outcome, began);
             outcome
         }
@@ -154,7 +166,8 @@
     shared.log_decision(with_config(shared, decision));
 }
 
-/// Adds the version of the configuration that the decision rests on, and the time since it was known to be the newest.
+/// Adds the version of the configuration in force and the time since it was last known to be the newest. The call was
+/// decided by this configuration unless a newer one came into force before the answer.
 fn with_config(shared: &Shared, decision: Decision) -> Decision {
     decision
         .with("config", shared.config_version())
