--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -124,7 +124,7 @@
                 mem_mb: 64_000,
                 gpu: 0,
             },
-            draining: false,
+            is_draining: false,
         };
         let key = load::add_worker(&mut pool_state, fact, 0);
         let worker = &mut pool_state.workers[key];
--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -284,7 +284,7 @@
     /// Returns the cores and the memory in MB that a job of a class may still take on a live host.
     fn free_capacity(&self, host: HostKey, class: Class, asked: u32) -> Option<(u32, u64)> {
         let h = &self.hosts[host];
-        let fact = h.fact.as_ref().filter(|f| f.life == HostStatus::Live)?;
+        let fact = h.fact.as_ref().filter(|f| f.status == HostStatus::Live)?;
         let (mut cores, mut memory_mb) = (fact.cores, fact.memory_mb);
         let mut others = 0;
         let placing = self.placing.iter().filter(|(_, at)| **at == h.id);
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -70,7 +70,7 @@
                 let known = services
                     .entry(b.service.clone())
                     .or_insert_with(|| RouteService::new(Service::new(&b.service)));
-                if fact.life == HostStatus::Live && open && self.belongs(host, &b.service) {
+                if fact.status == HostStatus::Live && open && self.belongs(host, &b.service) {
                     known.backends.push(BackendSpec {
                         host: host.id.clone(),
                         hall: fact.hall.clone(),
--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -197,7 +197,7 @@
     let Some(w) = pool_state.workers.get(worker) else {
         return;
     };
-    if w.fact.draining && w.has_been_listed() {
+    if w.fact.is_draining && w.has_been_listed() {
         // The worker announced its end by draining.
         return;
     }
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -312,7 +312,7 @@
         hall: String::new(),
         labels: Vec::new(),
         capacity: Default::default(),
-        draining: true,
+        is_draining: true,
     };
     let key = add_listed(pool_state, fact, began_ms, now);
     pool_state.workers[key].is_listed = false;
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -619,7 +619,7 @@
         if let Some(key) = pool_state.worker_on(host) {
             let w = &pool_state.workers[key];
             if w.is_answering
-                && !w.fact.draining
+                && !w.fact.is_draining
                 && !w.is_offered
                 && can_clear(pool_state, key, now_ms)
             {
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -155,7 +155,7 @@
         self.is_listed
             && self.is_answering
             && self.clock.is_some()
-            && !self.fact.draining
+            && !self.fact.is_draining
             && !self.is_closing
             && !self.is_spare
             && now_ms >= self.suspended_until_ms
@@ -190,13 +190,13 @@
     /// while one of them drains, and an instance that was first asked before this one last answered may have run beside
     /// it.
     pub fn is_succeeded_by(&self, later: &Worker) -> bool {
-        let may_still_serve = self.fact.draining || self.is_withdrawn;
+        let may_still_serve = self.fact.is_draining || self.is_withdrawn;
         let is_gone = self.is_refusing && !may_still_serve;
         let answered_later = later.first_asked_ms.is_some_and(|at| self.answered_ms < at);
         is_gone
             && self.has_been_seen()
             && later.is_answering
-            && !later.fact.draining
+            && !later.fact.is_draining
             && answered_later
     }
 
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -62,7 +62,7 @@
     pub fn is_live(&self) -> bool {
         self.fact
             .as_ref()
-            .is_some_and(|f| f.life == HostStatus::Live)
+            .is_some_and(|f| f.status == HostStatus::Live)
     }
 
     /// Whether it serves its pool and is live.
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -244,7 +244,7 @@
 
 fn host_view(state: &State, key: HostKey) -> HostView {
     let host = &state.hosts[key];
-    let life = match host.fact.as_ref().map(|f| f.life) {
+    let life = match host.fact.as_ref().map(|f| f.status) {
         Some(HostStatus::Live) => "live",
         Some(HostStatus::Leaving) => "leaving",
         Some(HostStatus::Gone) => "gone",
--- a/src/port/commit.rs
+++ b/src/port/commit.rs
@@ -1,8 +1,8 @@
 //! Repeats a transaction until its outcome is known, or reports that it is unknown.
 //!
-//! Every row carries the token of the transaction that wrote it. After a lost answer, the same
-//! transaction is sent again: one of the two attempts is applied, and the other one conflicts with
-//! a row that carries the transaction's own token.
+//! Every row carries the token of the transaction that wrote it. After a lost answer, the same transaction is sent
+//! again: one of the two attempts is applied, and the other attempt conflicts with a row that carries the transaction's
+//! own token.
 
 use std::time::Duration;
 
@@ -30,11 +30,11 @@
 }
 
 /// Commits `txn`; after a lost answer, the token in the rows shows whether it was applied.
-pub async fn commit<T: Table>(table: &T, txn: &Transaction, patience: RetryPolicy) -> Outcome {
+pub async fn commit<T: Table>(table: &T, txn: &Transaction, policy: RetryPolicy) -> Outcome {
     let mut maybe_applied = false;
-    for n in 0..patience.attempts_max {
+    for n in 0..policy.attempts_max {
         if n > 0 {
-            pause(patience.pause_ms << (n - 1)).await;
+            pause(policy.pause_ms << (n - 1)).await;
         }
         match table.send(txn).await {
             Attempt::Committed(seq) => return Outcome::Committed(seq),
@@ -42,7 +42,7 @@
             Attempt::Lost => maybe_applied = true,
             Attempt::Conflict if !maybe_applied => return Outcome::Conflict,
             Attempt::Conflict => {
-                if let Some(outcome) = settle(table, txn).await {
+                if let Some(outcome) = resolve_conflict(table, txn).await {
                     return outcome;
                 }
             }
@@ -55,15 +55,15 @@
     }
 }
 
-/// Reads the rows after a conflict and looks for the transaction's own token. Returns `None` if the
-/// table did not answer.
+/// Reads the rows after a conflict and looks for the transaction's own token. Returns `None` if the table did not
+/// answer, and [`Outcome::Unknown`] if no row proves anything.
 ///
-/// A row that still has the expected version proves that the transaction was never applied. A row
-/// with another token proves nothing: it may have overwritten the transaction's row.
-async fn settle<T: Table>(table: &T, txn: &Transaction) -> Option<Outcome> {
+/// A row that still has the expected version proves that the transaction was never applied. A row with another token
+/// proves nothing, since another transaction may have overwritten the row of this one.
+async fn resolve_conflict<T: Table>(table: &T, txn: &Transaction) -> Option<Outcome> {
     for put in &txn.puts {
         let row = table.get(&put.key).await.ok()?;
-        if row.as_ref().is_some_and(|r| stamped_by(r, &txn.token)) {
+        if row.as_ref().is_some_and(|r| is_written_by(r, &txn.token)) {
             return Some(Outcome::Committed(row.map_or(0, |r| r.version)));
         }
         if row.as_ref().map_or(0, |r| r.version) == expected_version(put.expect) {
@@ -82,7 +82,7 @@
 }
 
 /// Whether `row` was written by the transaction with this token.
-fn stamped_by(row: &super::Row, token: &str) -> bool {
+fn is_written_by(row: &super::Row, token: &str) -> bool {
     row.value
         .as_deref()
         .and_then(|v| serde_json::from_str::<Stamped<serde::de::IgnoredAny>>(v).ok())
--- a/src/port/fleet.rs
+++ b/src/port/fleet.rs
@@ -1,6 +1,6 @@
 //! The port to a platform of workers: its row store, the operator's table, the list of workers, and orders.
 //!
-//! The adapter in `platform/` implements these traits and nothing else: it makes no decisions, keeps no state but
+//! The adapter in `platform/` implements these traits by translation alone: it makes no decisions, keeps no state but
 //! connections, and never retries. `serve` calls the traits; the scheduler uses their types.
 
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     Intake,
     /// The progress of jobs.
     Progress,
-    /// The slots that hosts hold in maintenance waves.
+    /// The progress of maintenance waves: which hosts hold a slot, and which are back.
     Waves,
     /// Recent orders to hosts.
     HostOrders,
@@ -108,7 +108,7 @@
     /// The rows in ascending order of their keys.
     pub rows: Vec<StoredRow>,
     /// Whether the range has more rows after the last one.
-    pub more: bool,
+    pub has_more: bool,
     /// The newest revision of the store when the rows were read.
     pub revision: Revision,
 }
@@ -146,14 +146,14 @@
         timeout_ms: Millis,
     ) -> impl Future<Output = Result<Scan, ReadError>>;
     /// Waits up to `wait_ms` for changes of a table after `since`.
-    fn feed(
+    fn wait_for_changes(
         &self,
         table: Table,
         since: Revision,
         wait_ms: Millis,
     ) -> impl Future<Output = Result<Feed<StoredRow>, ReadError>>;
     /// Lists the partitions of a table that hold rows.
-    fn parts(&self, table: Table) -> impl Future<Output = Result<Vec<String>, ReadError>>;
+    fn list_parts(&self, table: Table) -> impl Future<Output = Result<Vec<String>, ReadError>>;
 }
 
 /// The configuration of a queue: how callers address it and how its jobs are run.
@@ -171,9 +171,9 @@
     pub priority: u32,
     /// The number of failed runs of a task after which its job fails.
     pub attempts_max: u32,
-    /// The time that a job may take in addition to its stretched longest chain of work.
+    /// The time that a job may take in addition to the duration of its longest chain of work times the stretch factor.
     pub target_ms: Millis,
-    /// The factor on the longest chain of work of a job, in thousandths.
+    /// The stretch factor on the duration of a job's longest chain of work, in thousandths.
     pub stretch_milli: u64,
     /// Whether callers need no key of an account.
     pub is_public: bool,
@@ -242,7 +242,7 @@
     Wave(WaveOrder),
     /// A row that can't be decoded: its key and the error.
     Unreadable(String, String),
-    /// A row of a kind that rockwick does not use: its key. It still shows that the feed brought a change.
+    /// A row of a kind that rockwick does not use: its key. Such a row still shows that the feed brought a change.
     Other(String),
 }
 
@@ -308,7 +308,7 @@
     /// The resources that the worker offers.
     pub capacity: Capacity,
     /// Whether the worker takes no new work because it is about to leave.
-    pub draining: bool,
+    pub is_draining: bool,
 }
 
 /// A change in the list of workers.
@@ -322,20 +322,20 @@
     Unreadable(String, String),
 }
 
-/// Access to the operator's table and the list of workers, which both are in the store.
+/// Access to the operator's table and the list of workers, both of which are in the store.
 pub trait Directory {
     /// Reads the whole operator's table.
-    fn operator(&self) -> impl Future<Output = Result<Feed<OperatorEvent>, ReadError>>;
+    fn read_operator_table(&self) -> impl Future<Output = Result<Feed<OperatorEvent>, ReadError>>;
     /// Waits up to `wait_ms` for changes of the operator's table after `since`.
-    fn operator_feed(
+    fn wait_for_operator_changes(
         &self,
         since: Revision,
         wait_ms: Millis,
     ) -> impl Future<Output = Result<Feed<OperatorEvent>, ReadError>>;
     /// Reads the whole list of workers.
-    fn workers(&self) -> impl Future<Output = Result<Feed<WorkerEvent>, ReadError>>;
+    fn read_workers(&self) -> impl Future<Output = Result<Feed<WorkerEvent>, ReadError>>;
     /// Waits up to `wait_ms` for changes of the list of workers after `since`.
-    fn workers_feed(
+    fn wait_for_worker_changes(
         &self,
         since: Revision,
         wait_ms: Millis,
@@ -394,15 +394,15 @@
     TooLate,
     /// The order was refused: the worker does not have enough free capacity.
     NoRoom,
-    /// The order was not carried out: the worker is not healthy, can't decode the order, or was never sent it.
+    /// The order was not carried out: the worker is not healthy, can't decode the order, or the order was not sent.
     Unwell,
-    /// The order was refused: another instance of the worker answers at this address.
+    /// The order was refused: a worker with another id answers at this address.
     OtherLife,
     /// The order was not sent: the worker accepts no connection.
     Refused,
-    /// The worker's side closed the connection before an answer; the order may have been carried out.
+    /// The connection broke before a complete answer, or the answer was malformed; the order may have been carried out.
     Broken,
-    /// No answer came in time; the order may have been carried out, or may still be.
+    /// No usable answer came in time; the order may have been carried out, or may still be.
     Silent,
 }
 
@@ -453,7 +453,7 @@
     pub checkpoint: String,
 }
 
-/// A request to renew a worker's lease and to report what runs on it.
+/// A request to renew a worker's lease and to report the runs on the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RenewalRequest {
     /// The new end of the lease on the worker's clock; `None` asks for a report without a renewal.
@@ -464,7 +464,7 @@
     pub wait_ms: Millis,
 }
 
-/// A worker's report of what runs on it and what has ended.
+/// A worker's report of the runs that are running on the worker and of those that have ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RenewalReport {
     /// The start of the instance that answered, as in [`WorkerInfo::born_wall_ms`].
@@ -509,7 +509,7 @@
     fn renew_lease(
         &self,
         to: &OrderTarget,
-        ask: RenewalRequest,
+        request: RenewalRequest,
         timeout_ms: Millis,
     ) -> impl Future<Output = Result<RenewalReport, OrderReply>>;
 }
@@ -536,7 +536,7 @@
     Wrong,
     /// The order was not carried out: there were too many calls, or it was not sent.
     TooMany,
-    /// No answer came; the order may have been carried out.
+    /// No usable answer came; the order may have been carried out.
     Silent,
 }
 
@@ -584,19 +584,19 @@
 /// Sends orders to hosts and lists them.
 pub trait HostMoves {
     /// Reads the list of all hosts.
-    fn hosts(&self) -> impl Future<Output = Result<Vec<HostRecord>, ReadError>>;
+    fn list_hosts(&self) -> impl Future<Output = Result<Vec<HostRecord>, ReadError>>;
     /// Takes a host out of service for its maintenance in a wave.
-    fn upkeep(
+    fn start_maintenance(
         &self,
-        who: &HostAuthority,
+        authority: &HostAuthority,
         host: &str,
         wave: u64,
         timeout_ms: Millis,
     ) -> impl Future<Output = HostReply>;
     /// Moves a host to another pool.
-    fn move_to(
+    fn move_host(
         &self,
-        who: &HostAuthority,
+        authority: &HostAuthority,
         host: &str,
         pool: &str,
         timeout_ms: Millis,
--- a/src/port/http.rs
+++ b/src/port/http.rs
@@ -18,31 +18,31 @@
 use crate::util::escape;
 
 /// The timeout of one call; an outage must not block the control thread for longer.
-const CALL_MS: Millis = 1_500;
+const CALL_TIMEOUT_MS: Millis = 1_500;
 
 /// A platform that is reached at one address.
 pub struct Http {
     client: Client,
-    agent: String,
+    user_agent: String,
 }
 
 /// The body of the answer to a committed transaction.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Committed {
+pub struct CommitResponse {
     /// The sequence number of all writes of the transaction.
     pub seq: u64,
 }
 
 /// The body of the answer to an order.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Ordered {
+pub struct OrderResponse {
     /// What the platform did with the order.
     pub answer: OrderAnswer,
 }
 
 /// The body of a reboot order.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Reboot {
+pub struct RebootRequest {
     /// Unique to one maintenance of a host; a repeated order with the same token changes nothing.
     pub token: String,
 }
@@ -52,7 +52,7 @@
     pub fn new(addr: SocketAddr, entry: &str) -> Self {
         Self {
             client: Client::new(addr),
-            agent: format!("rockwick/{entry}"),
+            user_agent: format!("rockwick/{entry}"),
         }
     }
 
@@ -67,7 +67,7 @@
             .client
             .request(method, path)
             .ok_or(ExchangeError::Connect(Sent::Nothing))?;
-        req.insert_header("user-agent", self.agent.as_str());
+        req.insert_header("user-agent", self.user_agent.as_str());
         if let Some(tag) = etag {
             req.insert_header("if-none-match", tag);
         }
@@ -75,7 +75,9 @@
             req.set_body(bytes);
             req.insert_header("content-type", "application/json");
         }
-        self.client.exchange(req, deadline_after_ms(CALL_MS)).await
+        self.client
+            .exchange(req, deadline_after_ms(CALL_TIMEOUT_MS))
+            .await
     }
 
     async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, Down> {
@@ -89,7 +91,7 @@
     async fn order<T: Serialize + Sync>(&self, path: &str, body: &T) -> Result<OrderAnswer, Down> {
         let bytes = serde_json::to_vec(body).map_err(|_| Down)?;
         match self.call(Method::Post, path, Some(bytes), None).await {
-            Ok(a) if a.status == 200 => a.json::<Ordered>().map(|o| o.answer).ok_or(Down),
+            Ok(a) if a.status == 200 => a.json::<OrderResponse>().map(|o| o.answer).ok_or(Down),
             _ => Err(Down),
         }
     }
@@ -136,7 +138,7 @@
             .call(Method::Post, "/table/transactions", Some(bytes), None)
             .await;
         match answer {
-            Ok(a) if a.status == 200 => match a.json::<Committed>() {
+            Ok(a) if a.status == 200 => match a.json::<CommitResponse>() {
                 Some(c) => Attempt::Committed(c.seq),
                 None => Attempt::Lost,
             },
@@ -201,7 +203,7 @@
 impl HostOrders for Http {
     async fn reboot(&self, host: &str, token: &str) -> Result<OrderAnswer, Down> {
         let path = format!("/hosts/{}/reboot", escape(host));
-        let body = Reboot {
+        let body = RebootRequest {
             token: token.to_string(),
         };
         self.order(&path, &body).await
--- a/src/port/mod.rs
+++ b/src/port/mod.rs
@@ -1,7 +1,8 @@
 //! The port to the platform: its table, objects, host list, tasks and orders to hosts.
 //!
-//! All durable state and all coordination between entries go through these traits. Each kind of
-//! platform has one adapter in this module; [`Http`] is the first.
+//! All durable state of an entry and all coordination between entries go through these traits, which `entry` calls.
+//! Each kind of platform has one adapter in this module; [`Http`] is the first. The port to a platform of workers is
+//! apart, in [`fleet`].
 
 mod commit;
 pub mod fleet;
@@ -13,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use commit::{commit, RetryPolicy};
-pub use http::{Committed, Http, Ordered, Reboot};
+pub use http::{CommitResponse, Http, OrderResponse, RebootRequest};
 
 use crate::clock::Millis;
 
@@ -105,7 +106,8 @@
 /// The final outcome of a transaction after all attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The transaction took effect at this sequence number, which may be 0 if only a token in a row shows it.
+    /// The transaction took effect at this sequence number. After a lost answer, the number is taken from a row that
+    /// carries the transaction's token.
     Committed(u64),
     /// The transaction did not take effect and never will: a row has changed.
     Conflict,
@@ -115,7 +117,7 @@
     Unknown,
 }
 
-/// The error of a call that got no answer, or none that could be used.
+/// The error of a call that got no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Down;
 
@@ -191,8 +193,8 @@
     /// The memory in megabytes.
     pub memory_mb: u64,
     /// Whether the host runs; a host without this field counts as live.
-    #[serde(default = "live")]
-    pub life: HostStatus,
+    #[serde(default = "live", rename = "life")]
+    pub status: HostStatus,
     /// The number of boots so far.
     #[serde(default)]
     pub boots: u64,
@@ -246,7 +248,8 @@
 pub struct TaskStart {
     /// The id of the job.
     pub job: String,
-    /// The number of the attempt and fencing token: the platform refuses any below the highest that it has seen.
+    /// The number of the attempt, which is also the fencing token: the platform refuses every attempt below the highest
+    /// one that it has seen.
     pub attempt: u32,
     /// The host that the task is to run on.
     pub host: String,
--- a/src/serve/control.rs
+++ b/src/serve/control.rs
@@ -213,7 +213,7 @@
             }),
             Effect::ReadHosts(pool, epoch) => self.spawn(async move {
                 // If the read fails, the next reconciliation of the wave asks again.
-                let hosts = platform.hosts().await.ok()?;
+                let hosts = platform.list_hosts().await.ok()?;
                 Some(Event::HostsRead(pool, epoch, hosts))
             }),
             Effect::Load(pool, epoch, name) => self.spawn(async move {
@@ -367,8 +367,16 @@
     task: &HostTask,
 ) -> HostReply {
     match task {
-        HostTask::Move(pool) => platform.move_to(authority, host, pool, TX_TIMEOUT_MS).await,
-        HostTask::Upkeep(wave) => platform.upkeep(authority, host, *wave, TX_TIMEOUT_MS).await,
+        HostTask::Move(pool) => {
+            platform
+                .move_host(authority, host, pool, TX_TIMEOUT_MS)
+                .await
+        }
+        HostTask::Upkeep(wave) => {
+            platform
+                .start_maintenance(authority, host, *wave, TX_TIMEOUT_MS)
+                .await
+        }
     }
 }
 
@@ -406,7 +414,7 @@
         progress: scan_progress(platform, pool).await?,
         owner: scan_all(platform, Table::Owners, pool).await?,
         workers_asked_ms: shared.clock.now_ms(),
-        workers: feeds::present_workers(&platform.workers().await?),
+        workers: feeds::present_workers(&platform.read_workers().await?),
         waves: scan_all(platform, Table::Waves, "").await?,
         host_orders: scan_all(platform, Table::HostOrders, pool).await?,
     })
--- a/src/serve/feeds.rs
+++ b/src/serve/feeds.rs
@@ -100,8 +100,12 @@
         let call_wait_ms = if may_have_more { 0 } else { wait_ms };
         let call = async {
             match since {
-                None => platform.operator().await,
-                Some(revision) => platform.operator_feed(revision, call_wait_ms).await,
+                None => platform.read_operator_table().await,
+                Some(revision) => {
+                    platform
+                        .wait_for_operator_changes(revision, call_wait_ms)
+                        .await
+                }
             }
         };
         let unanswered_transaction = async {
@@ -217,8 +221,12 @@
             continue;
         }
         let result = match since {
-            None => platform.workers().await,
-            Some(revision) => platform.workers_feed(revision, FEED_WAIT_MS).await,
+            None => platform.read_workers().await,
+            Some(revision) => {
+                platform
+                    .wait_for_worker_changes(revision, FEED_WAIT_MS)
+                    .await
+            }
         };
         match result {
             Ok(feed) => {
@@ -254,7 +262,11 @@
             continue;
         }
         let result = match since {
-            Some(revision) => platform.feed(Table::Waves, revision, FEED_WAIT_MS).await,
+            Some(revision) => {
+                platform
+                    .wait_for_changes(Table::Waves, revision, FEED_WAIT_MS)
+                    .await
+            }
             None => platform
                 .scan(Table::Waves, "", Default::default(), FEED_WAIT_MS)
                 .await
@@ -295,7 +307,11 @@
     let mut since: Option<Revision> = None;
     loop {
         let result = match since {
-            Some(revision) => platform.feed(Table::Owners, revision, FEED_WAIT_MS).await,
+            Some(revision) => {
+                platform
+                    .wait_for_changes(Table::Owners, revision, FEED_WAIT_MS)
+                    .await
+            }
             None => read_owners(&platform).await,
         };
         match result {
@@ -325,7 +341,7 @@
         changes: Vec::new(),
         revision: 0,
     };
-    for part in platform.parts(Table::Owners).await? {
+    for part in platform.list_parts(Table::Owners).await? {
         let range = Default::default();
         let scan = platform
             .scan(Table::Owners, &part, range, FEED_WAIT_MS)
@@ -353,7 +369,10 @@
             pause(IDLE_POLL_MS).await;
             continue;
         };
-        let result = match platform.feed(Table::Intake, since, FEED_WAIT_MS).await {
+        let result = match platform
+            .wait_for_changes(Table::Intake, since, FEED_WAIT_MS)
+            .await
+        {
             Err(ReadError::HistoryGone) => read_intake(&platform, &owned).await,
             other => other,
         };
--- a/src/serve/operations.rs
+++ b/src/serve/operations.rs
@@ -239,7 +239,7 @@
     if let Some(found) = find_job_in_pool(store, pool, id, timeout_ms).await? {
         return Ok(Some(found));
     }
-    let parts = store.parts(Table::Intake).await?;
+    let parts = store.list_parts(Table::Intake).await?;
     let pools: BTreeSet<&str> = parts.iter().map(|part| pool_of_part(part)).collect();
     for other in pools {
         if other == pool {
@@ -509,7 +509,7 @@
         rows.extend(scan.rows);
         match last {
             // The next page starts at the least key after the last one, unless a key contains control characters.
-            Some(key) if scan.more => range.from = format!("{key}\u{1}"),
+            Some(key) if scan.has_more => range.from = format!("{key}\u{1}"),
             _ => return Ok(rows),
         }
     }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -12,8 +12,8 @@
 use rockwick::http::server::{self, Arrival};
 use rockwick::http::{Incoming, Limits, Wire};
 use rockwick::port::{
-    Attempt, Committed, HostInfo, HostStatus, Listing, OrderAnswer, Ordered, Reboot, Reports,
-    TaskRef, TaskReport, TaskStart, TaskState, Transaction,
+    Attempt, CommitResponse, HostInfo, HostStatus, Listing, OrderAnswer, OrderResponse,
+    RebootRequest, Reports, TaskRef, TaskReport, TaskStart, TaskState, Transaction,
 };
 use rockwick::runtime::Runtime;
 use serde::{Deserialize, Serialize};
@@ -382,7 +382,7 @@
             self.faults.lose_commits -= 1;
             return None;
         }
-        Some(server::json(200, &Committed { seq }))
+        Some(server::json(200, &CommitResponse { seq }))
     }
 
     fn list(&self, seen: Option<&str>) -> Response {
@@ -402,21 +402,21 @@
         let Some(host) = self.hosts.iter_mut().find(|h| h.id == id) else {
             return server::answer(404, "text/plain", vec![]);
         };
-        host.life = set.life;
+        host.status = set.life;
         self.list_due_ms = Some(list_due_ms);
         server::json(200, &())
     }
 
     fn reboot(&mut self, id: &str, body: &[u8], until_ms: Millis, list_due_ms: Millis) -> Response {
-        let Ok(order) = serde_json::from_slice::<Reboot>(body) else {
+        let Ok(order) = serde_json::from_slice::<RebootRequest>(body) else {
             return server::answer(400, "text/plain", vec![]);
         };
         let Some(host) = self.hosts.iter_mut().find(|h| h.id == id) else {
             let answer = OrderAnswer::NoHost;
-            return server::json(200, &Ordered { answer });
+            return server::json(200, &OrderResponse { answer });
         };
         if self.reboot_tokens.insert(order.token) {
-            host.life = HostStatus::Gone;
+            host.status = HostStatus::Gone;
             self.list_due_ms = Some(list_due_ms);
             self.rebooting.insert(id.to_string(), until_ms);
             *self.stats.reboots.entry(id.to_string()).or_default() += 1;
@@ -424,7 +424,7 @@
             self.stats.reboots_over_tasks += self.tasks.values().filter(at_work).count() as u64;
         }
         let answer = OrderAnswer::Accepted;
-        server::json(200, &Ordered { answer })
+        server::json(200, &OrderResponse { answer })
     }
 
     fn task_answer(&mut self, answer: OrderAnswer) -> Option<Response> {
@@ -432,7 +432,7 @@
             self.faults.lose_task_answers -= 1;
             return None;
         }
-        Some(server::json(200, &Ordered { answer }))
+        Some(server::json(200, &OrderResponse { answer }))
     }
 
     fn start(&mut self, start: TaskStart, now_ms: Millis) -> OrderAnswer {
@@ -451,7 +451,7 @@
         {
             return OrderAnswer::Fenced;
         }
-        let live = |h: &HostInfo| h.id == start.host && h.life == HostStatus::Live;
+        let live = |h: &HostInfo| h.id == start.host && h.status == HostStatus::Live;
         if !self.hosts.iter().any(live) {
             return OrderAnswer::NoHost;
         }
@@ -532,7 +532,7 @@
         let gone: BTreeSet<String> = self
             .hosts
             .iter()
-            .filter(|h| h.life == HostStatus::Gone)
+            .filter(|h| h.status == HostStatus::Gone)
             .map(|h| h.id.clone())
             .collect();
         let mut ended = Vec::new();
@@ -558,7 +558,7 @@
         for host in &mut self.hosts {
             if self.rebooting.get(&host.id).is_some_and(|t| now_ms >= *t) {
                 self.rebooting.remove(&host.id);
-                host.life = HostStatus::Live;
+                host.status = HostStatus::Live;
                 host.boots += 1;
                 self.list_due_ms = Some(now_ms + lag_ms);
             }
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -90,7 +90,7 @@
             rack: format!("rack{}", n / 4),
             cores: 16,
             memory_mb: 32_768,
-            life: HostStatus::Live,
+            status: HostStatus::Live,
             boots: 3,
             backends: vec![BackendInfo {
                 service: "s".to_string(),
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -215,7 +215,7 @@
             rack: format!("rack{}", n / 4),
             cores: if n % 3 == 0 { 64 } else { 16 },
             memory_mb: 32_768,
-            life: HostStatus::Live,
+            status: HostStatus::Live,
             boots: 0,
             backends: vec![BackendInfo {
                 service: "s".to_string(),
@@ -378,7 +378,7 @@
 
     fn take_down(&mut self, host: &str, for_ms: Millis) {
         if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
-            f.life = HostStatus::Gone;
+            f.status = HostStatus::Gone;
             self.listed = false;
         }
         let until_ms = self.now.ms + for_ms;
@@ -422,7 +422,7 @@
         for host in back {
             self.back_ms.remove(&host);
             if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
-                f.life = HostStatus::Live;
+                f.status = HostStatus::Live;
                 f.boots += 1;
                 self.listed = false;
             }
--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -76,7 +76,7 @@
     }
     fleet.put("servers", "", "good", &entry());
     smol::block_on(async {
-        let events = platform.workers().await.expect("read").changes;
+        let events = platform.read_workers().await.expect("read").changes;
         for (n, value) in unreadable.iter().enumerate() {
             let text = String::from_utf8_lossy(value);
             let id = format!("x-{n}");
@@ -193,12 +193,12 @@
         }
     }
     smol::block_on(async {
-        let events = platform.workers().await.expect("read").changes;
+        let events = platform.read_workers().await.expect("read").changes;
         assert_eq!(events.len(), 600 + 6 + 2);
         let is_good_entry =
             |w: &&WorkerEvent| matches!(w, WorkerEvent::Present(f) if f.id.starts_with("good"));
         assert_eq!(events.iter().filter(is_good_entry).count(), 6);
-        let operator_events = platform.operator().await.expect("read").changes;
+        let operator_events = platform.read_operator_table().await.expect("read").changes;
         assert!(operator_events
             .iter()
             .any(|w| matches!(w, OperatorEvent::Config(_))));
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -153,7 +153,7 @@
                 rack: format!("r{}", n / 2),
                 cores: 8,
                 memory_mb: 1_000,
-                life: HostStatus::Live,
+                status: HostStatus::Live,
                 boots: 0,
                 backends: vec![BackendInfo {
                     service: "route".to_string(),
@@ -381,7 +381,7 @@
             "the row is written before the start"
         );
         let host = self.host_infos.iter().find(|f| f.id == start.host);
-        let live = host.is_some_and(|f| f.life == HostStatus::Live);
+        let live = host.is_some_and(|f| f.status == HostStatus::Live);
         let task = self.tasks.entry(start.job.clone()).or_default();
         if task.attempt == start.attempt && task.starts > 0 {
             return OrderAnswer::Accepted;
@@ -611,8 +611,8 @@
             0 => {
                 let n = self.rng.usize(..HOSTS);
                 let info = &mut self.host_infos[n];
-                let gone = info.life == HostStatus::Live;
-                info.life = if gone {
+                let gone = info.status == HostStatus::Live;
+                info.status = if gone {
                     HostStatus::Gone
                 } else {
                     HostStatus::Live
@@ -722,7 +722,7 @@
     /// Ends all faults and checks that every drain, move and job that had begun comes to its end.
     fn recover(&mut self) {
         for f in &mut self.host_infos {
-            f.life = HostStatus::Live;
+            f.status = HostStatus::Live;
         }
         for at in 0..ENTRIES {
             self.entries[at].is_suspended = false;
--- a/tests/test_place.rs
+++ b/tests/test_place.rs
@@ -46,7 +46,7 @@
             rack: format!("a{n}"),
             cores: 8,
             memory_mb: 1_000,
-            life: HostStatus::Live,
+            status: HostStatus::Live,
             boots: 0,
             backends: Vec::new(),
         });
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -78,9 +78,9 @@
     smol::block_on(async {
         let outcome = platform.transact(&tx("k", ABSENT, b""), TIMEOUT_MS).await;
         assert_eq!(outcome, TxOutcome::Refused, "no byte was sent");
-        let read = platform.operator().await;
+        let read = platform.read_operator_table().await;
         assert_eq!(read.err(), Some(ReadError::Down));
-        assert_eq!(platform.hosts().await.err(), Some(ReadError::Down));
+        assert_eq!(platform.list_hosts().await.err(), Some(ReadError::Down));
     });
 }
 
@@ -104,9 +104,9 @@
             .await
             .expect("read");
         let keys: Vec<&str> = scan.rows.iter().map(|r| r.key.as_str()).collect();
-        assert_eq!((keys, scan.more), (vec!["k1", "k2"], true));
+        assert_eq!((keys, scan.has_more), (vec!["k1", "k2"], true));
         let none = platform
-            .feed(Table::Intake, scan.revision, 20)
+            .wait_for_changes(Table::Intake, scan.revision, 20)
             .await
             .expect("read");
         assert!(none.changes.is_empty());
@@ -121,15 +121,15 @@
         };
         platform.transact(&gone, TIMEOUT_MS).await;
         let feed = platform
-            .feed(Table::Intake, none.revision, 1_000)
+            .wait_for_changes(Table::Intake, none.revision, 1_000)
             .await
             .expect("read");
         assert_eq!(feed.changes[0].value, None, "a removed row has no value");
         fleet.set_store_fault(StoreFault::Forgetful);
-        let forgot = platform.feed(Table::Intake, 1, 20).await;
+        let forgot = platform.wait_for_changes(Table::Intake, 1, 20).await;
         assert_eq!(forgot.err(), Some(ReadError::HistoryGone));
         assert_eq!(
-            platform.parts(Table::Intake).await.expect("read"),
+            platform.list_parts(Table::Intake).await.expect("read"),
             vec!["a/b"]
         );
     });
@@ -149,7 +149,7 @@
     fleet.put("op", "", "unheard", &json!({}));
     fleet.put_bytes("servers", "", "i-9", b"{}");
     smol::block_on(async {
-        let events = platform.operator().await.expect("read").changes;
+        let events = platform.read_operator_table().await.expect("read").changes;
         let config = events.iter().find_map(|w| match w {
             OperatorEvent::Config(config) => Some(config),
             _ => None,
@@ -171,7 +171,7 @@
             "an unknown key is reported as such"
         );
         assert_eq!(events.len(), 4);
-        let workers = platform.workers().await.expect("read").changes;
+        let workers = platform.read_workers().await.expect("read").changes;
         assert!(workers
             .iter()
             .any(|w| matches!(w, WorkerEvent::Unreadable(k, _) if k == "i-9")));
@@ -201,7 +201,7 @@
 fn platform_orders() {
     let (_fleet, platform) = fleet();
     smol::block_on(async {
-        let workers = platform.workers().await.expect("read").changes;
+        let workers = platform.read_workers().await.expect("read").changes;
         let Some(WorkerEvent::Present(fact)) = workers.into_iter().next() else {
             panic!("a worker");
         };
@@ -298,18 +298,20 @@
 fn platform_hosts() {
     let (fleet, platform) = fleet();
     smol::block_on(async {
-        let hosts = platform.hosts().await.expect("read");
+        let hosts = platform.list_hosts().await.expect("read");
         assert_eq!(hosts.len(), 2);
         assert_eq!(hosts[0].state, HostState::Up);
         let authority = HostAuthority {
             entry: "e1".to_string(),
             fence: 3,
         };
-        let done = platform.upkeep(&authority, "m-1", 1, TIMEOUT_MS).await;
+        let done = platform
+            .start_maintenance(&authority, "m-1", 1, TIMEOUT_MS)
+            .await;
         assert_eq!(done, HostReply::Accepted);
         assert_eq!(fleet.maintained_hosts(), vec!["m-1"]);
         let unknown = platform
-            .move_to(&authority, "m-7", "pool", TIMEOUT_MS)
+            .move_host(&authority, "m-7", "pool", TIMEOUT_MS)
             .await;
         assert_eq!(unknown, HostReply::Wrong);
         let running = platform.write_wave_state(1, WaveState::Running).await;
@@ -332,7 +334,7 @@
         for n in 0..2_300 {
             fleet.put_bytes("intake", &format!("pool/{n:04}"), "a", b"{}");
         }
-        let parts = platform.parts(Table::Intake).await.expect("read");
+        let parts = platform.list_parts(Table::Intake).await.expect("read");
         assert_eq!(parts.len(), 2_300, "the list comes in pages of 1,000");
     });
 }
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -55,7 +55,7 @@
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
         };
-        w.info.draining = true;
+        w.info.is_draining = true;
         let info = w.info.clone();
         let host = info.host.clone();
         self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
--- a/tests/world/jobs.rs
+++ b/tests/world/jobs.rs
@@ -72,7 +72,7 @@
             mem_mb: 32_000,
             gpu: 0,
         },
-        draining: false,
+        is_draining: false,
     }
 }
 
--- a/tests/world/restart.rs
+++ b/tests/world/restart.rs
@@ -54,7 +54,7 @@
         };
         let info = WorkerInfo {
             born_wall_ms: Some(born_wall_ms.saturating_sub(CLOCK_STEP_MS)),
-            draining: false,
+            is_draining: false,
             ..w.info.clone()
         };
         let later = Worker {
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -27,7 +27,7 @@
                 mem_mb: 8_000,
                 gpu: 0,
             },
-            draining: false,
+            is_draining: false,
         };
         let worker = Worker {
             clock_ahead_ms: self.rng.u64(0..1_000_000),
