--- a/src/serve/shared.rs
+++ b/src/serve/shared.rs
@@ -123,7 +123,6 @@
         outcome
     }
 
-    /// Writes a decision to the log.
     pub(super) fn log_decision(&self, decision: Decision) {
         self.log.record(decision);
     }
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -1,4 +1,4 @@
-//! Decides when a stopping process ends: once its callers are gone, or once its time is over.
+//! Decides when a stopping process ends: once its callers are gone, or once the time for a stop is over.
 //!
 //! `serve::run` creates a [`Stop`] after SIGTERM or SIGINT and polls it until it gives a reason to end.
 
@@ -9,7 +9,7 @@
 /// stop. The platform kills the process after 6 s.
 pub(super) const STOP_MS: Millis = 5_300;
 
-/// The gap between two polls that counts as a standstill of the process; polls are normally a tenth of it apart.
+/// The gap between two polls that counts as a standstill of the process; polls are normally a tenth of this gap apart.
 const STANDSTILL_MS: Millis = 500;
 
 /// The time for answers after a standstill: as much as a stop without a standstill has after [`KEEP_OPEN_MS`].
