--- a/src/core/place.rs
+++ b/src/core/place.rs
@@ -285,7 +285,7 @@
     /// `None` if the host is not live.
     fn free_capacity(&self, host: HostKey, class: Class, cores_needed: u32) -> Option<(u32, u64)> {
         let h = &self.hosts[host];
-        let info = h.info.as_ref().filter(|i| i.life == HostStatus::Live)?;
+        let info = h.info.as_ref().filter(|i| i.status == HostStatus::Live)?;
         let (mut cores, mut memory_mb) = (info.cores, info.memory_mb);
         let mut others = 0;
         let placing = self.placing.iter().filter(|(_, at)| **at == h.id);
--- a/src/core/routes.rs
+++ b/src/core/routes.rs
@@ -70,7 +70,7 @@
                 let known = services
                     .entry(b.service.clone())
                     .or_insert_with(|| RouteService::new(Service::new(&b.service)));
-                if info.life == HostStatus::Live
+                if info.status == HostStatus::Live
                     && open
                     && self.takes_requests_for(host, &b.service)
                 {
--- a/src/core/state.rs
+++ b/src/core/state.rs
@@ -62,7 +62,7 @@
     pub fn is_live(&self) -> bool {
         self.info
             .as_ref()
-            .is_some_and(|i| i.life == HostStatus::Live)
+            .is_some_and(|i| i.status == HostStatus::Live)
     }
 
     /// Whether it serves its pool and is live.
