--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -1,4 +1,4 @@
-//! Sends orders to hosts, all from one entry: the owner of one pool carries them out for the whole fleet.
+//! Sends all orders to hosts from one entry: the owner of one designated pool sends them for the whole fleet.
 //!
 //! Two entries must not send orders to one host in turn, so no other entry sends them. Owners publish in their
 //! heartbeats how many hosts they want, in a row of offers which hosts they can spare, and in a wave's row which
@@ -23,7 +23,7 @@
 /// How often orders to hosts are reconciled.
 pub const RECONCILE_MS: Millis = 100;
 
-/// How often an owner checks whether its pool is now the one that carries out the orders.
+/// How often the owner of any other pool checks whether its pool has become the one whose owner orders hosts.
 pub const IDLE_RECONCILE_MS: Millis = 1_000;
 
 /// How often the list of hosts is read.
@@ -38,19 +38,20 @@
 /// stayed on offer for 2.6 s while another pool needed 200.
 const RETAKES_MAX: u32 = 3;
 
-/// Pause before an order to a host that got no answer is sent again.
+/// Pause before an order is sent again that got no answer, exceeded the platform's limit of calls or, for maintenance,
+/// was refused.
 const RETRY_MS: Millis = 400;
 
-/// Pause before an order that may still be answered is sent again, and before a host whose order was refused gets
-/// another one.
+/// Pause before an order whose answer is outstanding is sent again, and before a host whose move was refused is
+/// assigned another one.
 pub(super) const RETRY_SENT_MS: Millis = 2 * RETRY_MS;
 
 /// How long a pool's need counts after its owner was last heard: a lease and the time that a new owner takes to
 /// read the rows.
 pub const NEED_KEPT_MS: Millis = 3_000;
 
-/// How long a move waits to be recorded and for its host to be taken before it is given up: each takes one answer
-/// of the store, 300 ms on the users' slow days.
+/// A move that has not been sent after this time is given up. Before it is sent, it is recorded and its host is taken:
+/// each takes one answer of the store, 300 ms on the users' slow days.
 const UNSENT_MAX_MS: Millis = 2_000;
 
 /// How long a sent move waits to appear in the list of hosts before it is forgotten. A move takes 2 s.
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Whether the host is on offer or was taken from this pool.
+    /// Whether this pool offers the host, or the host was taken from this pool.
     pub(super) fn gives_away(&self, host: &str) -> bool {
         let row = &self.offers.row;
         row.offered.contains_key(host) || row.taken.contains_key(host)
@@ -102,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct HostOrder {
     task: HostTask,
-    /// The pool that offers the host; `None` once the host is taken, or if it need not be.
+    /// The pool that offers the host; `None` once the host is taken, or if it need not be taken.
     offered_by: Option<String>,
     /// Whether the stored row of orders names the host.
     is_recorded: bool,
@@ -141,15 +142,15 @@
     pub(super) sent_ms: BTreeMap<String, Millis>,
     /// Whether the orders that the former owner left are known.
     is_ready: bool,
-    /// Hosts that a former owner ordered last, and until when they get no order.
+    /// Hosts to which a former owner of this pool may have sent an order recently, and until when they get none.
     quiet_until_ms: BTreeMap<String, Millis>,
     /// Until when no host gets an order, because the former owner's orders can't be read.
     all_quiet_until_ms: Millis,
 }
 
 impl HostController {
-    /// Takes over from a former owner of the orders. If this entry was the owner itself, it need not wait for any
-    /// host.
+    /// Creates the controller from what the former owner of this pool recorded and reported about its orders. If this
+    /// entry was that owner itself, it may order every host at once.
     pub fn new(
         rows: &[StoredRow],
         former: &FormerHostOrders,
@@ -220,7 +221,7 @@
 
     /// Creates an order to a host. It is sent once it is recorded and the host is taken from the pool that offers
     /// it.
-    pub(super) fn begin(
+    pub(super) fn create_order(
         &mut self,
         host: &str,
         task: HostTask,
@@ -238,7 +239,8 @@
         self.orders.insert(host.to_string(), order);
     }
 
-    pub(super) fn is_quiet(&self, host: &str, now_ms: Millis) -> bool {
+    /// Whether a host must not be ordered yet, because a former owner of this pool may have ordered it recently.
+    pub(super) fn must_wait(&self, host: &str, now_ms: Millis) -> bool {
         now_ms < self.all_quiet_until_ms
             || self
                 .quiet_until_ms
@@ -260,7 +262,7 @@
     pub config: &'a FleetConfig,
     /// The needs that the pools' owners published.
     pub needs: &'a [PoolNeed<'a>],
-    /// The pool whose owner carries out the orders.
+    /// The pool whose owner orders hosts.
     pub pool: &'a str,
     /// The owner's epoch, which fences all orders.
     pub epoch: u64,
@@ -268,7 +270,7 @@
 
 impl Inputs<'_> {
     /// Whether a host may leave its pool: the pool is parked, or this owner took the host from it.
-    fn is_given(&self, host: &str, record: Option<&HostRecord>) -> bool {
+    fn may_leave_pool(&self, host: &str, record: Option<&HostRecord>) -> bool {
         let Some(record) = record else { return false };
         let pool = self.config.pools.get(&record.pool);
         let need = self.needs.iter().find(|need| need.pool == record.pool);
@@ -301,7 +303,7 @@
     order_moves(controller, waves, inputs, ctx);
 }
 
-/// Looks for hosts to move again at once after a take failed, since the pool's newest offers are known now.
+/// Assigns moves again right after a take met changed offers: the pool's newest offers are known now.
 pub fn retry_take(
     controller: &mut HostController,
     waves: &BTreeMap<u64, WaveKnown>,
@@ -326,15 +328,15 @@
     record_orders(controller, inputs, ctx);
 }
 
-/// Takes the hosts that are about to be moved from the pools that offer them, and gives back those that were taken
-/// and are not moved.
+/// Marks the hosts that moves wait for as taken in the rows of the pools that offer them, and gives back taken hosts
+/// that are not moved.
 fn take_hosts(controller: &mut HostController, inputs: &Inputs<'_>, ctx: &mut Ctx<'_>) {
     for need in inputs.needs {
         if controller.taking.contains_key(need.pool) {
             continue;
         }
         drop_withdrawn_orders(controller, need);
-        let Some(row) = with_taken(controller, need, inputs.epoch, ctx.now.ms) else {
+        let Some(row) = prepare_take(controller, need, inputs.epoch, ctx.now.ms) else {
             continue;
         };
         let tx = need.offers.row_tx(need.pool, &row);
@@ -353,9 +355,9 @@
     });
 }
 
-/// Returns a pool's offers with the hosts taken that orders wait for, and without the taken hosts that need no mark
-/// any more. Returns `None` if that changes nothing.
-fn with_taken(
+/// Returns a pool's row of offers in which the hosts that orders wait for are marked as taken, and taken hosts that
+/// need no mark any more are left out. Returns `None` if the row would not change.
+fn prepare_take(
     controller: &HostController,
     need: &PoolNeed<'_>,
     epoch: u64,
@@ -366,9 +368,11 @@
     let waiting = waiting.filter(|(_, order)| order.offered_by.as_deref() == Some(need.pool));
     let fresh = waiting.filter_map(|(host, _)| {
         let taken = known.taken.get(host);
-        let life = taken.map(|taken| &taken.life).or(known.offered.get(host))?;
+        let worker_id = taken
+            .map(|taken| &taken.worker_id)
+            .or(known.offered.get(host))?;
         let is_ours = taken.is_some_and(|taken| taken.epoch == epoch);
-        (!is_ours).then_some((host, life))
+        (!is_ours).then_some((host, worker_id))
     });
     let fresh: Vec<(&String, &String)> = fresh.collect();
     let is_over =
@@ -377,16 +381,17 @@
         return None;
     }
     let mut row = known.clone();
-    for (host, life) in fresh {
+    for (host, worker_id) in fresh {
         row.offered.remove(host);
-        let life = life.clone();
-        row.taken.insert(host.clone(), Taken { life, epoch });
+        let worker_id = worker_id.clone();
+        row.taken.insert(host.clone(), Taken { worker_id, epoch });
     }
     row.taken.retain(|host, taken| !is_over(host, taken));
     Some(row)
 }
 
-/// Whether an order can still move a host that was taken: not once it was moved, and not if it was never ordered.
+/// Whether a taken host must stay marked because an order may still move it. A host that has already moved, or that was
+/// never ordered, needs no mark.
 fn needs_mark(
     controller: &HostController,
     pool: &str,
@@ -395,11 +400,11 @@
     epoch: u64,
     now_ms: Millis,
 ) -> bool {
-    if controller.has_order(host) || controller.is_quiet(host, now_ms) {
+    if controller.has_order(host) || controller.must_wait(host, now_ms) {
         return true;
     }
     let record = controller.list.get(host);
-    let is_there = record.is_some_and(|h| h.pool == pool && h.worker == taken.life);
+    let is_there = record.is_some_and(|h| h.pool == pool && h.worker == taken.worker_id);
     is_there && taken.epoch == epoch && controller.sent_ms.contains_key(host)
 }
 
@@ -426,7 +431,7 @@
             order.offered_by = None;
         }
     }
-    send_ready(controller, epoch, ctx);
+    send_ready_orders(controller, epoch, ctx);
     Some(row)
 }
 
@@ -494,11 +499,11 @@
             order.is_recorded = true;
         }
     }
-    send_ready(controller, epoch, ctx);
+    send_ready_orders(controller, epoch, ctx);
 }
 
 /// Sends the orders that are recorded and whose hosts were taken.
-fn send_ready(controller: &mut HostController, epoch: u64, ctx: &mut Ctx<'_>) {
+fn send_ready_orders(controller: &mut HostController, epoch: u64, ctx: &mut Ctx<'_>) {
     let mut ready = Vec::new();
     for (host, order) in &mut controller.orders {
         if order.is_sent || !order.is_recorded || order.offered_by.is_some() {
@@ -537,7 +542,7 @@
                 let is_there = record.is_some_and(|h| h.pool == *to && h.state == HostState::Up);
                 let is_done = order.retry_at_ms.is_none() && is_listed_since && is_there;
                 let is_due = order.retry_at_ms.is_some_and(|at| now_ms >= at);
-                let is_refuted = order.is_sent && is_due && !inputs.is_given(host, record);
+                let is_refuted = order.is_sent && is_due && !inputs.may_leave_pool(host, record);
                 let most_ms = if order.is_sent {
                     MOVE_MAX_MS
                 } else {
@@ -591,18 +596,19 @@
 
 fn order_upkeep(controller: &mut HostController, wave: &WaveKnown, epoch: u64, ctx: &mut Ctx<'_>) {
     for (host, slot) in &wave.row.out {
-        let is_busy = controller.orders.contains_key(host) || controller.is_quiet(host, ctx.now.ms);
+        let is_busy =
+            controller.orders.contains_key(host) || controller.must_wait(host, ctx.now.ms);
         if slot.is_ordered || is_busy {
             continue;
         }
         let record = controller.list.get(host);
         if record.is_some_and(|h| h.pool == slot.pool) {
-            controller.begin(host, HostTask::Upkeep(wave.order.wave), None, ctx);
+            controller.create_order(host, HostTask::Upkeep(wave.order.wave), None, ctx);
         } else if record.is_some() {
             // The host was moved before its slot was taken; its new pool takes it through the wave.
             let mut row = wave.row.clone();
             row.out.remove(host);
-            settle(controller, wave, row, epoch, ctx);
+            write_wave_row(controller, wave, row, epoch, ctx);
         }
     }
 }
@@ -624,12 +630,12 @@
             }
         }
         if row != wave.row {
-            settle(controller, wave, row, epoch, ctx);
+            write_wave_row(controller, wave, row, epoch, ctx);
         }
     }
 }
 
-fn settle(
+fn write_wave_row(
     controller: &mut HostController,
     wave: &WaveKnown,
     row: WaveRow,
--- a/src/core/sched/moves.rs
+++ b/src/core/sched/moves.rs
@@ -1,9 +1,9 @@
 //! Decides which hosts move where: pools that lack hosts get those that are turned off and those on offer, and a
-//! host that no pool wants for a while is turned off. [`super::hosts`] calls it in each pass.
+//! host that no pool wants for a while is turned off. [`super::hosts`] calls `move_hosts` in each pass.
 //!
-//! A pass takes time in the number of hosts, offers and moves, never in hosts times moves: serving hosts are
-//! counted once, and the counts are updated as moves begin. With one count per move, the entry that orders 542
-//! hosts used up an eighth of a core and made a pass every 2 s instead of every 0.1 s.
+//! The time of a pass grows with the number of hosts, offers and moves, never with hosts times moves: serving hosts
+//! are counted once, and the counts are updated as moves begin. When they were counted again for each move, the entry
+//! that orders 542 hosts used up an eighth of a core and made a pass every 2 s instead of every 0.1 s.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -17,14 +17,14 @@
 const PARK_MS: Millis = 4_000;
 
 /// Most hosts that are being turned off at a time, which takes 2 s each. The platform accepts 64 orders per second
-/// on the users' sites, and orders to pools that lack hosts must not wait behind these.
+/// on the users' sites, and moves to pools that lack hosts must not wait behind hosts that are turned off.
 const PARKING_MAX: usize = 16;
 
 /// A host that may leave its pool.
 struct Spare {
     host: String,
     pool: String,
-    /// Whether the host is on offer; else a former owner of the orders took it.
+    /// Whether the host is on offer. If not, a former owner of the pool that orders hosts took it.
     is_offered: bool,
 }
 
@@ -54,10 +54,10 @@
     }
     fill_short_pools(controller, &fleet, inputs, &parked.name, &mut spare, ctx);
     track_offers(controller, inputs, ctx.now.ms);
-    park(controller, &parked.name, spare, ctx);
+    park_hosts(controller, &parked.name, spare, ctx);
 }
 
-/// Assigns hosts to the pools that lack some, the shortest pool first.
+/// Assigns hosts to the pools that lack some, one by one to the pool with the smallest share of its need.
 fn fill_short_pools(
     controller: &mut HostController,
     fleet: &Fleet<'_>,
@@ -71,7 +71,7 @@
     let recent: Vec<usize> = (0..inputs.needs.len())
         .filter(|n| is_recent(&inputs.needs[*n]))
         .collect();
-    if shortest(inputs.needs, &recent, &serving).is_none() {
+    if find_neediest_pool(inputs.needs, &recent, &serving).is_none() {
         return;
     }
     let mut idle: Vec<String> = controller
@@ -80,13 +80,13 @@
         .filter(|h| fleet.is_free(controller, &h.host, parked))
         .map(|h| h.host.clone())
         .collect();
-    while let Some(n) = shortest(inputs.needs, &recent, &serving) {
+    while let Some(n) = find_neediest_pool(inputs.needs, &recent, &serving) {
         let pool = inputs.needs[n].pool;
         let task = HostTask::Move(pool.to_string());
         if let Some(host) = idle.pop() {
-            controller.begin(&host, task, None, ctx);
+            controller.create_order(&host, task, None, ctx);
         } else if let Some(other) = take_spare_elsewhere(spare, pool) {
-            controller.begin(&other.host, task, Some(other.pool), ctx);
+            controller.create_order(&other.host, task, Some(other.pool), ctx);
         } else {
             return;
         }
@@ -115,7 +115,7 @@
 }
 
 /// Returns the pool that has the smallest share of what its work needs or, if none lacks any, of what it wants.
-fn shortest(needs: &[PoolNeed<'_>], recent: &[usize], serving: &[u64]) -> Option<usize> {
+fn find_neediest_pool(needs: &[PoolNeed<'_>], recent: &[usize], serving: &[u64]) -> Option<usize> {
     let least = |hosts: fn(&PoolNeed<'_>) -> u64| {
         let short = recent.iter().copied();
         let short = short.filter(|n| serving[*n] < hosts(&needs[*n]));
@@ -147,7 +147,7 @@
 }
 
 /// Turns off hosts that have been on offer for [`PARK_MS`].
-fn park(controller: &mut HostController, parked: &str, spare: Vec<Spare>, ctx: &Ctx<'_>) {
+fn park_hosts(controller: &mut HostController, parked: &str, spare: Vec<Spare>, ctx: &Ctx<'_>) {
     let task = HostTask::Move(parked.to_string());
     let is_long = |other: &Spare| {
         let since_ms = controller.offered_ms.get(&other.host);
@@ -156,23 +156,31 @@
     let room = PARKING_MAX.saturating_sub(controller.count_orders(&task));
     let long: Vec<Spare> = spare.into_iter().filter(is_long).take(room).collect();
     for other in long {
-        controller.begin(&other.host, task.clone(), Some(other.pool), ctx);
+        controller.create_order(&other.host, task.clone(), Some(other.pool), ctx);
     }
 }
 
 impl Fleet<'_> {
-    /// Returns the hosts of a pool that are on offer, or that a former owner of the orders took and did not move. A
-    /// host that this owner took and did not move is given back first, since that write may be under way.
+    /// Returns the hosts of a pool that are on offer, or that an earlier owner of the pool that orders hosts took and
+    /// did not move. A host that this owner took and did not move is given back first, since that write may be under
+    /// way.
     fn spare_of(&self, controller: &HostController, need: &PoolNeed<'_>, epoch: u64) -> Vec<Spare> {
         let row = &need.offers.row;
-        let offered = row.offered.iter().map(|(host, life)| (host, life, true));
+        let offered = row
+            .offered
+            .iter()
+            .map(|(host, worker_id)| (host, worker_id, true));
         let taken = row.taken.iter().filter(|(_, by)| by.epoch != epoch);
-        let taken = taken.map(|(host, by)| (host, &by.life, false));
-        // A later worker instance on the host may be at work, which the row doesn't cover.
-        let is_on =
-            |host: &str, life: &str| controller.list.get(host).is_some_and(|h| h.worker == life);
-        let all = offered.chain(taken).filter(|(host, life, _)| {
-            is_on(host, life) && self.is_free(controller, host, need.pool)
+        let taken = taken.map(|(host, by)| (host, &by.worker_id, false));
+        // A later worker on the host, which the row doesn't name, may be at work.
+        let is_on = |host: &str, worker_id: &str| {
+            controller
+                .list
+                .get(host)
+                .is_some_and(|h| h.worker == worker_id)
+        };
+        let all = offered.chain(taken).filter(|(host, worker_id, _)| {
+            is_on(host, worker_id) && self.is_free(controller, host, need.pool)
         });
         all.map(|(host, _, is_offered)| Spare {
             host: host.clone(),
@@ -182,15 +190,15 @@
         .collect()
     }
 
-    /// Whether a host is up in this pool and has no pending order, no slot of a wave and no recent order of another
-    /// entry.
+    /// Whether a host is up in this pool and has no slot of a wave, no pending order and no recent order of this entry
+    /// or a former one.
     fn is_free(&self, controller: &HostController, host: &str, pool: &str) -> bool {
         let record = controller.list.get(host);
         if !record.is_some_and(|h| h.pool == pool && h.state == HostState::Up) {
             return false;
         }
         let has_slot = self.waves.values().any(|w| w.row.out.contains_key(host));
-        let is_busy = controller.has_order(host) || controller.is_quiet(host, self.now_ms);
+        let is_busy = controller.has_order(host) || controller.must_wait(host, self.now_ms);
         // A refused order is not repeated at once.
         let was_sent = |at: &Millis| self.now_ms < at + RETRY_SENT_MS;
         let is_busy = is_busy || controller.sent_ms.get(host).is_some_and(was_sent);
--- a/src/core/sched/offers.rs
+++ b/src/core/sched/offers.rs
@@ -18,8 +18,9 @@
 /// A host that was taken from its pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Taken {
-    /// The worker instance that was on offer.
-    pub life: String,
+    /// Id of the worker that was on the host when the host was offered.
+    #[serde(rename = "life")]
+    pub worker_id: String,
     /// Epoch of the entry that took the host.
     pub epoch: Revision,
 }
@@ -27,7 +28,7 @@
 /// A pool's row of offers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OffersRow {
-    /// Hosts on offer, and the worker instance on each.
+    /// Hosts on offer, and the id of the worker on each.
     pub offered: BTreeMap<String, String>,
     /// Hosts that were taken and may be moved.
     pub taken: BTreeMap<String, Taken>,
@@ -69,27 +70,27 @@
         self.apply_row(row)
     }
 
-    /// Whether the host is on offer, or may be, by any worker instance: whoever takes it may not know of a later
-    /// one.
+    /// Whether the host is on offer, or may be, whichever worker the offer names: the entry that takes the host may not
+    /// know of a later worker.
     pub fn is_offered(&self, host: &str) -> bool {
         let is_in = |map: &BTreeMap<String, String>| map.contains_key(host);
         let pending = self.pending.as_ref().is_some_and(|p| is_in(&p.offered));
         is_in(&self.row.offered) || is_in(&self.unsure) || pending
     }
 
-    /// Whether this worker instance's host was taken.
-    pub fn is_taken(&self, host: &str, life: &str) -> bool {
+    /// Whether the host was taken while this worker was on it.
+    pub fn is_taken(&self, host: &str, worker_id: &str) -> bool {
         let taken = self.row.taken.get(host);
-        taken.is_some_and(|taken| taken.life == life)
+        taken.is_some_and(|taken| taken.worker_id == worker_id)
     }
 
-    /// Whether the host is on offer, or may be, or was taken with this worker instance: nothing may run there.
-    pub fn is_given(&self, host: &str, life: &str) -> bool {
-        self.is_offered(host) || self.is_taken(host, life)
+    /// Whether the host is on offer, or may be, or was taken while this worker was on it: nothing may run there.
+    pub fn is_given(&self, host: &str, worker_id: &str) -> bool {
+        self.is_offered(host) || self.is_taken(host, worker_id)
     }
 
     /// Returns the owner's change to the offers, if one is needed and none is being written. `is_known` says
-    /// whether the pool state has a worker instance: a taken host whose instance is gone needs no mark any more.
+    /// whether the pool state has a worker of this id: a taken host whose worker is gone needs no mark any more.
     pub fn prepare_change(
         &mut self,
         part: &str,
@@ -102,7 +103,7 @@
         }
         let mut row = self.row.clone();
         row.offered = offered;
-        row.taken.retain(|_, taken| is_known(&taken.life));
+        row.taken.retain(|_, taken| is_known(&taken.worker_id));
         let mut tx = self.row_tx(part, &row);
         tx.guards.push(epoch_guard(epoch));
         self.pending = Some(row);
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -213,7 +213,7 @@
     let mut owner = Owner::new(&[], &[]);
     owner.offers.row = OffersRow::default();
     let taken = |epoch| Taken {
-        life: "life of h1".to_string(),
+        worker_id: "life of h1".to_string(),
         epoch,
     };
     let by_former = BTreeMap::from([("h1".to_string(), taken(EPOCH - 1))]);
@@ -239,7 +239,7 @@
     let mut owner = Owner::new(&[], &[]);
     owner.offers.row = OffersRow::default();
     let earlier = Taken {
-        life: "earlier life".to_string(),
+        worker_id: "earlier life".to_string(),
         epoch: EPOCH - 1,
     };
     owner.offers.row.taken = BTreeMap::from([("h1".to_string(), earlier)]);
