--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -515,7 +515,7 @@
         ready.push((host.clone(), order.task.clone()));
     }
     for (host, task) in ready {
-        send(controller, &host, &task, epoch, ctx);
+        send_order(controller, &host, &task, epoch, ctx);
     }
 }
 
@@ -566,12 +566,12 @@
         if let Some(order) = controller.orders.get_mut(&host) {
             order.retry_at_ms = Some(now_ms + RETRY_SENT_MS);
         }
-        send(controller, &host, &task, inputs.epoch, ctx);
+        send_order(controller, &host, &task, inputs.epoch, ctx);
     }
     record_accepted(controller, waves, inputs.epoch, ctx);
 }
 
-fn send(
+fn send_order(
     controller: &mut HostController,
     host: &str,
     task: &HostTask,
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -1,9 +1,9 @@
 //! Runs waves of maintenance: every host of a list goes down once, with a limited number down at a time.
 //!
-//! The owner of a host's pool takes the host through its turn: it gets no new work, short tasks end, lasting tasks
-//! move as far as their steps allow, and then a slot of the wave is taken by a conditional write. The entry that
-//! orders hosts ([`super::hosts`]) sees the slot and sends the order. A wave spans pools; its row counts the slots
-//! of all of them.
+//! The owner of a host's pool takes the host through its turn: the host gets no new work, its short tasks end, its
+//! lasting tasks move as far as their steps allow, and then a slot of the wave is taken by a conditional write. The
+//! entry that orders hosts ([`super::hosts`]) sees the slot and sends the order. A wave spans pools; its row counts the
+//! slots of all of them.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -37,7 +37,8 @@
 /// Percentage of a wave's duration that is planned with, so that a late host is still in time.
 const PLANNED_PERCENT: u64 = 75;
 
-/// At most one in this many of a pool's hosts is closing or down at a time: the others carry its work.
+/// At most one in this many of a pool's hosts, but at least one host, has its turn in a wave at a time: the others
+/// carry the pool's work.
 const POOL_DIVISOR: usize = 3;
 
 /// How long a closing host waits for its short tasks to end before they are stopped.
@@ -49,7 +50,7 @@
 /// Least time that a reopened host serves before its turn may begin again.
 const REOPENED_MIN_MS: Millis = 3_000;
 
-/// Greatest age of a worker's report that counts for what is at work; renewals are answered every second.
+/// Greatest age at which a worker's report still shows what is at work there. Workers answer renewals every second.
 const REPORT_MAX_AGE_MS: Millis = 1_500;
 
 /// State of a host's turn.
@@ -71,12 +72,14 @@
     after: Revision,
     row: WaveRow,
     host: String,
-    is_take: bool,
+    /// Whether the change takes a slot; otherwise it returns one.
+    takes_slot: bool,
 }
 
-/// State of a pool's owner about waves.
+/// What a pool's owner keeps about waves: the turns of the pool's hosts and the change that is being written.
 #[derive(Clone, Debug, Default)]
 pub struct WaveController {
+    /// Hosts that have their turns, each with the number of its wave.
     pub(super) turns: BTreeMap<String, (u64, Turn)>,
     pending: Option<Pending>,
     /// Hosts whose turn was broken off, and when it may begin again.
@@ -93,7 +96,7 @@
     }
 }
 
-/// Reconciles all waves that are not done, and sets the timer for the next pass.
+/// Reconciles all waves that are not done, and sets the timer for the next pass if there are any.
 pub fn reconcile(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
@@ -102,9 +105,9 @@
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    let mut is_any = false;
+    let mut has_open_wave = false;
     for wave in known.values_mut().filter(|w| !w.is_done) {
-        is_any = true;
+        has_open_wave = true;
         if is_complete(wave, &due_hosts(wave), controller) {
             wave.is_done = true;
             let number = wave.order.wave;
@@ -123,11 +126,11 @@
         let due = due_hosts(wave);
         resume_slots(pool_state, controller, wave, pool);
         mark_due(pool_state, &due);
-        advance(pool_state, controller, wave, pool, epoch, ctx);
+        advance_turns(pool_state, controller, wave, pool, epoch, ctx);
         begin_turns(pool_state, controller, wave, &due, pool, ctx);
         wave_waits::log(pool_state, controller, wave, &due, pool, ctx);
     }
-    if !is_any {
+    if !has_open_wave {
         return;
     }
     let is_away = |(_, turn): &(u64, Turn)| matches!(turn, Turn::Away(_));
@@ -174,9 +177,9 @@
     due.iter().all(is_gone)
 }
 
-/// Resumes the turns of slots that this pool's former owner took, or this owner without an answer. Their hosts are
-/// about to be ordered down and get no new work: lasting tasks placed there would be ended in addition to those
-/// that this owner moves elsewhere.
+/// Resumes the turns of hosts whose slots were taken by this pool's former owner, or by a write of this owner that got
+/// no answer. These hosts are about to be ordered down and get no new work: lasting tasks placed there would be ended
+/// in addition to those that this owner moves elsewhere.
 fn resume_slots(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
@@ -197,12 +200,12 @@
     }
 }
 
-/// Closes the hosts that are about to leave in a pool state that was just read.
+/// Closes the hosts that have their turns and were not ordered down yet, in a pool state that was just built.
 pub(super) fn close_leaving(pool_state: &mut PoolState, controller: &WaveController) {
     let asked = controller
         .pending
         .as_ref()
-        .filter(|pending| pending.is_take);
+        .filter(|pending| pending.takes_slot);
     for (host, (_, turn)) in &controller.turns {
         if matches!(turn, Turn::Away(_)) {
             continue;
@@ -220,7 +223,7 @@
     }
 }
 
-fn advance(
+fn advance_turns(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
     wave: &WaveKnown,
@@ -240,9 +243,9 @@
                 controller.turns.remove(&host);
                 pool_state.set_closing(&host, false);
             }
-            // A former owner, or the next one, took the host through.
+            // A former owner, or the next one, took the host through the wave.
             Turn::Closing(_) if wave.row.back.contains(&host) => {
-                reopen(
+                reopen_host(
                     pool_state,
                     controller,
                     &host,
@@ -256,7 +259,7 @@
                         pool_state.set_going(&host);
                     }
                 } else if ctx.now.ms >= since_ms + CLOSE_MAX_MS {
-                    reopen(
+                    reopen_host(
                         pool_state,
                         controller,
                         &host,
@@ -326,7 +329,7 @@
 }
 
 /// Breaks off a host's turn and gives the host back to its pool for a while.
-fn reopen(
+fn reopen_host(
     pool_state: &mut PoolState,
     controller: &mut WaveController,
     host: &str,
@@ -340,7 +343,7 @@
     ctx.log(Decision::new(Code::HostReopened, Subject::Host, host, why));
 }
 
-/// Whether a lasting task may be stopped now: few enough tasks of its step are not at work.
+/// Whether a lasting task may be stopped now: few enough other tasks of its step are not at work.
 pub fn may_stop_lasting(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
     let Some(spec) = pool_state.step_spec(key) else {
         return false;
@@ -384,12 +387,12 @@
     }
 }
 
-fn settle(
+fn write_wave_row(
     controller: &mut WaveController,
     wave: &WaveKnown,
     row: WaveRow,
     host: &str,
-    is_take: bool,
+    takes_slot: bool,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
@@ -399,7 +402,7 @@
         after: wave.revision,
         row,
         host: host.to_string(),
-        is_take,
+        takes_slot,
     });
     ctx.out.push(Effect::SettleWave(ctx.pool, epoch, tx));
 }
@@ -428,12 +431,12 @@
         is_ordered: false,
     };
     row.out.insert(host.to_string(), slot);
-    settle(controller, wave, row, host, true, epoch, ctx);
+    write_wave_row(controller, wave, row, host, true, epoch, ctx);
     true
 }
 
-/// Returns the slot of a host that is up again according to a list that was requested after its order was accepted.
-/// A new worker instance alone proves nothing: it may follow a crash, with the maintenance still to come.
+/// Returns the slot of a host that is up again according to a list that was requested after the host's order was
+/// accepted. A new worker instance alone proves nothing: it may follow a crash, with the maintenance still to come.
 fn return_slot(
     controller: &mut WaveController,
     wave: &WaveKnown,
@@ -452,7 +455,7 @@
     let mut row = wave.row.clone();
     row.out.remove(host);
     row.back.push(host.to_string());
-    settle(controller, wave, row, host, false, epoch, ctx);
+    write_wave_row(controller, wave, row, host, false, epoch, ctx);
 }
 
 /// Whether a host still belongs to this pool.
@@ -471,13 +474,14 @@
 ) {
     let Some(slot) = wave.row.out.get(host) else {
         let why = "the host's slot in the wave was given up";
-        reopen(pool_state, controller, host, why, ctx);
+        reopen_host(pool_state, controller, host, why, ctx);
         return;
     };
     if !slot.is_ordered {
         return;
     }
-    // The worker instance on the host has ended. The next one is open at once, or once its slot was returned.
+    // The worker instance on the host has ended. An instance that is listed from now on is open at once; one that is
+    // already known is opened when the slot is returned.
     pool_state.closing.remove(host);
     pool_state.going.remove(host);
     let turn = Turn::Away(ctx.now.ms);
@@ -486,8 +490,8 @@
         .insert(host.to_string(), (wave.order.wave, turn));
 }
 
-/// Applies the outcome of a change of a wave's row. A pool state that is still being read closes and opens hosts by
-/// the row later.
+/// Applies the outcome of a change of a wave's row. If the pool state is still being read (`None`), hosts are closed and
+/// opened by the row once that state is built.
 pub fn apply_settled(
     pool_state: Option<&mut PoolState>,
     controller: &mut WaveController,
@@ -518,7 +522,7 @@
     if !is_done {
         return;
     }
-    if pending.is_take {
+    if pending.takes_slot {
         controller
             .turns
             .insert(pending.host, (pending.wave, Turn::Holding));
@@ -565,7 +569,7 @@
     pool: &str,
     ctx: &mut Ctx<'_>,
 ) {
-    let candidates = candidates(pool_state, controller, wave, due, pool, ctx.now.ms);
+    let candidates = find_candidates(pool_state, controller, wave, due, pool, ctx.now.ms);
     let in_turn = controller
         .turns
         .values()
@@ -597,8 +601,8 @@
     at_a_time.clamp(1, wave.order.out_max)
 }
 
-/// Returns the hosts of the pool whose turn may begin and their work, those with the least work first.
-fn candidates(
+/// Returns the hosts of the pool whose turns may begin and the work on each, those with the least work first.
+fn find_candidates(
     pool_state: &PoolState,
     controller: &WaveController,
     wave: &WaveKnown,
--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -11,8 +11,8 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::HostState;
 
-/// How long a wave makes no progress before that is logged: the time of one turn that was broken off and of
-/// another.
+/// How long a wave makes no progress before that is logged: the time of a turn that was broken off and of a second
+/// turn.
 const STALLED_MS: Millis = 2 * TURN_MS;
 
 /// Pause before the same wait is logged again.
@@ -32,14 +32,14 @@
     logged_ms: Option<Millis>,
 }
 
-/// Progress of waves by number.
+/// Progress of each wave that this owner has reconciled, by the wave's number.
 #[derive(Clone, Debug, Default)]
 pub struct Waits(BTreeMap<u64, Wait>);
 
 impl Waits {
     /// Records a wave's progress. Returns since when the wave waits, if that is to be logged now.
-    fn note(&mut self, wave: &WaveKnown, now_ms: Millis) -> Option<Millis> {
-        let steps = steps(wave);
+    fn record_progress(&mut self, wave: &WaveKnown, now_ms: Millis) -> Option<Millis> {
+        let steps = count_steps(wave);
         let fresh = Wait {
             steps,
             since_ms: now_ms,
@@ -62,7 +62,7 @@
     }
 }
 
-fn steps(wave: &WaveKnown) -> Steps {
+fn count_steps(wave: &WaveKnown) -> Steps {
     let ordered = wave.row.out.values().filter(|slot| slot.is_ordered);
     (wave.row.out.len(), ordered.count(), wave.row.back.len())
 }
@@ -76,7 +76,7 @@
     pool: &str,
     ctx: &mut Ctx<'_>,
 ) {
-    let Some(since_ms) = controller.waits.note(wave, ctx.now.ms) else {
+    let Some(since_ms) = controller.waits.record_progress(wave, ctx.now.ms) else {
         return;
     };
     let number = wave.order.wave;
@@ -85,7 +85,7 @@
     let own_hosts = own_hosts.filter_map(|host| {
         Some((
             host,
-            reason(pool_state, controller, wave, host, pool, ctx.now.ms)?,
+            wait_reason(pool_state, controller, wave, host, pool, ctx.now.ms)?,
         ))
     });
     let logged_hosts: Vec<(&str, &str)> = own_hosts.take(HOSTS_LOGGED_MAX).collect();
@@ -107,7 +107,7 @@
 
 /// Returns what a host of this pool waits for in a wave, or `None` for a host that belongs to another pool or is
 /// gone.
-fn reason(
+fn wait_reason(
     pool_state: &PoolState,
     controller: &WaveController,
     wave: &WaveKnown,
