--- a/src/core/sched/fragmentation.rs
+++ b/src/core/sched/fragmentation.rs
@@ -1,6 +1,6 @@
 //! Tells whether a pool's free capacity is fragmented: enough in all, but too little on any one host.
 //!
-//! [`super::reservations`] reserves hosts by it, and [`super::sizing`] asks for more.
+//! For tasks that wait because of this, [`super::reservations`] reserves hosts, and [`super::sizing`] requests more.
 
 use super::pool_state::PoolState;
 use super::tasks::Class;
@@ -14,8 +14,8 @@
 /// less than half full, a task of half a host or less finds a host unless another resource is short.
 const USED_MAX_PERCENT: u64 = 60;
 
-/// Highest percentage in use for tasks of more than half a host that can be in time. In fuller pools hosts are
-/// worth more to small tasks.
+/// Highest percentage in use at which fragmentation counts for tasks of more than half a host, if they are lasting or
+/// can be in time. In fuller pools hosts are worth more to small tasks.
 const WIDE_USED_MAX_PERCENT: u64 = 80;
 
 /// Total and free capacity of the open hosts of a pool.
--- a/src/core/sched/free_index.rs
+++ b/src/core/sched/free_index.rs
@@ -1,8 +1,8 @@
 //! Indexes workers by the share of their processors that is free, over the pool and by rack, so that placement need
 //! not visit every worker.
 //!
-//! The pool state keeps the index up to date. It doesn't know whether a worker may get work: the caller checks this
-//! for the few workers that it is given.
+//! The pool state keeps the index up to date. The index doesn't know whether a worker may get work: the caller checks
+//! this for the few workers that the index returns.
 
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Bound;
@@ -26,6 +26,7 @@
 pub struct FreeIndex {
     all: BTreeSet<Slot>,
     by_rack: HashMap<String, BTreeSet<Slot>>,
+    /// The slot and the rack under which each worker is indexed.
     known: SecondaryMap<WorkerKey, (Slot, String)>,
     /// Processors of the largest worker so far, in thousandths of a core.
     largest_cpu_milli: u64,
@@ -83,8 +84,8 @@
         in_rack.flat_map(move |slots| slots.range(range).copied())
     }
 
-    /// Returns the lower bound of the slots that may have `cpu_milli` free. It assumes the largest worker, so
-    /// smaller workers with less may be included.
+    /// Returns the lower bound of the slots that may have `cpu_milli` free. The bound is the free share that this would
+    /// be on the largest worker, so smaller workers with less free may be included.
     fn lower_bound(&self, cpu_milli: u64) -> Bound<Slot> {
         let free_milli = cpu_milli * 1_000 / self.largest_cpu_milli.max(1);
         free_milli.checked_sub(1).map_or(Bound::Unbounded, |below| {
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -19,14 +19,14 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::Capacity;
 
-/// Added to a worker's cost, in thousandths, where it is in another rack than the task's data.
+/// Added to a worker's cost, in thousandths, if the worker is in another rack than the task's data.
 const REMOTE_DATA_COST_MILLI: u64 = 1_000;
 
-/// Added to a worker's cost, in thousandths, for a lasting task where the host is due for maintenance: the task
+/// Added to a worker's cost, in thousandths, for a lasting task if the worker's host is due for maintenance: the task
 /// would have to move.
 const DUE_HOST_COST_MILLI: u64 = 700;
 
-/// Added to a worker's cost, in thousandths, for each task in a row that failed there.
+/// Added to a worker's cost, in thousandths, for each of the last tasks in a row that failed there.
 const FAILURE_COST_MILLI: u64 = 300;
 
 /// Places waiting tasks in their order as far as workers have room.
@@ -50,7 +50,7 @@
         if too_large.iter().any(|d| demand.contains(*d)) || !pool_state.is_within_quota(key, 1) {
             continue;
         }
-        match choose(pool_state, key, ctx.now.ms) {
+        match choose_worker(pool_state, key, ctx.now.ms) {
             Choice::Worker(worker) => assign(pool_state, key, worker, ctx),
             Choice::NoRoom => too_large.push(demand),
             Choice::NoneAllowed => {}
@@ -63,9 +63,9 @@
 enum Choice {
     /// This worker takes the task.
     Worker(WorkerKey),
-    /// No open worker has enough room for the task.
+    /// No open worker has enough room for the task, apart from workers that are reserved for others.
     NoRoom,
-    /// Some open workers have room, but none of them may take the task.
+    /// Some of these workers have room, but none of them may take the task.
     NoneAllowed,
 }
 
@@ -87,7 +87,7 @@
 
 /// Returns the worker for a task. A worker that is reserved for another task is chosen only for a lasting task that
 /// has no other worker.
-fn choose(pool_state: &PoolState, key: TaskKey, now_ms: u64) -> Choice {
+fn choose_worker(pool_state: &PoolState, key: TaskKey, now_ms: u64) -> Choice {
     let Some(spec) = pool_state.step_spec(key) else {
         return Choice::NoneAllowed;
     };
@@ -118,11 +118,11 @@
     let free_index = &search.pool_state.free_index;
     let cpu_milli = search.spec.demand().cpu_milli;
     let Some(rack) = search.spec.data_rack.as_deref() else {
-        let best = search.best(free_index.workers_with_free(cpu_milli), 0, None);
+        let best = search.cheapest_of(free_index.workers_with_free(cpu_milli), 0, None);
         return best.map(|(_, worker)| worker);
     };
-    let near = search.best(free_index.rack_workers_with_free(rack, cpu_milli), 0, None);
-    let best = search.best(
+    let near = search.cheapest_of(free_index.rack_workers_with_free(rack, cpu_milli), 0, None);
+    let best = search.cheapest_of(
         free_index.workers_with_free(cpu_milli),
         REMOTE_DATA_COST_MILLI,
         near,
@@ -138,7 +138,8 @@
     now_ms: u64,
     /// The task must not go to a worker that runs a task suspected of crashes.
     is_apart: bool,
-    /// Set once an open worker with room for the task was found, whether or not it may take the task.
+    /// Set once an open worker with room was found that is not reserved for another task, whether or not it may take
+    /// this one.
     has_room: Cell<bool>,
     /// Workers that are reserved for other tasks are allowed, too.
     takes_reserved: bool,
@@ -152,9 +153,10 @@
         }
     }
 
-    /// Returns the cheapest worker of `slots` and `best`, with its cost. A slot costs at least its free share plus
-    /// `more_milli`, and `slots` are sorted by free share, so the loop usually ends after the first few.
-    fn best(
+    /// Returns the cheapest worker of `slots` and `best`, with its cost. `slots` are sorted by free share, and a worker
+    /// that `best` was not chosen from costs at least its free share plus `more_milli`, so the loop usually ends after
+    /// the first few.
+    fn cheapest_of(
         &self,
         slots: impl Iterator<Item = Slot>,
         more_milli: u64,
@@ -224,14 +226,19 @@
         })
 }
 
-/// How long a task avoids the worker on which it failed. The time doubles with each failure, since the remaining
-/// attempts become more valuable.
+/// How long a task avoids the worker on which it failed. The time doubles with each failure, up to
+/// [`SUSPEND_MAX_MS`], since the remaining attempts become more valuable.
 fn avoidance_ms(fails: u32) -> Millis {
     (SUSPEND_MS << fails.min(4)).min(SUSPEND_MAX_MS)
 }
 
 /// Whether a task could be placed on another worker than this one.
-pub fn has_other(pool_state: &PoolState, key: TaskKey, worker: WorkerKey, now_ms: u64) -> bool {
+pub fn has_other_worker(
+    pool_state: &PoolState,
+    key: TaskKey,
+    worker: WorkerKey,
+    now_ms: u64,
+) -> bool {
     let Some(spec) = pool_state.step_spec(key) else {
         return false;
     };
@@ -262,7 +269,7 @@
 
 /// Returns the cost of a worker: the thousandths of its processors that stay free, plus what its rack, its
 /// maintenance and its failures add. `more` is about to be placed there, too. Full workers are cheapest, so that
-/// others stay empty and can move to pools that need them.
+/// others stay empty and their hosts can move to pools that need them.
 pub(super) fn cost_milli(
     pool_state: &PoolState,
     spec: &StepSpec,
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -1,5 +1,5 @@
-//! Reserves hosts for tasks that fit on no host although the pool has enough free capacity in all. Nothing else is
-//! placed on a reserved host until the task fits.
+//! Reserves hosts for tasks that fit on no host although the pool has enough free capacity in all. Until the task fits,
+//! nothing else is placed on its host, except a lasting task that finds no other worker.
 //!
 //! Small tasks that arrive all the time are placed as soon as they fit somewhere, so a host may never become empty
 //! by itself. Lasting tasks are not moved: a host on which they leave too little room is skipped. [`super::place`]
@@ -22,13 +22,13 @@
 /// How long a task waits before a host is reserved for it: by then a host that was on offer is back.
 const WAIT_MS: Millis = 1_000;
 
-/// One host may be reserved at a time for each this many open hosts; a smaller pool may have one, too.
+/// One in this many open hosts may be reserved at a time; a smaller pool may reserve one, too.
 const HOSTS_PER_RESERVATION: u64 = 32;
 
 /// A host whose tasks take longer than this to make room is not reserved.
 const DRAIN_MAX_MS: Millis = 60_000;
 
-/// Most demands for which one pass finds no host before it ends: each search visits all hosts and their tasks.
+/// A pass ends after this many demands for which it found no host: each search visits all hosts and their tasks.
 const SEARCHES_MAX: usize = 8;
 
 /// The reserved hosts of a pool.
@@ -47,10 +47,10 @@
     task: TaskKey,
     since_ms: Millis,
     until_ms: Millis,
-    /// The time up to which `idle` is counted.
-    seen_ms: Millis,
+    /// The time up to which `idle_core_us` is counted.
+    counted_to_ms: Millis,
     /// Free processors times how long they were free, in thousandths of a core times milliseconds.
-    idle: u64,
+    idle_core_us: u64,
 }
 
 /// What happens to a reservation in a pass.
@@ -147,7 +147,7 @@
         if is_known || !fragmentation.is_split(pool_state, rank.class, demand) {
             continue;
         }
-        match Search::new(pool_state, rank.task, spec, now_ms).best() {
+        match Search::new(pool_state, rank.task, spec, now_ms).best_host() {
             Some(host) => reserve_host(pool_state, rank, host, ctx),
             None => not_found.push(demand),
         }
@@ -181,8 +181,8 @@
         task: rank.task,
         since_ms: now_ms,
         until_ms: now_ms + 2 * drain_ms + WORKER_LEASE_MS,
-        seen_ms: now_ms,
-        idle: 0,
+        counted_to_ms: now_ms,
+        idle_core_us: 0,
     };
     pool_state.reserved.list.push(reservation);
     pool_state.reserved.avoided = None;
@@ -198,8 +198,8 @@
     fn add_idle(&mut self, pool_state: &PoolState, now_ms: Millis) {
         let free = pool_state.workers.get(self.worker).map(Worker::free);
         let free_milli = free.map_or(0, |free| free.cpu_milli);
-        self.idle += free_milli * now_ms.saturating_sub(self.seen_ms);
-        self.seen_ms = now_ms;
+        self.idle_core_us += free_milli * now_ms.saturating_sub(self.counted_to_ms);
+        self.counted_to_ms = now_ms;
     }
 
     fn outcome(&self, pool_state: &PoolState, now_ms: Millis) -> Outcome {
@@ -244,7 +244,7 @@
             .with("cpu_milli", demand.map_or(0, |d| d.cpu_milli))
             .with("held_ms", ctx.now.ms.saturating_sub(self.since_ms))
             .with("most_ms", self.until_ms.saturating_sub(self.since_ms))
-            .with("idle_core_ms", self.idle / 1_000);
+            .with("idle_core_ms", self.idle_core_us / 1_000);
         if let Some(worker) = pool_state.workers.get(self.worker) {
             decision = decision
                 .with_name("worker", &*worker.fact.id)
@@ -281,9 +281,9 @@
         }
     }
 
-    /// Returns the host on which the task fits soonest. Hosts without a lasting task come first, and the host that
-    /// was dropped last comes last.
-    fn best(&self) -> Option<Candidate> {
+    /// Returns the host on which the task fits soonest. Hosts without a lasting task come first, and the host whose
+    /// reservation was last dropped for taking too long comes last.
+    fn best_host(&self) -> Option<Candidate> {
         let workers = self.pool_state.workers.iter();
         let hosts = workers.filter_map(|(key, worker)| {
             let free_ms = self.free_ms(key, worker)?;
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -324,7 +324,7 @@
     let mut lasting = tasks.filter(|key| pool_state.step_spec(**key).is_some_and(|s| s.lasting));
     lasting.all(|key| {
         may_stop_lasting(pool_state, *key, now_ms)
-            && place::has_other(pool_state, *key, worker, now_ms)
+            && place::has_other_worker(pool_state, *key, worker, now_ms)
     })
 }
 
@@ -490,8 +490,8 @@
         .insert(host.to_string(), (wave.order.wave, turn));
 }
 
-/// Applies the outcome of a change of a wave's row. If the pool state is still being read (`None`), hosts are closed and
-/// opened by the row once that state is built.
+/// Applies the outcome of a change of a wave's row. If the pool state is still being read (`None`), hosts are closed
+/// and opened by the row once that state is built.
 pub fn apply_settled(
     pool_state: Option<&mut PoolState>,
     controller: &mut WaveController,
