--- a/src/core/sched/overload.rs
+++ b/src/core/sched/overload.rs
@@ -12,9 +12,9 @@
 use super::keys::JobKey;
 use crate::clock::Millis;
 
-/// How long a job stays deferred, so that its tasks don't change places with others in each pass. It is about the
-/// time that jobs have until their deadlines. In a replayed peak of twice the capacity, 451 of 750 jobs were in
-/// time with it, 432 with 1 s, and 393 without deferral.
+/// How long a job stays deferred, so that its tasks don't change places with others in each pass. This is about the
+/// time that jobs have until their deadlines on the users' sites. In a replayed peak of twice the capacity, 451 of 750
+/// jobs were in time with this value, 432 with 1 s, and 393 without deferral.
 const DEFERRAL_MS: Millis = 4_000;
 
 /// Missing hosts count as available this long after the pool began to lack them: a move takes 1.5 s, and ordering
@@ -57,11 +57,11 @@
 pub struct Contender {
     /// The job.
     pub job: JobKey,
-    /// The latest start of its last tasks with which it is in time.
+    /// The latest time at which the job's last tasks may start for the job to be in time.
     pub start_by_ms: Millis,
-    /// Duration of the tasks of its longest step.
+    /// Duration of the tasks of the job's longest unfinished step.
     pub task_ms: Millis,
-    /// Work of its tasks that have not started, in core-milliseconds.
+    /// Work of the job's tasks that have not started, in core-milliseconds.
     pub work_core_ms: u64,
 }
 
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -26,7 +26,7 @@
 /// would have to move.
 const DUE_HOST_COST_MILLI: u64 = 700;
 
-/// Added to a worker's cost, in thousandths, for each of the last tasks in a row that failed there.
+/// Added to a worker's cost, in thousandths, for each consecutive task failure on the worker.
 const FAILURE_COST_MILLI: u64 = 300;
 
 /// Places waiting tasks in their order as far as workers have room.
@@ -65,7 +65,7 @@
     Worker(WorkerKey),
     /// No open worker has enough room for the task, apart from workers that are reserved for others.
     NoRoom,
-    /// Some of these workers have room, but none of them may take the task.
+    /// Some open workers have room, but none of them may take the task.
     NoneAllowed,
 }
 
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Returns the cheapest worker of `slots` and `best`, with its cost. `slots` are sorted by free share, and a worker
-    /// that `best` was not chosen from costs at least its free share plus `more_milli`, so the loop usually ends after
-    /// the first few.
+    /// Returns the cheapest worker of `slots` and `best`, with its cost. Any slot that costs less
+    /// than its free share plus `more_milli` must already be compared in `best`. Since `slots` are sorted by free share,
+    /// the loop usually ends after the first few.
     fn cheapest_of(
         &self,
         slots: impl Iterator<Item = Slot>,
--- a/src/core/sched/quota.rs
+++ b/src/core/sched/quota.rs
@@ -4,7 +4,8 @@
 //! granted to each pool, and the grants never add up to more than the quota: an owner raises its own grant by a
 //! conditional write, as far as there is room, and starts nothing beyond it. Peaks shift from queue to queue every
 //! few seconds, and the accounts' needs with them. So an owner gives back what its work doesn't need: at once if
-//! another pool's owner reports that the account is short there, else after `SURPLUS_KEPT_MS`.
+//! another pool's owner reports that the account is short there, else after `SURPLUS_KEPT_MS` if the grant is more than
+//! twice what the owner would request now.
 //!
 //! A grant belongs to the pool, not to its owner: what a former owner started still counts, in the pool state and
 //! in the grant. A new owner writes its epoch into the grant before it starts anything under it, so that no late
@@ -44,7 +45,8 @@
 /// A requested grant is also larger by the quota divided by this number, the smallest step that is worth a call.
 const STEP_DIVISOR: u64 = 16;
 
-/// Pause before a row without room is read again: five store answers to another owner's give-back.
+/// Pause before a row without room is read again: it takes about five answers of the store until another owner has
+/// given some back.
 const READ_AGAIN_MS: Millis = 100;
 
 /// Number of partitions that the accounts' rows are spread over, since the store applies the writes of one
@@ -188,7 +190,7 @@
         account.weight = config.map_or(0, |a| a.weight);
         let quota = config.map(|a| a.quota);
         let Some(quota) = quota.filter(|q| *q != Capacity::default()) else {
-            // A newer configuration accepted the account's jobs and may have given it a quota.
+            // A newer configuration accepted the account's jobs and may have given the account a quota.
             let is_newer_config =
                 config.is_none() && account.config_version > inputs.config.version;
             let limit = is_newer_config.then(Capacity::default);
@@ -196,7 +198,7 @@
                 account.limit = limit;
                 pool_state.wants_placing = true;
             }
-            if is_newer_config && need(account) != Capacity::default() {
+            if is_newer_config && total_need(account) != Capacity::default() {
                 let ledger = controller.ledgers.entry(account.name.clone()).or_default();
                 log_held(account, ledger, Capacity::default(), inputs, ctx);
             }
@@ -208,7 +210,7 @@
             None => update_grant(account, ledger, quota, inputs, ctx),
             Some(pending) if !pending.is_in_flight && ctx.may_send() => {
                 let pending = pending.clone();
-                write(ledger, &account.name, pending, inputs.epoch, ctx);
+                write_row(ledger, &account.name, pending, inputs.epoch, ctx);
             }
             Some(_) => {}
         }
@@ -218,7 +220,7 @@
         }
         account.limit = Some(limit);
         account.ceiling = lift_unlimited(minus(quota, ledger.row.others(inputs.pool)), quota);
-        if !limit.contains(need(account)) {
+        if !limit.contains(total_need(account)) {
             log_held(account, ledger, limit, inputs, ctx);
             short.insert(account.name.clone());
         }
@@ -226,7 +228,7 @@
     controller.short = short;
 }
 
-/// Records an account's quota, and the configuration's version if that lowered it.
+/// Records an account's quota and, if the quota was lowered, the version of the configuration.
 fn record_quota(ledger: &mut Ledger, quota: Capacity, version: u64) {
     let before = std::mem::replace(&mut ledger.quota, quota);
     if before != Capacity::default()
@@ -247,13 +249,13 @@
     if !ctx.may_send() {
         return;
     }
-    let need = need(account);
+    let need = total_need(account);
     let own = ledger.granted_to(inputs.pool);
     let current = own.map(|grant| grant.capacity()).unwrap_or_default();
     let has_need = need != Capacity::default();
     if !ledger.is_ours(inputs) {
         if has_need {
-            send(ledger, account, most(current, account.used), inputs, ctx);
+            write_grant(ledger, account, most(current, account.used), inputs, ctx);
         }
         return;
     }
@@ -268,7 +270,7 @@
     };
     let target = most(target, account.used);
     if !current.contains(need) && !is_over {
-        raise(account, ledger, most(current, target), current, inputs, ctx);
+        raise_grant(account, ledger, most(current, target), current, inputs, ctx);
         return;
     }
     let has_surplus = target != current && current.contains(target);
@@ -282,13 +284,13 @@
     let is_asked = is_over || inputs.short_elsewhere.contains(&account.name);
     if is_asked || (is_large && !is_kept) {
         ledger.surplus_since_ms = None;
-        send(ledger, account, target, inputs, ctx);
+        write_grant(ledger, account, target, inputs, ctx);
     }
 }
 
 /// Requests a larger grant or, if there is no room for one, reads the row to see whether other pools gave some
 /// back.
-fn raise(
+fn raise_grant(
     account: &AccountUse,
     ledger: &mut Ledger,
     raised: Capacity,
@@ -299,7 +301,7 @@
     // An owner with an older configuration than the row may not know of a lowered quota.
     let may_raise = ledger.row.config <= inputs.config.version;
     if raised != current && may_raise {
-        send(ledger, account, raised, inputs, ctx);
+        write_grant(ledger, account, raised, inputs, ctx);
     } else if ctx.now.ms >= ledger.read_ms + READ_AGAIN_MS {
         // What other pools give back shows only in the row.
         ledger.read_ms = ctx.now.ms;
@@ -309,7 +311,7 @@
 }
 
 /// Writes a new grant of this pool in place of the known one.
-fn send(
+fn write_grant(
     ledger: &mut Ledger,
     account: &AccountUse,
     granted: Capacity,
@@ -318,7 +320,7 @@
 ) {
     let mut row = ledger.row.clone();
     row.config = row.config.max(inputs.config.version);
-    if granted == Capacity::default() && need(account) == granted {
+    if granted == Capacity::default() && total_need(account) == granted {
         row.grants.remove(inputs.pool);
     } else {
         let grant = Grant::new(inputs.epoch, granted);
@@ -329,11 +331,17 @@
         may_take_effect: false,
         is_in_flight: false,
     };
-    write(ledger, &account.name, pending, inputs.epoch, ctx);
+    write_row(ledger, &account.name, pending, inputs.epoch, ctx);
 }
 
 /// Writes a row on condition that the known one has not changed.
-fn write(ledger: &mut Ledger, account: &str, pending: Pending, epoch: Revision, ctx: &mut Ctx<'_>) {
+fn write_row(
+    ledger: &mut Ledger,
+    account: &str,
+    pending: Pending,
+    epoch: Revision,
+    ctx: &mut Ctx<'_>,
+) {
     let tx = RowTx {
         part: quota_part(account),
         guards: vec![Guard {
@@ -355,8 +363,8 @@
     ctx.out.push(settle);
 }
 
-/// Applies the outcome of a change of a grant. A pool state that is still being read looks at its grants once it is
-/// complete.
+/// Applies the outcome of a change of a grant. If the pool state is still being read (`None`), grants are reconciled
+/// once that state is built.
 pub fn apply_settled(
     pool_state: Option<&mut PoolState>,
     controller: &mut QuotaController,
@@ -520,7 +528,7 @@
     );
 }
 
-fn need(account: &AccountUse) -> Capacity {
+fn total_need(account: &AccountUse) -> Capacity {
     sum(account.used, account.waiting)
 }
 
@@ -529,11 +537,11 @@
     a
 }
 
-fn combine(a: Capacity, b: Capacity, of: impl Fn(u64, u64) -> u64) -> Capacity {
+fn combine(a: Capacity, b: Capacity, op: impl Fn(u64, u64) -> u64) -> Capacity {
     Capacity {
-        cpu_milli: of(a.cpu_milli, b.cpu_milli),
-        mem_mb: of(a.mem_mb, b.mem_mb),
-        gpu: of(a.gpu, b.gpu),
+        cpu_milli: op(a.cpu_milli, b.cpu_milli),
+        mem_mb: op(a.mem_mb, b.mem_mb),
+        gpu: op(a.gpu, b.gpu),
     }
 }
 
@@ -549,7 +557,7 @@
     combine(a, b, u64::min)
 }
 
-/// Replaces each kind of resource that the quota does not limit by no limit.
+/// Returns `room` with `u64::MAX` for each resource that the quota does not limit.
 fn lift_unlimited(room: Capacity, quota: Capacity) -> Capacity {
     combine(room, quota, |room, quota| match quota {
         0 => u64::MAX,
--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -624,7 +624,7 @@
             pool: &pool.name,
             epoch,
             can_park,
-            pressed,
+            another_pool_lacks_hosts: pressed,
             answer_ms: pool.lease.answer_ms,
         };
         if sizing::reconcile(
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -24,8 +24,8 @@
 /// can be withdrawn within one round trip to the store.
 const NEED_WINDOW_MS: Millis = 300;
 
-/// Least time between two additions to the row of offers. Within it the hosts in the row can be taken: by a pass
-/// every 0.1 s and a round trip to the store.
+/// Least time between two additions to the row of offers. In between, the hosts in the row can be taken, which takes up
+/// to 0.1 s until the next pass and a round trip to the store.
 const OFFERS_GAP_MS: Millis = 200;
 
 /// Least time between two additions as a number of store round trips, used where that is longer: a feed update, a
@@ -87,14 +87,15 @@
     pub epoch: u64,
     /// Whether the configuration has a pool whose hosts are turned off.
     pub can_park: bool,
-    /// Whether another pool lacks hosts for its work.
-    pub pressed: bool,
+    /// Whether another pool has fewer hosts than its work needs. This pool then wants no hosts for work that is already
+    /// late.
+    pub another_pool_lacks_hosts: bool,
     /// How long the store's last answer took.
     pub answer_ms: Millis,
 }
 
-/// Reconciles the pool's size. Returns whether the pool lacks hosts, or lacked some before, and the need changed:
-/// other pools wait for this news.
+/// Reconciles the pool's size. Returns whether the number of wanted or needed hosts changed while the pool lacks hosts,
+/// or lacked some before. The caller then publishes the change early, since other pools wait for it.
 pub fn reconcile(
     pool_state: &mut PoolState,
     sizing: &mut Sizing,
@@ -107,7 +108,7 @@
     let has_offers = !offers.row.offered.is_empty();
     sizing
         .needs
-        .push_back((now_ms, need(pool_state, has_offers, now_ms)));
+        .push_back((now_ms, needed_hosts(pool_state, has_offers, now_ms)));
     sizing
         .needs
         .retain(|(at_ms, _)| now_ms < at_ms + NEED_WINDOW_MS);
@@ -118,9 +119,13 @@
     let has_load = !pool_state.jobs.is_empty();
     sizing.needed = if has_load { needed } else { 0 };
     // Work that is late already has to wait while another pool lacks hosts for work that can be in time.
-    let for_work = if inputs.pressed { needed } else { for_all };
+    let for_work = if inputs.another_pool_lacks_hosts {
+        needed
+    } else {
+        for_all
+    };
     sizing.wanted = if has_load { for_work } else { 0 };
-    if inputs.can_park && (has_load || inputs.pressed) {
+    if inputs.can_park && (has_load || inputs.another_pool_lacks_hosts) {
         adjust_spare(pool_state, sizing, offers, now_ms);
         update_offers(pool_state, sizing, offers, inputs, ctx);
     }
@@ -190,7 +195,7 @@
 /// A pool that offers hosts counts the expected work less its random spread. By the plain rate, a pool whose peak
 /// was over asked for 257 hosts instead of 133 for 0.6 s after two large jobs, and took back 40 that another pool
 /// needed.
-fn need(pool_state: &PoolState, has_offers: bool, now_ms: Millis) -> Need {
+fn needed_hosts(pool_state: &PoolState, has_offers: bool, now_ms: Millis) -> Need {
     let host = mean_capacity(pool_state);
     let hosts = |sum: Capacity| {
         if host.cpu_milli == 0 {
@@ -308,7 +313,7 @@
 
 /// Closes hosts that are not wanted, those with the least work first, and opens them again when they are wanted.
 fn adjust_spare(pool_state: &mut PoolState, sizing: &mut Sizing, offers: &Offers, now_ms: Millis) {
-    reopen(pool_state, sizing, offers);
+    reopen_withdrawn(pool_state, sizing, offers);
     let serving = pool_state
         .workers
         .values()
@@ -328,8 +333,8 @@
 }
 
 /// Opens withdrawn hosts once they are off the row of offers.
-fn reopen(pool_state: &mut PoolState, sizing: &mut Sizing, offers: &Offers) {
-    let mut is_any = false;
+fn reopen_withdrawn(pool_state: &mut PoolState, sizing: &mut Sizing, offers: &Offers) {
+    let mut has_reopened = false;
     sizing.withdrawn.retain(|host| {
         let Some(key) = pool_state.worker_on(host) else {
             return false;
@@ -342,11 +347,11 @@
         let is_off = !offers.is_offered(host);
         if is_off {
             worker.is_spare = false;
-            is_any = true;
+            has_reopened = true;
         }
         !is_off
     });
-    pool_state.wants_placing |= is_any;
+    pool_state.wants_placing |= has_reopened;
 }
 
 fn open_hosts(pool_state: &mut PoolState, sizing: &mut Sizing, offers: &Offers, count: usize) {
@@ -395,8 +400,8 @@
             .leftover_runs
             .values()
             .any(|left| left.worker == key);
-        // An empty host is kept so that its maintenance comes first.
-        let is_kept = worker.awaits_wave && !inputs.pressed;
+        // An empty host that is due for maintenance is kept, so that the maintenance comes before a move.
+        let is_kept = worker.awaits_wave && !inputs.another_pool_lacks_hosts;
         let is_wanted = is_kept || sizing.withdrawn.contains(host);
         if is_idle && !has_left && !is_wanted && !offers.is_taken(host, worker_id) {
             offered.insert(host.clone(), worker_id.clone());
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -58,7 +58,7 @@
         pool: POOL,
         epoch: 1,
         can_park: true,
-        pressed: true,
+        another_pool_lacks_hosts: true,
         answer_ms: 5,
     };
     let effects = decide(100_000, |ctx| {
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -203,7 +203,7 @@
             pool: POOL,
             epoch: EPOCH,
             can_park: true,
-            pressed: false,
+            another_pool_lacks_hosts: false,
             answer_ms: 5,
         };
         let effects = decide(self.now_ms, |ctx| {
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -79,7 +79,7 @@
         pool: POOL,
         epoch: 1,
         can_park: false,
-        pressed,
+        another_pool_lacks_hosts: pressed,
         answer_ms: 5,
     }
 }
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -340,7 +340,7 @@
         pool: POOL,
         epoch: 1,
         can_park: false,
-        pressed: true,
+        another_pool_lacks_hosts: true,
         answer_ms: 5,
     };
     for n in 0..10 {
