--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Returns the cheapest worker of `slots` and `best`, with its cost. Any slot that costs less
-    /// than its free share plus `more_milli` must already be compared in `best`. Since `slots` are sorted by free share,
-    /// the loop usually ends after the first few.
+    /// Returns the cheapest worker of `slots` and `best`, with its cost. Any slot that costs less than its free share
+    /// plus `more_milli` must have been compared in `best`. Since `slots` are sorted by free share, the loop usually
+    /// ends after the first few.
     fn cheapest_of(
         &self,
         slots: impl Iterator<Item = Slot>,
