--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -110,7 +110,7 @@
                 reservation.log(
                     pool_state,
                     Code::ReservationDropped,
-                    "it takes too long",
+                    "the reserved host takes too long to make room",
                     ctx,
                 );
                 pool_state.reserved.avoided = Some(reservation.worker);
@@ -212,7 +212,7 @@
         }
         let worker = pool_state.workers.get(self.worker);
         let Some(worker) = worker.filter(|w| w.is_open(now_ms)) else {
-            return Outcome::Dropped("its host takes no work");
+            return Outcome::Dropped("the reserved host takes no work");
         };
         let is_barred =
             is_held(pool_state, self.task, now_ms) || runs::is_exhausted(pool_state, self.task);
@@ -226,7 +226,7 @@
             return Outcome::Fits;
         }
         if free_ms(pool_state, worker, demand, now_ms).is_none() {
-            return Outcome::Dropped("its host will not have the room");
+            return Outcome::Dropped("the reserved host will not have enough room");
         }
         match now_ms < self.until_ms {
             true => Outcome::Waits,
