--- a/src/core/sched/gang.rs
+++ b/src/core/sched/gang.rs
@@ -80,9 +80,9 @@
             let (mut used, count) = taken.get(key).copied().unwrap_or_default();
             used.add(demand);
             let is_in_rack = rack.is_none_or(|r| r == w.rack());
-            let is_apart = most == 0 || count < most;
+            let is_below_max = most == 0 || count < most;
             is_in_rack
-                && is_apart
+                && is_below_max
                 && w.fits(used)
                 && place::meets_constraints(pool_state, *member, spec, *key)
         });
--- a/src/core/sched/hosts.rs
+++ b/src/core/sched/hosts.rs
@@ -1,8 +1,8 @@
 //! Sends all orders to hosts from one entry: the owner of one designated pool sends them for the whole fleet.
 //!
-//! Two entries must not send orders to one host in turn, so no other entry sends them. Owners publish in their
-//! heartbeats how many hosts they want, in a row of offers which hosts they can spare, and in a wave's row which
-//! host holds a slot. This entry moves hosts and takes them down accordingly.
+//! Two entries must not send orders to one host shortly after one another, so no other entry sends any. Owners publish
+//! in their heartbeats how many hosts they want, in a row of offers which hosts they can spare, and in a wave's row
+//! which host holds a slot. This entry moves hosts and takes them down accordingly.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -76,8 +76,8 @@
         let supply = self.supply(now_ms);
         let open = self.jobs.iter().filter(|(_, job)| {
             let is_open = !job.state.is_final() && !job.spec.is_lasting();
-            let is_behind = job.is_excess || job.deferral.is_set(now_ms);
-            is_open && !is_behind && job.outlook(now_ms) == Outlook::InTime
+            let is_deferred = job.is_excess || job.deferral.is_set(now_ms);
+            is_open && !is_deferred && job.outlook(now_ms) == Outlook::InTime
         });
         let contenders = open.map(|(key, job)| job.contender(key)).collect();
         for key in overload::jobs_to_defer(contenders, &supply, now_ms) {
