--- a/src/auth.rs
+++ b/src/auth.rs
@@ -1,4 +1,5 @@
-//! Tokens of accounts and operators, and API keys. Only their hashes are kept, and they are compared in constant time.
+//! Tokens of accounts and operators, and API keys: only hashes of them are kept, and [`hashes_match`] compares two
+//! hashes in constant time.
 
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -50,13 +50,14 @@
         (self.boot_ms)().saturating_sub(self.origin_ms)
     }
 
-    /// Returns the `Instant` of `at_ms` on this clock, or the current one if `at_ms` has passed. It is too late if the
-    /// host is suspended before then.
+    /// Returns the `Instant` of `at_ms` on this clock, or the current one if `at_ms` has passed. A timer for it fires
+    /// too late if the host is suspended before `at_ms`.
     pub fn instant(&self, at_ms: Millis) -> Instant {
         Instant::now() + Duration::from_millis(at_ms.saturating_sub(self.now_ms()))
     }
 
-    /// Returns for how long the host was suspended since the clock was created. Timers of the runtime are late by that.
+    /// Returns for how long the host was suspended since the clock was created. The runtime's timers fire late by that
+    /// time.
     pub fn suspended_ms(&self) -> Millis {
         let steady_ms = self.origin.elapsed().as_millis() as Millis;
         self.now_ms().saturating_sub(steady_ms)
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,11 +1,11 @@
-//! `rockwick explain`: prints the decisions about one thing, in order.
+//! `rockwick explain`: prints the decisions about one thing in order of time.
 
 use bpaf::{construct, positional, Parser};
 
 use super::{print_json, print_line, target, Target};
 use crate::clock::{Millis, DAY_MS};
 use crate::error::Result;
-use crate::util::escape;
+use crate::util::escape_path;
 use crate::view::Line;
 
 /// First paragraph of the command's help.
@@ -31,7 +31,7 @@
 
 /// Asks an entry for the decisions and prints them.
 pub fn run(args: Args) -> Result<()> {
-    let path = format!("/v1/explain/{}/{}", escape(&args.kind), args.id);
+    let path = format!("/v1/explain/{}/{}", escape_path(&args.kind), args.id);
     let lines: Vec<Line> = args.target.get(&path)?;
     if args.target.json() {
         return print_json(&lines);
--- a/src/cmd/host.rs
+++ b/src/cmd/host.rs
@@ -5,7 +5,7 @@
 use super::{print_json, print_line, print_table, target, Target};
 use crate::core::operate::Edit;
 use crate::error::Result;
-use crate::util::escape;
+use crate::util::escape_path;
 use crate::view::HostView;
 
 /// First paragraph of the command's help.
@@ -105,8 +105,8 @@
 /// Runs the subcommand.
 pub fn run(args: Args) -> Result<()> {
     match args {
-        Args::List(target) => list(&target),
-        Args::Show(target, id) => show(&target, &id),
+        Args::List(target) => list_hosts(&target),
+        Args::Show(target, id) => show_host(&target, &id),
         Args::Drain {
             target,
             reboot,
@@ -122,12 +122,12 @@
     }
 }
 
-fn list(target: &Target) -> Result<()> {
+fn list_hosts(target: &Target) -> Result<()> {
     let hosts: Vec<HostView> = target.get("/v1/hosts")?;
     if target.json() {
         return print_json(&hosts);
     }
-    let rows: Vec<Vec<String>> = hosts.iter().map(row).collect();
+    let rows: Vec<Vec<String>> = hosts.iter().map(table_cells).collect();
     print_table(
         &["HOST", "HALL", "RACK", "LIFE", "STATE", "POOL", "JOBS"],
         &rows,
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-fn row(h: &HostView) -> Vec<String> {
+fn table_cells(h: &HostView) -> Vec<String> {
     vec![
         h.id.clone(),
         h.hall.clone(),
@@ -147,14 +147,14 @@
     ]
 }
 
-fn show(target: &Target, id: &str) -> Result<()> {
-    let host: HostView = target.get(&format!("/v1/hosts/{}", escape(id)))?;
+fn show_host(target: &Target, id: &str) -> Result<()> {
+    let host: HostView = target.get(&format!("/v1/hosts/{}", escape_path(id)))?;
     if target.json() {
         return print_json(&host);
     }
     print_table(
         &["HOST", "HALL", "RACK", "LIFE", "STATE", "POOL", "JOBS"],
-        &[row(&host)],
+        &[table_cells(&host)],
     );
     if !host.held_by.is_empty() {
         print_line(format!("held by: {}", host.held_by.join(", ")));
--- a/src/cmd/job.rs
+++ b/src/cmd/job.rs
@@ -7,7 +7,7 @@
 use crate::core::operate::Edit;
 use crate::core::rows::JobSpec;
 use crate::error::{Error, Result};
-use crate::util::escape;
+use crate::util::escape_path;
 use crate::view::JobView;
 
 /// First paragraph of the command's help.
@@ -112,8 +112,8 @@
 pub fn run(args: Args) -> Result<()> {
     match args {
         Args::Submit(target, s) => target.edit_and_print(&s.into_edit()?),
-        Args::List(target) => list(&target),
-        Args::Show(target, id) => show(&target, &id),
+        Args::List(target) => list_jobs(&target),
+        Args::Show(target, id) => show_job(&target, &id),
         Args::Cancel(target, job) => target.edit_and_print(&Edit::Cancel { account: None, job }),
     }
 }
@@ -142,7 +142,7 @@
     }
 }
 
-fn row(j: &JobView) -> Vec<String> {
+fn table_cells(j: &JobView) -> Vec<String> {
     vec![
         j.id.clone(),
         j.row.account.clone(),
@@ -158,22 +158,22 @@
     "JOB", "ACCOUNT", "POOL", "CLASS", "STATE", "ATTEMPT", "HOST",
 ];
 
-fn list(target: &Target) -> Result<()> {
+fn list_jobs(target: &Target) -> Result<()> {
     let jobs: Vec<JobView> = target.get("/v1/jobs")?;
     if target.json() {
         return print_json(&jobs);
     }
-    let rows: Vec<Vec<String>> = jobs.iter().map(row).collect();
+    let rows: Vec<Vec<String>> = jobs.iter().map(table_cells).collect();
     print_table(&COLUMNS, &rows);
     Ok(())
 }
 
-fn show(target: &Target, id: &str) -> Result<()> {
-    let job: JobView = target.get(&format!("/v1/jobs/{}", escape(id)))?;
+fn show_job(target: &Target, id: &str) -> Result<()> {
+    let job: JobView = target.get(&format!("/v1/jobs/{}", escape_path(id)))?;
     if target.json() {
         return print_json(&job);
     }
-    print_table(&COLUMNS, &[row(&job)]);
+    print_table(&COLUMNS, &[table_cells(&job)]);
     for step in &job.row.history {
         print_line(format!("{}: {}", step.by, step.what));
     }
--- a/src/cmd/pool.rs
+++ b/src/cmd/pool.rs
@@ -4,7 +4,7 @@
 
 use super::{print_json, print_line, print_table, target, Target};
 use crate::error::Result;
-use crate::util::escape;
+use crate::util::escape_path;
 use crate::view::PoolView;
 
 /// First paragraph of the command's help.
@@ -46,7 +46,7 @@
             print_pools(&pools);
         }
         Args::Show(target, name) => {
-            let pool: PoolView = target.get(&format!("/v1/pools/{}", escape(&name)))?;
+            let pool: PoolView = target.get(&format!("/v1/pools/{}", escape_path(&name)))?;
             if target.json() {
                 return print_json(&pool);
             }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns the names of entries that may be serving and have not reported the version as in force.
+/// Returns the names of entries that may be serving and have not reported this version or a later one as in force.
 fn entries_behind(status: &Status, version: u64) -> Vec<String> {
     status
         .entries
@@ -77,14 +77,14 @@
         "entry {} ready {} store {} version {} seq {}",
         s.entry, s.ready, s.store, s.config_version, s.seq
     ));
-    let rows: Vec<Vec<String>> = s.entries.iter().map(row).collect();
+    let rows: Vec<Vec<String>> = s.entries.iter().map(table_cells).collect();
     print_table(&["ENTRY", "STATE", "VERSION", "VIEW", "SILENT MS"], &rows);
     print_line(format!("hosts: {}", format_counts(&s.hosts)));
     print_line(format!("jobs: {}", format_counts(&s.jobs)));
     Ok(())
 }
 
-fn row(e: &EntryView) -> Vec<String> {
+fn table_cells(e: &EntryView) -> Vec<String> {
     vec![
         e.name.clone(),
         e.state.clone(),
--- a/src/cmd/wave.rs
+++ b/src/cmd/wave.rs
@@ -5,7 +5,7 @@
 use super::{print_json, print_table, target, Target};
 use crate::core::operate::Edit;
 use crate::error::Result;
-use crate::util::escape;
+use crate::util::escape_path;
 use crate::view::WaveView;
 
 /// First paragraph of the command's help.
@@ -20,7 +20,8 @@
         target: Target,
         /// Name of the pool, or `*` for every host.
         pool: String,
-        /// Times of day in UTC in which hosts may leave, `HH:MM-HH:MM`; empty for the pools' own.
+        /// Times of day in UTC in which hosts may leave, `HH:MM-HH:MM`; empty if only the pools' own windows
+        /// apply.
         window: Vec<String>,
     },
     /// List all waves.
@@ -91,7 +92,7 @@
             print_waves(&target, &waves)
         }
         Args::Show(target, id) => {
-            let wave: WaveView = target.get(&format!("/v1/waves/{}", escape(&id)))?;
+            let wave: WaveView = target.get(&format!("/v1/waves/{}", escape_path(&id)))?;
             print_waves(&target, &[wave])
         }
         Args::Stop(target, wave) => target.edit_and_print(&Edit::StopWave { wave }),
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -1,6 +1,6 @@
 //! The operators' HTTP interface: health, metrics, views of the state, `explain` and edits.
 //!
-//! Runs on the control thread, which starts [`accept`], and reads the state directly.
+//! Runs on the control thread, which starts [`accept_connections`], and reads the state directly.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 use crate::view::{EntryView, HostView, JobView, Line, PoolView, Status, TemplateView, WaveView};
 
 /// Accepts operators' connections and serves each in a task on the control thread.
-pub(super) async fn accept(control: Rc<Control>, listener: Async<TcpListener>) {
+pub(super) async fn accept_connections(control: Rc<Control>, listener: Async<TcpListener>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             Timer::after(Duration::from_millis(10)).await;
@@ -33,26 +33,26 @@
         };
         let this = Rc::clone(&control);
         control.spawn(async move {
-            let handle = |incoming| handle(&this, incoming);
+            let handle = |incoming| handle_request(&this, incoming);
             let limits = Limits::default();
             server::serve(Wire::for_requests(stream), limits, || false, handle).await;
         });
     }
 }
 
-async fn handle(control: &Rc<Control>, incoming: Incoming) -> Response {
-    match answer(control, &incoming).await {
+async fn handle_request(control: &Rc<Control>, incoming: Incoming) -> Response {
+    match answer_request(control, &incoming).await {
         Ok(res) => res,
         Err(failure) => server::problem(&failure),
     }
 }
 
-async fn answer(control: &Rc<Control>, incoming: &Incoming) -> Result<Response, Failure> {
+async fn answer_request(control: &Rc<Control>, incoming: &Incoming) -> Result<Response, Failure> {
     let path = incoming.head.url().path();
     let shared = &control.shared;
     match path {
         "/healthz" => return Ok(server::answer(200, "text/plain", b"ok\n".to_vec())),
-        "/readyz" => return Ok(readyz(control)),
+        "/readyz" => return Ok(answer_readyz(control)),
         "/metrics" => {
             let text = shared
                 .metrics
@@ -77,13 +77,13 @@
         .ok_or_else(|| Kind::UnknownPath.with_detail(path))?;
     let (what, id) = rest.split_once('/').unwrap_or((rest, ""));
     if what == "explain" {
-        return explain(control, id).await;
+        return explain_subject(control, id).await;
     }
     let state = control.state.borrow();
-    show(&state, control, what, id)
+    show_view(&state, control, what, id)
 }
 
-fn readyz(control: &Control) -> Response {
+fn answer_readyz(control: &Control) -> Response {
     let shared = &control.shared;
     let stopping = shared.stopping.load(Ordering::SeqCst);
     match (stopping, shared.may_send()) {
@@ -104,7 +104,7 @@
         .ok_or_else(|| Kind::Unauthorized.into())
 }
 
-fn show(state: &State, control: &Control, what: &str, id: &str) -> Result<Response, Failure> {
+fn show_view(state: &State, control: &Control, what: &str, id: &str) -> Result<Response, Failure> {
     let res = match (what, id) {
         ("status", "") => server::json(200, &status_view(state, control)),
         ("template", "") => server::json(200, &template_view(state)),
@@ -190,6 +190,7 @@
     }
 }
 
+/// Returns the name of the host's state; `lost` for a serving or free host that is not live.
 fn state_or_lost(host: &Host) -> &'static str {
     match host.row.state {
         HostState::Serving | HostState::Free if !host.is_live() => "lost",
@@ -283,8 +284,9 @@
     }
 }
 
-/// Answers with the history of one subject, by time: the history in its row and what the entries logged about it.
-async fn explain(control: &Rc<Control>, rest: &str) -> Result<Response, Failure> {
+/// Answers with the history of one subject in order of time: the steps in its row and the decisions that the entries
+/// logged about it.
+async fn explain_subject(control: &Rc<Control>, rest: &str) -> Result<Response, Failure> {
     let (kind, id) = rest.split_once('/').unwrap_or((rest, ""));
     let subject = Subject::parse(kind).ok_or_else(|| Kind::UnknownPath.with_detail(kind))?;
     let mut lines = history_lines(&control.state.borrow(), subject, id);
@@ -293,7 +295,8 @@
     lines.extend(own.into_iter().map(|d| Line::from_decision(&me, &d)));
     let shared = Arc::clone(&control.shared);
     let asked = id.to_string();
-    let peer_decisions = smol::unblock(move || peer::explain(&shared, subject, &asked)).await;
+    let peer_decisions =
+        smol::unblock(move || peer::ask_peers_to_explain(&shared, subject, &asked)).await;
     lines.extend(
         peer_decisions
             .into_iter()
--- a/src/entry/balance.rs
+++ b/src/entry/balance.rs
@@ -36,7 +36,8 @@
     pub(super) id: String,
     pub(super) host: String,
     /// Whether the backend server is in the entry's own data hall.
-    pub(super) near: bool,
+    pub(super) is_same_hall: bool,
+    /// Number of requests that the backend server processes at once.
     pub(super) slots: u32,
     pub(super) client: Client,
     /// Requests of this entry that hold a permit for this backend server.
@@ -45,11 +46,11 @@
     pub(super) closed: AtomicBool,
     window_size: AtomicU32,
     ejected_until_ms: AtomicU64,
-    barred_until_ms: AtomicU64,
+    unavailable_until_ms: AtomicU64,
     state: Mutex<BackendState>,
 }
 
-/// What the outcomes of exchanges have changed, under one lock.
+/// The state that outcomes of exchanges change, under one lock.
 struct BackendState {
     window: Window,
     health: Health,
@@ -72,14 +73,14 @@
         Self {
             id: format!("{}/{service}", spec.host),
             host: spec.host.clone(),
-            near: spec.hall == hall,
+            is_same_hall: spec.hall == hall,
             slots: spec.slots,
             client,
             in_flight: AtomicU32::new(0),
             closed: AtomicBool::new(false),
             window_size: AtomicU32::new(window.size()),
             ejected_until_ms: AtomicU64::new(0),
-            barred_until_ms: AtomicU64::new(0),
+            unavailable_until_ms: AtomicU64::new(0),
             state: Mutex::new(BackendState {
                 window,
                 health: Health::default(),
@@ -106,16 +107,18 @@
         now_ms < self.ejected_until_ms.load(Ordering::Relaxed)
     }
 
-    fn is_barred(&self, now_ms: Millis) -> bool {
-        now_ms < self.barred_until_ms.load(Ordering::Relaxed)
+    fn is_unavailable(&self, now_ms: Millis) -> bool {
+        now_ms < self.unavailable_until_ms.load(Ordering::Relaxed)
     }
 
-    fn candidate(&self, barred: bool, now_ms: Millis) -> Candidate {
+    fn candidate(&self, is_excluded: bool, now_ms: Millis) -> Candidate {
         Candidate {
             in_flight: self.in_flight.load(Ordering::Relaxed),
             window: self.window(now_ms),
-            is_excluded: barred || self.is_barred(now_ms) || self.closed.load(Ordering::Relaxed),
-            is_same_hall: self.near,
+            is_excluded: is_excluded
+                || self.is_unavailable(now_ms)
+                || self.closed.load(Ordering::Relaxed),
+            is_same_hall: self.is_same_hall,
         }
     }
 
@@ -184,7 +187,8 @@
         &self.budgets[class as usize]
     }
 
-    /// Returns the time that one exchange very likely takes at most: the smoothed time and twice its deviation.
+    /// Returns the time that one exchange very likely takes at most: the smoothed time plus twice
+    /// its deviation.
     pub(super) fn likely_exchange_ms(&self) -> Millis {
         lock(&self.queue).likely_exchange_ms()
     }
@@ -235,10 +239,10 @@
 
 impl Permit {
     /// Updates the window and the health of the backend server with the outcome of the exchange.
-    pub(super) fn note_outcome(&self, sign: ExchangeOutcome, route: &Route, shared: &Shared) {
+    pub(super) fn note_outcome(&self, outcome: ExchangeOutcome, route: &Route, shared: &Shared) {
         let now_ms = shared.clock.now_ms();
-        // Only a bad sign can eject a backend server, so the ejected ones are counted only then.
-        let ejected = match sign {
+        // Only a bad outcome can eject a backend server, so the ejected ones are counted only then.
+        let ejected = match outcome {
             ExchangeOutcome::Bad => route
                 .backends
                 .iter()
@@ -249,22 +253,22 @@
         let may_eject = health::may_eject(ejected, route.backends.len());
         let change = {
             let mut state = lock(&self.backend.state);
-            match sign {
+            match outcome {
                 ExchangeOutcome::Full => state.window.shrink(),
                 ExchangeOutcome::Good if self.fills_window => state.window.grow(),
                 _ => {}
             }
             let size = state.window.size();
             self.backend.window_size.store(size, Ordering::Relaxed);
-            let change = state.health.record_outcome(sign, may_eject, now_ms);
+            let change = state.health.record_outcome(outcome, may_eject, now_ms);
             let until_ms = state.health.ejected_until_ms();
             self.backend
                 .ejected_until_ms
                 .store(until_ms, Ordering::Relaxed);
-            let barred_ms = state.health.unavailable_until_ms();
+            let unavailable_ms = state.health.unavailable_until_ms();
             self.backend
-                .barred_until_ms
-                .store(barred_ms, Ordering::Relaxed);
+                .unavailable_until_ms
+                .store(unavailable_ms, Ordering::Relaxed);
             change
         };
         match change {
@@ -302,20 +306,20 @@
     pub(super) shared: &'a Shared,
     pub(super) route: &'a Route,
     pub(super) class: Class,
-    pub(super) entries: usize,
+    pub(super) entry_count: usize,
     /// The request's deadline; a permit that comes later is of no use.
     pub(super) deadline_ms: Millis,
 }
 
 impl Search<'_> {
-    /// Takes a permit at a backend server that is not in `barred`; waits in the queue if none is free.
-    pub(super) async fn acquire(&self, barred: &[SocketAddr]) -> Result<Permit, Kind> {
+    /// Takes a permit at a backend server that is not in `excluded`; waits in the queue if none is free.
+    pub(super) async fn acquire(&self, excluded: &[SocketAddr]) -> Result<Permit, Kind> {
         if self.route.backends.is_empty() {
             return Err(Kind::NoBackend);
         }
         self.shared.may_send()?;
         if self.route.admission.waiting() == 0 {
-            if let Some(permit) = self.try_acquire(barred) {
+            if let Some(permit) = self.try_acquire(excluded) {
                 return Ok(permit);
             }
         }
@@ -325,7 +329,7 @@
             admission: &self.route.admission,
             id,
         };
-        self.wait_for_permit(signal, &signals, id, barred).await
+        self.wait_for_permit(signal, &signals, id, excluded).await
     }
 
     fn enqueue(&self, signal: Sender<Signal>) -> Result<u64, Kind> {
@@ -333,11 +337,16 @@
         let id = admission.next_waiter.fetch_add(1, Ordering::Relaxed);
         let waiter = Waiter { id, signal };
         let now_ms = self.shared.clock.now_ms();
-        let places: u32 = self.route.backends.iter().map(|b| b.window(now_ms)).sum();
+        let concurrency: u32 = self.route.backends.iter().map(|b| b.window(now_ms)).sum();
         let left_ms = self.deadline_ms.saturating_sub(now_ms);
         let queue_max = self.route.service.queue_max;
-        let queued =
-            lock(&admission.queue).enqueue(self.class, waiter, queue_max, places as usize, left_ms);
+        let queued = lock(&admission.queue).enqueue(
+            self.class,
+            waiter,
+            queue_max,
+            concurrency as usize,
+            left_ms,
+        );
         match queued {
             Ok(pushed_out) => {
                 if let Some(w) = pushed_out {
@@ -355,15 +364,15 @@
         signal: Sender<Signal>,
         signals: &Receiver<Signal>,
         id: u64,
-        barred: &[SocketAddr],
+        excluded: &[SocketAddr],
     ) -> Result<Permit, Kind> {
         loop {
             let signalled = async { signals.recv().await.ok() };
-            let look = async {
+            let recheck = async {
                 Timer::after(Duration::from_millis(RECHECK_MS)).await;
                 None
             };
-            let received = signalled.or(look).await;
+            let received = signalled.or(recheck).await;
             if received == Some(Signal::PushedOut) {
                 return Err(Kind::QueueFull);
             }
@@ -373,7 +382,7 @@
             if self.shared.clock.now_ms() + needed_ms >= self.deadline_ms {
                 return Err(Kind::DeadlineUnmeetable);
             }
-            if let Some(permit) = self.try_acquire(barred) {
+            if let Some(permit) = self.try_acquire(excluded) {
                 return Ok(permit);
             }
             if received == Some(Signal::Recheck) {
@@ -383,22 +392,22 @@
         }
     }
 
-    fn try_acquire(&self, barred: &[SocketAddr]) -> Option<Permit> {
+    fn try_acquire(&self, excluded: &[SocketAddr]) -> Option<Permit> {
         let now_ms = self.shared.clock.now_ms();
         let backends = &self.route.backends;
         let total_slots = backends.iter().map(|b| b.slots).sum();
         let batch = self.route.admission.batch_in_flight.load(Ordering::Relaxed);
-        if !route::class_may_enter(self.class, batch, total_slots, self.entries) {
+        if !route::class_may_enter(self.class, batch, total_slots, self.entry_count) {
             return None;
         }
         const TRIES_MAX: usize = 3;
         for _ in 0..TRIES_MAX {
-            let look = |i: usize| {
+            let candidate_at = |i: usize| {
                 let b: &Arc<Backend> = &backends[i];
-                b.candidate(barred.contains(&b.address()), now_ms)
+                b.candidate(excluded.contains(&b.address()), now_ms)
             };
             let mut rng = fastrand::Rng::with_seed(fastrand::u64(..));
-            let index = route::pick_candidate(backends.len(), look, &mut rng)?;
+            let index = route::pick_candidate(backends.len(), candidate_at, &mut rng)?;
             let permit = backends[index].try_acquire(&self.route.admission, self.class, now_ms);
             if permit.is_some() {
                 return permit;
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -59,7 +59,7 @@
         id: String,
         reply: Sender<Option<JobRow>>,
     },
-    /// The last request has ended: the control thread writes to the table that the entry has left, and ends.
+    /// The last request has ended. The control thread records in the table that this entry has left, then ends.
     Leave,
 }
 
@@ -79,8 +79,8 @@
     answer.unwrap_or_else(|| Err(Kind::StoreUnknown.into()))
 }
 
-/// Where the answer to an event with a ticket goes.
-enum Pending {
+/// Channel for the answer to an event that has a ticket.
+enum ReplySender {
     Edit(Sender<std::result::Result<Reply, Failure>>),
     Peer(Sender<PeerReply>),
 }
@@ -90,7 +90,7 @@
     pub(super) shared: Arc<Shared>,
     pub(super) state: RefCell<State>,
     executor: LocalExecutor<'static>,
-    pending_replies: RefCell<HashMap<Ticket, Pending>>,
+    pending_replies: RefCell<HashMap<Ticket, ReplySender>>,
     next_ticket: RefCell<u64>,
     backends: RefCell<HashMap<(SocketAddr, String), Arc<Backend>>>,
     admissions: RefCell<HashMap<String, Arc<Admission>>>,
@@ -146,11 +146,11 @@
     async fn run(self: Rc<Self>, inbox: Receiver<Message>, operators: Async<TcpListener>) {
         let ticker = Rc::clone(&self);
         self.executor
-            .spawn(async move { ticker.tick().await })
+            .spawn(async move { ticker.tick_forever().await })
             .detach();
         let admin = Rc::clone(&self);
         self.executor
-            .spawn(async move { admin::accept(admin, operators).await })
+            .spawn(async move { admin::accept_connections(admin, operators).await })
             .detach();
         while let Ok(message) = inbox.recv().await {
             match message {
@@ -166,7 +166,7 @@
         self.executor.spawn(future).detach();
     }
 
-    async fn tick(self: Rc<Self>) {
+    async fn tick_forever(self: Rc<Self>) {
         let tick_ms = self.state.borrow().tuning.tick_ms;
         loop {
             let busy = self.busy_hosts();
@@ -184,7 +184,7 @@
         match message {
             Message::Event(event) => self.handle(event),
             Message::Edit { edit, reply } => {
-                let ticket = self.register_reply(Pending::Edit(reply));
+                let ticket = self.register_reply(ReplySender::Edit(reply));
                 self.handle(Event::EditRequested { ticket, edit });
             }
             Message::Poll {
@@ -192,7 +192,7 @@
                 since,
                 reply,
             } => {
-                let ticket = self.register_reply(Pending::Peer(reply));
+                let ticket = self.register_reply(ReplySender::Peer(reply));
                 self.handle(Event::PeerPolled {
                     ticket,
                     digest,
@@ -208,15 +208,15 @@
         }
     }
 
-    fn register_reply(&self, pending: Pending) -> Ticket {
+    fn register_reply(&self, reply: ReplySender) -> Ticket {
         let mut next = self.next_ticket.borrow_mut();
         *next += 1;
         let ticket = Ticket(*next);
-        self.pending_replies.borrow_mut().insert(ticket, pending);
+        self.pending_replies.borrow_mut().insert(ticket, reply);
         ticket
     }
 
-    /// Reduces one event, carries out its effects and updates what the other threads read.
+    /// Passes one event to the reducer, carries out its effects and updates what the other threads read.
     pub(super) fn handle(self: &Rc<Self>, event: Event) {
         let began = Instant::now();
         let now = Now {
@@ -247,7 +247,8 @@
         shared
             .store_down
             .store(state.reads.failing, Ordering::SeqCst);
-        // Drains must wait for each entry that sends requests, so it must be registered or sponsored by a peer.
+        // Drains must wait for each entry that sends requests, so an entry must be registered or sponsored by a peer
+        // before it sends any.
         let is_covered = state.is_registered() || state.is_sponsored;
         let ready = state.has_view() && is_covered && state.hosts_known;
         if ready && !shared.ready.swap(true, Ordering::SeqCst) {
@@ -276,7 +277,7 @@
             Effect::Log(d) => self.shared.log_decision(d),
             Effect::Publish(table) => self.publish_routes(*table),
             Effect::Answer { ticket, result } => {
-                if let Some(Pending::Edit(reply)) =
+                if let Some(ReplySender::Edit(reply)) =
                     self.pending_replies.borrow_mut().remove(&ticket)
                 {
                     let _ = reply.try_send(result);
@@ -289,7 +290,7 @@
                 complete,
                 hosts,
             } => {
-                if let Some(Pending::Peer(reply)) =
+                if let Some(ReplySender::Peer(reply)) =
                     self.pending_replies.borrow_mut().remove(&ticket)
                 {
                     let _ = reply.try_send(PeerReply::View {
@@ -360,7 +361,8 @@
         });
     }
 
-    /// Puts routes in force. Backend servers without a route are marked closed before requests in flight are counted.
+    /// Puts routes in force. Backend servers without a route are marked closed before their requests in flight are
+    /// counted, as `Backend::try_acquire` requires.
     fn publish_routes(&self, table: RouteTable) {
         let mut services = HashMap::new();
         let mut open_backends: BTreeSet<(SocketAddr, String)> = BTreeSet::new();
@@ -376,7 +378,7 @@
         let routes = Routes {
             services,
             callers: self.build_callers(&table),
-            entries: table.entries,
+            entry_count: table.entries,
         };
         self.shared.routes.store(Arc::new(routes));
         self.backends
@@ -434,7 +436,7 @@
         let mut callers = HashMap::new();
         for a in accounts {
             let kept = old.callers.get(&a.token_sha256).filter(|c| {
-                let same_split = old.entries == table.entries;
+                let same_split = old.entry_count == table.entries;
                 same_split && c.account == a
             });
             let caller = match kept {
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -2,7 +2,7 @@
 //! outcome is recorded under it afterwards.
 //!
 //! A request with the same key gets the recorded answer, so that a request runs at most once. `traffic` calls
-//! [`claim`] and [`record`].
+//! [`claim_key`] and [`record_outcome`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     row: RunRow,
 }
 
-/// The result of [`claim`].
+/// The result of [`claim_key`].
 pub(super) enum Claimed {
     /// This request holds the key and may be sent.
     Ours(Claim),
@@ -48,7 +48,7 @@
 
 /// Claims the key, or returns the answer that is recorded under it. Fails if an earlier request with the key differs,
 /// is still running or has an unknown outcome.
-pub(super) async fn claim(
+pub(super) async fn claim_key(
     shared: &Arc<Shared>,
     account: &str,
     key: &str,
@@ -155,10 +155,14 @@
 }
 
 /// Records the outcome of a claimed request: at once if the table answers, otherwise in the background.
-pub(super) async fn record(shared: &Arc<Shared>, claim: Claim, result: &Result<Answer, Failure>) {
+pub(super) async fn record_outcome(
+    shared: &Arc<Shared>,
+    claim: Claim,
+    result: &Result<Answer, Failure>,
+) {
     let state = match result {
         Ok(answer) => done_state(shared, &claim, answer).await,
-        Err(failure) if failure.kind.row().run == Run::No => RunState::NotRun,
+        Err(failure) if failure.kind.info().run == Run::No => RunState::NotRun,
         Err(_) => RunState::Lost,
     };
     let row = RunRow {
@@ -255,7 +259,8 @@
 
 /// Releases a claim whose commit has an unknown outcome, in the background, so that the caller can retry.
 ///
-/// Whether the claim took effect or not, a `NotRun` row at the next version fences it off.
+/// A `NotRun` row replaces the claim. If the claim has not taken effect yet, the row fences it off: its version check
+/// fails.
 fn release_claim(shared: &Arc<Shared>, key: String, row: RunRow) {
     let task_shared = Arc::clone(shared);
     let runtime = shared.runtime;
@@ -278,10 +283,10 @@
     let found = known
         .as_ref()
         .and_then(|k| decode::<RunRow>(k).ok().flatten());
-    let ours = found
+    let is_ours = found
         .as_ref()
         .is_none_or(|f| f.request == row.request && f.state == RunState::Claimed);
-    if !ours {
+    if !is_ours {
         return true;
     }
     let not_run = RunRow {
@@ -298,7 +303,7 @@
     key: &str,
     version: u64,
     row: &RunRow,
-    patience: RetryPolicy,
+    retry_policy: RetryPolicy,
 ) -> Outcome {
     Metrics::increment(&shared.metrics.platform_calls);
     let txn = Transaction {
@@ -306,5 +311,5 @@
         checks: Vec::new(),
         puts: vec![Put::new(key, expect(version), row)],
     };
-    commit(&shared.platform, &txn, patience).await
+    commit(&shared.platform, &txn, retry_policy).await
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -30,10 +30,10 @@
 use crate::runtime::Runtime;
 use shared::{CountGuard, Shared};
 
-/// Runs an entry until SIGTERM or SIGINT; returns when the last connection has ended or the stop bound has passed.
+/// Runs an entry until SIGTERM or SIGINT; returns when the last connection has ended or `stop_ms` has passed.
 pub fn run(settings: Settings) -> Result<()> {
-    let callers = bind("listen", settings.listen)?;
-    let operators = bind("admin", settings.admin)?;
+    let callers = bind_listener("listen", settings.listen)?;
+    let operators = bind_listener("admin", settings.admin)?;
     let log = Log::new()?;
     let runtime = Runtime::new("traffic", settings.threads)
         .map_err(|e| Error::Io("traffic threads".to_string(), e))?;
@@ -44,7 +44,9 @@
     log_start(&shared);
     peer::start(&shared)?;
     let control = control::start(Arc::clone(&shared), inbox, operators)?;
-    runtime.spawn(accept(Arc::clone(&shared), callers)).detach();
+    runtime
+        .spawn(accept_callers(Arc::clone(&shared), callers))
+        .detach();
     smol::block_on(wait_until_stopped(&shared))?;
     shared.send_to_control(control::Message::Leave);
     let _ = control.join();
@@ -52,13 +54,14 @@
     Ok(())
 }
 
-fn bind(flag: &str, addr: SocketAddr) -> Result<Async<TcpListener>> {
+fn bind_listener(flag: &str, addr: SocketAddr) -> Result<Async<TcpListener>> {
     let io = |e| Error::Io(format!("--{flag} {addr}"), e);
     let listener = TcpListener::bind(addr).map_err(io)?;
     Async::new(listener).map_err(io)
 }
 
-/// Logs each panic as one event. A panic is a fault of the entry; the thread continues with its other work.
+/// Logs each panic as one event, since a panic is a fault of the entry. A panic of a future that serves a connection
+/// ends that connection only; the thread continues with its other work.
 fn log_panics(shared: &Arc<Shared>) {
     let shared = Arc::clone(shared);
     std::panic::set_hook(Box::new(move |info| {
@@ -105,7 +108,7 @@
     ));
 }
 
-async fn accept(shared: Arc<Shared>, listener: Async<TcpListener>) {
+async fn accept_callers(shared: Arc<Shared>, listener: Async<TcpListener>) {
     const CHECK_MS: u64 = 50;
     while !shared.accept_stopped.load(Ordering::SeqCst) {
         let next = async { Some(listener.accept().await) };
@@ -114,7 +117,7 @@
             None
         };
         match next.or(timeout).await {
-            Some(Ok((stream, _))) => serve(&shared, stream),
+            Some(Ok((stream, _))) => serve_connection(&shared, stream),
             // The process is most likely out of file descriptors, so wait until some are closed.
             Some(Err(_)) => {
                 Timer::after(Duration::from_millis(10)).await;
@@ -125,13 +128,13 @@
     // Connections that were made before the listener closes are still served.
     while let Ok((stream, _)) = listener.get_ref().accept() {
         if let Ok(stream) = Async::new(stream) {
-            serve(&shared, stream);
+            serve_connection(&shared, stream);
         }
     }
     shared.listener_closed.store(true, Ordering::SeqCst);
 }
 
-fn serve(shared: &Arc<Shared>, stream: Async<TcpStream>) {
+fn serve_connection(shared: &Arc<Shared>, stream: Async<TcpStream>) {
     shared.connections.fetch_add(1, Ordering::SeqCst);
     let shared = Arc::clone(shared);
     let runtime = shared.runtime;
@@ -142,15 +145,15 @@
             ..Limits::default()
         };
         let stopping = || shared.stopping.load(Ordering::SeqCst);
-        let handle = |incoming| traffic::handle(&shared, incoming);
+        let handle = |incoming| traffic::handle_request(&shared, incoming);
         server::serve(Wire::for_requests(stream), limits, stopping, handle).await;
     });
 }
 
 /// Waits for SIGTERM or SIGINT and then stops in order.
 ///
-/// The entry is not ready at once, but serves new requests for `grace_ms`, so that the load balancer notices. Then
-/// it accepts no connections and waits up to `stop_ms` for the open ones.
+/// `/readyz` fails from the signal on, but the entry accepts new connections for another `grace_ms`, so that the load
+/// balancer notices first. Then it accepts no more connections and waits up to `stop_ms` for the open ones.
 async fn wait_until_stopped(shared: &Arc<Shared>) -> Result<()> {
     let flag = Arc::new(std::sync::atomic::AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -2,7 +2,7 @@
 //!
 //! A poll is sent at a known time, so its answer proves that the view was fresh at that time. A message that a peer
 //! sends on its own proves nothing after a pause of this process. `entry::run` starts the threads; the operators'
-//! interface calls [`explain`].
+//! interface calls [`ask_peers_to_explain`].
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -23,14 +23,13 @@
 /// Pause between two polls of the same peer.
 const POLL_INTERVAL_MS: Millis = 1_000;
 
-/// Longest time to send a message to a peer, and to wait for its answer. A poll that takes longer
-/// counts as unanswered.
+/// Longest time to send a message to a peer, and to wait for its answer. A poll that takes longer counts as unanswered.
 const ANSWER_MAX_MS: Millis = 1_000;
 
 /// Longest wait for the control thread's answer to a poll.
 const CONTROL_MAX_MS: Millis = 800;
 
-/// Starts one thread that answers polls, and one thread for each peer that polls it.
+/// Starts one thread that answers polls, and for each peer one thread that polls the peer.
 pub(super) fn start(shared: &Arc<Shared>) -> Result<()> {
     let socket = Socket::new(Protocol::Rep0)?;
     socket.set_opt::<RecvMaxSize>(MESSAGE_MAX_BYTES)?;
@@ -40,19 +39,19 @@
         .listen(&format!("tcp://{addr}"))
         .map_err(|e| Error::Usage(format!("--peer-listen {addr}: {e}")))?;
     let answering = Arc::clone(shared);
-    spawn("peer-answer", move || answer_polls(&answering, &socket))?;
+    spawn_thread("peer-answer", move || answer_polls(&answering, &socket))?;
     for peer in &shared.settings.peers {
         if *peer == addr {
             continue;
         }
         let asking = Arc::clone(shared);
         let peer = *peer;
-        spawn("peer-ask", move || poll_forever(&asking, peer))?;
+        spawn_thread("peer-ask", move || poll_forever(&asking, peer))?;
     }
     Ok(())
 }
 
-fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<()> {
+fn spawn_thread(name: &str, work: impl FnOnce() + Send + 'static) -> Result<()> {
     std::thread::Builder::new()
         .name(name.to_string())
         .stack_size(256 << 10)
@@ -76,7 +75,8 @@
             }),
             None => None,
         };
-        // A peer that gets no answer asks again. An nng REP socket can receive the next request at once.
+        // A peer that gets no answer asks again. An nng REP socket can receive the next request
+        // even if the last one was not answered.
         if let Some(bytes) = answer.as_ref().and_then(encode) {
             count_bytes(shared, bytes.len());
             let _ = socket.send(bytes.as_slice());
@@ -132,7 +132,7 @@
 fn poll_once(shared: &Shared, socket: &Socket) -> bool {
     let view = shared.peer_view.load_full();
     let begun_ms = shared.clock.now_ms();
-    let ask = PeerRequest::Poll {
+    let request = PeerRequest::Poll {
         digest: view.digest.clone(),
         since: view.since,
     };
@@ -141,7 +141,7 @@
         changes,
         complete,
         hosts,
-    }) = exchange(shared, socket, &ask)
+    }) = exchange_messages(shared, socket, &request)
     else {
         return false;
     };
@@ -160,8 +160,8 @@
     more
 }
 
-fn exchange(shared: &Shared, socket: &Socket, ask: &PeerRequest) -> Option<PeerReply> {
-    let bytes = encode(ask)?;
+fn exchange_messages(shared: &Shared, socket: &Socket, request: &PeerRequest) -> Option<PeerReply> {
+    let bytes = encode(request)?;
     count_bytes(shared, bytes.len());
     socket.send(bytes.as_slice()).ok()?;
     let message = socket.recv().ok()?;
@@ -176,19 +176,25 @@
         .fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
-/// Returns what the peers logged about one subject, each with the name of the entry. Blocks, so it must not be
-/// called on the control thread or a traffic thread.
-pub(super) fn explain(shared: &Shared, subject: Subject, id: &str) -> Vec<(String, Decision)> {
+/// Returns the decisions that the peers logged about one subject, each with the name of the entry that logged it.
+/// Blocks, so it must not be called on the control thread or a traffic thread.
+pub(super) fn ask_peers_to_explain(
+    shared: &Shared,
+    subject: Subject,
+    id: &str,
+) -> Vec<(String, Decision)> {
     let mut found = Vec::new();
     for peer in &shared.settings.peers {
         if *peer == shared.settings.peer_listen {
             continue;
         }
-        let ask = PeerRequest::Explain {
+        let request = PeerRequest::Explain {
             subject,
             id: id.to_string(),
         };
-        let answer = dial(*peer).ok().and_then(|s| exchange(shared, &s, &ask));
+        let answer = dial(*peer)
+            .ok()
+            .and_then(|s| exchange_messages(shared, &s, &request));
         if let Some(PeerReply::Decisions { entry, list }) = answer {
             found.extend(list.into_iter().map(|d| (entry.clone(), d)));
         }
--- a/src/entry/shared.rs
+++ b/src/entry/shared.rs
@@ -32,7 +32,7 @@
     pub(super) backends: Vec<Arc<Backend>>,
 }
 
-/// An account with the rest of its quota at this entry.
+/// An account with what is left of its quota at this entry.
 pub(super) struct Caller {
     pub(super) name: String,
     pub(super) token_sha256: String,
@@ -46,12 +46,13 @@
     pub(super) services: HashMap<String, Arc<Route>>,
     /// Accounts by the SHA-256 hash of their token.
     pub(super) callers: HashMap<String, Arc<Caller>>,
-    pub(super) entries: usize,
+    /// Number of entries that share the quotas and the backend servers.
+    pub(super) entry_count: usize,
 }
 
 impl Routes {
     /// Returns the account that a token belongs to.
-    pub(super) fn caller(&self, token: Option<&str>) -> Option<&Arc<Caller>> {
+    pub(super) fn find_caller(&self, token: Option<&str>) -> Option<&Arc<Caller>> {
         let hash = auth::token_hash(token?);
         self.callers
             .get(&hash)
@@ -59,7 +60,8 @@
     }
 }
 
-/// What this entry tells a peer about itself when it polls.
+/// What this entry tells a peer when it polls the peer: its own state, and the table sequence number up to which it
+/// knows all rows.
 pub(super) struct PeerView {
     pub(super) digest: Digest,
     pub(super) since: u64,
@@ -78,7 +80,8 @@
     pub(super) peer_view: ArcSwap<PeerView>,
     /// When the table or a peer last confirmed the view.
     pub(super) confirmed_ms: AtomicU64,
-    /// The age of the confirmation beyond which nothing is sent; 0, without a bound, if no peers are configured.
+    /// Longest time after `confirmed_ms` for which the entry sends requests; 0, which means no bound, if no peers are
+    /// configured.
     pub(super) isolation_ms: Millis,
     /// Whether the view is complete and this entry is registered or sponsored by a peer.
     pub(super) ready: AtomicBool,
@@ -146,7 +149,7 @@
     }
 
     pub(super) fn send_to_control(&self, message: Message) {
-        // The control thread ends last, so a message that can't be sent concerns nobody.
+        // Sending fails only after the control thread has ended. It ends last, so no thread needs the message then.
         let _ = self.control.try_send(message);
     }
 
@@ -163,7 +166,7 @@
     /// Checks that the entry is ready and its view is fresh enough to send new work.
     ///
     /// A view that neither the table nor a peer has confirmed for longer than `isolation_ms` may lack the marks of
-    /// leaving hosts. The same holds after a pause of the process, until a request sent after the pause is answered.
+    /// leaving hosts. So may the view after a pause of the process, until a request sent after the pause is answered.
     pub(super) fn may_send(&self) -> Result<(), Kind> {
         if !self.ready.load(Ordering::SeqCst) {
             return Err(Kind::NotReady);
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -1,7 +1,7 @@
 //! Handles the requests of callers.
 //!
 //! Checks the account's token and quota, then forwards a request to a service, or submits, shows or cancels a job.
-//! The server of the entry's traffic port calls [`handle`] for each request.
+//! The server of the entry's traffic port calls [`handle_request`] for each request.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use super::control::{submit_edit, Message};
 use super::keyed::{self, Claimed};
 use super::shared::{Caller, Routes, Shared};
-use super::upstream::{is_safe, relay, Forward};
+use super::upstream::{is_safe, relay_answer, Forward};
 use crate::auth;
 use crate::clock::Millis;
 use crate::core::config::Class;
@@ -36,14 +36,14 @@
 /// Longest time that a request waits for a confirmed view after a pause of the process.
 const FRESH_VIEW_MAX_MS: Millis = 1_000;
 
-/// Longest time that a cancel repeats a commit after conflicts and waits for the job's final state.
+/// Longest time for which a cancel retries its commit after conflicts and waits for the job's final state.
 const CANCEL_WAIT_MAX_MS: Millis = 5_000;
 
 /// Answers one request of a caller, counts it in the metrics and logs a refusal.
-pub(super) async fn handle(shared: &Arc<Shared>, incoming: Incoming) -> Response {
+pub(super) async fn handle_request(shared: &Arc<Shared>, incoming: Incoming) -> Response {
     Metrics::increment(&shared.metrics.requests);
     let request = shared.request_id();
-    let result = answer(shared, &incoming, &request).await;
+    let result = answer_request(shared, &incoming, &request).await;
     let mut res = match result {
         Ok(res) => {
             let took = incoming.arrived.elapsed();
@@ -62,13 +62,13 @@
 }
 
 fn log_refused(shared: &Shared, request: &str, failure: &Failure) {
-    let row = failure.kind.row();
-    let why = format!("{}: {}", row.name, failure.detail);
+    let info = failure.kind.info();
+    let why = format!("{}: {}", info.name, failure.detail);
     let d = Decision::new(Code::RouteRefused, Subject::Request, request, why);
-    shared.log_decision(d.with("status", u64::from(row.status)));
+    shared.log_decision(d.with("status", u64::from(info.status)));
 }
 
-async fn answer(
+async fn answer_request(
     shared: &Arc<Shared>,
     incoming: &Incoming,
     request: &str,
@@ -79,11 +79,11 @@
         return Err(Kind::NotReady.into());
     }
     let caller = routes
-        .caller(auth::bearer(incoming.header("authorization")))
+        .find_caller(auth::bearer(incoming.header("authorization")))
         .ok_or(Kind::Unauthorized)?;
     if let Some(rest) = path.strip_prefix("/s/") {
         take_quota(shared, caller)?;
-        return serve(shared, &routes, caller, incoming, request, rest).await;
+        return forward_to_service(shared, &routes, caller, incoming, request, rest).await;
     }
     if path == "/jobs" || path.starts_with("/jobs/") {
         take_quota(shared, caller)?;
@@ -100,7 +100,7 @@
     })
 }
 
-async fn serve(
+async fn forward_to_service(
     shared: &Arc<Shared>,
     routes: &Routes,
     caller: &Caller,
@@ -128,7 +128,7 @@
         request,
         path,
         class: parse_class(incoming)?,
-        entries: routes.entries,
+        entry_count: routes.entry_count,
         deadline_ms: shared.clock.now_ms() + timeout_ms,
         repeatable: is_safe(method) || route.service.repeatable,
     };
@@ -137,13 +137,13 @@
         .header("idempotency-key")
         .filter(|_| !is_safe(method));
     let answer = match key {
-        Some(key) => return serve_keyed(shared, caller, forward, key).await,
+        Some(key) => return forward_with_key(shared, caller, forward, key).await,
         None => forward.run().await?,
     };
-    Ok(relay(answer))
+    Ok(relay_answer(answer))
 }
 
-async fn serve_keyed(
+async fn forward_with_key(
     shared: &Arc<Shared>,
     caller: &Caller,
     mut forward: Forward<'_>,
@@ -162,17 +162,19 @@
     }
     // A request with a key runs at most once, even if the service declares that it is repeatable.
     forward.repeatable = false;
-    let claim = keyed::claim(shared, &caller.name, key, forward.request, forward.incoming).await?;
+    let claim =
+        keyed::claim_key(shared, &caller.name, key, forward.request, forward.incoming).await?;
     let claim = match claim {
         Claimed::Known(res) => return Ok(res),
         Claimed::Ours(claim) => claim,
     };
     let result = forward.run().await;
-    keyed::record(shared, claim, &result).await;
-    result.map(relay)
+    keyed::record_outcome(shared, claim, &result).await;
+    result.map(relay_answer)
 }
 
-/// Waits until the view is confirmed again after a pause of the process, before anything is sent.
+/// Waits until the entry may send, at most [`FRESH_VIEW_MAX_MS`]. After a pause of the process, it may not send until
+/// the view is confirmed again.
 async fn wait_for_fresh_view(shared: &Shared) -> Result<(), Failure> {
     let until_ms = shared.clock.now_ms() + FRESH_VIEW_MAX_MS;
     loop {
@@ -282,7 +284,7 @@
         job: id.to_string(),
     };
     let until_ms = shared.clock.now_ms() + CANCEL_WAIT_MAX_MS;
-    // A conflict means that the job is being placed at this moment.
+    // A conflict means that another change to the job, such as its placement, is being committed.
     while let Err(failure) = submit_edit(shared, edit.clone()).await {
         if failure.kind != Kind::Conflict || shared.clock.now_ms() >= until_ms {
             return Err(failure);
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -1,8 +1,7 @@
 //! Forwards one request to backend servers: attempts, retries and the answer to the caller.
 //!
 //! A request that may have run is sent again only if it is repeatable. If it is not, its failure says that it may
-//! have run.
-//! `traffic` builds a [`Forward`] for each request and runs it.
+//! have run. `traffic` builds a [`Forward`] for each request and runs it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -48,7 +47,7 @@
     /// Path and query at the backend server.
     pub(super) path: String,
     pub(super) class: Class,
-    pub(super) entries: usize,
+    pub(super) entry_count: usize,
     pub(super) deadline_ms: Millis,
     /// Whether the request may be sent again after some of its bytes were sent.
     pub(super) repeatable: bool,
@@ -83,7 +82,7 @@
             let permit = match (self.permit_search().acquire(&excluded).await, attempt) {
                 (Ok(permit), _) => permit,
                 (Err(kind), 1) => return Err(kind.into()),
-                // The earlier attempts decide the answer: a refusal, whatever the reason that no permit was granted.
+                // After a first attempt, the answer is a refusal, whatever the reason that no permit was granted.
                 (Err(_), _) => {
                     return Err(Kind::Refused.with_detail("no other backend server is free"))
                 }
@@ -141,7 +140,7 @@
             shared: self.shared,
             route: self.route,
             class: self.class,
-            entries: self.entries,
+            entry_count: self.entry_count,
             deadline_ms: self.deadline_ms,
         }
     }
@@ -170,9 +169,9 @@
         let deadline = self.shared.clock.instant(began_ms + timeout_ms);
         let result = permit.backend.client.exchange(req, deadline).await;
         let took_ms = self.shared.clock.now_ms() - began_ms;
-        let (sign, outcome) = classify(result);
-        permit.note_outcome(sign, self.route, self.shared);
-        if sign == ExchangeOutcome::Good {
+        let (health_outcome, outcome) = classify_exchange(result);
+        permit.note_outcome(health_outcome, self.route, self.shared);
+        if health_outcome == ExchangeOutcome::Good {
             self.route.admission.note_exchange(took_ms);
         }
         if let Err(AttemptError::Refused) = &outcome {
@@ -240,7 +239,7 @@
                 format!(
                     "{} gave no complete answer: {}",
                     permit.backend.id,
-                    kind.row().name
+                    kind.info().name
                 ),
             ),
         };
@@ -273,7 +272,7 @@
 }
 
 /// Returns what an exchange says about the backend server's health, and the outcome of the attempt.
-fn classify(
+fn classify_exchange(
     result: Result<Answer, ExchangeError>,
 ) -> (ExchangeOutcome, Result<Answer, AttemptError>) {
     match result {
@@ -302,8 +301,8 @@
     }
 }
 
-/// Builds the caller's answer from a backend server's, without headers of the connection and `rockwick-` headers.
-pub(super) fn relay(answer: Answer) -> Response {
+/// Builds the caller's answer from a backend server's, without hop-by-hop headers and `rockwick-` headers.
+pub(super) fn relay_answer(answer: Answer) -> Response {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::BadGateway);
     let mut res = Response::new(status);
     res.set_body(answer.body);
@@ -322,7 +321,7 @@
     res
 }
 
-/// Whether the method changes nothing and may be repeated according to HTTP (RFC 9110, section 9.2.2).
+/// Whether HTTP defines that the method changes nothing and may be repeated (RFC 9110, section 9.2.2).
 pub(super) fn is_safe(method: Method) -> bool {
     matches!(method, Method::Get | Method::Head | Method::Options)
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds, the table that maps each kind to its HTTP answer, and the errors of commands.
+//! The closed list of error kinds with the HTTP answer of each kind, and the errors of commands.
 //!
 //! Servers answer a [`Failure`] as an RFC 9457 problem document; commands end with an [`Error`].
 
@@ -28,10 +28,10 @@
     }
 }
 
-/// One row of the table: how a failure of a [`Kind`] is answered.
+/// Name, title and HTTP answer of a [`Kind`].
 #[derive(Clone, Copy, Debug)]
-pub struct Row {
-    /// The kind that this row describes.
+pub struct KindInfo {
+    /// The described kind.
     pub kind: Kind,
     /// Stable name, used as the last segment of the problem's `type`.
     pub name: &'static str,
@@ -53,9 +53,9 @@
             $(#[doc = $title] $kind,)*
         }
 
-        /// The table: one row for each kind, in the order of [`Kind`], which is its index.
-        pub const TABLE: &[Row] = &[
-            $(Row {
+        /// All kinds, indexed by [`Kind`] as a number.
+        pub const KINDS: &[KindInfo] = &[
+            $(KindInfo {
                 kind: Kind::$kind,
                 name: $name,
                 status: $status,
@@ -105,9 +105,9 @@
 }
 
 impl Kind {
-    /// Returns the table's row for this kind.
-    pub fn row(self) -> &'static Row {
-        &TABLE[self as usize]
+    /// Returns the kind's element of [`KINDS`].
+    pub fn info(self) -> &'static KindInfo {
+        &KINDS[self as usize]
     }
 
     /// Returns whether this kind means that an entry, host, job, pool or wave is not known here.
@@ -161,11 +161,11 @@
 impl Failure {
     /// Returns the problem document for this failure.
     pub fn problem(&self) -> Problem {
-        let row = self.kind.row();
+        let info = self.kind.info();
         Problem {
-            kind: format!("/problems/{}", row.name),
-            title: row.title.to_string(),
-            status: row.status,
+            kind: format!("/problems/{}", info.name),
+            title: info.title.to_string(),
+            status: info.status,
             detail: self.detail.clone(),
         }
     }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,7 +1,7 @@
 //! The catalogue of numbered log events, and [`Decision`], the record that is logged.
 //!
-//! Numbers and names are part of the log format: tools and pages refer to them, so they never change and a number is
-//! never reused.
+//! Numbers and names are part of the log format: tools and documentation refer to them, so they never change and a
+//! number is never reused.
 
 use std::borrow::Cow;
 
@@ -133,7 +133,7 @@
 }
 
 impl Code {
-    /// Returns the event's entry in the catalogue.
+    /// Returns the event's element of [`CATALOGUE`].
     pub fn info(self) -> &'static EventInfo {
         &CATALOGUE[self as usize]
     }
@@ -200,7 +200,7 @@
     pub at_ms: Millis,
     /// Code of the log event.
     pub code: Code,
-    /// Kind of thing that it is about.
+    /// Kind of thing that the decision is about.
     pub subject: Subject,
     /// The subject's name or id.
     pub id: String,
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -122,8 +122,8 @@
 
     /// Sends a request and returns the complete answer, or why there is none.
     ///
-    /// A connection returns to the pool only after a complete answer with no further bytes. Any other is closed, so
-    /// that a late answer can't be taken for the answer to the next request.
+    /// A connection returns to the pool only after a complete answer with no further bytes. Any other connection is
+    /// closed, so that a late answer can't be taken for the answer to the next request.
     pub async fn exchange(&self, req: Request, deadline: Instant) -> Result<Answer, ExchangeError> {
         let (wire, reused) = match self.take_idle() {
             Some(wire) => (wire, true),
@@ -269,7 +269,7 @@
     }
 }
 
-/// Copies a request without a body, so that it can be sent a second time.
+/// Copies a request that has no body, so that it can be sent a second time; `None` for a request with a body.
 trait CloneBodiless {
     fn clone_if_bodiless(&self) -> Option<Request>;
 }
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -1,9 +1,9 @@
 //! A stream that gives async-h1 the bytes of exactly one message.
 //!
 //! The codec reads into a buffer of its own and drops what it read beyond the message, takes the last of two
-//! lengths, and accepts a body that was cut short. So the head is checked here first, with httparse, and the
-//! stream ends where the message ends. The bytes after it stay buffered for the next message. `client` and
-//! `server` read and write through it.
+//! `Content-Length` headers, and accepts a body that was cut short. So the head is checked here first, with
+//! httparse, and the stream ends where the message ends. The bytes after it stay buffered for the next message.
+//! `client` and `server` read and write through it.
 
 use std::io;
 use std::net::TcpStream;
@@ -17,12 +17,14 @@
 /// Bounds on a message's head. They must not exceed the codec's own.
 const HEAD_MAX_BYTES: usize = 8_000;
 const HEADERS_MAX: usize = 100;
+
+/// Most bytes that one read from the socket adds to the buffer.
 const READ_BYTES: usize = 8_192;
 
 /// What is wrong with a message's framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingError {
-    /// Not HTTP/1.1.
+    /// Not a well-formed HTTP/1.1 message.
     Malformed,
     /// The head exceeds the bound on bytes or on the number of headers.
     HeadTooLarge,
@@ -204,8 +206,8 @@
         let mut s = self.state();
         loop {
             match s.phase {
-                Phase::Head => match head_end(&s.buffered) {
-                    Some(end) => match body_framing(s.side, &s.buffered[..end]) {
+                Phase::Head => match find_head_end(&s.buffered) {
+                    Some(end) => match parse_body_framing(s.side, &s.buffered[..end]) {
                         Ok(BodyFraming::Counted(n)) => s.phase = Phase::Counted(end as u64 + n),
                         Ok(BodyFraming::Chunked) => s.phase = Phase::Chunked,
                         Err(framing_error) => return Self::fail_with(&mut s, framing_error),
@@ -286,7 +288,7 @@
     n
 }
 
-fn head_end(bytes: &[u8]) -> Option<usize> {
+fn find_head_end(bytes: &[u8]) -> Option<usize> {
     bytes
         .windows(4)
         .position(|w| w == b"\r\n\r\n")
@@ -299,7 +301,7 @@
     Chunked,
 }
 
-fn body_framing(side: Side, head: &[u8]) -> Result<BodyFraming, FramingError> {
+fn parse_body_framing(side: Side, head: &[u8]) -> Result<BodyFraming, FramingError> {
     // http-types panics on a header value that is not ASCII.
     if !head.is_ascii() {
         return Err(FramingError::NotAscii);
@@ -315,7 +317,7 @@
             if count_headers(req.headers, "host") != 1 {
                 return Err(FramingError::Host);
             }
-            Ok(declared_length(req.headers)?.unwrap_or(BodyFraming::Counted(0)))
+            Ok(parse_body_length(req.headers)?.unwrap_or(BodyFraming::Counted(0)))
         }
         Side::Response { to_head } => {
             let mut res = httparse::Response::new(&mut headers);
@@ -327,7 +329,7 @@
             if code < 200 {
                 return Err(FramingError::Interim);
             }
-            let declared = declared_length(res.headers)?;
+            let declared = parse_body_length(res.headers)?;
             if to_head || code == 204 || code == 304 {
                 return Ok(BodyFraming::Counted(0));
             }
@@ -351,7 +353,9 @@
         .count()
 }
 
-fn declared_length(headers: &[httparse::Header<'_>]) -> Result<Option<BodyFraming>, FramingError> {
+fn parse_body_length(
+    headers: &[httparse::Header<'_>],
+) -> Result<Option<BodyFraming>, FramingError> {
     let lengths = count_headers(headers, "content-length");
     let codings = count_headers(headers, "transfer-encoding");
     if lengths > 0 && codings > 0 {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -38,7 +38,7 @@
 /// Equals the default bound on receiving a request's head.
 const WRITE_MAX_MS: u64 = 10_000;
 
-/// Interval at which a waiting connection is checked.
+/// Longest interval between two checks of a connection that waits for a request.
 const CHECK_MS: u64 = 500;
 
 /// A complete request.
@@ -234,16 +234,17 @@
     drain.or(timeout).await;
 }
 
-/// Returns the answer for a failure: problem details, `Rockwick-Run`, and `Retry-After` if the kind has one.
+/// Returns the answer for a failure: problem details and `Rockwick-Run`, with `Retry-After` or `WWW-Authenticate`
+/// if the kind has one.
 pub fn problem(failure: &Failure) -> Response {
-    let row = failure.kind.row();
+    let info = failure.kind.info();
     let body = serde_json::to_vec(&failure.problem()).unwrap_or_default();
-    let mut res = answer(row.status, "application/problem+json", body);
-    res.insert_header("rockwick-run", row.run.as_str());
-    if let Some(seconds) = row.retry_after_s {
+    let mut res = answer(info.status, "application/problem+json", body);
+    res.insert_header("rockwick-run", info.run.as_str());
+    if let Some(seconds) = info.retry_after_s {
         res.insert_header("retry-after", seconds.to_string());
     }
-    if row.kind == Kind::Unauthorized {
+    if info.kind == Kind::Unauthorized {
         res.insert_header("www-authenticate", "Bearer");
     }
     res
--- a/src/log.rs
+++ b/src/log.rs
@@ -17,7 +17,8 @@
 use crate::error::Result;
 use crate::event::{Decision, Subject};
 
-/// Maximum number of decisions of the control thread kept in memory. At a few per hour and host, they cover days.
+/// Maximum number of decisions kept in memory about anything other than requests and backend servers. At a few
+/// decisions per hour and host, they cover days.
 const CONTROL_RING_MAX: usize = 4_096;
 
 /// Maximum number of decisions about requests and backend servers kept in memory. At full load, they cover seconds.
@@ -106,7 +107,8 @@
         ring.push_back(d);
     }
 
-    /// Returns the decisions in memory about one thing: those of the control thread first, each group oldest first.
+    /// Returns the decisions in memory about one thing. Those about requests and backend servers come last; both groups
+    /// are in the order in which they were logged.
     pub fn decisions_about(&self, subject: Subject, id: &str) -> Vec<Decision> {
         let matching = |ring: &Mutex<VecDeque<Decision>>| {
             lock(ring)
@@ -136,11 +138,11 @@
 
 /// Formats a decision as its line of JSON.
 pub fn to_json_line(d: &Decision) -> String {
-    let entry = d.code.info();
+    let info = d.code.info();
     let mut map = Map::new();
     map.insert("at_ms".into(), Value::from(d.at_ms));
-    map.insert("event".into(), Value::from(entry.number));
-    map.insert("name".into(), Value::from(entry.name));
+    map.insert("event".into(), Value::from(info.number));
+    map.insert("name".into(), Value::from(info.name));
     map.insert(d.subject.as_str().into(), Value::from(d.id.as_str()));
     map.insert("why".into(), Value::from(d.why.as_str()));
     for (name, value) in &d.figures {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -65,10 +65,11 @@
 
     /// Counts a failure by its kind.
     pub fn count_failure(&self, kind: Kind) {
-        *lock(&self.failures).entry(kind.row().name).or_default() += 1;
+        *lock(&self.failures).entry(kind.info().name).or_default() += 1;
     }
 
-    /// Records how long a request took here, including queueing and the exchange with the backend server.
+    /// Records how long a request took here, including queueing and the exchange with the backend server. An entry of
+    /// `rockwick entry` records answered requests only.
     pub fn record_request_us(&self, us: u64) {
         lock(&self.request_us).saturating_record(us);
     }
--- a/src/port/http.rs
+++ b/src/port/http.rs
@@ -15,7 +15,7 @@
 use crate::clock::Millis;
 use crate::http::client::deadline_after_ms;
 use crate::http::{Answer, Client, ExchangeError, Sent};
-use crate::util::escape;
+use crate::util::escape_path;
 
 /// The timeout of one call; an outage must not block the control thread for longer.
 const CALL_TIMEOUT_MS: Millis = 1_500;
@@ -111,7 +111,7 @@
 
 impl Table for Http {
     async fn get(&self, key: &str) -> Result<Option<Row>, Down> {
-        let path = format!("/table/rows/{}", escape(key));
+        let path = format!("/table/rows/{}", escape_path(key));
         match self.call(Method::Get, &path, None, None).await {
             Ok(a) if a.status == 200 => a.json().map(Some).ok_or(Down),
             Ok(a) if a.status == 404 => Ok(None),
@@ -152,7 +152,7 @@
 
 impl Objects for Http {
     async fn put(&self, name: &str, bytes: Vec<u8>) -> Result<(), Down> {
-        let path = format!("/objects/{}", escape(name));
+        let path = format!("/objects/{}", escape_path(name));
         match self.call(Method::Put, &path, Some(bytes), None).await {
             Ok(a) if a.status == 200 => Ok(()),
             _ => Err(Down),
@@ -160,7 +160,7 @@
     }
 
     async fn fetch(&self, name: &str) -> Result<Option<Vec<u8>>, Down> {
-        let path = format!("/objects/{}", escape(name));
+        let path = format!("/objects/{}", escape_path(name));
         match self.call(Method::Get, &path, None, None).await {
             Ok(a) if a.status == 200 => Ok(Some(a.body)),
             Ok(a) if a.status == 404 => Ok(None),
@@ -202,7 +202,7 @@
 
 impl HostOrders for Http {
     async fn reboot(&self, host: &str, token: &str) -> Result<OrderAnswer, Down> {
-        let path = format!("/hosts/{}/reboot", escape(host));
+        let path = format!("/hosts/{}/reboot", escape_path(host));
         let body = RebootRequest {
             token: token.to_string(),
         };
--- a/src/report.rs
+++ b/src/report.rs
@@ -12,8 +12,8 @@
 use crate::clock::Millis;
 use crate::event::Code;
 
-/// Maximum time for which a pool-load line counts if no next one follows. A pool's owner logs its load once a second;
-/// an owner that has ended logs nothing.
+/// Maximum time for which a pool-load line counts; it counts until the pool's next one if that is earlier. A pool's
+/// owner logs its load once a second; an owner that has ended logs nothing.
 const LOAD_VALID_MS: Millis = 3_000;
 
 /// The fields of a log line that the measures use.
@@ -77,7 +77,8 @@
 pub struct Report {
     /// Buffer cost by pool.
     pub buffers: BTreeMap<String, Buffer>,
-    /// Time of each wave, from the first host that stopped taking work to the last that was back.
+    /// Time of each wave, from the first host that stopped taking work to the last that was back, or to the end of the
+    /// wave.
     pub waves: BTreeMap<String, Span>,
     /// Waves that have finished with every host.
     pub waves_done: BTreeSet<String>,
--- a/src/util.rs
+++ b/src/util.rs
@@ -6,7 +6,8 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Locks a mutex, also if another holder panicked. No code leaves the data behind a mutex half updated when it panics.
+/// Locks a mutex, even if a thread panicked while it held the lock: no code leaves the data behind a mutex half updated
+/// when it panics.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
@@ -41,8 +42,8 @@
     outputs.into_iter().flatten().collect()
 }
 
-/// Percent-encodes the bytes that are not allowed in a URL path; `/` is kept.
-pub fn escape(text: &str) -> String {
+/// Percent-encodes every byte except ASCII letters, digits and `-_.~/`, so that a URL path can hold the text.
+pub fn escape_path(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for b in text.bytes() {
         if b.is_ascii_alphanumeric() || b"-_.~/".contains(&b) {
--- a/src/view.rs
+++ b/src/view.rs
@@ -16,11 +16,12 @@
     pub name: String,
     /// `self`, `alive`, `silent`, `left` or `ended`.
     pub state: String,
-    /// Version of the configuration in force there, as it last reported; 0 if it never reported.
+    /// Version of the configuration that the entry last reported as in force; 0 if it never reported one.
     pub config_version: u64,
-    /// Sequence number of the platform's table up to which its routes are current, as it last reported.
+    /// Sequence number of the platform's table up to which the entry last reported its routes as current; 0 if it never
+    /// reported one.
     pub view_seq: u64,
-    /// Time since it was last heard from; `None` if it never was, or if it is the answering entry itself.
+    /// Time since the entry was last heard from; `None` if it never was, or if it is the answering entry itself.
     pub silent_ms: Option<Millis>,
 }
 
@@ -29,7 +30,7 @@
 pub struct Status {
     /// Name of the entry that answers.
     pub entry: String,
-    /// Whether it accepts new requests.
+    /// Whether the entry may send requests to backend servers and is not stopping, as `/readyz` reports.
     pub ready: bool,
     /// State of the platform's table as seen from here: `ok` or `down`.
     pub store: String,
@@ -52,9 +53,9 @@
 pub struct PoolView {
     /// Name of the pool.
     pub name: String,
-    /// Account that owns it; empty if the pool is not configured.
+    /// Account that owns the pool; empty if the pool is not configured.
     pub account: String,
-    /// Number of hosts that belong to it.
+    /// Number of hosts that belong to the pool.
     pub hosts: usize,
     /// Number of hosts that its configuration asks for.
     pub wanted: usize,
@@ -66,9 +67,9 @@
     pub out: usize,
     /// Failure that the pool must survive beyond planned absences: `none`, `host` or `rack`.
     pub reserve: String,
-    /// Entry that makes decisions for it, as seen here; empty if there is none.
+    /// Entry that makes decisions for the pool, as seen here; empty if there is none.
     pub decided_by: String,
-    /// Names of its hosts.
+    /// Names of the pool's hosts.
     pub members: Vec<String>,
 }
 
@@ -98,7 +99,7 @@
     pub id: String,
     /// Its row in the platform's table.
     pub row: WaveRow,
-    /// Number of hosts that it has still to take out or to bring back.
+    /// Number of hosts that the wave has still to take out or to bring back.
     pub left: usize,
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -52,7 +52,8 @@
     Decisions {
         /// Name of the entry that logged the decisions.
         entry: String,
-        /// The decisions in memory about that thing.
+        /// The decisions in memory about that thing, in the order of
+        /// [`decisions_about`](crate::log::Log::decisions_about).
         list: Vec<Decision>,
     },
 }
--- a/tests/test_catalogue.rs
+++ b/tests/test_catalogue.rs
@@ -1,6 +1,6 @@
 //! The reference pages list every error kind and log event, and metrics and log lines keep their format.
 
-use rockwick::error::{Kind, TABLE};
+use rockwick::error::{Kind, KINDS};
 use rockwick::event::CATALOGUE;
 
 use crate::fleet::{get, text, Plan};
@@ -13,9 +13,9 @@
 #[test]
 fn catalogue_errors() {
     let mut lines = Vec::new();
-    for row in TABLE {
+    for row in KINDS {
         assert_eq!(
-            row.kind.row().name,
+            row.kind.info().name,
             row.name,
             "the table is in the order of the kinds"
         );
@@ -33,7 +33,7 @@
     for line in lines {
         assert!(page.contains(&line), "docs/ERRORS.md lacks: {line}");
     }
-    assert_eq!(Kind::BadRequest.row().status, 400);
+    assert_eq!(Kind::BadRequest.info().status, 400);
 }
 
 #[test]
