--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -102,14 +102,14 @@
 pub(super) fn start(
     shared: Arc<Shared>,
     inbox: Receiver<Message>,
-    operators: Async<TcpListener>,
+    operator_listener: Async<TcpListener>,
 ) -> Result<JoinHandle<()>> {
     std::thread::Builder::new()
         .name("control".to_string())
         .spawn(move || {
             let control = Rc::new(Control::new(shared));
             let runner = Rc::clone(&control);
-            smol::block_on(runner.executor.run(control.run(inbox, operators)));
+            smol::block_on(runner.executor.run(control.run(inbox, operator_listener)));
         })
         .map_err(|e| Error::Io("control thread".to_string(), e))
 }
@@ -143,14 +143,14 @@
         }
     }
 
-    async fn run(self: Rc<Self>, inbox: Receiver<Message>, operators: Async<TcpListener>) {
+    async fn run(self: Rc<Self>, inbox: Receiver<Message>, operator_listener: Async<TcpListener>) {
         let ticker = Rc::clone(&self);
         self.executor
             .spawn(async move { ticker.tick_forever().await })
             .detach();
         let admin = Rc::clone(&self);
         self.executor
-            .spawn(async move { admin::accept_connections(admin, operators).await })
+            .spawn(async move { admin::accept_connections(admin, operator_listener).await })
             .detach();
         while let Ok(message) = inbox.recv().await {
             match message {
@@ -172,7 +172,7 @@
             let busy = self.busy_hosts();
             let published_seq = *self.published_seq.borrow();
             Metrics::increment(&self.shared.metrics.ticks);
-            self.handle(Event::Tick {
+            self.handle_event(Event::Tick {
                 published_seq,
                 busy,
             });
@@ -182,10 +182,10 @@
 
     fn dispatch(self: &Rc<Self>, message: Message) {
         match message {
-            Message::Event(event) => self.handle(event),
+            Message::Event(event) => self.handle_event(event),
             Message::Edit { edit, reply } => {
                 let ticket = self.register_reply(ReplySender::Edit(reply));
-                self.handle(Event::EditRequested { ticket, edit });
+                self.handle_event(Event::EditRequested { ticket, edit });
             }
             Message::Poll {
                 digest,
@@ -193,7 +193,7 @@
                 reply,
             } => {
                 let ticket = self.register_reply(ReplySender::Peer(reply));
-                self.handle(Event::PeerPolled {
+                self.handle_event(Event::PeerPolled {
                     ticket,
                     digest,
                     since,
@@ -217,7 +217,7 @@
     }
 
     /// Passes one event to the reducer, carries out its effects and updates what the other threads read.
-    pub(super) fn handle(self: &Rc<Self>, event: Event) {
+    pub(super) fn handle_event(self: &Rc<Self>, event: Event) {
         let began = Instant::now();
         let now = Now {
             ms: self.shared.clock.now_ms(),
@@ -316,22 +316,22 @@
                 Effect::ReadTable { since } => {
                     let begun_ms = shared.clock.now_ms();
                     let changes = platform.changes(since, &FOLLOWED_PREFIXES).await.ok();
-                    this.handle(Event::TableRead { begun_ms, changes });
+                    this.handle_event(Event::TableRead { begun_ms, changes });
                 }
                 Effect::ReadHosts => {
                     let etag = this.host_etag.borrow().clone();
                     if let Ok(Some((etag, listing))) = platform.list(etag.as_deref()).await {
                         *this.host_etag.borrow_mut() = Some(etag);
-                        this.handle(Event::HostsRead(Some(listing)));
+                        this.handle_event(Event::HostsRead(Some(listing)));
                     }
                 }
                 Effect::ReadReports { since } => {
                     let reports = platform.reports(since).await.ok();
-                    this.handle(Event::ReportsRead(reports));
+                    this.handle_event(Event::ReportsRead(reports));
                 }
                 Effect::Commit { txn, transaction } => {
                     let outcome = commit(platform, &transaction, RetryPolicy::default()).await;
-                    this.handle(Event::Committed { txn, outcome });
+                    this.handle_event(Event::Committed { txn, outcome });
                 }
                 Effect::StartTask(start) => {
                     let answer = platform.start(&start).await.ok();
@@ -339,11 +339,11 @@
                         job: start.job,
                         attempt: start.attempt,
                     };
-                    this.handle(Event::StartAnswered { task, answer });
+                    this.handle_event(Event::StartAnswered { task, answer });
                 }
                 Effect::StopTask(task) => {
                     let answer = platform.stop(&task).await.ok();
-                    this.handle(Event::StopAnswered { task, answer });
+                    this.handle_event(Event::StopAnswered { task, answer });
                 }
                 Effect::RenewTasks(tasks) => {
                     let _ = platform.renew(&tasks).await;
@@ -351,7 +351,7 @@
                 Effect::Reboot { host, token } => {
                     let answer = platform.reboot(&host, &token).await;
                     let accepted = answer == Ok(OrderAnswer::Accepted);
-                    this.handle(Event::RebootAnswered { host, accepted });
+                    this.handle_event(Event::RebootAnswered { host, accepted });
                 }
                 Effect::Log(_)
                 | Effect::Publish(_)
@@ -468,7 +468,7 @@
 
     /// Records in the table that this entry has left, if the table answers within [`LEAVE_MAX_MS`].
     async fn leave(self: &Rc<Self>) {
-        self.handle(Event::Stop);
+        self.handle_event(Event::Stop);
         let until_ms = self.shared.clock.now_ms() + LEAVE_MAX_MS;
         while !self.state.borrow().pending.is_empty() && self.shared.clock.now_ms() < until_ms {
             Timer::after(Duration::from_millis(20)).await;
--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -33,7 +33,7 @@
 
 /// A key that this request has claimed.
 pub(super) struct Claim {
-    key: String,
+    row_key: String,
     version: u64,
     row: RunRow,
 }
@@ -52,7 +52,7 @@
     shared: &Arc<Shared>,
     account: &str,
     key: &str,
-    request: &str,
+    request_id: &str,
     incoming: &Incoming,
 ) -> Result<Claimed, Failure> {
     let url = incoming.head.url();
@@ -66,31 +66,34 @@
         digest,
         entry: shared.settings.name.clone(),
         incarnation: shared.incarnation,
-        request: request.to_string(),
+        request: request_id.to_string(),
         at_ms: wall_ms(),
         state: RunState::Claimed,
     };
-    let name = run_key(account, &sha256_hex(&[key.as_bytes()]));
+    let row_key = run_key(account, &sha256_hex(&[key.as_bytes()]));
     let mut version = 0;
     const ROUNDS_MAX: usize = 3;
     for _ in 0..ROUNDS_MAX {
-        match put_run(shared, &name, version, &row, RetryPolicy::default()).await {
+        match put_run(shared, &row_key, version, &row, RetryPolicy::default()).await {
             Outcome::Committed(version) => {
                 let why = format!("account {account} claimed an idempotency key");
-                let d = Decision::new(Code::RunClaimed, Subject::Request, request, why);
+                let d = Decision::new(Code::RunClaimed, Subject::Request, request_id, why);
                 shared.log_decision(d.with("version", version));
-                let key = name;
-                return Ok(Claimed::Ours(Claim { key, version, row }));
+                return Ok(Claimed::Ours(Claim {
+                    row_key,
+                    version,
+                    row,
+                }));
             }
             Outcome::NotSent => return Err(Kind::StoreDown.into()),
             Outcome::Unknown => {
-                release_claim(shared, name, row);
+                release_claim(shared, row_key, row);
                 return Err(Kind::StoreDown.with_detail("the claim is unsettled; it was not sent"));
             }
             Outcome::Conflict => {}
         }
         Metrics::increment(&shared.metrics.platform_calls);
-        let known = shared.platform.get(&name).await;
+        let known = shared.platform.get(&row_key).await;
         let Some(known) = known.map_err(|_| Failure::from(Kind::StoreDown))? else {
             continue;
         };
@@ -173,17 +176,19 @@
         attempts_max: 1,
         pause_ms: 0,
     };
-    let request = claim.row.request.clone();
-    let (key, version) = (claim.key, claim.version);
+    let request_id = claim.row.request.clone();
+    let (key, version) = (claim.row_key, claim.version);
     match put_run(shared, &key, version, &row, once).await {
-        Outcome::Committed(_) => log_recorded(shared, &request, "recorded"),
-        Outcome::Conflict => {
-            log_recorded(shared, &request, "another writer changed the record first")
-        }
+        Outcome::Committed(_) => log_recorded(shared, &request_id, "recorded"),
+        Outcome::Conflict => log_recorded(
+            shared,
+            &request_id,
+            "another writer changed the record first",
+        ),
         Outcome::NotSent | Outcome::Unknown => {
             log_recorded(
                 shared,
-                &request,
+                &request_id,
                 "the table does not answer; the entry retries in the background",
             );
             let task_shared = Arc::clone(shared);
@@ -195,11 +200,11 @@
     }
 }
 
-fn log_recorded(shared: &Shared, request: &str, why: &str) {
+fn log_recorded(shared: &Shared, request_id: &str, why: &str) {
     shared.log_decision(Decision::new(
         Code::RunRecorded,
         Subject::Request,
-        request,
+        request_id,
         why,
     ));
 }
@@ -212,7 +217,7 @@
     let inline = text.filter(|t| t.len() <= INLINE_MAX_BYTES);
     let mut object = None;
     if inline.is_none() {
-        let name = claim.key.replacen("run/", "answers/", 1);
+        let name = claim.row_key.replacen("run/", "answers/", 1);
         Metrics::increment(&shared.metrics.platform_calls);
         if shared
             .platform
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -32,8 +32,8 @@
 
 /// Runs an entry until SIGTERM or SIGINT; returns when the last connection has ended or `stop_ms` has passed.
 pub fn run(settings: Settings) -> Result<()> {
-    let callers = bind_listener("listen", settings.listen)?;
-    let operators = bind_listener("admin", settings.admin)?;
+    let caller_listener = bind_listener("listen", settings.listen)?;
+    let operator_listener = bind_listener("admin", settings.admin)?;
     let log = Log::new()?;
     let runtime = Runtime::new("traffic", settings.threads)
         .map_err(|e| Error::Io("traffic threads".to_string(), e))?;
@@ -43,9 +43,9 @@
     log_panics(&shared);
     log_start(&shared);
     peer::start(&shared)?;
-    let control = control::start(Arc::clone(&shared), inbox, operators)?;
+    let control = control::start(Arc::clone(&shared), inbox, operator_listener)?;
     runtime
-        .spawn(accept_callers(Arc::clone(&shared), callers))
+        .spawn(accept_callers(Arc::clone(&shared), caller_listener))
         .detach();
     smol::block_on(wait_until_stopped(&shared))?;
     shared.send_to_control(control::Message::Leave);
--- a/src/entry/shared.rs
+++ b/src/entry/shared.rs
@@ -154,7 +154,7 @@
     }
 
     /// Returns a new request id, made of the entry's name, its incarnation and a number.
-    pub(super) fn request_id(&self) -> String {
+    pub(super) fn new_request_id(&self) -> String {
         let n = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         format!(
             "{}-{:06x}-{n}",
--- a/src/entry/traffic.rs
+++ b/src/entry/traffic.rs
@@ -42,8 +42,8 @@
 /// Answers one request of a caller, counts it in the metrics and logs a refusal.
 pub(super) async fn handle_request(shared: &Arc<Shared>, incoming: Incoming) -> Response {
     Metrics::increment(&shared.metrics.requests);
-    let request = shared.request_id();
-    let result = answer_request(shared, &incoming, &request).await;
+    let request_id = shared.new_request_id();
+    let result = answer_request(shared, &incoming, &request_id).await;
     let mut res = match result {
         Ok(res) => {
             let took = incoming.arrived.elapsed();
@@ -53,25 +53,25 @@
         }
         Err(failure) => {
             shared.metrics.count_failure(failure.kind);
-            log_refused(shared, &request, &failure);
+            log_refused(shared, &request_id, &failure);
             server::problem(&failure)
         }
     };
-    res.insert_header("rockwick-request", request.as_str());
+    res.insert_header("rockwick-request", request_id.as_str());
     res
 }
 
-fn log_refused(shared: &Shared, request: &str, failure: &Failure) {
+fn log_refused(shared: &Shared, request_id: &str, failure: &Failure) {
     let info = failure.kind.info();
     let why = format!("{}: {}", info.name, failure.detail);
-    let d = Decision::new(Code::RouteRefused, Subject::Request, request, why);
+    let d = Decision::new(Code::RouteRefused, Subject::Request, request_id, why);
     shared.log_decision(d.with("status", u64::from(info.status)));
 }
 
 async fn answer_request(
     shared: &Arc<Shared>,
     incoming: &Incoming,
-    request: &str,
+    request_id: &str,
 ) -> Result<Response, Failure> {
     let path = incoming.head.url().path();
     let routes = shared.routes.load_full();
@@ -83,7 +83,7 @@
         .ok_or(Kind::Unauthorized)?;
     if let Some(rest) = path.strip_prefix("/s/") {
         take_quota(shared, caller)?;
-        return forward_to_service(shared, &routes, caller, incoming, request, rest).await;
+        return forward_to_service(shared, &routes, caller, incoming, request_id, rest).await;
     }
     if path == "/jobs" || path.starts_with("/jobs/") {
         take_quota(shared, caller)?;
@@ -105,7 +105,7 @@
     routes: &Routes,
     caller: &Caller,
     incoming: &Incoming,
-    request: &str,
+    request_id: &str,
     rest: &str,
 ) -> Result<Response, Failure> {
     let (service, tail) = rest.split_once('/').unwrap_or((rest, ""));
@@ -125,7 +125,7 @@
         shared,
         route,
         incoming,
-        request,
+        request_id,
         path,
         class: parse_class(incoming)?,
         entry_count: routes.entry_count,
@@ -138,7 +138,7 @@
         .filter(|_| !is_safe(method));
     let answer = match key {
         Some(key) => return forward_with_key(shared, caller, forward, key).await,
-        None => forward.run().await?,
+        None => forward.send_with_retries().await?,
     };
     Ok(relay_answer(answer))
 }
@@ -162,13 +162,19 @@
     }
     // A request with a key runs at most once, even if the service declares that it is repeatable.
     forward.repeatable = false;
-    let claim =
-        keyed::claim_key(shared, &caller.name, key, forward.request, forward.incoming).await?;
+    let claim = keyed::claim_key(
+        shared,
+        &caller.name,
+        key,
+        forward.request_id,
+        forward.incoming,
+    )
+    .await?;
     let claim = match claim {
         Claimed::Known(res) => return Ok(res),
         Claimed::Ours(claim) => claim,
     };
-    let result = forward.run().await;
+    let result = forward.send_with_retries().await;
     keyed::record_outcome(shared, claim, &result).await;
     result.map(relay_answer)
 }
--- a/src/entry/upstream.rs
+++ b/src/entry/upstream.rs
@@ -43,7 +43,7 @@
     pub(super) shared: &'a Shared,
     pub(super) route: &'a Route,
     pub(super) incoming: &'a Incoming,
-    pub(super) request: &'a str,
+    pub(super) request_id: &'a str,
     /// Path and query at the backend server.
     pub(super) path: String,
     pub(super) class: Class,
@@ -74,7 +74,7 @@
 
 impl Forward<'_> {
     /// Sends the request, with retries. Returns the backend server's complete answer, or why there is none.
-    pub(super) async fn run(&self) -> Result<Answer, Failure> {
+    pub(super) async fn send_with_retries(&self) -> Result<Answer, Failure> {
         let mut excluded: Vec<SocketAddr> = Vec::new();
         let mut give_up_ms = self.deadline_ms;
         self.retry_budget().earn();
@@ -196,7 +196,7 @@
                 req.append_header(name.clone(), value.clone());
             }
         }
-        req.insert_header("rockwick-request", self.request);
+        req.insert_header("rockwick-request", self.request_id);
         req.insert_header("rockwick-deadline-ms", left_ms.to_string());
         req.insert_header("rockwick-class", self.class.as_str());
         if !self.incoming.body.is_empty() {
@@ -243,7 +243,7 @@
                 ),
             ),
         };
-        let d = Decision::new(code, Subject::Request, self.request, why)
+        let d = Decision::new(code, Subject::Request, self.request_id, why)
             .with("attempt", attempt as u64)
             .with(
                 "in_flight",
@@ -265,7 +265,7 @@
             AttemptError::NotConnected => "no connection to the backend server",
             AttemptError::Lost(_) => "no complete answer, and the request may be repeated",
         };
-        let d = Decision::new(Code::RouteRetried, Subject::Request, self.request, why);
+        let d = Decision::new(Code::RouteRetried, Subject::Request, self.request_id, why);
         self.shared
             .log_decision(d.with("after_attempt", attempt as u64));
     }
