--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -11,7 +11,7 @@
 
 /// First paragraph of the command's help.
 pub const USAGE: &str = "Show entries, hosts and jobs; with --wait, wait until a version is in \
-force at every live entry.";
+force at every entry that has not left or ended.";
 
 /// The command's flags.
 #[derive(Clone, Debug)]
