--- a/src/entry/keyed.rs
+++ b/src/entry/keyed.rs
@@ -2,7 +2,7 @@
 //! outcome is recorded under it afterwards.
 //!
 //! A request with the same key gets the recorded answer, so that a request runs at most once. `traffic` calls
-//! [`claim`] and [`record`].
+//! [`claim_key`] and [`record_outcome`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,12 +33,12 @@
 
 /// A key that this request has claimed.
 pub(super) struct Claim {
-    key: String,
+    row_key: String,
     version: u64,
     row: RunRow,
 }
 
-/// The result of [`claim`].
+/// The result of [`claim_key`].
 pub(super) enum Claimed {
     /// This request holds the key and may be sent.
     Ours(Claim),
@@ -48,11 +48,11 @@
 
 /// Claims the key, or returns the answer that is recorded under it. Fails if an earlier request with the key differs,
 /// is still running or has an unknown outcome.
-pub(super) async fn claim(
+pub(super) async fn claim_key(
     shared: &Arc<Shared>,
     account: &str,
     key: &str,
-    request: &str,
+    request_id: &str,
     incoming: &Incoming,
 ) -> Result<Claimed, Failure> {
     let url = incoming.head.url();
@@ -66,31 +66,34 @@
         digest,
         entry: shared.settings.name.clone(),
         incarnation: shared.incarnation,
-        request: request.to_string(),
+        request: request_id.to_string(),
         at_ms: wall_ms(),
         state: RunState::Claimed,
     };
-    let name = run_key(account, &sha256_hex(&[key.as_bytes()]));
+    let row_key = run_key(account, &sha256_hex(&[key.as_bytes()]));
     let mut version = 0;
     const ROUNDS_MAX: usize = 3;
     for _ in 0..ROUNDS_MAX {
-        match put_run(shared, &name, version, &row, RetryPolicy::default()).await {
+        match put_run(shared, &row_key, version, &row, RetryPolicy::default()).await {
             Outcome::Committed(version) => {
                 let why = format!("account {account} claimed an idempotency key");
-                let d = Decision::new(Code::RunClaimed, Subject::Request, request, why);
+                let d = Decision::new(Code::RunClaimed, Subject::Request, request_id, why);
                 shared.log_decision(d.with("version", version));
-                let key = name;
-                return Ok(Claimed::Ours(Claim { key, version, row }));
+                return Ok(Claimed::Ours(Claim {
+                    row_key,
+                    version,
+                    row,
+                }));
             }
             Outcome::NotSent => return Err(Kind::StoreDown.into()),
             Outcome::Unknown => {
-                release_claim(shared, name, row);
+                release_claim(shared, row_key, row);
                 return Err(Kind::StoreDown.with_detail("the claim is unsettled; it was not sent"));
             }
             Outcome::Conflict => {}
         }
         Metrics::increment(&shared.metrics.platform_calls);
-        let known = shared.platform.get(&name).await;
+        let known = shared.platform.get(&row_key).await;
         let Some(known) = known.map_err(|_| Failure::from(Kind::StoreDown))? else {
             continue;
         };
@@ -155,10 +158,14 @@
 }
 
 /// Records the outcome of a claimed request: at once if the table answers, otherwise in the background.
-pub(super) async fn record(shared: &Arc<Shared>, claim: Claim, result: &Result<Answer, Failure>) {
+pub(super) async fn record_outcome(
+    shared: &Arc<Shared>,
+    claim: Claim,
+    result: &Result<Answer, Failure>,
+) {
     let state = match result {
         Ok(answer) => done_state(shared, &claim, answer).await,
-        Err(failure) if failure.kind.row().run == Run::No => RunState::NotRun,
+        Err(failure) if failure.kind.info().run == Run::No => RunState::NotRun,
         Err(_) => RunState::Lost,
     };
     let row = RunRow {
@@ -169,17 +176,19 @@
         attempts_max: 1,
         pause_ms: 0,
     };
-    let request = claim.row.request.clone();
-    let (key, version) = (claim.key, claim.version);
+    let request_id = claim.row.request.clone();
+    let (key, version) = (claim.row_key, claim.version);
     match put_run(shared, &key, version, &row, once).await {
-        Outcome::Committed(_) => log_recorded(shared, &request, "recorded"),
-        Outcome::Conflict => {
-            log_recorded(shared, &request, "another writer changed the record first")
-        }
+        Outcome::Committed(_) => log_recorded(shared, &request_id, "recorded"),
+        Outcome::Conflict => log_recorded(
+            shared,
+            &request_id,
+            "another writer changed the record first",
+        ),
         Outcome::NotSent | Outcome::Unknown => {
             log_recorded(
                 shared,
-                &request,
+                &request_id,
                 "the table does not answer; the entry retries in the background",
             );
             let task_shared = Arc::clone(shared);
@@ -191,11 +200,11 @@
     }
 }
 
-fn log_recorded(shared: &Shared, request: &str, why: &str) {
+fn log_recorded(shared: &Shared, request_id: &str, why: &str) {
     shared.log_decision(Decision::new(
         Code::RunRecorded,
         Subject::Request,
-        request,
+        request_id,
         why,
     ));
 }
@@ -208,7 +217,7 @@
     let inline = text.filter(|t| t.len() <= INLINE_MAX_BYTES);
     let mut object = None;
     if inline.is_none() {
-        let name = claim.key.replacen("run/", "answers/", 1);
+        let name = claim.row_key.replacen("run/", "answers/", 1);
         Metrics::increment(&shared.metrics.platform_calls);
         if shared
             .platform
@@ -255,7 +264,8 @@
 
 /// Releases a claim whose commit has an unknown outcome, in the background, so that the caller can retry.
 ///
-/// Whether the claim took effect or not, a `NotRun` row at the next version fences it off.
+/// A `NotRun` row replaces the claim. If the claim has not taken effect yet, the row fences it off: its version check
+/// fails.
 fn release_claim(shared: &Arc<Shared>, key: String, row: RunRow) {
     let task_shared = Arc::clone(shared);
     let runtime = shared.runtime;
@@ -278,10 +288,10 @@
     let found = known
         .as_ref()
         .and_then(|k| decode::<RunRow>(k).ok().flatten());
-    let ours = found
+    let is_ours = found
         .as_ref()
         .is_none_or(|f| f.request == row.request && f.state == RunState::Claimed);
-    if !ours {
+    if !is_ours {
         return true;
     }
     let not_run = RunRow {
@@ -298,7 +308,7 @@
     key: &str,
     version: u64,
     row: &RunRow,
-    patience: RetryPolicy,
+    retry_policy: RetryPolicy,
 ) -> Outcome {
     Metrics::increment(&shared.metrics.platform_calls);
     let txn = Transaction {
@@ -306,5 +316,5 @@
         checks: Vec::new(),
         puts: vec![Put::new(key, expect(version), row)],
     };
-    commit(&shared.platform, &txn, patience).await
+    commit(&shared.platform, &txn, retry_policy).await
 }
