--- a/tests/world/callers.rs
+++ b/tests/world/callers.rs
@@ -10,8 +10,8 @@
         self.set_accounts(&accounts);
     }
 
-    /// Puts a configuration with these accounts in force, each with its name, its quota in thousandths of a core (0
-    /// means no limit) and the jobs per second that it was promised.
+    /// Puts a configuration with these accounts in force, each with its name, its quota in thousandths of a core and
+    /// its weight, the number of jobs per second that it was promised. 0 means no limit for either.
     pub(crate) fn set_accounts(&mut self, accounts: &[(&str, u64, u64)]) {
         let account = |(name, cpu_milli, weight): &(&str, u64, u64)| {
             let config = AccountConfig {
@@ -29,12 +29,12 @@
         self.broadcast_config();
     }
 
-    /// Puts a configuration in force whose queue allows this many failed runs of a task.
+    /// Puts a configuration in force whose queue allows this many failed runs of each task.
     pub(crate) fn set_attempts(&mut self, attempts_max: u32) {
         for queue in self.config.queues.values_mut() {
             queue.attempts_max = attempts_max;
         }
-        for (least, most) in self.attempts.values_mut() {
+        for (least, most) in self.attempts_allowed.values_mut() {
             *least = attempts_max.min(*least);
             *most = attempts_max.max(*most);
         }
@@ -68,24 +68,25 @@
         spec.policy = QueuePolicy::of(&spec.queue, &self.config);
         let value = rows::encode(&spec);
         let attempts = spec.policy.map_or(0, |policy| policy.attempts_max);
-        self.attempts.insert(id.to_string(), (attempts, attempts));
+        self.attempts_allowed
+            .insert(id.to_string(), (attempts, attempts));
         self.specs.insert(id.to_string(), spec);
         let [part, _] = intake_parts_of(POOL, id);
-        self.put(Table::Intake, &part, id, value);
+        self.put_row(Table::Intake, &part, id, value);
     }
 
     /// Submits the same job again as if its first partition had not answered, so that it is in both partitions.
     pub(crate) fn submit_again(&mut self, id: &str) {
         let value = rows::encode(&self.specs[id]);
         let [_, part] = intake_parts_of(POOL, id);
-        self.put(Table::Intake, &part, id, value);
+        self.put_row(Table::Intake, &part, id, value);
     }
 
     /// Cancels a job.
     pub(crate) fn cancel(&mut self, id: &str) {
         self.cancelled_at_ms.insert(id.to_string(), self.now_ms);
         let [part, _] = intake_parts_of(POOL, id);
-        self.put(Table::Intake, &part, &cancel_key(id), b"{}".to_vec());
+        self.put_row(Table::Intake, &part, &cancel_key(id), b"{}".to_vec());
     }
 
     /// Orders a wave over all hosts, with at most `out_max` hosts out at a time.
--- a/tests/world/crash.rs
+++ b/tests/world/crash.rs
@@ -5,7 +5,8 @@
 /// Time until a new instance starts on the host of a crashed worker.
 const BACK_MS: u64 = 3_400;
 
-/// The number of starts allowed for a crashing task after three workers have crashed under it.
+/// The number of starts that undisturbed entries may order of a crashing task after three workers have crashed under
+/// it. Orders that arrive late do not count.
 const STARTS_PAST_THREE: u32 = 2;
 
 /// Tasks that crash workers, and what they caused.
@@ -19,7 +20,7 @@
     pub(crate) workers: u32,
     /// Number of runs of other tasks that ended in these crashes.
     pub(crate) runs: u32,
-    /// Starts of crashing tasks after three workers had crashed under them.
+    /// Starts that count against [`STARTS_PAST_THREE`].
     past_three: HashMap<TaskName, u32>,
 }
 
@@ -51,7 +52,7 @@
         self.crashes.most_under(job) >= 2
     }
 
-    /// Returns the number of crashes in the owner's in-memory state, over all tasks.
+    /// Returns the number of certain and likely crashes in the owner's in-memory state, over all tasks.
     pub(crate) fn counted_crashes(&self) -> u32 {
         let jobs = self
             .owner_pool_state()
@@ -59,8 +60,8 @@
             .jobs
             .values();
         let steps = jobs.flat_map(|j| j.rounds.values()).flat_map(|r| &r.steps);
-        let ended = steps.flat_map(|s| &s.tasks).map(|t| t.losses);
-        ended.map(|e| u32::from(e.crashed + e.likely)).sum()
+        let losses = steps.flat_map(|s| &s.tasks).map(|t| t.losses);
+        losses.map(|l| u32::from(l.crashed + l.likely)).sum()
     }
 
     /// Checks the bound on starts of a crashing task and schedules the crash of its worker.
@@ -74,9 +75,9 @@
             .get(task)
             .is_some_and(|n| *n >= 3)
         {
-            let counts = u32::from(self.is_undisturbed());
+            let added = u32::from(self.is_undisturbed());
             let past = self.crashes.past_three.entry(task.clone()).or_default();
-            *past += counts;
+            *past += added;
             assert!(
                 *past <= STARTS_PAST_THREE,
                 "{} ms: {task:?} starts as run {run} after three crashes under it, {past} times by undisturbed entries",
@@ -89,17 +90,18 @@
         );
     }
 
-    /// Returns whether the order that is carried out is in time and comes from an undisturbed entry.
+    /// Returns whether the order that is being carried out is in time and comes from an undisturbed entry.
     fn is_undisturbed(&self) -> bool {
         !self.is_late_order
-            && self.now_ms >= self.entries[self.ordering_entry].calm_since_ms + UNDISTURBED_MS
+            && self.now_ms
+                >= self.entries[self.ordering_entry].undisturbed_since_ms + UNDISTURBED_MS
     }
 
-    /// Crashes the worker of a run, if the run is still there.
+    /// Crashes the worker of a run if the run is still active.
     pub(super) fn crash_worker_of(&mut self, id: &str, task: &TaskName, run: u32) {
-        let there = self.workers.get(id).filter(|w| w.is_up);
-        let there = there.and_then(|w| w.running.get(task));
-        if there.is_none_or(|r| r.run != run) {
+        let worker = self.workers.get(id).filter(|w| w.is_up);
+        let active = worker.and_then(|w| w.running.get(task));
+        if active.is_none_or(|r| r.run != run) {
             return;
         }
         self.crashes.workers += 1;
--- a/tests/world/effects.rs
+++ b/tests/world/effects.rs
@@ -12,65 +12,65 @@
         match effect {
             Effect::Claim(pool, shard, tx) => {
                 let sent_ms = self.now_ms;
-                let (mut after_ms, mut outcome) = self.store_call(n, &tx);
+                let (mut after_ms, mut outcome) = self.call_store(n, &tx);
                 if self.claims_unanswered > 0 {
                     self.claims_unanswered -= 1;
                     (after_ms, outcome) = (STORE_TIMEOUT_MS, TxOutcome::Unknown);
                 }
-                self.reply(n, after_ms, Event::Claimed(pool, shard, sent_ms, outcome));
+                self.schedule_reply(n, after_ms, Event::Claimed(pool, shard, sent_ms, outcome));
             }
             Effect::Renew(pool, epoch, shard, tx) => {
                 self.renewals += 1;
                 let sent_ms = self.now_ms;
-                let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(
+                let (after_ms, outcome) = self.call_store(n, &tx);
+                self.schedule_reply(
                     n,
                     after_ms,
                     Event::Renewed(pool, epoch, shard, sent_ms, outcome),
                 );
             }
             Effect::Record(pool, pool_state, shard, tx) => {
-                let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(
+                let (after_ms, outcome) = self.call_store(n, &tx);
+                self.schedule_reply(
                     n,
                     after_ms,
                     Event::Recorded(pool, pool_state, shard, outcome),
                 );
             }
             Effect::Release(tx) => {
-                self.store_call(n, &tx);
+                self.call_store(n, &tx);
             }
             Effect::SettleWave(pool, epoch, tx) => {
-                let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::WaveSettled(pool, epoch, outcome));
+                let (after_ms, outcome) = self.call_store(n, &tx);
+                self.schedule_reply(n, after_ms, Event::WaveSettled(pool, epoch, outcome));
             }
             Effect::ReportWave(wave, state) => self.apply_wave_report(wave, state),
             Effect::Load(pool, epoch, _) => {
                 // An unavailable partition cannot be read either.
-                let is_cut = self.entries[n].cut_until_ms > self.now_ms;
-                let reads = !is_cut && self.unavailable_parts.is_empty();
+                let is_disconnected = self.entries[n].disconnected_until_ms > self.now_ms;
+                let reads = !is_disconnected && self.unavailable_parts.is_empty();
                 let rows = reads.then(|| self.loaded_rows());
-                self.reply(n, 8, Event::Loaded(pool, epoch, rows));
+                self.schedule_reply(n, 8, Event::Loaded(pool, epoch, rows));
             }
             Effect::ReadHosts(pool, epoch) => {
                 let hosts = self.hosts();
-                self.reply(n, 5, Event::HostsRead(pool, epoch, hosts));
+                self.schedule_reply(n, 5, Event::HostsRead(pool, epoch, hosts));
             }
             Effect::Start(order, task, start) => {
                 let run = start.run;
                 let late = LateOrder::Start(order.to.fence, start.clone());
                 let (after_ms, reply) = if let Some(reply) = self.misaddressed_reply(&order.to) {
-                    (self.delay(), reply)
+                    (self.draw_delay_ms(), reply)
                 } else if self.is_order_delivered(&order.to.worker, late) {
                     (
-                        self.delay(),
-                        self.start(&order.to.worker, order.to.fence, &start),
+                        self.draw_delay_ms(),
+                        self.start_run(&order.to.worker, order.to.fence, &start),
                     )
                 } else {
                     (ORDER_TIMEOUT_MS, OrderReply::Silent)
                 };
                 let pool_state = order.pool_state;
-                self.reply(
+                self.schedule_reply(
                     n,
                     after_ms,
                     Event::Started(order.pool, pool_state, task, run, reply),
@@ -79,15 +79,15 @@
             Effect::Stop(order, task, name, run) => {
                 let late = LateOrder::Stop(order.to.fence, name.clone(), run);
                 let (after_ms, reply) = if let Some(reply) = self.misaddressed_reply(&order.to) {
-                    (self.delay(), reply)
+                    (self.draw_delay_ms(), reply)
                 } else if self.is_order_delivered(&order.to.worker, late) {
                     let reply = self.stop_run(&order.to.worker, order.to.fence, &name, run);
-                    (self.delay(), reply)
+                    (self.draw_delay_ms(), reply)
                 } else {
                     (ORDER_TIMEOUT_MS, OrderReply::Silent)
                 };
                 let pool_state = order.pool_state;
-                self.reply(
+                self.schedule_reply(
                     n,
                     after_ms,
                     Event::Stopped(order.pool, pool_state, task, run, reply),
@@ -104,39 +104,39 @@
                 let sent_ms = self.now_ms;
                 let late = LateOrder::Renew(order.to.fence, request);
                 let (after_ms, result) = if let Some(reply) = self.misaddressed_reply(&order.to) {
-                    (self.delay(), Err(reply))
+                    (self.draw_delay_ms(), Err(reply))
                 } else if self.is_order_delivered(&order.to.worker, late) {
                     let wait_ms = self.rng.u64(0..=request.wait_ms.min(60));
-                    let result = self.renew(&order.to.worker, order.to.fence, request);
-                    (self.delay() + wait_ms, result)
+                    let result = self.renew_lease(&order.to.worker, order.to.fence, request);
+                    (self.draw_delay_ms() + wait_ms, result)
                 } else {
                     (request.wait_ms + ORDER_TIMEOUT_MS, Err(OrderReply::Silent))
                 };
                 let pool_state = order.pool_state;
                 let event = Event::WorkerRenewed(order.pool, pool_state, worker, sent_ms, result);
-                self.reply(n, after_ms, event);
+                self.schedule_reply(n, after_ms, event);
             }
             Effect::RecordHostsOut(pool, epoch, tx) => {
-                let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::HostsOutRecorded(pool, epoch, outcome));
+                let (after_ms, outcome) = self.call_store(n, &tx);
+                self.schedule_reply(n, after_ms, Event::HostsOutRecorded(pool, epoch, outcome));
             }
             Effect::RemoveIntake(pool, pool_state, tx) => {
-                let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::IntakeRemoved(pool, pool_state, outcome));
+                let (after_ms, outcome) = self.call_store(n, &tx);
+                self.schedule_reply(n, after_ms, Event::IntakeRemoved(pool, pool_state, outcome));
             }
             Effect::SettleOffers(pool, epoch, tx) => {
-                let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::OffersSettled(pool, epoch, outcome));
+                let (after_ms, outcome) = self.call_store(n, &tx);
+                self.schedule_reply(n, after_ms, Event::OffersSettled(pool, epoch, outcome));
             }
             Effect::TakeHosts(pool, epoch, from, tx) => {
-                let (after_ms, outcome) = self.store_call(n, &tx);
+                let (after_ms, outcome) = self.call_store(n, &tx);
                 let event = Event::HostsTaken(pool, epoch, from, outcome);
-                self.reply(n, after_ms, event);
+                self.schedule_reply(n, after_ms, event);
             }
             Effect::SettleQuota(pool, epoch, account, tx) => {
-                let (after_ms, outcome) = self.store_call(n, &tx);
+                let (after_ms, outcome) = self.call_store(n, &tx);
                 let event = Event::QuotaSettled(pool, epoch, account, outcome);
-                self.reply(n, after_ms, event);
+                self.schedule_reply(n, after_ms, event);
             }
             Effect::ReadQuota(pool, epoch, account) => {
                 let key = (Table::Quotas, quota_part(&account), account.clone());
@@ -146,19 +146,19 @@
                     value: Some(value.clone()),
                     revision: *revision,
                 });
-                self.reply(n, 5, Event::QuotaRead(pool, epoch, account, row));
+                self.schedule_reply(n, 5, Event::QuotaRead(pool, epoch, account, row));
             }
             Effect::RecordHostOrders(pool, epoch, tx) => {
-                let (after_ms, outcome) = self.store_call(n, &tx);
-                self.reply(n, after_ms, Event::HostOrdersRecorded(pool, epoch, outcome));
+                let (after_ms, outcome) = self.call_store(n, &tx);
+                self.schedule_reply(n, after_ms, Event::HostOrdersRecorded(pool, epoch, outcome));
             }
             Effect::OrderHost(pool, epoch, host, task, _) => {
                 let reply = match task {
                     _ if self.drops_host_orders => HostReply::Silent,
-                    HostTask::Upkeep(wave) => self.upkeep(wave, &host),
+                    HostTask::Upkeep(wave) => self.start_upkeep(wave, &host),
                     HostTask::Move(_) => HostReply::Wrong,
                 };
-                self.reply(n, 5, Event::HostOrdered(pool, epoch, host, reply));
+                self.schedule_reply(n, 5, Event::HostOrdered(pool, epoch, host, reply));
             }
             Effect::Left => self.kill(n),
             Effect::Log(decision) => self.log.extend(self.keeps_log.then_some(decision)),
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -8,8 +8,8 @@
         let entry = &mut self.entries[n];
         entry.incarnation += 1;
         entry.frozen_until_ms = 0;
-        entry.held_rows = 0;
-        entry.calm_since_ms = self.now_ms;
+        entry.held_row_count = 0;
+        entry.undisturbed_since_ms = self.now_ms;
         entry.wake_ms = self.now_ms + 5;
         let nonce = entry.incarnation * 100 + n as u64;
         entry.state = Some(State::new(format!("entry-{n}"), nonce));
@@ -37,8 +37,9 @@
         self.schedule(GRACE_MS, TimedEvent::Kill(n, incarnation));
     }
 
-    /// Freezes an entry. A frozen entry stays frozen until the later of both ends: with the earlier one, it would
-    /// receive later events before those held for the later end.
+    /// Freezes an entry for a time. If it is frozen already, the later of the two ends applies: at the earlier one, it
+    /// would receive events that arrived later before those held back until the later end. With
+    /// [`DeliveryOrder::AtThaw`], the new end always applies.
     pub(crate) fn freeze(&mut self, n: usize, ms: u64) {
         let already_ms = match self.delivery_order {
             DeliveryOrder::InOrder => self.entries[n].frozen_until_ms,
@@ -46,13 +47,13 @@
         };
         let until_ms = already_ms.max(self.now_ms + ms);
         self.entries[n].frozen_until_ms = until_ms;
-        self.entries[n].calm_since_ms = until_ms;
+        self.entries[n].undisturbed_since_ms = until_ms;
     }
 
     /// Disconnects an entry from the store for a time.
     pub(crate) fn disconnect_entry(&mut self, n: usize, ms: u64) {
-        self.entries[n].cut_until_ms = self.now_ms + ms;
-        self.entries[n].calm_since_ms = self.now_ms + ms;
+        self.entries[n].disconnected_until_ms = self.now_ms + ms;
+        self.entries[n].undisturbed_since_ms = self.now_ms + ms;
         let incarnation = self.entries[n].incarnation;
         self.schedule(0, TimedEvent::Deliver(n, incarnation, Event::Store(false)));
         // The feeds notice that the connection is back even if no other event arrives.
@@ -75,7 +76,7 @@
             .as_ref()
     }
 
-    /// Returns whether a job has ended in its owner's in-memory state, whatever its record says.
+    /// Returns whether a job has ended in its owner's in-memory state, whether or not that is recorded.
     pub(crate) fn has_ended_in_memory(&self, id: &str) -> bool {
         let pool_state = self.owner_pool_state();
         pool_state
@@ -93,7 +94,7 @@
     pub(crate) fn reload(&mut self, n: usize) -> Vec<Decision> {
         let state = self.entries[n].state.as_ref();
         let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
-        let epoch = ownership.expect("it owns the pool").epoch;
+        let epoch = ownership.expect("the entry owns the pool").epoch;
         let rows = self.loaded_rows();
         self.deliver_logged(n, Event::Loaded(PoolKey(0), epoch, Some(rows)))
     }
@@ -107,49 +108,55 @@
     pub(crate) fn load(&mut self, n: usize, rows: LoadedRows) {
         let state = self.entries[n].state.as_ref();
         let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
-        let epoch = ownership.expect("it owns the pool").epoch;
+        let epoch = ownership.expect("the entry owns the pool").epoch;
         self.deliver_event(n, Event::Loaded(PoolKey(0), epoch, Some(rows)));
     }
 
-    /// Delivers an event to an entry, or holds it back while the entry is frozen. `place` is the position of the event
-    /// among those held back.
-    pub(super) fn deliver(&mut self, n: usize, incarnation: u64, event: Event, place: Option<u64>) {
+    /// Delivers an event to an entry, or holds it back while the entry is frozen. `held_number` is the number that the
+    /// event got when it was first held back.
+    pub(super) fn deliver(
+        &mut self,
+        n: usize,
+        incarnation: u64,
+        event: Event,
+        held_number: Option<u64>,
+    ) {
         if self.entries[n].incarnation != incarnation {
             return;
         }
         let is_behind =
-            place.is_none() && self.is_in_order(&event) && self.entries[n].held_rows > 0;
+            held_number.is_none() && self.is_in_order(&event) && self.entries[n].held_row_count > 0;
         if self.entries[n].frozen_until_ms > self.now_ms || is_behind {
-            self.hold_back(n, incarnation, event, place);
+            self.hold_back(n, incarnation, event, held_number);
             return;
         }
-        if place.is_some() {
-            self.entries[n].held_rows -= 1;
+        if held_number.is_some() {
+            self.entries[n].held_row_count -= 1;
         }
         self.deliver_now(n, event);
     }
 
-    /// Returns whether an event keeps its position among the events held back.
+    /// Returns whether an event keeps its position among the held events.
     fn is_in_order(&self, event: &Event) -> bool {
         self.delivery_order == DeliveryOrder::InOrder && is_feed(event)
     }
 
     /// Holds an event back until the entry is no longer frozen. Feeds keep the order of changes, so rows held back
     /// earlier go first. Answers come over connections of their own, in any order.
-    fn hold_back(&mut self, n: usize, incarnation: u64, event: Event, place: Option<u64>) {
+    fn hold_back(&mut self, n: usize, incarnation: u64, event: Event, held_number: Option<u64>) {
         let after_ms = self.entries[n].frozen_until_ms.saturating_sub(self.now_ms);
         if !self.is_in_order(&event) {
             self.schedule(after_ms, TimedEvent::Deliver(n, incarnation, event));
             return;
         }
-        let place = place.unwrap_or_else(|| {
-            self.entries[n].held_rows += 1;
-            self.next_number()
+        let held_number = held_number.unwrap_or_else(|| {
+            self.entries[n].held_row_count += 1;
+            self.next_event_number()
         });
         self.schedule_at(
             after_ms,
-            place,
-            TimedEvent::DeliverHeld(n, incarnation, event, place),
+            held_number,
+            TimedEvent::DeliverHeld(n, incarnation, event, held_number),
         );
     }
 
@@ -160,17 +167,17 @@
             self.schedule(thaw_ms - self.now_ms, TimedEvent::Wake(n));
             return;
         }
-        let cut_until_ms = self.entries[n].cut_until_ms;
-        if cut_until_ms > 0 && cut_until_ms <= self.now_ms {
-            self.entries[n].cut_until_ms = 0;
+        let disconnected_until_ms = self.entries[n].disconnected_until_ms;
+        if disconnected_until_ms > 0 && disconnected_until_ms <= self.now_ms {
+            self.entries[n].disconnected_until_ms = 0;
             self.deliver_initial_state(n);
             let incarnation = self.entries[n].incarnation;
             self.schedule(3, TimedEvent::Deliver(n, incarnation, Event::Store(true)));
         }
-        self.reduce(n, event);
+        self.reduce_event(n, event);
     }
 
-    pub(super) fn reduce(&mut self, n: usize, event: Event) {
+    pub(super) fn reduce_event(&mut self, n: usize, event: Event) {
         let now = self.now();
         let Some(state) = self.entries[n].state.as_mut() else {
             return;
@@ -188,7 +195,7 @@
         }
     }
 
-    pub(super) fn reply(&mut self, n: usize, after_ms: u64, event: Event) {
+    pub(super) fn schedule_reply(&mut self, n: usize, after_ms: u64, event: Event) {
         let incarnation = self.entries[n].incarnation;
         self.schedule(after_ms, TimedEvent::Deliver(n, incarnation, event));
     }
@@ -203,8 +210,8 @@
         for wave in &self.waves {
             events.push(Event::Operator(OperatorEvent::Wave(wave.clone())));
         }
-        // The list contains ended instances for some heartbeats.
-        let infos = self.listed();
+        // The platform's list keeps ended instances for some heartbeats, so this one contains them, too.
+        let infos = self.listed_workers();
         events.push(Event::WorkersRead(infos));
         for ((table, part, key), (value, revision)) in &self.store {
             let row = StoredRow {
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -42,8 +42,8 @@
         self.late_orders = Some((milli, rng));
     }
 
-    /// Returns the delay of an order, or `None` for an order in time.
-    pub(super) fn lateness_ms(&mut self) -> Option<u64> {
+    /// Draws the delay of an order, or returns `None` for an order in time.
+    pub(super) fn draw_lateness_ms(&mut self) -> Option<u64> {
         let (milli, rng) = self.late_orders.as_mut()?;
         let is_late = rng.u32(0..1_000) < *milli;
         is_late.then(|| rng.u64(20..LATE_MAX_MS))
@@ -74,7 +74,7 @@
         self.end_all_runs(id);
     }
 
-    /// Lists a worker for a time under the address at which another worker answers.
+    /// Lists a worker for a time under another worker's address.
     pub(crate) fn readdress(&mut self, id: &str, other: &str, ms: u64) {
         let info = WorkerInfo {
             address: self.workers[other].info.address,
@@ -84,8 +84,8 @@
         self.schedule(ms, TimedEvent::Heartbeat(id.to_string()));
     }
 
-    /// Returns the reply to an order whose address is not the worker's: another worker there answers that it is
-    /// another instance. Returns `None` for a correct address.
+    /// Returns the reply to an order whose address is not that of its worker, or `None` for a correct address. Another
+    /// worker at the address answers that it is another instance; if none is up there, the connection is refused.
     pub(super) fn misaddressed_reply(&self, to: &OrderTarget) -> Option<OrderReply> {
         let w = self.workers.get(&to.worker)?;
         if w.info.address == to.address {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,8 +1,8 @@
-//! A random simulation of the scheduler: several entries, one store and workers with leases on a simulated clock. The
-//! scheduler's tests build a [`World`], inject faults and let it run.
+//! A randomized simulation of the scheduler: several entries, one store and workers with leases on a simulated clock.
+//! The scheduler's tests build a [`World`], inject faults and let it run.
 //!
 //! Messages may be lost, delayed or duplicated. Entries are killed, frozen and disconnected; workers crash, or are
-//! disconnected and keep running. The scheduler's guarantees are checked at every step.
+//! disconnected and keep running. The scheduler's guarantees are checked while the world runs.
 
 mod callers;
 mod calm;
@@ -41,7 +41,7 @@
     WorkerInfo,
 };
 
-use timed_events::{LateOrder, Queued, TimedEvent};
+use timed_events::{LateOrder, QueuedEvent, TimedEvent};
 
 pub(crate) use jobs::{config, job, lasting, listed_worker, timed};
 
@@ -63,7 +63,7 @@
 /// Time from a change in the store to its delivery by a feed.
 const FEED_MS: u64 = 5;
 
-/// The longest lease that a worker accepts.
+/// The longest lease that a worker accepts; a longer one is cut to this length.
 const RENEWAL_MAX_MS: u64 = 10_000;
 
 /// The sender of an order gives up waiting for an answer after this time.
@@ -72,7 +72,7 @@
 /// Interval between two heartbeats of a worker.
 const HEARTBEAT_MS: u64 = 1_500;
 
-/// An entry counts as undisturbed this long after its last fault.
+/// An entry counts as undisturbed this long after its last start, freeze or disconnection was over.
 const UNDISTURBED_MS: u64 = 4_000;
 
 /// Sets how an entry that was frozen receives what arrived meanwhile.
@@ -82,8 +82,8 @@
     #[default]
     InOrder,
     /// Each event arrives at the end of the freeze that it met, so rows can overtake each other where two freezes
-    /// overlap. No real feed does that. Seeds 3043 and 181 found their faults in this mode; otherwise they play in
-    /// order.
+    /// overlap. No real feed does that. Seeds 3043 and 181 found their faults in this mode, so the saved seeds are
+    /// played in both.
     AtThaw,
 }
 
@@ -108,16 +108,17 @@
     pub(crate) state: Option<State>,
     incarnation: u64,
     frozen_until_ms: u64,
-    /// Rows of feeds that arrived while the entry was frozen and are not yet delivered.
-    held_rows: u64,
-    cut_until_ms: u64,
+    /// Number of rows of feeds that arrived while the entry was frozen and are not yet delivered.
+    held_row_count: u64,
+    disconnected_until_ms: u64,
     /// When the last start, freeze or disconnection of the entry was over.
-    calm_since_ms: u64,
+    undisturbed_since_ms: u64,
     /// When the next scheduled wake is due.
     wake_ms: u64,
 }
 
-struct Running {
+/// A run of a task on a worker.
+struct ActiveRun {
     run: u32,
     demand: Capacity,
     /// When the run was started.
@@ -131,11 +132,14 @@
     info: WorkerInfo,
     /// The instance's serial number over all workers.
     serial: u64,
+    /// The highest fencing token that the instance has received.
     fence: u64,
     clock_ahead_ms: u64,
     lease_until_ms: u64,
-    running: BTreeMap<TaskName, Running>,
+    running: BTreeMap<TaskName, ActiveRun>,
+    /// The latest run of each task that has ended here or was ordered to stop; starts up to that run are refused.
     refused_through: HashMap<TaskName, u32>,
+    /// Ends of runs that are not acknowledged yet.
     ended: Vec<RunEnd>,
     next_end: u64,
     /// Number of times that the lease has lapsed.
@@ -144,7 +148,7 @@
     shrunk_ms: Option<u64>,
     /// Whether the process is up; false after a crash and while the host is out.
     is_up: bool,
-    cut_until_ms: u64,
+    disconnected_until_ms: u64,
 }
 
 impl Worker {
@@ -163,7 +167,7 @@
             lapses: 0,
             shrunk_ms: None,
             is_up: true,
-            cut_until_ms: 0,
+            disconnected_until_ms: 0,
         }
     }
 
@@ -184,7 +188,7 @@
     pub(crate) store: BTreeMap<(Table, String, String), (Vec<u8>, u64)>,
     /// Probabilities of faults.
     pub(crate) faults: Faults,
-    /// How a frozen entry receives what arrived meanwhile.
+    /// How an entry that was frozen receives what arrived meanwhile.
     pub(crate) delivery_order: DeliveryOrder,
     /// Waves that were reported as completed.
     pub(crate) waves_done: HashSet<u64>,
@@ -192,9 +196,9 @@
     pub(crate) upkept: HashMap<u64, HashSet<String>>,
     /// Number of runs started.
     pub(crate) starts: u64,
-    /// Number of next claims that are applied but get no answer.
+    /// Number of upcoming claims that are applied but get no answer.
     pub(crate) claims_unanswered: u32,
-    /// Orders to hosts get no answer and are not carried out.
+    /// Whether orders to hosts get no answer and are not carried out.
     pub(crate) drops_host_orders: bool,
     /// Number of transactions that only renewed a lease.
     pub(crate) renewals: u32,
@@ -203,7 +207,7 @@
     pub(crate) newer_answers_milli: u32,
     /// Partitions of the store that do not answer.
     pub(crate) unavailable_parts: HashSet<String>,
-    /// Workers accept starts that exceed their capacity.
+    /// Whether workers accept starts that exceed their capacity.
     pub(crate) ignores_capacity: bool,
     /// The worker on which all runs fail.
     pub(crate) bad_worker: Option<String>,
@@ -222,8 +226,9 @@
     /// Decisions that were logged by any entry while `keeps_log` was set.
     pub(crate) log: Vec<Decision>,
     revision: u64,
-    number: u64,
-    queue: BinaryHeap<Reverse<Queued>>,
+    /// Number of the latest scheduled event, in the order in which events of the same time are carried out.
+    last_event_number: u64,
+    timed_events: BinaryHeap<Reverse<QueuedEvent>>,
     rng: Rng,
     /// Draws for [`World::newer_answers_milli`], kept apart so that older seeds play the same worlds.
     newer_answers_rng: Rng,
@@ -232,15 +237,15 @@
     acked_done: HashSet<TaskName>,
     /// The least and the greatest number of failed runs of a task that the queue allowed since the job was submitted,
     /// by job.
-    attempts: HashMap<String, (u32, u32)>,
-    /// Duration of a task where it is set and not drawn.
+    attempts_allowed: HashMap<String, (u32, u32)>,
+    /// Durations of tasks for which they are set instead of drawn.
     pub(crate) run_ms: HashMap<TaskName, u64>,
     /// Workers that are missing from the worker list for a while.
     unlisted: HashSet<String>,
     /// Probability that an order is delayed, in thousandths, and the generator that draws the delay.
     late_orders: Option<(u32, Rng)>,
-    /// Starts and ends, for the check that work is done once.
-    once: start_history::StartHistory,
+    /// Starts and ends of tasks, for the check that work is done once.
+    start_history: start_history::StartHistory,
     failed_runs: HashMap<TaskName, HashSet<u32>>,
     /// Lasting tasks that orders ended and that are not at work again yet.
     ordered_away: HashSet<TaskName>,
@@ -249,16 +254,16 @@
     next_serial: u64,
     /// Draws for workers that restart under their id, kept apart so that older seeds play the same worlds.
     restarts_rng: Rng,
-    /// The next instance on a host keeps the id of the previous one.
+    /// Whether the next instance on a host keeps the id of the previous one.
     pub(crate) keeps_ids: bool,
     /// Earlier instances whose ids were taken over by later ones.
-    former: Vec<Worker>,
+    former_instances: Vec<Worker>,
     /// Whether the order that is being carried out was delayed.
     is_late_order: bool,
     /// The entry whose effect is being carried out.
     ordering_entry: usize,
     /// Final states of jobs whose rows were removed.
-    removed: HashMap<String, JobState>,
+    removed_job_states: HashMap<String, JobState>,
     hosts_out: HashSet<String>,
 }
 
@@ -290,18 +295,18 @@
             keeps_log: false,
             log: Vec::new(),
             revision: 1,
-            number: 0,
-            queue: BinaryHeap::new(),
+            last_event_number: 0,
+            timed_events: BinaryHeap::new(),
             rng: Rng::with_seed(seed),
             newer_answers_rng: Rng::with_seed(!seed),
             config: config(1),
             waves: Vec::new(),
             acked_done: HashSet::new(),
-            attempts: HashMap::new(),
+            attempts_allowed: HashMap::new(),
             run_ms: HashMap::new(),
             unlisted: HashSet::new(),
             late_orders: None,
-            once: Default::default(),
+            start_history: Default::default(),
             failed_runs: HashMap::new(),
             ordered_away: HashSet::new(),
             cancelled_at_ms: HashMap::new(),
@@ -309,10 +314,10 @@
             next_serial: 0,
             restarts_rng: Rng::with_seed(seed ^ 0x4e57),
             keeps_ids: false,
-            former: Vec::new(),
+            former_instances: Vec::new(),
             is_late_order: false,
             ordering_entry: 0,
-            removed: HashMap::new(),
+            removed_job_states: HashMap::new(),
             hosts_out: HashSet::new(),
         };
         for host in 0..workers {
@@ -323,9 +328,9 @@
                 state: None,
                 incarnation: 0,
                 frozen_until_ms: 0,
-                held_rows: 0,
-                cut_until_ms: 0,
-                calm_since_ms: 0,
+                held_row_count: 0,
+                disconnected_until_ms: 0,
+                undisturbed_since_ms: 0,
                 wake_ms: 0,
             });
             world.boot(n);
@@ -340,11 +345,11 @@
         }
     }
 
-    fn chance(&mut self, milli: u32) -> bool {
+    fn draw_chance(&mut self, milli: u32) -> bool {
         self.rng.u32(0..1_000) < milli
     }
 
-    fn delay(&mut self) -> u64 {
+    fn draw_delay_ms(&mut self) -> u64 {
         self.rng.u64(1..8)
     }
 
@@ -352,7 +357,7 @@
     pub(crate) fn disconnect_worker(&mut self, id: &str, ms: u64) {
         let until_ms = self.now_ms + ms;
         if let Some(w) = self.workers.get_mut(id) {
-            w.cut_until_ms = until_ms;
+            w.disconnected_until_ms = until_ms;
         }
     }
 
@@ -403,14 +408,14 @@
                 Event::Operator(OperatorEvent::Config(_)) => self.config_late_ms,
                 _ => 0,
             };
-            let delay_ms = self.delay() + 20 + late_ms;
+            let delay_ms = self.draw_delay_ms() + 20 + late_ms;
             self.schedule(delay_ms, TimedEvent::Deliver(n, incarnation, event.clone()));
         }
     }
 
     /// Returns the recorded state of a job.
     pub(crate) fn recorded_state(&self, id: &str) -> JobState {
-        if let Some(state) = self.removed.get(id) {
+        if let Some(state) = self.removed_job_states.get(id) {
             return *state;
         }
         self.progress(id).map_or(JobState::Queued, |row| row.state)
--- a/tests/world/restart.rs
+++ b/tests/world/restart.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The most by which the wall clock of a host is set back or forward between two instances.
+/// The longest time by which the wall clock of a host is set back or forward between two instances.
 const CLOCK_STEP_MS: u64 = 4_000;
 
 impl World {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Starts the later instance. Entries learn of it at once or from its first heartbeat.
+    /// Starts the later instance under a worker's id. Entries learn of it at once or from its first heartbeat.
     pub(super) fn start_later_instance(&mut self, id: &str) {
         let now_ms = self.now_ms;
         let born_wall_ms = WALL_MS + now_ms + self.restarts_rng.u64(0..CLOCK_STEP_MS * 2);
@@ -62,17 +62,17 @@
             clock_ahead_ms: 0_u64.wrapping_sub(now_ms),
             ..Worker::new(info, serial)
         };
-        self.former.push(std::mem::replace(w, later));
+        self.former_instances.push(std::mem::replace(w, later));
         self.schedule(heartbeat_ms, TimedEvent::Heartbeat(id.to_string()));
     }
 
-    /// Delivers the list entry of an earlier instance after the later instance's own.
+    /// Delivers the list entry of an earlier instance again, after that of the later instance under its id.
     pub(crate) fn relist_former_instance(&mut self) {
-        if self.former.is_empty() {
+        if self.former_instances.is_empty() {
             return;
         }
-        let n = self.restarts_rng.usize(0..self.former.len());
-        let info = self.former[n].info.clone();
+        let n = self.restarts_rng.usize(0..self.former_instances.len());
+        let info = self.former_instances[n].info.clone();
         let id = info.id.clone();
         self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
         self.schedule(HEARTBEAT_MS, TimedEvent::Heartbeat(id));
--- a/tests/world/start_history.rs
+++ b/tests/world/start_history.rs
@@ -1,6 +1,7 @@
-//! Checks that the work of a task is done once: no start follows a run that ended as done, if that end is acknowledged
-//! then or later, and no two runs overlap. An end does not count if the worker's lease lapsed before the end was
-//! acknowledged, since nobody can tell that run from one that was given up.
+//! Checks that the work of a task is done once: no start follows a run whose end as done is acknowledged, before or
+//! after that start, and no two runs overlap. An end does not count if the worker's lease lapsed between the end and
+//! its acknowledgement, since nobody can tell that run from one that was given up. In the same way, no start may follow
+//! the last failed run that the queue allows.
 
 use super::*;
 
@@ -8,9 +9,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndState {
     pub(super) ms: u64,
-    /// Number of starts of all tasks before that end.
+    /// Number of starts, over all tasks, before that end.
     pub(super) starts: u64,
-    /// Number of lapses of the worker's lease before that end.
+    /// Number of times that the worker's lease had lapsed by then.
     pub(super) lapses: u32,
 }
 
@@ -58,14 +59,14 @@
 impl World {
     /// Checks that the worker that starts a task has no other run of it.
     pub(super) fn check_no_other_run(&self, id: &str, start: &RunStart) {
-        let there = self.workers[id].running.get(&start.task);
+        let other = self.workers[id].running.get(&start.task);
         assert!(
-            there.is_none(),
+            other.is_none(),
             "{} ms: {:?} starts on {id} as run {} beside run {:?}",
             self.now_ms,
             start.task,
             start.run,
-            there.map(|r| r.run)
+            other.map(|r| r.run)
         );
     }
 
@@ -76,13 +77,17 @@
             run: start.run,
             worker: id.to_string(),
         };
-        let starts = self.once.starts.entry(start.task.clone()).or_default();
+        let starts = self
+            .start_history
+            .starts
+            .entry(start.task.clone())
+            .or_default();
         starts.push(started);
     }
 
     /// Acknowledges an end as done. The end of one gang member stands for all members.
     pub(super) fn ack_done(&mut self, id: &str, end: RunEnd) {
-        let at = self.once.done[&(self.workers[id].serial, end.number)];
+        let at = self.start_history.done[&(self.workers[id].serial, end.number)];
         let has_lapsed = self.workers[id].lapses != at.lapses;
         let step = &self.specs[&end.task.job].steps[usize::from(end.task.step)];
         if step.gang && !has_lapsed {
@@ -91,12 +96,12 @@
                     index,
                     ..end.task.clone()
                 };
-                self.check_no_later(id, &end, &member, at);
+                self.check_no_later_start(id, &end, &member, at);
                 self.acked_done.insert(member);
             }
         }
         if !has_lapsed {
-            self.check_no_later(id, &end, &end.task, at);
+            self.check_no_later_start(id, &end, &end.task, at);
         }
         self.acked_done.insert(end.task);
     }
@@ -104,7 +109,7 @@
     /// Acknowledges an end as failed and checks that no start of the task came after the last failed run that its
     /// queue allows.
     pub(super) fn ack_failed(&mut self, id: &str, end: RunEnd) {
-        let at = self.once.failed[&(self.workers[id].serial, end.number)];
+        let at = self.start_history.failed[&(self.workers[id].serial, end.number)];
         let step = &self.specs[&end.task.job].steps[usize::from(end.task.step)];
         if self.workers[id].lapses != at.lapses || step.lasting {
             return;
@@ -116,15 +121,15 @@
             step: task.step,
             index: (!step.gang).then_some(task.index),
         };
-        let runs = self.once.acked_failed.entry(key).or_default();
+        let runs = self.start_history.acked_failed.entry(key).or_default();
         runs.entry(end.run).or_insert(at.starts);
-        let (_, most) = self.attempts[&task.job];
+        let (_, most) = self.attempts_allowed[&task.job];
         let mut ends: Vec<u64> = runs.values().copied().collect();
         ends.sort_unstable();
         let Some(last) = ends.get(most as usize - 1).copied() else {
             return;
         };
-        let starts = self.once.starts.get(task);
+        let starts = self.start_history.starts.get(task);
         if let Some(s) = starts.and_then(|starts| starts.iter().find(|s| s.number > last)) {
             panic!(
                 "{} ms: {task:?} run {} started on {} at {} after {most} failed runs",
@@ -133,9 +138,9 @@
         }
     }
 
-    /// Checks that no start of a task came between an end that stands for it and now.
-    fn check_no_later(&self, id: &str, end: &RunEnd, task: &TaskName, at: EndState) {
-        let starts = self.once.starts.get(task);
+    /// Checks that no start of a task has followed an end that stands for the task.
+    fn check_no_later_start(&self, id: &str, end: &RunEnd, task: &TaskName, at: EndState) {
+        let starts = self.start_history.starts.get(task);
         let later = starts.and_then(|starts| starts.iter().find(|s| s.number > at.starts));
         if let Some(s) = later {
             panic!(
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -6,7 +6,7 @@
 pub(super) const STORE_TIMEOUT_MS: u64 = 800;
 
 impl World {
-    pub(super) fn put(&mut self, table: Table, part: &str, key: &str, value: Vec<u8>) {
+    pub(super) fn put_row(&mut self, table: Table, part: &str, key: &str, value: Vec<u8>) {
         self.revision += 1;
         let row_key = (table, part.to_string(), key.to_string());
         self.store.insert(row_key, (value.clone(), self.revision));
@@ -17,7 +17,7 @@
             revision: self.revision,
         };
         for n in 0..self.entries.len() {
-            if self.entries[n].cut_until_ms > self.now_ms {
+            if self.entries[n].disconnected_until_ms > self.now_ms {
                 continue;
             }
             let incarnation = self.entries[n].incarnation;
@@ -28,18 +28,18 @@
         }
     }
 
-    pub(super) fn remove(&mut self, table: Table, part: &str, key: &str) {
+    pub(super) fn remove_row(&mut self, table: Table, part: &str, key: &str) {
         self.revision += 1;
         if table == Table::Progress {
             let state = self.recorded_state(key);
             assert!(state.is_final(), "{key} is removed while {state:?}");
-            self.removed.insert(key.to_string(), state);
+            self.removed_job_states.insert(key.to_string(), state);
         }
         self.store
             .remove(&(table, part.to_string(), key.to_string()));
     }
 
-    pub(super) fn transact(&mut self, tx: &RowTx) -> TxOutcome {
+    pub(super) fn apply_transaction(&mut self, tx: &RowTx) -> TxOutcome {
         let mut found = Vec::new();
         let mut guards_hold = true;
         for guard in &tx.guards {
@@ -62,10 +62,10 @@
             // All rows of a transaction get the same revision.
             self.revision = before;
             let Some(value) = write.value.clone() else {
-                self.remove(write.table, &tx.part, &write.key);
+                self.remove_row(write.table, &tx.part, &write.key);
                 continue;
             };
-            self.put(write.table, &tx.part, &write.key, value);
+            self.put_row(write.table, &tx.part, &write.key, value);
             if write.table == Table::Progress {
                 self.check_progress(&write.key);
             }
@@ -91,7 +91,7 @@
         };
         let (part, mut value) = (part.clone(), value.clone());
         value.push(b' ');
-        self.put(Table::Progress, &part, id, value);
+        self.put_row(Table::Progress, &part, id, value);
         true
     }
 
@@ -114,7 +114,7 @@
         let spec = &self.specs[id];
         if row.state == JobState::Failed {
             let most = self.most_failed_runs(id);
-            let (attempts_min, _) = self.attempts[id];
+            let (attempts_min, _) = self.attempts_allowed[id];
             assert!(
                 most >= attempts_min as usize || self.may_be_given_up(id),
                 "{id} is recorded as failed: {most} failed runs, not {attempts_min}, and no task with two crashes"
@@ -123,13 +123,13 @@
         if row.state == JobState::Completed {
             let rounds = spec.schedule.map_or(1, |schedule| schedule.rounds);
             for round in 0..rounds {
-                self.check_done(id, round);
+                self.check_round_done(id, round);
             }
         }
     }
 
     /// Checks that all tasks of a round were done.
-    fn check_done(&self, id: &str, round: u32) {
+    fn check_round_done(&self, id: &str, round: u32) {
         for (step, s) in self.specs[id].steps.iter().enumerate() {
             for index in 0..s.count {
                 let name = TaskName {
@@ -148,27 +148,30 @@
 
     pub(super) fn was_done(&self, name: &TaskName) -> bool {
         let is_done_end = |e: &RunEnd| e.task == *name && e.kind == EndKind::Done;
-        let mut instances = self.workers.values().chain(&self.former);
+        let mut instances = self.workers.values().chain(&self.former_instances);
         self.acked_done.contains(name) || instances.any(|w| w.ended.iter().any(is_done_end))
     }
 
-    /// Sends a transaction, subject to the faults of the world, and returns the time until the answer and the answer.
-    pub(super) fn store_call(&mut self, n: usize, tx: &RowTx) -> (u64, TxOutcome) {
-        if self.entries[n].cut_until_ms > self.now_ms || self.unavailable_parts.contains(&tx.part) {
+    /// Sends a transaction, subject to the faults of the world. Returns the time until the answer arrives and the
+    /// answer.
+    pub(super) fn call_store(&mut self, n: usize, tx: &RowTx) -> (u64, TxOutcome) {
+        if self.entries[n].disconnected_until_ms > self.now_ms
+            || self.unavailable_parts.contains(&tx.part)
+        {
             return (STORE_TIMEOUT_MS, TxOutcome::Unknown);
         }
-        if self.chance(self.faults.store_lost) {
-            if self.chance(500) {
-                self.transact(tx);
-            } else if self.chance(self.faults.store_late) {
+        if self.draw_chance(self.faults.store_lost) {
+            if self.draw_chance(500) {
+                self.apply_transaction(tx);
+            } else if self.draw_chance(self.faults.store_late) {
                 let late_ms = self.rng.u64(1_000..6_000);
                 self.schedule(late_ms, TimedEvent::Apply(tx.clone()));
             }
             return (STORE_TIMEOUT_MS, TxOutcome::Unknown);
         }
-        let outcome = self.transact(tx);
+        let outcome = self.apply_transaction(tx);
         let outcome = self.with_newer_revision(outcome);
-        (self.delay() + 4, outcome)
+        (self.draw_delay_ms() + 4, outcome)
     }
 
     /// Returns the answer to a commit, which may name a newer revision than the commit's own.
@@ -200,7 +203,7 @@
             intake: rows_of(Table::Intake, POOL),
             progress: rows_of(Table::Progress, POOL),
             owner: rows_of(Table::Owners, POOL),
-            workers: self.listed(),
+            workers: self.listed_workers(),
             workers_asked_ms: self.now_ms,
             waves: rows_of(Table::Waves, ""),
             host_orders: rows_of(Table::HostOrders, POOL),
--- a/tests/world/timed_events.rs
+++ b/tests/world/timed_events.rs
@@ -4,9 +4,11 @@
 
 /// An event that is carried out at its time.
 pub(super) enum TimedEvent {
+    /// An event for an entry, given by its number and the incarnation that the event is for.
     Deliver(usize, u64, Event),
-    /// A row of a feed that arrived while the entry was frozen, with its position among the rows held back.
+    /// A row of a feed that arrived while the entry was frozen, with the number that it got then.
     DeliverHeld(usize, u64, Event, u64),
+    /// A write without an answer that reaches the store late.
     Apply(RowTx),
     /// A delayed order, and the serial number of the instance that has already received it, if any.
     LateOrderArrives(String, Option<u64>, LateOrder),
@@ -30,103 +32,103 @@
     Renew(u64, RenewalRequest),
 }
 
-pub(super) struct Queued {
+pub(super) struct QueuedEvent {
     pub(super) at_ms: u64,
     pub(super) number: u64,
-    pub(super) what: TimedEvent,
+    pub(super) event: TimedEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at_ms, self.number) == (other.at_ms, other.number)
     }
 }
-impl Eq for Queued {}
-impl PartialOrd for Queued {
+impl Eq for QueuedEvent {}
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Queued {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at_ms, self.number).cmp(&(other.at_ms, other.number))
     }
 }
 
 impl World {
-    pub(super) fn schedule(&mut self, after_ms: u64, what: TimedEvent) {
-        let number = self.next_number();
-        self.schedule_at(after_ms, number, what);
+    pub(super) fn schedule(&mut self, after_ms: u64, event: TimedEvent) {
+        let number = self.next_event_number();
+        self.schedule_at(after_ms, number, event);
     }
 
-    pub(super) fn next_number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+    pub(super) fn next_event_number(&mut self) -> u64 {
+        self.last_event_number += 1;
+        self.last_event_number
     }
 
     /// Schedules an event before all events of the same time with a higher number.
-    pub(super) fn schedule_at(&mut self, after_ms: u64, number: u64, what: TimedEvent) {
-        self.queue.push(Reverse(Queued {
+    pub(super) fn schedule_at(&mut self, after_ms: u64, number: u64, event: TimedEvent) {
+        self.timed_events.push(Reverse(QueuedEvent {
             at_ms: self.now_ms + after_ms,
             number,
-            what,
+            event,
         }));
     }
 
     /// Runs the world for a time.
     pub(crate) fn run(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
-        while let Some(Reverse(next)) = self.queue.peek() {
+        while let Some(Reverse(next)) = self.timed_events.peek() {
             if next.at_ms > until_ms {
                 break;
             }
-            let Some(Reverse(next)) = self.queue.pop() else {
+            let Some(Reverse(next)) = self.timed_events.pop() else {
                 break;
             };
             self.now_ms = next.at_ms.max(self.now_ms);
-            self.apply_timed_event(next.what);
+            self.apply_timed_event(next.event);
         }
         self.now_ms = until_ms;
     }
 
-    fn apply_timed_event(&mut self, what: TimedEvent) {
-        match what {
+    fn apply_timed_event(&mut self, event: TimedEvent) {
+        match event {
             TimedEvent::Deliver(n, incarnation, event) => self.deliver(n, incarnation, event, None),
-            TimedEvent::DeliverHeld(n, incarnation, event, place) => {
-                self.deliver(n, incarnation, event, Some(place))
+            TimedEvent::DeliverHeld(n, incarnation, event, held_number) => {
+                self.deliver(n, incarnation, event, Some(held_number))
             }
             TimedEvent::Apply(tx) => {
-                self.transact(&tx);
+                self.apply_transaction(&tx);
             }
             TimedEvent::LateOrderArrives(id, serial, order) => {
                 self.apply_late_order(&id, serial, order)
             }
             TimedEvent::RunEnds(id, task, run) => {
-                let there = self.workers.get(&id).and_then(|w| w.running.get(&task));
-                if there.is_some_and(|r| r.run == run) {
+                let active = self.workers.get(&id).and_then(|w| w.running.get(&task));
+                if active.is_some_and(|r| r.run == run) {
                     let is_bad = self.bad_worker.as_ref() == Some(&id);
-                    let fails = self.chance(self.faults.run_fails) || is_bad;
+                    let fails = self.draw_chance(self.faults.run_fails) || is_bad;
                     let kind = if fails {
                         EndKind::Failed
                     } else {
                         EndKind::Done
                     };
-                    self.end(&id, &task, run, kind);
+                    self.end_run(&id, &task, run, kind);
                 }
             }
             TimedEvent::AtWork(id, task, run) => {
-                let there = self.workers.get(&id).and_then(|w| w.running.get(&task));
-                if there.is_some_and(|r| r.run == run) {
+                let active = self.workers.get(&id).and_then(|w| w.running.get(&task));
+                if active.is_some_and(|r| r.run == run) {
                     self.ordered_away.remove(&task);
                 }
             }
             TimedEvent::GangAlone(id, task, run) => {
-                let there = self.workers.get(&id).and_then(|w| w.running.get(&task));
-                let is_there = there.is_some_and(|r| r.run == run);
+                let active = self.workers.get(&id).and_then(|w| w.running.get(&task));
+                let is_active = active.is_some_and(|r| r.run == run);
                 let members =
                     usize::from(self.specs[&task.job].steps[usize::from(task.step)].count);
-                if is_there && self.count_members(&task, run) < members {
-                    self.end(&id, &task, run, EndKind::GangAlone);
+                if is_active && self.count_members(&task, run) < members {
+                    self.end_run(&id, &task, run, EndKind::GangAlone);
                 }
             }
             TimedEvent::RunCrashesWorker(id, task, run) => self.crash_worker_of(&id, &task, run),
@@ -137,7 +139,7 @@
                     self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
                 }
             }
-            TimedEvent::Lapse(id) => self.lapse(&id),
+            TimedEvent::Lapse(id) => self.lapse_lease(&id),
             TimedEvent::DrainEnds(id) => self.end_draining(&id),
             TimedEvent::LaterInstanceStarts(id) => self.start_later_instance(&id),
             TimedEvent::UpkeepOver(host) => {
@@ -152,7 +154,7 @@
             TimedEvent::Wake(n) if self.entries[n].wake_ms == self.now_ms => {
                 self.deliver_now(n, Event::Tick);
             }
-            // An earlier wake has replaced this one.
+            // Another wake has replaced this one.
             TimedEvent::Wake(_) => {}
         }
     }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -11,7 +11,7 @@
     pub(super) fn start_instance(&mut self, host: &str) {
         self.next_serial += 1;
         self.revision += 1;
-        // Ids are random, so they do not show the order of instances.
+        // Ids begin with a random number, so that their sort order does not show the order of instances.
         let id = format!("w{:04x}-{}", self.rng.u16(..), self.next_serial);
         let port = 1_000 + self.next_serial as u16;
         let info = WorkerInfo {
@@ -37,10 +37,10 @@
         self.broadcast(&Event::Worker(WorkerEvent::Present(info)));
     }
 
-    /// Carries out a start. A start that is refused for lack of capacity, or whose run is there already, still renews
-    /// the lease, whose lapse is scheduled.
-    pub(super) fn start(&mut self, id: &str, fence: u64, start: &RunStart) -> OrderReply {
-        let reply = self.start_leased(id, fence, start);
+    /// Carries out a start and schedules the lapse of the lease. The lease is renewed even if the run is already
+    /// active, or if the start is refused as outdated or for lack of capacity.
+    pub(super) fn start_run(&mut self, id: &str, fence: u64, start: &RunStart) -> OrderReply {
+        let reply = self.start_leased_run(id, fence, start);
         let now_ms = self.now_ms;
         if let Some(w) = self.workers.get(id).filter(|w| w.is_up) {
             let lapse_ms = w.lease_until_ms.saturating_sub(w.clock(now_ms));
@@ -49,7 +49,7 @@
         reply
     }
 
-    fn start_leased(&mut self, id: &str, fence: u64, start: &RunStart) -> OrderReply {
+    fn start_leased_run(&mut self, id: &str, fence: u64, start: &RunStart) -> OrderReply {
         let now_ms = self.now_ms;
         let spec = self
             .specs
@@ -100,7 +100,7 @@
         );
         self.check_no_other_run(id, start);
         let w = self.workers.get_mut(id).expect("the worker is up");
-        let run = Running {
+        let run = ActiveRun {
             run: start.run,
             demand,
             since_ms: now_ms,
@@ -115,7 +115,7 @@
         self.schedule(at_work_ms - now_ms, at_work);
         let members = if step.gang { step.count } else { 1 };
         if step.gang && self.count_members(&start.task, start.run) < usize::from(members) {
-            // The member ends if the others do not come in time.
+            // The member ends if the others do not start in time.
             let alone = TimedEvent::GangAlone(id.to_string(), start.task.clone(), start.run);
             self.schedule(GANG_MS, alone);
         } else if !step.lasting {
@@ -147,8 +147,8 @@
         of_gang.count()
     }
 
-    /// Checks the guarantees on starts: one run a task, one run a gang, no start after an acknowledged end or long
-    /// after a cancel.
+    /// Checks the guarantees on starts: a task or a gang has one run at a time, and no start follows an acknowledged
+    /// end or comes long after a cancel.
     pub(super) fn check_start(&self, id: &str, task: &TaskName) {
         for (other, w) in &self.workers {
             let runs_too = w.is_up && other != id && w.running.contains_key(task);
@@ -206,12 +206,12 @@
         *refused_through = (*refused_through).max(run);
         if w.running.get(task).is_some_and(|r| r.run == run) {
             self.check_away_max(id, task);
-            self.end(id, task, run, EndKind::Stopped);
+            self.end_run(id, task, run, EndKind::Stopped);
         }
         OrderReply::Accepted
     }
 
-    /// Checks that orders end no more lasting tasks at a time than their step allows.
+    /// Checks that orders end no more lasting tasks of a step at a time than the step allows.
     pub(super) fn check_away_max(&mut self, id: &str, task: &TaskName) {
         let now_ms = self.now_ms;
         let Some(most) = self.specs[&task.job].steps[usize::from(task.step)].away_max else {
@@ -239,7 +239,7 @@
         self.ordered_away.insert(task.clone());
     }
 
-    pub(super) fn renew(
+    pub(super) fn renew_lease(
         &mut self,
         id: &str,
         fence: u64,
@@ -291,8 +291,8 @@
         Ok(report)
     }
 
-    pub(super) fn end(&mut self, id: &str, task: &TaskName, run: u32, kind: EndKind) {
-        self.end_one(id, task, run, kind);
+    pub(super) fn end_run(&mut self, id: &str, task: &TaskName, run: u32, kind: EndKind) {
+        self.end_single_run(id, task, run, kind);
         let kind = match kind {
             EndKind::Done => EndKind::Done,
             _ => EndKind::GangBroken,
@@ -313,11 +313,11 @@
             .map(|(id, t, _)| (id.clone(), t.clone()))
             .collect();
         for (id, task) in others {
-            self.end_one(&id, &task, run, kind);
+            self.end_single_run(&id, &task, run, kind);
         }
     }
 
-    fn end_one(&mut self, id: &str, task: &TaskName, run: u32, kind: EndKind) {
+    fn end_single_run(&mut self, id: &str, task: &TaskName, run: u32, kind: EndKind) {
         let Some(w) = self.workers.get_mut(id) else {
             return;
         };
@@ -339,8 +339,8 @@
             lapses: w.lapses,
         };
         match kind {
-            EndKind::Done => self.once.done.insert((w.serial, number), at),
-            EndKind::Failed => self.once.failed.insert((w.serial, number), at),
+            EndKind::Done => self.start_history.done.insert((w.serial, number), at),
+            EndKind::Failed => self.start_history.failed.insert((w.serial, number), at),
             _ => None,
         };
         w.ended.push(RunEnd {
@@ -354,19 +354,19 @@
 
     /// Returns whether an order reaches its worker now. An order that does not is lost, or is carried out later.
     pub(super) fn is_order_delivered(&mut self, worker: &str, late: LateOrder) -> bool {
-        let is_cut = self
+        let is_disconnected = self
             .workers
             .get(worker)
-            .is_some_and(|w| w.cut_until_ms > self.now_ms);
-        if is_cut {
+            .is_some_and(|w| w.disconnected_until_ms > self.now_ms);
+        if is_disconnected {
             return false;
         }
-        if let Some(late_ms) = self.lateness_ms() {
+        if let Some(late_ms) = self.draw_lateness_ms() {
             self.schedule_late_order(worker, late_ms, late);
             return false;
         }
-        if self.chance(self.faults.order_lost) {
-            if self.chance(self.faults.order_late) {
+        if self.draw_chance(self.faults.order_lost) {
+            if self.draw_chance(self.faults.order_late) {
                 let late_ms = self.rng.u64(2_000..12_000);
                 self.schedule_late_order(worker, late_ms, late);
             }
@@ -379,10 +379,10 @@
     /// reaches whichever instance is up then. Later it can only be waiting in the process that received it, and is
     /// lost if that process ends.
     fn schedule_late_order(&mut self, worker: &str, late_ms: u64, order: LateOrder) {
-        let there = self.workers.get(worker).filter(|w| w.is_up);
+        let receiver = self.workers.get(worker).filter(|w| w.is_up);
         let serial = match late_ms {
             0..=ORDER_TIMEOUT_MS => None,
-            _ => Some(there.map_or(0, |w| w.serial)),
+            _ => Some(receiver.map_or(0, |w| w.serial)),
         };
         self.schedule(
             late_ms,
@@ -391,30 +391,30 @@
     }
 
     pub(super) fn apply_late_order(&mut self, id: &str, serial: Option<u64>, order: LateOrder) {
-        let there = self.workers.get(id).map(|w| w.serial);
-        if serial.is_some() && serial != there {
+        let current = self.workers.get(id).map(|w| w.serial);
+        if serial.is_some() && serial != current {
             return;
         }
         match order {
             LateOrder::Start(fence, start) => {
                 self.is_late_order = true;
-                self.start(id, fence, &start);
+                self.start_run(id, fence, &start);
                 self.is_late_order = false;
             }
             LateOrder::Stop(fence, task, run) => {
-                // Other tasks may have gone away since the order was sent, which is not a fault.
+                // Other tasks may have ended since the order was sent, which is not a fault.
                 self.is_late_order = true;
                 self.stop_run(id, fence, &task, run);
                 self.is_late_order = false;
             }
             LateOrder::Renew(fence, request) => {
                 // The answer to a late renewal is lost.
-                let _ = self.renew(id, fence, request);
+                let _ = self.renew_lease(id, fence, request);
             }
         }
     }
 
-    pub(super) fn lapse(&mut self, id: &str) {
+    pub(super) fn lapse_lease(&mut self, id: &str) {
         let now_ms = self.now_ms;
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
@@ -426,11 +426,11 @@
         let running: Vec<(TaskName, u32)> =
             w.running.iter().map(|(t, r)| (t.clone(), r.run)).collect();
         for (task, run) in running {
-            self.end(id, &task, run, EndKind::Lapsed);
+            self.end_run(id, &task, run, EndKind::Lapsed);
         }
     }
 
-    pub(super) fn upkeep(&mut self, wave: u64, host: &str) -> HostReply {
+    pub(super) fn start_upkeep(&mut self, wave: u64, host: &str) -> HostReply {
         let upkept = self.upkept.entry(wave).or_default();
         if upkept.contains(host) {
             return HostReply::Accepted;
@@ -478,13 +478,13 @@
     pub(crate) fn find_waiting_slot(&self, wave: u64) -> Option<String> {
         let key = (Table::Waves, String::new(), wave.to_string());
         let (value, _) = self.store.get(&key)?;
-        let row: rows::WaveRow = rows::decode(value).expect("a wave's row decodes");
+        let row: rows::WaveRow = rows::decode(value).expect("the wave's row decodes");
         let mut waiting = row.out.iter().filter(|(_, slot)| !slot.is_ordered);
         waiting.next().map(|(host, _)| host.clone())
     }
 
     /// Returns the list of workers as the platform shows it.
-    pub(super) fn listed(&self) -> Vec<WorkerInfo> {
+    pub(super) fn listed_workers(&self) -> Vec<WorkerInfo> {
         let listed = self
             .workers
             .values()
