--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -18,7 +18,7 @@
 fn wait_for_slot(world: &mut World) -> String {
     for _ in 0..4_000 {
         world.run(5);
-        if let Some(host) = world.find_waiting_slot(1) {
+        if let Some(host) = world.find_host_with_waiting_slot(1) {
             return host;
         }
     }
@@ -31,7 +31,7 @@
     for seed in 0..20 {
         let mut world = World::new(seed, 2, 4);
         world.run(SETTLE_MS);
-        world.wave(1, 60_000, 1);
+        world.order_wave(1, 60_000, 1);
         let host = wait_for_slot(&mut world);
         let worker_id = world.worker_on(&host).expect("the worker is up");
         world.crash(&worker_id, 60 + seed * 20);
@@ -149,10 +149,14 @@
             world.submit(&format!("job-{n}"), job(4, 900, 20_000));
         }
         world.run(100);
-        world.wave(1, 60_000, 1);
+        world.order_wave(1, 60_000, 1);
         world.worker_events_late_ms = 1_500;
         world.run(15_000);
-        upkept += world.upkept.values().map(HashSet::len).sum::<usize>();
+        upkept += world
+            .maintained_hosts
+            .values()
+            .map(HashSet::len)
+            .sum::<usize>();
         assert_eq!(
             world.runs_ended_by_upkeep, 0,
             "seed {seed}: runs that maintenance ended"
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -41,7 +41,7 @@
 fn ends_outlive_upkeep() {
     let mut world = world_with_started_job();
     world.unavailable_parts.insert(shard_part(POOL, SHARD));
-    world.wave(1, 4_000, 1);
+    world.order_wave(1, 4_000, 1);
     world.run(9_000);
     let owner = world
         .owner_entry()
--- a/tests/test_ends_holding.rs
+++ b/tests/test_ends_holding.rs
@@ -29,7 +29,7 @@
     assert_eq!(world.starts, u64::from(TASKS));
     // Orders to hosts are recorded in the first shard, so they wait while the wave's row takes the slot.
     world.unavailable_parts.insert(shard_part(POOL, SHARD));
-    world.wave(1, 4_000, 1);
+    world.order_wave(1, 4_000, 1);
     let until_ms = world.now_ms + 16_000;
     while !world.has_ended_in_memory("a") && world.now_ms < until_ms {
         world.run(10);
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -96,10 +96,10 @@
             jobs.push(id);
         }
         if round == ROUNDS / 8 {
-            world.wave(WAVES[0], 30_000, rng.usize(1..3));
+            world.order_wave(WAVES[0], 30_000, rng.usize(1..3));
         }
         if round == ROUNDS / 3 {
-            world.wave(WAVES[1], 30_000, rng.usize(1..3));
+            world.order_wave(WAVES[1], 30_000, rng.usize(1..3));
         }
         if rng.u32(0..3) == 0 {
             inject_fault(world, &jobs, rng);
@@ -190,7 +190,7 @@
     for seed in 0..REREAD_SEEDS {
         let mut world = World::new(seed, 1, 3);
         world.run(8_000 + seed);
-        world.wave(WAVES[0], 20_000, 1);
+        world.order_wave(WAVES[0], 20_000, 1);
         for round in 0..400 {
             world.submit(&format!("job-{round}"), job(2, 500, 50));
             world.run(37);
@@ -237,7 +237,7 @@
     world.run(8_000);
     world.submit("long", job(3, 10_000, 2_500));
     world.run(500);
-    world.wave(WAVES[0], 20_000, 1);
+    world.order_wave(WAVES[0], 20_000, 1);
     world.run(500);
     let closing = |world: &World| {
         let pool_state = world
@@ -259,7 +259,7 @@
     for seed in 0..REREAD_SEEDS {
         let mut world = World::new(seed, 1, 3);
         world.run(8_000);
-        world.wave(WAVES[0], 20_000, 1);
+        world.order_wave(WAVES[0], 20_000, 1);
         world.faults.store_lost = 300;
         for _ in 0..1_500 {
             world.run(7);
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -20,7 +20,7 @@
     for event in events {
         world.deliver_event(0, Event::Worker(event));
     }
-    world.load(0, rows);
+    world.deliver_rows(0, rows);
     let owner = world.owner().expect("the entry owns the pool");
     owner.listed.keys().cloned().collect()
 }
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -37,7 +37,7 @@
     world.set_attempts(ATTEMPTS);
     world.run(SETTLE_MS);
     world.config_late_ms = 5_000;
-    world.restart_all();
+    world.restart_all_entries();
     world.submit("job", job(1, 1_000, 200));
     world.fail_runs("job", ATTEMPTS as usize - 1);
     world.run(RUNS_MS);
@@ -62,7 +62,7 @@
     world.submit("job", job(1, 1_000, 200));
     world.remove_queue(QUEUE);
     world.run(100);
-    world.restart_all();
+    world.restart_all_entries();
     world.fail_runs("job", ATTEMPTS as usize - 1);
     world.run(RUNS_MS);
     world.recorded_state("job")
@@ -165,7 +165,7 @@
         world.set_quotas(&[("account", 2_000)]);
         world.run(SETTLE_MS);
         world.config_late_ms = 5_000;
-        world.restart_all();
+        world.restart_all_entries();
         let mut spec = job(10, 1_000, 3_000);
         spec.account = Some("account".to_string());
         world.submit("job", spec);
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -104,7 +104,7 @@
         }
     }
     if round == WAVE_ROUND && rng.bool() {
-        world.wave(1, 10_000, rng.usize(1..3));
+        world.order_wave(1, 10_000, rng.usize(1..3));
     }
     let worker_ids = world.worker_ids();
     match rng.u32(0..6) {
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -48,7 +48,7 @@
             let worker = worker_ids[rng.usize(0..worker_ids.len())].clone();
             let back_ms = rng.u64(300..3_000);
             match keeps_id {
-                true => world.restart(&worker, back_ms),
+                true => world.restart_worker(&worker, back_ms),
                 false => world.crash(&worker, back_ms),
             }
         }
@@ -492,16 +492,16 @@
         for n in 0..8 {
             world.submit(&format!("job-{n}"), job(6, 1_000, 400));
         }
-        world.wave(1, 40_000, 2);
+        world.order_wave(1, 40_000, 2);
         for n in 0..12 {
             world.run(700);
             let worker_ids = world.worker_ids();
             if n % 3 == 0 {
-                world.restart(&worker_ids[n % worker_ids.len()].clone(), 400);
+                world.restart_worker(&worker_ids[n % worker_ids.len()].clone(), 400);
             }
         }
         world.run(60_000);
         assert!(world.waves_done.contains(&1), "seed {seed}");
-        assert_eq!(world.upkept[&1].len(), 6, "seed {seed}");
+        assert_eq!(world.maintained_hosts[&1].len(), 6, "seed {seed}");
     }
 }
--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -23,7 +23,7 @@
     world.newer_answers_milli = AHEAD_MILLI;
     world.run(SETTLE_MS);
     world.submit("lasting", lasting(3, 1));
-    world.wave(1, 30_000, 2);
+    world.order_wave(1, 30_000, 2);
     for n in 0..JOBS {
         world.submit(&format!("job-{n}"), job(4, 1_000, 700));
         world.run(300);
--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::rows::{self, ProgressRow};
 use rockwick::port::fleet::TaskName;
 
-use crate::world::{job, timed, World, WALL_MS};
+use crate::world::{job, with_schedule, World, WALL_MS};
 
 /// Time within which an entry has claimed the pool, also after a lease expired.
 const SETTLE_MS: u64 = 8_000;
@@ -30,7 +30,10 @@
     };
     world.run_ms.insert(first, 9_000);
     let due_wall_ms = WALL_MS + world.now_ms;
-    world.submit("a", timed(job(1, 1_000, 500), 4, due_wall_ms, APART_MS));
+    world.submit(
+        "a",
+        with_schedule(job(1, 1_000, 500), 4, due_wall_ms, APART_MS),
+    );
     world.run(4_000);
     assert_eq!((world.starts, world.running("a")), (4, 1));
     world.kill(world.owner_entry().expect("the pool has an owner"));
@@ -44,7 +47,10 @@
     world.run(SETTLE_MS);
     world.run(1_000);
     let due_wall_ms = WALL_MS + world.now_ms;
-    world.submit("a", timed(job(2, 1_000, 3_000), 8, due_wall_ms, APART_MS));
+    world.submit(
+        "a",
+        with_schedule(job(2, 1_000, 3_000), 8, due_wall_ms, APART_MS),
+    );
     world.run(4_000 + seed % 5 * 1_000);
     world.kill(world.owner_entry().expect("the pool has an owner"));
     world.run(30_000);
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -218,7 +218,7 @@
     let mut world = World::new(20, 1, 4);
     world.run(SETTLE_MS);
     world.drops_host_orders = true;
-    world.wave(1, 60_000, 1);
+    world.order_wave(1, 60_000, 1);
     world.run(1_000);
     let ordered = |world: &World| {
         let pool = world.owner().and_then(|s| s.pool(POOL));
@@ -237,15 +237,15 @@
 fn sched_wave_goes_on() {
     let mut world = World::new(15, 3, 6);
     world.run(SETTLE_MS);
-    world.wave(1, 60_000, 1);
+    world.order_wave(1, 60_000, 1);
     world.run(1_000);
-    let out_before = world.upkept[&1].len();
+    let out_before = world.maintained_hosts[&1].len();
     assert!(out_before > 0, "the wave has begun");
     world.kill(world.owner_entry().expect("the pool has an owner"));
     // Time for a lease, the claim, and a host that the former owner did not order out.
     world.run(4_000);
     assert!(
-        world.upkept[&1].len() > out_before,
+        world.maintained_hosts[&1].len() > out_before,
         "hosts without an order must not wait for the former owner"
     );
 }
@@ -322,9 +322,13 @@
     world.submit("a", lasting(4, 1));
     world.submit("b", job(12, 500, 800));
     world.run(1_000);
-    world.wave(1, 40_000, 2);
+    world.order_wave(1, 40_000, 2);
     world.run(45_000);
-    assert!(world.waves_done.contains(&1), "{:?}", world.upkept);
+    assert!(
+        world.waves_done.contains(&1),
+        "{:?}",
+        world.maintained_hosts
+    );
     assert!(
         world.max_hosts_out <= 2,
         "{} hosts were out at once",
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -5,7 +5,7 @@
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::rows::shard_parts;
 
-use crate::world::{job, lasting, timed, DeliveryOrder, Faults, World, POOL, WALL_MS};
+use crate::world::{job, lasting, with_schedule, DeliveryOrder, Faults, World, POOL, WALL_MS};
 
 /// Number of seeds in CI. ROCKWICK_SEEDS sets another number, or a range such as `6000..9000`.
 const SEEDS: u64 = 60;
@@ -128,7 +128,7 @@
         }
         Extra::Restarts | Extra::LateRestarts => match rng.u32(0..4) {
             0 => world.relist_former_instance(),
-            _ => world.restart(&worker_id, ms / 2),
+            _ => world.restart_worker(&worker_id, ms / 2),
         },
         Extra::Configs => {
             world.config_late_ms = ms;
@@ -197,7 +197,7 @@
             let lasts = spec.steps[0].lasting;
             if extra == Extra::Timed && !lasts && extras.u32(0..3) == 0 {
                 let (rounds, apart_ms) = (extras.u32(2..7), extras.u64(100..900));
-                spec = timed(spec, rounds, WALL_MS + world.now_ms, apart_ms);
+                spec = with_schedule(spec, rounds, WALL_MS + world.now_ms, apart_ms);
             }
             world.submit(&id, spec);
             jobs.push(id);
@@ -207,7 +207,7 @@
             world.cancel(&id);
         }
         if round == 20 && rng.bool() {
-            world.wave(1, 20_000, rng.usize(1..3));
+            world.order_wave(1, 20_000, rng.usize(1..3));
         }
         if rng.u32(0..3) == 0 {
             inject_fault(&mut world, &mut rng);
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -152,7 +152,7 @@
             rows::encode(&spec)
         });
         world.config_late_ms = 5_000;
-        world.restart_all();
+        world.restart_all_entries();
         world.fail_runs("job", 4);
         world.run(RUNS_MS);
         world.recorded_state("job") == JobState::Completed
@@ -189,7 +189,7 @@
         world.run(2_000);
         assert!(find_part(&world, Table::Progress, "job").is_some());
         rewrite_intake(&mut world, "job", |_| b"\xff{".to_vec());
-        world.restart_all();
+        world.restart_all_entries();
         world.run(RUNS_MS);
         find_part(&world, Table::Progress, "job").is_some()
     }));
@@ -261,7 +261,7 @@
     assert_no_failures(&failing_seeds(|seed| {
         let mut world = World::new(seed, 3, 0);
         world.run(SETTLE_MS);
-        world.restart_all();
+        world.restart_all_entries();
         world
             .unavailable_parts
             .insert("a part of intake".to_string());
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -135,7 +135,7 @@
 
 #[test]
 fn wide_wave_begins() {
-    check_starts_after(|world, _| world.wave(1, 60_000, 2));
+    check_starts_after(|world, _| world.order_wave(1, 60_000, 2));
 }
 
 #[test]
--- a/tests/world/callers.rs
+++ b/tests/world/callers.rs
@@ -90,7 +90,7 @@
     }
 
     /// Orders a wave over all hosts, with at most `out_max` hosts out at a time.
-    pub(crate) fn wave(&mut self, number: u64, duration_ms: u64, out_max: usize) {
+    pub(crate) fn order_wave(&mut self, number: u64, duration_ms: u64, out_max: usize) {
         let hosts: HashSet<String> = self.workers.values().map(|w| w.info.host.clone()).collect();
         let order = WaveOrder {
             wave: number,
--- a/tests/world/entries.rs
+++ b/tests/world/entries.rs
@@ -105,7 +105,7 @@
     }
 
     /// Delivers rows that were read earlier to an entry, within its ownership.
-    pub(crate) fn load(&mut self, n: usize, rows: LoadedRows) {
+    pub(crate) fn deliver_rows(&mut self, n: usize, rows: LoadedRows) {
         let state = self.entries[n].state.as_ref();
         let ownership = state.and_then(|s| s.pool(POOL)?.ownership.as_ref());
         let epoch = ownership.expect("the entry owns the pool").epoch;
--- a/tests/world/extras.rs
+++ b/tests/world/extras.rs
@@ -29,7 +29,7 @@
     }
 
     /// Kills the processes of all entries and starts them again at once.
-    pub(crate) fn restart_all(&mut self) {
+    pub(crate) fn restart_all_entries(&mut self) {
         for n in 0..self.entries.len() {
             self.kill(n);
             self.boot(n);
--- a/tests/world/jobs.rs
+++ b/tests/world/jobs.rs
@@ -77,7 +77,12 @@
 }
 
 /// Adds a schedule to a job: `rounds` rounds, the first one due at `first_wall_ms`.
-pub(crate) fn timed(spec: JobSpec, rounds: u32, first_wall_ms: u64, interval_ms: u64) -> JobSpec {
+pub(crate) fn with_schedule(
+    spec: JobSpec,
+    rounds: u32,
+    first_wall_ms: u64,
+    interval_ms: u64,
+) -> JobSpec {
     JobSpec {
         schedule: Some(Schedule {
             rounds,
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -43,7 +43,7 @@
 
 use timed_events::{LateOrder, QueuedEvent, TimedEvent};
 
-pub(crate) use jobs::{config, job, lasting, listed_worker, timed};
+pub(crate) use jobs::{config, job, lasting, listed_worker, with_schedule};
 
 /// Name of the only pool.
 pub(crate) const POOL: &str = "pool";
@@ -193,7 +193,7 @@
     /// Waves that were reported as completed.
     pub(crate) waves_done: HashSet<u64>,
     /// Hosts that had their maintenance, by wave.
-    pub(crate) upkept: HashMap<u64, HashSet<String>>,
+    pub(crate) maintained_hosts: HashMap<u64, HashSet<String>>,
     /// Number of runs started.
     pub(crate) starts: u64,
     /// Number of upcoming claims that are applied but get no answer.
@@ -278,7 +278,7 @@
             faults: Faults::default(),
             delivery_order: DeliveryOrder::default(),
             waves_done: HashSet::new(),
-            upkept: HashMap::new(),
+            maintained_hosts: HashMap::new(),
             starts: 0,
             claims_unanswered: 0,
             drops_host_orders: false,
@@ -482,7 +482,7 @@
                 .iter()
                 .find(|w| w.wave == wave)
                 .expect("the wave was ordered");
-            let upkept = self.upkept.entry(wave).or_default();
+            let upkept = self.maintained_hosts.entry(wave).or_default();
             for host in &order.hosts {
                 assert!(
                     upkept.contains(host),
--- a/tests/world/restart.rs
+++ b/tests/world/restart.rs
@@ -7,7 +7,7 @@
 
 impl World {
     /// Crashes a worker; a later instance starts under its id at its address.
-    pub(crate) fn restart(&mut self, id: &str, back_after_ms: u64) {
+    pub(crate) fn restart_worker(&mut self, id: &str, back_after_ms: u64) {
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
         };
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -431,7 +431,7 @@
     }
 
     pub(super) fn start_upkeep(&mut self, wave: u64, host: &str) -> HostReply {
-        let upkept = self.upkept.entry(wave).or_default();
+        let upkept = self.maintained_hosts.entry(wave).or_default();
         if upkept.contains(host) {
             return HostReply::Accepted;
         }
@@ -475,7 +475,7 @@
     }
 
     /// Returns a host that has a slot of a wave and was not ordered out yet.
-    pub(crate) fn find_waiting_slot(&self, wave: u64) -> Option<String> {
+    pub(crate) fn find_host_with_waiting_slot(&self, wave: u64) -> Option<String> {
         let key = (Table::Waves, String::new(), wave.to_string());
         let (value, _) = self.store.get(&key)?;
         let row: rows::WaveRow = rows::decode(value).expect("the wave's row decodes");
