--- a/tests/test_barred.rs
+++ b/tests/test_barred.rs
@@ -1,4 +1,5 @@
-//! Placement of a task that must not run on one worker, or that fits nowhere, and of the tasks queued behind it.
+//! A task avoids the worker on which its last run failed, but only as long as another worker can take it. Such a task,
+//! or one that fits nowhere, must not hold up the tasks queued behind it.
 
 use rockwick::core::sched::job::{JobSpec, JobState};
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
@@ -17,7 +18,7 @@
 /// Time at which the first run fails.
 const NOW_MS: u64 = 100_000;
 
-/// Longest time that a task waits for a worker other than the one it failed on.
+/// Longest time for which a task avoids the worker on which its first run failed.
 const WAIT_MAX_MS: u64 = 3_000;
 
 /// Longest time between two of an owner's placement passes.
@@ -29,27 +30,30 @@
 /// Number of seeds; each gives a world of its own.
 const SEEDS: u64 = 40;
 
-/// Returns the record of a worker with `cores` cores, a label and a rack.
-fn fact(name: &str, cores: u64, label: &str, rack: &str) -> WorkerInfo {
-    let mut fact = listed_worker(name, name);
-    fact.capacity.cpu_milli = cores * 1_000;
-    fact.labels = vec![label.to_string(), rack.to_string()];
-    fact
+/// Returns a worker with `cores` cores, a label and a rack, as the platform lists it.
+fn worker_info(name: &str, cores: u64, label: &str, rack: &str) -> WorkerInfo {
+    let mut info = listed_worker(name, name);
+    info.capacity.cpu_milli = cores * 1_000;
+    info.labels = vec![label.to_string(), rack.to_string()];
+    info
 }
 
 /// Returns the state of a pool with these workers, and their keys.
-fn pool_with(facts: &[WorkerInfo]) -> (PoolState, Vec<WorkerKey>) {
+fn pool_with(infos: &[WorkerInfo]) -> (PoolState, Vec<WorkerKey>) {
     let mut pool_state = PoolState::default();
-    let keys = facts
+    let keys = infos
         .iter()
-        .map(|fact| add_answering_worker(&mut pool_state, fact.clone()));
+        .map(|info| add_answering_worker(&mut pool_state, info.clone()));
     let keys = keys.collect();
     (pool_state, keys)
 }
 
 /// Returns a pool with two equal workers of 16 cores.
 fn two_workers() -> (PoolState, Vec<WorkerKey>) {
-    pool_with(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r1")])
+    pool_with(&[
+        worker_info("w1", 16, "a", "r1"),
+        worker_info("w2", 16, "a", "r1"),
+    ])
 }
 
 fn submit(pool_state: &mut PoolState, id: &str, spec: &JobSpec) -> TaskKey {
@@ -70,7 +74,7 @@
     }
 }
 
-/// Runs one placement pass and returns the worker that the task is on then.
+/// Runs one placement pass and returns the worker on which the task is placed, if it is.
 fn place_task(pool_state: &mut PoolState, task: TaskKey, now_ms: u64) -> Option<WorkerKey> {
     decide(now_ms, |ctx| place::place(pool_state, ctx));
     pool_state.task(task).and_then(|t| t.phase.worker())
@@ -104,7 +108,10 @@
 
 #[test]
 fn barred_by_size() {
-    let (mut pool_state, _) = pool_with(&[fact("w1", 16, "a", "r1"), fact("w2", 4, "a", "r1")]);
+    let (mut pool_state, _) = pool_with(&[
+        worker_info("w1", 16, "a", "r1"),
+        worker_info("w2", 4, "a", "r1"),
+    ]);
     let task = submit(&mut pool_state, "a", &job(1, 8_000, 500));
     let worker = fail_first_run(&mut pool_state, task);
     assert_eq!(place_task(&mut pool_state, task, NOW_MS), Some(worker));
@@ -112,7 +119,10 @@
 
 #[test]
 fn barred_by_label() {
-    let (mut pool_state, _) = pool_with(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "b", "r1")]);
+    let (mut pool_state, _) = pool_with(&[
+        worker_info("w1", 16, "a", "r1"),
+        worker_info("w2", 16, "b", "r1"),
+    ]);
     let mut spec = job(1, 8_000, 500);
     spec.steps[0].label = Some("a".to_string());
     let task = submit(&mut pool_state, "a", &spec);
@@ -131,7 +141,10 @@
 /// The rack that holds the data is a preference, so the retry may go to the other rack.
 #[test]
 fn barred_not_by_rack() {
-    let (mut pool_state, keys) = pool_with(&[fact("w1", 16, "a", "r1"), fact("w2", 16, "a", "r2")]);
+    let (mut pool_state, keys) = pool_with(&[
+        worker_info("w1", 16, "a", "r1"),
+        worker_info("w2", 16, "a", "r2"),
+    ]);
     let mut spec = job(1, 8_000, 500);
     spec.steps[0].data_rack = Some("r1".to_string());
     let task = submit(&mut pool_state, "a", &spec);
@@ -156,7 +169,7 @@
     assert_eq!(place_task(&mut pool_state, task, late_ms), Some(worker));
 }
 
-/// The other worker is suspended for less than the longest wait, so the retry waits for it.
+/// The other worker is suspended for less than `WAIT_MAX_MS`, so the retry waits for it.
 #[test]
 fn barred_while_suspended() {
     let (mut pool_state, keys) = two_workers();
@@ -199,7 +212,7 @@
     assert!(passes.any(|now_ms| place_task(&mut pool_state, task, now_ms).is_some()));
 }
 
-/// The same with more tasks than two passes scan.
+/// As `barred_prefix`, with more tasks than two passes scan.
 #[test]
 fn barred_long_prefix() {
     let (mut pool_state, _) = two_workers();
--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -1,9 +1,9 @@
 //! Guards against blaming tasks for ends of workers that they did not cause.
 //!
 //! Harmless jobs were given up: a host crashed after its wave's slot was taken and before its maintenance was ordered.
-//! Its next instance was open and got work, and the maintenance ended that work 50 ms later, which counted as a crash
-//! under each task. The log showed `upkeep-ordered` between `task-placed` and `task-suspected` "blamed" for the same
-//! host, twice, and `job-ended` "workers crash under a task".
+//! Its next instance was open and got work, and the planned maintenance ended that work 50 ms later, which counted as
+//! a crash under each task. The log showed `upkeep-ordered` between `task-placed` and `task-suspected` "blamed" for the
+//! same host, twice, and `job-ended` "workers crash under a task".
 
 use std::collections::HashSet;
 
@@ -51,8 +51,8 @@
     }
 }
 
-/// A task that crashes its worker after more than half of its estimate must cost at most three workers, with one owner
-/// that receives heartbeats until the connections end.
+/// A task that crashes its worker after more than half of its estimate must cost at most three workers, if the owner
+/// stays the same and hears each worker until the worker's connections end.
 #[test]
 fn blame_slow() {
     for seed in 0..10 {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Crashes workers again and again under services. Returns the number of tasks that were left alone and not at work in
-/// the end, and the number of starts until then.
+/// Crashes workers again and again under services. Returns the number of tasks that are not running 30 s after the
+/// last crash, and the number of starts until the workers stay up.
 fn play_flapping(seed: u64) -> (usize, u64) {
     let mut world = World::new(seed, 2, 8);
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -119,7 +119,7 @@
     assert_eq!(sum.0, 0);
 }
 
-/// A service that ran well for long and then crashes each worker that starts it must be left alone as well.
+/// A task of a service that ran well for long and then crashes each worker that starts it must be given up as well.
 #[test]
 fn blame_sound_before() {
     for seed in 0..10 {
--- a/tests/test_crashes.rs
+++ b/tests/test_crashes.rs
@@ -1,9 +1,9 @@
 //! Guards against endless starts of a task that crashes each worker that starts it.
 //!
 //! A queue stalled: the first task of a job crashed a worker of 16 cores with up to 17 other tasks 10 ms after each
-//! start, 27 times in 90 seconds. Each ended instance requeued all its tasks without any count, since only ends that a
-//! worker lists as failed counted and a crashed worker lists none. The log showed `worker-over` with "a later life of
-//! its host answers" and `task-requeued` for runs 1 to 27 of the same task, under one owner.
+//! start, 27 times in 90 seconds. All tasks of each ended instance were requeued and nothing counted that, since only
+//! ends that a worker lists as failed counted and a crashed worker lists none. The log showed `worker-over`, because a
+//! later instance of the host answered, and `task-requeued` for runs 1 to 27 of the same task, under one owner.
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::rows::{self, TaskProgress, TaskRow};
@@ -30,7 +30,7 @@
     }
 }
 
-/// Other jobs on the crashed workers must complete and must not be taken for the cause.
+/// Other jobs on the crashed workers must complete and must not be blamed.
 #[test]
 fn crashes_spare_others() {
     for seed in 0..10 {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The other tasks of a lasting step continue, and the task that crashes workers is left alone.
+/// The other tasks of a lasting step continue, and the task that crashes workers is given up.
 #[test]
 fn crashes_of_lasting() {
     for seed in 0..10 {
@@ -145,19 +145,18 @@
     assert_eq!(again, row);
 }
 
-/// Result of a load with crashing tasks.
+/// Counts of a load with crashing tasks.
 #[derive(Debug, Default)]
 struct Outcome {
     /// Harmless jobs that were given up.
-    spoiled: u32,
+    given_up: u32,
     /// Harmless jobs that were done.
     done: u32,
     /// Jobs with a crashing task.
-    bad: u32,
-    /// Workers that crashed.
-    workers: u32,
-    /// Runs of harmless tasks that ended in the crashes.
-    runs: u32,
+    crashing: u32,
+    workers_crashed: u32,
+    /// Runs of other tasks that ended in the crashes.
+    runs_ended: u32,
 }
 
 /// Plays a busy pool for half a minute, in which one job in 30 has a task that crashes its worker.
@@ -182,13 +181,13 @@
         let state = world.recorded_state(&id);
         assert!(state.is_final(), "seed {seed}: {id} is {state:?}");
         match (is_bad, state) {
-            (true, _) => outcome.bad += 1,
+            (true, _) => outcome.crashing += 1,
             (false, JobState::Completed) => outcome.done += 1,
-            (false, _) => outcome.spoiled += 1,
+            (false, _) => outcome.given_up += 1,
         }
     }
-    outcome.workers = world.crashes.workers;
-    outcome.runs = world.crashes.runs;
+    outcome.workers_crashed = world.crashes.workers;
+    outcome.runs_ended = world.crashes.runs;
     outcome
 }
 
@@ -199,13 +198,13 @@
     let mut sum = Outcome::default();
     for seed in 0..8 {
         let one = play_load(seed);
-        sum.spoiled += one.spoiled;
+        sum.given_up += one.given_up;
         sum.done += one.done;
-        sum.bad += one.bad;
-        sum.workers += one.workers;
-        sum.runs += one.runs;
+        sum.crashing += one.crashing;
+        sum.workers_crashed += one.workers_crashed;
+        sum.runs_ended += one.runs_ended;
     }
     println!("{sum:?}");
-    assert!(sum.spoiled * 200 <= sum.done, "{sum:?}");
-    assert!(sum.workers <= sum.bad * 5 / 2, "{sum:?}");
+    assert!(sum.given_up * 200 <= sum.done, "{sum:?}");
+    assert!(sum.workers_crashed <= sum.crashing * 5 / 2, "{sum:?}");
 }
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -1,6 +1,8 @@
-//! An end that a worker reported is applied at once and recorded later. If the host of a worker whose tasks are all
-//! done leaves in between, its list of ends goes with it, and a new owner starts these tasks again. In the first test
-//! below all six did: the job's partition is unavailable for 6 s, and the host leaves 2.4 s after the last end.
+//! Guards against a second start of tasks that are done. The owner applies a reported end at once and records it later.
+//! In between, a worker whose tasks were all done counted as empty: its host left for maintenance or was offered, and
+//! its list of ends was lost. A new owner found the tasks started on a worker that was gone, and started them again;
+//! nothing stopped the second runs. In the first test the job's partition is unavailable for 6 s and the maintenance
+//! comes 2.4 s after the last end; each of the six tasks was started twice.
 
 use rockwick::core::sched::load;
 use rockwick::core::sched::offers::Offers;
@@ -81,7 +83,7 @@
 #[test]
 fn ends_outlive_offer() {
     let mut pool_state = PoolState::default();
-    let hosts = (0..4).map(|n| listed_worker(&format!("life-{n}"), &format!("host-{n}")));
+    let hosts = (0..4).map(|n| listed_worker(&format!("worker-{n}"), &format!("host-{n}")));
     let workers: Vec<_> = hosts
         .map(|fact| add_answering_worker(&mut pool_state, fact))
         .collect();
@@ -91,7 +93,7 @@
         value: Some(rows::encode(&job(1, 1_000, 60_000))),
         revision: 1,
     };
-    // Long enough ago that the job does not count as a rate of arriving work.
+    // The job arrives so long before the pass that it indicates no rate at which more work will arrive.
     decide(90_000, |ctx| {
         load::apply_intake(&mut pool_state, &row, &config(1), 1, ctx)
     });
--- a/tests/test_ends_holding.rs
+++ b/tests/test_ends_holding.rs
@@ -1,6 +1,6 @@
-//! Ends of runs must survive a host that leaves for maintenance with a slot that it took while tasks still ran. A host
-//! whose short tasks take longer than it waits takes its slot while they run. Where a partition is unavailable, ends
-//! that come between the slot and the order are only in the owner's memory, and are lost with the host.
+//! Guards against a wave's slot that is taken while short tasks still run on the host, because they take longer than
+//! the host waits for them. If the job's partition is unavailable, ends between the slot and the order are only in the
+//! owner's memory and are lost with the host, so the next owner starts the tasks again.
 
 use rockwick::core::sched::rows::shard_part;
 
@@ -12,13 +12,14 @@
 /// Number of tasks of the job. Both hosts get some, so that neither is empty and leaves first.
 const TASKS: u16 = 4;
 
-/// Processor demand of each task, in thousandths of a core; two fill a host of 16 cores.
+/// Processor demand of each task, in thousandths of a core; two fill a host of 12 cores.
 const TASK_CPU_MILLI: u64 = 6_000;
 
 /// The shard that stores the job's progress.
 const SHARD: usize = 1;
 
-/// Returns the number of starts after the job was done in its owner's in-memory state.
+/// Returns the number of starts after the job was done in its owner's in-memory state, or 0 if it is not done within
+/// 16 s.
 fn starts_after(estimate_ms: u64) -> u64 {
     let mut world = World::new(1, 2, 2);
     world.run(SETTLE_MS);
--- a/tests/test_fairness.rs
+++ b/tests/test_fairness.rs
@@ -8,7 +8,7 @@
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Returns an account's job of two tasks that take 2 cores for 300 ms each.
+/// Returns an account's job of two tasks of 2 cores, each with an estimate of 300 ms.
 fn of_account(account: &str) -> JobSpec {
     JobSpec {
         account: Some(account.to_string()),
@@ -33,8 +33,8 @@
     assert!(small.try_take(1, 10_100));
 }
 
-/// One account submits three times what the pool can run, and another one submits within its rate. Returns how many of
-/// the latter's jobs are done soon after their objective (1,080 ms), and how many were due.
+/// One account submits four times what the pool can run, by the estimates, and another one submits within its rate.
+/// Returns how many of the latter's jobs are done soon after their objective (1,080 ms), and how many were due.
 fn others_in_time(flood_weight: u64) -> (usize, usize) {
     let mut world = World::new(61, 1, 4);
     world.set_accounts(&[("flood", 0, flood_weight), ("dock", 0, 5)]);
--- a/tests/test_hosts.rs
+++ b/tests/test_hosts.rs
@@ -1,5 +1,5 @@
 //! Orders to hosts are sent only once they are recorded and the hosts are taken from their pool, and two successive
-//! entries don't order the same host in quick succession.
+//! owners do not order the same host shortly after one another.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +43,7 @@
             over_ms: 49_500,
         };
         let mut offers = Offers::default();
-        offers.row.offered = BTreeMap::from([("h1".to_string(), "life of h1".to_string())]);
+        offers.row.offered = BTreeMap::from([("h1".to_string(), "worker of h1".to_string())]);
         offers.revision = 3;
         let mut owner = Self {
             controller: HostController::default(),
@@ -58,7 +58,7 @@
             host: host.to_string(),
             pool: "idle".to_string(),
             state: HostState::Up,
-            worker: format!("life of {host}"),
+            worker: format!("worker of {host}"),
         });
         // The first pass asks for the list of hosts.
         owner.reconcile_hosts();
@@ -213,7 +213,7 @@
     let mut owner = Owner::new(&[], &[]);
     owner.offers.row = OffersRow::default();
     let taken = |epoch| Taken {
-        worker_id: "life of h1".to_string(),
+        worker_id: "worker of h1".to_string(),
         epoch,
     };
     let by_former = BTreeMap::from([("h1".to_string(), taken(EPOCH - 1))]);
@@ -239,7 +239,7 @@
     let mut owner = Owner::new(&[], &[]);
     owner.offers.row = OffersRow::default();
     let earlier = Taken {
-        worker_id: "earlier life".to_string(),
+        worker_id: "earlier worker".to_string(),
         epoch: EPOCH - 1,
     };
     owner.offers.row.taken = BTreeMap::from([("h1".to_string(), earlier)]);
@@ -257,7 +257,7 @@
 #[test]
 fn hosts_stale_offer() {
     let mut owner = Owner::new(&[], &[]);
-    let offered = BTreeMap::from([("h1".to_string(), "earlier life".to_string())]);
+    let offered = BTreeMap::from([("h1".to_string(), "earlier worker".to_string())]);
     owner.offers.row.offered = offered;
     let effects = owner.reconcile_hosts();
     assert_eq!((count_records(&effects), count_takes(&effects)), (0, 0));
--- a/tests/test_instances.rs
+++ b/tests/test_instances.rs
@@ -1,4 +1,4 @@
-//! Tests which workers count as instances of the same host, and when one of them counts as ended.
+//! Which workers count as instances of the same host, and when one of them counts as ended.
 
 use rockwick::core::sched::pool_state::PoolState;
 use rockwick::core::sched::renewal;
@@ -35,10 +35,10 @@
     );
 }
 
-/// Number of tasks of the job in each of the worlds below.
+/// Number of tasks of the job in [`busy_world`].
 const TASKS: u16 = 4;
 
-/// Returns a world of two hosts and the worker with most tasks, each of which takes at least 15 s.
+/// Returns a world of two hosts and the id of the worker with most tasks. Each task takes at least 15 s.
 fn busy_world(seed: u64) -> (World, String) {
     let mut world = World::new(seed, 1, 2);
     world.submit("a", job(TASKS, 500, 30_000));
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -17,7 +17,7 @@
 /// The longest duration of a fault, that of a disconnected worker.
 const FAULT_MAX_MS: u64 = 12_000;
 
-/// Time for a lease to expire and another entry to read the rows.
+/// Time for an owner's lease to expire and another entry to read the rows.
 const TAKEOVER_MS: u64 = 2_100;
 
 /// Time for a host to close, be ordered out, have its maintenance and be seen back; doubled, since its turn may be
@@ -169,8 +169,8 @@
 }
 
 /// Guards against a lost answer to a change of a wave's row. The in-memory state was dropped to be read again while
-/// the change was in flight, so its answer found none, and no slot was taken or given back any more (113: host-4 is
-/// ordered, back, and never given back).
+/// the change was in flight, so no state was left for the answer to settle, and no slot was taken or given back any
+/// more. In seed 113, host-4 was ordered out and came back, but its slot was never given back.
 #[test]
 fn left_wave_answer() {
     play(113);
@@ -183,8 +183,8 @@
     play(731);
 }
 
-/// Guards against the fault of `left_wave_answer` without other faults: rows that another process rewrote are read
-/// again all the time.
+/// Guards against the fault of `left_wave_answer` without any other faults: another process keeps rewriting rows, so
+/// the owner reads them again all the time.
 #[test]
 fn left_wave_reread() {
     for seed in 0..REREAD_SEEDS {
@@ -202,7 +202,7 @@
 }
 
 /// Guards against a lost answer to a change of an account's grant. The in-memory state was dropped while the change
-/// was in flight, so its answer found none, and the grant never changed again.
+/// was in flight, so no state was left for the answer to settle, and the grant never changed again.
 #[test]
 fn left_quota_reread() {
     let of_account = |count, estimate_ms| {
--- a/tests/test_listing.rs
+++ b/tests/test_listing.rs
@@ -1,6 +1,8 @@
-//! A worker's entry that the feed delivers while its owner reads the pool's rows is delivered only once. If the older
-//! list that comes with the rows replaces it, the owner never knows of that worker, and its host stays out in a wave
-//! forever.
+//! The feed delivers a worker's entry only once, and may do so while a new owner still reads the pool's rows. If the
+//! older list that comes with the rows then replaces the entry, the owner never knows of the worker, and the worker's
+//! host never returns from its wave. This was seen with a worker that came up 0.4 s after the owner had asked for the
+//! rows: no log had a `worker-found` for the worker, the hold for the earlier instance on its host was answered with
+//! "another instance answered", and both waves stayed at "left 1".
 
 use rockwick::core::sched::state::Event;
 use rockwick::port::fleet::{WorkerEvent, WorkerInfo};
@@ -26,13 +28,13 @@
 }
 
 fn new_worker() -> WorkerInfo {
-    listed_worker("young", "host-9")
+    listed_worker("new", "host-9")
 }
 
 #[test]
 fn listing_outlives_reading() {
     let listed = listed_after(vec![WorkerEvent::Present(new_worker())]);
-    assert!(listed.contains(&"young".to_string()), "{listed:?}");
+    assert!(listed.contains(&"new".to_string()), "{listed:?}");
 }
 
 /// The rows don't bring back a worker that the feed removed in the meantime.
--- a/tests/test_old_conflicts.rs
+++ b/tests/test_old_conflicts.rs
@@ -1,6 +1,6 @@
-//! A conflict's answer or the feed may arrive out of order, and an older row must not replace a newer one. Without the
-//! recorded slot or offer the host would be opened and get tasks, and the entry that orders hosts, which goes by the
-//! record, would end them.
+//! Answers arrive on several connections and may overtake one another, and the feed may overtake them all. The older
+//! row in a conflict's answer must not replace a newer one: without the recorded slot or offer, the host would be
+//! opened and get tasks, and the entry that orders hosts, which goes by the record, would end them.
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
 #[test]
 fn conflict_keeps_offer() {
     let new = OffersRow {
-        offered: BTreeMap::from([(HOST.to_string(), "life-1".to_string())]),
+        offered: BTreeMap::from([(HOST.to_string(), "worker-1".to_string())]),
         ..OffersRow::default()
     };
     let mut offers = Offers::default();
@@ -70,7 +70,7 @@
     pool_state: PoolState,
     controller: WaveController,
     waves: BTreeMap<u64, WaveKnown>,
-    /// The row as this owner writes it, conditional on revision 10.
+    /// The row as the owner writes it, conditional on revision 10.
     ours: WaveRow,
     /// The row as the other entry then writes it, at revision 12.
     theirs: WaveRow,
@@ -118,7 +118,7 @@
             host: host.to_string(),
             pool: "other".to_string(),
             state: HostState::Up,
-            worker: "life".to_string(),
+            worker: "worker".to_string(),
         });
         wave::apply_list(&mut scenario.controller, hosts.to_vec());
         assert!(
--- a/tests/test_overload.rs
+++ b/tests/test_overload.rs
@@ -10,8 +10,8 @@
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Takes jobs as pairs of the latest start and the work in core-ms, in tasks of one second. Returns the positions of
-/// the deferred ones.
+/// Takes jobs as pairs of the latest start in ms and the work in core-ms, in tasks of one second. Returns the positions
+/// of the deferred jobs.
 fn deferred(jobs: &[(u64, u64)], supply: &Supply) -> Vec<usize> {
     let mut keys: SlotMap<JobKey, usize> = SlotMap::with_key();
     let contenders = jobs
@@ -32,8 +32,8 @@
     positions
 }
 
-/// Returns a supply of `cores` cores that are all in use, with no more to come. Only 90 of 100 count as fillable
-/// again.
+/// Returns a supply of `cores` cores that are all in use, with no more to come. Only 90 % of them count as usable,
+/// since tasks do not fill hosts completely.
 fn cores(cores: u64) -> Supply {
     Supply {
         now_cpu_milli: cores * 1_000,
--- a/tests/test_packing.rs
+++ b/tests/test_packing.rs
@@ -24,7 +24,11 @@
         world.submit(id, job(2, 2_000, 5_000));
         world.run(200);
     }
-    assert_eq!(loads(&world), [6, 0, 0], "six tasks of two cores on twelve");
+    assert_eq!(
+        loads(&world),
+        [6, 0, 0],
+        "six tasks of two cores fill a worker of twelve"
+    );
 }
 
 #[test]
