--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -115,7 +115,7 @@
         let (away, starts) = play_flapping(seed);
         sum = (sum.0 + away, sum.1 + starts);
     }
-    println!("left alone {} of 240, starts {}", sum.0, sum.1);
+    println!("not running: {} of 240, starts: {}", sum.0, sum.1);
     assert_eq!(sum.0, 0);
 }
 
