--- a/tests/test_foreign.rs
+++ b/tests/test_foreign.rs
@@ -34,7 +34,7 @@
     entry.to_string().into_bytes()
 }
 
-fn bad_entries() -> Vec<Vec<u8>> {
+fn unreadable_entries() -> Vec<Vec<u8>> {
     let mut unreadable = vec![
         b"".to_vec(),
         b"\xff\xfe{".to_vec(),
@@ -70,7 +70,7 @@
 fn foreign_entries() {
     let fleet = Fleet::start("pool", 2, 50).expect("the fleet starts");
     let platform = Platform::new(fleet.address, Some(fleet.address));
-    let unreadable = bad_entries();
+    let unreadable = unreadable_entries();
     for (n, value) in unreadable.iter().enumerate() {
         fleet.put_bytes("servers", "", &format!("x-{n}"), value);
     }
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -52,13 +52,13 @@
     assert_eq!(submit(one.callers, other, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
     let path = format!("/q/{other}");
-    let gone = crate::test_serve::call(
+    let cancel_answer = crate::test_serve::call(
         one.callers,
         http_types::Method::Delete,
         &path,
         &serde_json::Value::Null,
     );
-    assert_eq!(gone.map(|answer| answer.status), Some(200));
+    assert_eq!(cancel_answer.map(|answer| answer.status), Some(200));
     wait_until("stopped", || fleet.running() == 0);
     fleet.set_unavailable_parts(&[]);
     assert_eq!(
--- a/tests/test_leases.rs
+++ b/tests/test_leases.rs
@@ -37,7 +37,7 @@
 
 /// A renewal that was sent to the store.
 struct SentRenewal {
-    at_ms: u64,
+    sent_ms: u64,
     shard: usize,
     heartbeat: Vec<u8>,
 }
@@ -50,7 +50,7 @@
             if let Effect::Renew(_, _, shard, tx) = effect {
                 let write = tx.writes.into_iter().find(|w| w.key == HEARTBEAT_KEY);
                 return SentRenewal {
-                    at_ms: *now_ms,
+                    sent_ms: *now_ms,
                     shard,
                     heartbeat: write.and_then(|w| w.value).expect("a heartbeat"),
                 };
@@ -82,9 +82,9 @@
     let renewed_ms = state.pool(POOL).map(|p| p.lease.renewed_ms);
     assert_eq!(
         renewed_ms,
-        Some(second.at_ms),
+        Some(second.sent_ms),
         "third sent at {}",
-        third.at_ms
+        third.sent_ms
     );
 }
 
