--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -1,9 +1,9 @@
 //! Guards against blaming tasks for ends of workers that they did not cause.
 //!
 //! Harmless jobs were given up: a host crashed after its wave's slot was taken and before its maintenance was ordered.
-//! Its next instance was open and got work, and the maintenance ended that work 50 ms later, which counted as a crash
-//! under each task. The log showed `upkeep-ordered` between `task-placed` and `task-suspected` "blamed" for the same
-//! host, twice, and `job-ended` "workers crash under a task".
+//! Its next instance was open and got work, and the planned maintenance ended that work 50 ms later, which counted as
+//! a crash under each task. The log showed `upkeep-ordered` between `task-placed` and `task-suspected` "blamed" for the
+//! same host, twice, and `job-ended` "workers crash under a task".
 
 use std::collections::HashSet;
 
@@ -18,7 +18,7 @@
 fn wait_for_slot(world: &mut World) -> String {
     for _ in 0..4_000 {
         world.run(5);
-        if let Some(host) = world.find_waiting_slot(1) {
+        if let Some(host) = world.find_host_with_waiting_slot(1) {
             return host;
         }
     }
@@ -31,7 +31,7 @@
     for seed in 0..20 {
         let mut world = World::new(seed, 2, 4);
         world.run(SETTLE_MS);
-        world.wave(1, 60_000, 1);
+        world.order_wave(1, 60_000, 1);
         let host = wait_for_slot(&mut world);
         let worker_id = world.worker_on(&host).expect("the worker is up");
         world.crash(&worker_id, 60 + seed * 20);
@@ -51,8 +51,8 @@
     }
 }
 
-/// A task that crashes its worker after more than half of its estimate must cost at most three workers, with one owner
-/// that receives heartbeats until the connections end.
+/// A task that crashes its worker after more than half of its estimate must cost at most three workers, if the owner
+/// stays the same and hears each worker until the worker's connections end.
 #[test]
 fn blame_slow() {
     for seed in 0..10 {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Crashes workers again and again under services. Returns the number of tasks that were left alone and not at work in
-/// the end, and the number of starts until then.
+/// Crashes workers again and again under services. Returns the number of tasks that are not running 30 s after the
+/// last crash, and the number of starts until the workers stay up.
 fn play_flapping(seed: u64) -> (usize, u64) {
     let mut world = World::new(seed, 2, 8);
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -115,11 +115,11 @@
         let (away, starts) = play_flapping(seed);
         sum = (sum.0 + away, sum.1 + starts);
     }
-    println!("left alone {} of 240, starts {}", sum.0, sum.1);
+    println!("not running: {} of 240, starts: {}", sum.0, sum.1);
     assert_eq!(sum.0, 0);
 }
 
-/// A service that ran well for long and then crashes each worker that starts it must be left alone as well.
+/// A task of a service that ran well for long and then crashes each worker that starts it must be given up as well.
 #[test]
 fn blame_sound_before() {
     for seed in 0..10 {
@@ -149,10 +149,14 @@
             world.submit(&format!("job-{n}"), job(4, 900, 20_000));
         }
         world.run(100);
-        world.wave(1, 60_000, 1);
+        world.order_wave(1, 60_000, 1);
         world.worker_events_late_ms = 1_500;
         world.run(15_000);
-        upkept += world.upkept.values().map(HashSet::len).sum::<usize>();
+        upkept += world
+            .maintained_hosts
+            .values()
+            .map(HashSet::len)
+            .sum::<usize>();
         assert_eq!(
             world.runs_ended_by_upkeep, 0,
             "seed {seed}: runs that maintenance ended"
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -17,7 +17,7 @@
 /// The longest duration of a fault, that of a disconnected worker.
 const FAULT_MAX_MS: u64 = 12_000;
 
-/// Time for a lease to expire and another entry to read the rows.
+/// Time for an owner's lease to expire and another entry to read the rows.
 const TAKEOVER_MS: u64 = 2_100;
 
 /// Time for a host to close, be ordered out, have its maintenance and be seen back; doubled, since its turn may be
@@ -96,10 +96,10 @@
             jobs.push(id);
         }
         if round == ROUNDS / 8 {
-            world.wave(WAVES[0], 30_000, rng.usize(1..3));
+            world.order_wave(WAVES[0], 30_000, rng.usize(1..3));
         }
         if round == ROUNDS / 3 {
-            world.wave(WAVES[1], 30_000, rng.usize(1..3));
+            world.order_wave(WAVES[1], 30_000, rng.usize(1..3));
         }
         if rng.u32(0..3) == 0 {
             inject_fault(world, &jobs, rng);
@@ -169,8 +169,8 @@
 }
 
 /// Guards against a lost answer to a change of a wave's row. The in-memory state was dropped to be read again while
-/// the change was in flight, so its answer found none, and no slot was taken or given back any more (113: host-4 is
-/// ordered, back, and never given back).
+/// the change was in flight, so no state was left for the answer to settle, and no slot was taken or given back any
+/// more. In seed 113, host-4 was ordered out and came back, but its slot was never given back.
 #[test]
 fn left_wave_answer() {
     play(113);
@@ -183,14 +183,14 @@
     play(731);
 }
 
-/// Guards against the fault of `left_wave_answer` without other faults: rows that another process rewrote are read
-/// again all the time.
+/// Guards against the fault of `left_wave_answer` without any other faults: another process keeps rewriting rows, so
+/// the owner reads them again all the time.
 #[test]
 fn left_wave_reread() {
     for seed in 0..REREAD_SEEDS {
         let mut world = World::new(seed, 1, 3);
         world.run(8_000 + seed);
-        world.wave(WAVES[0], 20_000, 1);
+        world.order_wave(WAVES[0], 20_000, 1);
         for round in 0..400 {
             world.submit(&format!("job-{round}"), job(2, 500, 50));
             world.run(37);
@@ -202,7 +202,7 @@
 }
 
 /// Guards against a lost answer to a change of an account's grant. The in-memory state was dropped while the change
-/// was in flight, so its answer found none, and the grant never changed again.
+/// was in flight, so no state was left for the answer to settle, and the grant never changed again.
 #[test]
 fn left_quota_reread() {
     let of_account = |count, estimate_ms| {
@@ -237,7 +237,7 @@
     world.run(8_000);
     world.submit("long", job(3, 10_000, 2_500));
     world.run(500);
-    world.wave(WAVES[0], 20_000, 1);
+    world.order_wave(WAVES[0], 20_000, 1);
     world.run(500);
     let closing = |world: &World| {
         let pool_state = world
@@ -259,7 +259,7 @@
     for seed in 0..REREAD_SEEDS {
         let mut world = World::new(seed, 1, 3);
         world.run(8_000);
-        world.wave(WAVES[0], 20_000, 1);
+        world.order_wave(WAVES[0], 20_000, 1);
         world.faults.store_lost = 300;
         for _ in 0..1_500 {
             world.run(7);
