--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -25,10 +25,10 @@
 /// Number of seeds in CI.
 const SEEDS: u64 = 300;
 
-/// Number of hosts of the pool that offers some.
+/// Number of hosts in the pool that offers hosts.
 const HOSTS: usize = 6;
 
-/// Epoch of both sides; no row here is guarded by another epoch.
+/// Epoch of the owner and of the entry that orders hosts; no row here is guarded by another epoch.
 const EPOCH: u64 = 7;
 
 /// Time after which an unanswered call to the store is given up.
@@ -57,6 +57,7 @@
     controller: HostController,
     holder_offers: Offers,
     config: FleetConfig,
+    /// Value and revision of the row of offers in the store.
     row: Option<(Vec<u8>, u64)>,
     arrivals: Vec<(Millis, Arrival)>,
     /// Hosts that were ordered away and have not left yet, with the times at which they leave.
@@ -64,6 +65,7 @@
     gone: BTreeSet<String>,
     moved: usize,
     reopened: usize,
+    /// Number of hosts that pool `busy` lacks.
     hosts_lacked: u64,
 }
 
@@ -99,7 +101,7 @@
         }
     }
 
-    fn schedule(&mut self, ms: Millis, what: Arrival) {
+    fn schedule_arrival(&mut self, ms: Millis, what: Arrival) {
         self.arrivals.push((self.now_ms + ms, what));
     }
 
@@ -123,29 +125,29 @@
         self.row = Some((value, revision + 1));
         let row = self.stored_row();
         let (a, b) = (self.rng.u64(1..400), self.rng.u64(1..400));
-        self.schedule(a, Arrival::ToOwner(row.clone()));
-        self.schedule(b, Arrival::ToHolder(row));
+        self.schedule_arrival(a, Arrival::ToOwner(row.clone()));
+        self.schedule_arrival(b, Arrival::ToHolder(row));
         TxOutcome::Committed(revision + 1)
     }
 
     /// Sends a transaction. Its answer may be lost and its effect may be late.
-    fn call(&mut self, tx: &RowTx, answer: impl FnOnce(TxOutcome) -> Arrival) {
+    fn call_store(&mut self, tx: &RowTx, answer: impl FnOnce(TxOutcome) -> Arrival) {
         match self.rng.u32(0..10) {
             0 => {
                 self.transact(tx);
-                self.schedule(TIMEOUT_MS, answer(TxOutcome::Unknown));
+                self.schedule_arrival(TIMEOUT_MS, answer(TxOutcome::Unknown));
             }
             1 => {
                 let late_ms = self.rng.u64(900..5_000);
-                self.schedule(late_ms, Arrival::Applies(tx.clone()));
-                self.schedule(TIMEOUT_MS, answer(TxOutcome::Unknown));
+                self.schedule_arrival(late_ms, Arrival::Applies(tx.clone()));
+                self.schedule_arrival(TIMEOUT_MS, answer(TxOutcome::Unknown));
             }
-            2 => self.schedule(TIMEOUT_MS, answer(TxOutcome::Unknown)),
-            3 => self.schedule(5, answer(TxOutcome::Refused)),
+            2 => self.schedule_arrival(TIMEOUT_MS, answer(TxOutcome::Unknown)),
+            3 => self.schedule_arrival(5, answer(TxOutcome::Refused)),
             _ => {
                 let outcome = self.transact(tx);
                 let after_ms = self.rng.u64(2..300);
-                self.schedule(after_ms, answer(outcome));
+                self.schedule_arrival(after_ms, answer(outcome));
             }
         }
     }
@@ -153,11 +155,11 @@
     fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::SettleOffers(_, _, tx) => self.call(&tx, Arrival::Settled),
-                Effect::TakeHosts(_, _, _, tx) => self.call(&tx, Arrival::Taken),
+                Effect::SettleOffers(_, _, tx) => self.call_store(&tx, Arrival::Settled),
+                Effect::TakeHosts(_, _, _, tx) => self.call_store(&tx, Arrival::Taken),
                 Effect::RecordHostOrders(..) => {
                     let after_ms = self.rng.u64(2..300);
-                    self.schedule(after_ms, Arrival::Recorded);
+                    self.schedule_arrival(after_ms, Arrival::Recorded);
                 }
                 Effect::OrderHost(_, _, host, HostTask::Move(_), _) => self.order_away(&host),
                 _ => {}
@@ -170,15 +172,15 @@
         self.check_idle(host);
         let is_silent = self.rng.u32(0..5) == 0;
         if !self.gone.contains(host) {
-            let goes_ms = self.now_ms + self.rng.u64(1..200);
-            self.leaving.entry(host.to_string()).or_insert(goes_ms);
+            let leaves_ms = self.now_ms + self.rng.u64(1..200);
+            self.leaving.entry(host.to_string()).or_insert(leaves_ms);
         }
         let reply = if is_silent {
             HostReply::Silent
         } else {
             HostReply::Accepted
         };
-        self.schedule(20, Arrival::Ordered(host.to_string(), reply));
+        self.schedule_arrival(20, Arrival::Ordered(host.to_string(), reply));
     }
 
     fn check_idle(&self, host: &str) {
@@ -220,7 +222,7 @@
         self.change_tasks();
     }
 
-    /// Changes what the pool needs: jobs that never get a place come and go.
+    /// Changes how many hosts the pool needs, by adding or dropping jobs that are never placed.
     fn change_load(&mut self) {
         if self.rng.u32(0..4) > 0 {
             return;
--- a/tests/test_policy.rs
+++ b/tests/test_policy.rs
@@ -1,10 +1,10 @@
-//! Guards against decisions by a configuration that the owner does not have yet, or that changed after the job was
-//! accepted.
+//! Guards against decisions that an owner makes before it has a configuration, or under a configuration that changed
+//! after the job was accepted.
 //!
-//! A job was ended as failed after three failed runs of a task although its queue allows four. Presumably its owner
-//! had just restarted without a configuration and loaded the job with a default. The log of a similar day shows
-//! `pool-owned` at 14.257 s, ten `task-placed` at 14.38 s, and the first `config-adopted` of the process, "from 0", at
-//! 15.636 s.
+//! A job was ended as failed after three failed runs of a task although its queue allows four; the fourth start never
+//! came. Presumably its owner had just restarted without a configuration and loaded the job with the default number of
+//! attempts. The log of a similar day, at another moment, shows `pool-owned` at 14.257 s, ten `task-placed` at 14.38 s,
+//! and the first `config-adopted` of the process, "from 0", at 15.636 s.
 
 use rockwick::core::sched::job::JobState;
 
@@ -79,7 +79,7 @@
 }
 
 /// Raises the allowed attempts from 3 to 5 while the task of the job fails, without a change of owner.
-fn play_raised(seed: u64) -> JobState {
+fn play_raised_attempts(seed: u64) -> JobState {
     let mut world = World::new(seed, 3, 4);
     world.run(SETTLE_MS);
     world.submit("job", job(1, 1_000, 200));
@@ -93,7 +93,7 @@
 
 #[test]
 fn attempts_raised() {
-    let failing = failing_seeds(play_raised);
+    let failing = failing_seeds(play_raised_attempts);
     assert!(
         failing.is_empty(),
         "{} seeds failed: {failing:?}",
@@ -128,7 +128,7 @@
     }
 }
 
-/// The allowed attempts are lowered to those already used while the next run is at work. That run counts if it
+/// The allowed attempts are lowered to those already used while the next run is in progress. That run counts if it
 /// succeeds, and is the last one if its worker crashes.
 #[test]
 fn attempts_lowered_late() {
@@ -144,7 +144,7 @@
         world.set_attempts(2);
         world.run(500);
         if crashes {
-            let worker = world.worker_running("job", 0).expect("it runs");
+            let worker = world.worker_running("job", 0).expect("the task runs");
             world.crash(&worker, 1_000);
         }
         world.run(RUNS_MS);
--- a/tests/test_progress.rs
+++ b/tests/test_progress.rs
@@ -35,8 +35,9 @@
 /// Interval between two checks whether anything runs.
 const STEP_MS: u64 = 250;
 
-/// The longest time to wait until nothing runs: all jobs one after the other with all their attempts, and the bound.
-const CALM_MAX_MS: u64 = TASKS_MAX * ESTIMATE_MAX_MS * 2 + BOUND_MS;
+/// The longest time to wait until nothing runs: all tasks one after the other, each for twice the largest estimate,
+/// which is the longest that a run lasts, and the bound.
+const IDLE_WAIT_MAX_MS: u64 = TASKS_MAX * ESTIMATE_MAX_MS * 2 + BOUND_MS;
 
 /// The largest estimate of a task.
 const ESTIMATE_MAX_MS: u64 = 1_500;
@@ -95,7 +96,7 @@
     boot_all(world);
 }
 
-/// Injects the additional faults of every second world, with draws of their own.
+/// Injects the additional faults of every second world, drawn by a generator of their own.
 fn inject_extra_fault(world: &mut World, round: u32, jobs: &[String], rng: &mut Rng) {
     world.unavailable_parts.clear();
     for part in shard_parts(POOL) {
@@ -186,13 +187,13 @@
 
 /// Runs a world until nothing has run for the bound, or until all jobs should have ended long ago.
 fn run_until_idle(world: &mut World) {
-    let mut still_ms = 0;
-    for _ in 0..CALM_MAX_MS / STEP_MS {
+    let mut idle_ms = 0;
+    for _ in 0..IDLE_WAIT_MAX_MS / STEP_MS {
         let starts = world.starts;
         world.run(STEP_MS);
-        let is_still = world.starts == starts && world.all_running() == 0;
-        still_ms = if is_still { still_ms + STEP_MS } else { 0 };
-        if still_ms >= BOUND_MS {
+        let is_idle = world.starts == starts && world.all_running() == 0;
+        idle_ms = if is_idle { idle_ms + STEP_MS } else { 0 };
+        if idle_ms >= BOUND_MS {
             return;
         }
     }
--- a/tests/test_quota.rs
+++ b/tests/test_quota.rs
@@ -100,12 +100,12 @@
     fn start(&mut self) -> bool {
         let account = &mut self.pool_state.accounts[0];
         let limit = account.limit.expect("the account has a quota").cpu_milli;
-        let may = account.waiting.cpu_milli > 0 && account.used.cpu_milli + 1_000 <= limit;
-        if may {
+        let may_start = account.waiting.cpu_milli > 0 && account.used.cpu_milli + 1_000 <= limit;
+        if may_start {
             account.used.add(cores(1));
             account.waiting.sub(cores(1));
         }
-        may
+        may_start
     }
 }
 
@@ -114,7 +114,8 @@
     at_ms: u64,
     owner: usize,
     epoch: u64,
-    what: Option<TxOutcome>,
+    /// Outcome of the transaction, or `None` if the answer is to a read of the account's row.
+    outcome: Option<TxOutcome>,
 }
 
 /// Simulates the owners of three pools, the account's row, and calls that are lost or late.
@@ -126,7 +127,7 @@
     revision: u64,
     answers: Vec<Answer>,
     late: Vec<(u64, RowTx)>,
-    /// Quotas in cores that may be in force, with the time until when.
+    /// Quotas in cores that may be in force, each with the time at which it stops being so.
     quotas: Vec<(u64, u64)>,
 }
 
@@ -175,7 +176,7 @@
     fn apply_effects(&mut self, owner: usize, effects: Vec<Effect>) {
         let epoch = self.owners[owner].epoch;
         for effect in effects {
-            let (after_ms, what) = match effect {
+            let (after_ms, outcome) = match effect {
                 Effect::SettleQuota(_, _, _, tx) => match self.rng.u32(0..10) {
                     0 => {
                         self.late
@@ -197,7 +198,7 @@
                 at_ms,
                 owner,
                 epoch,
-                what,
+                outcome,
             });
         }
     }
@@ -226,7 +227,7 @@
             let effects = owner.with_inputs(
                 now_ms,
                 &BTreeSet::new(),
-                |pool_state, controller, inputs, ctx| match answer.what {
+                |pool_state, controller, inputs, ctx| match answer.outcome {
                     Some(outcome) => quota::apply_settled(
                         Some(pool_state),
                         controller,
@@ -259,7 +260,7 @@
         self.quotas.push((quota, u64::MAX));
     }
 
-    /// Lets an owner adjust its grants, every 100 ms and whenever it asks for it.
+    /// Lets an owner adjust its grants every 100 ms, and at once if its pool wants quota.
     fn adjust_grants(&mut self, n: usize) {
         if self.now_ms % 100 >= 10 && !self.owners[n].pool_state.wants_quota {
             return;
@@ -354,7 +355,7 @@
     assert!(race.owners[1].used() >= 15, "{}", race.owners[1].used());
 }
 
-fn of_account(account: &str, count: u16) -> rockwick::core::sched::job::JobSpec {
+fn job_of_account(account: &str, count: u16) -> rockwick::core::sched::job::JobSpec {
     rockwick::core::sched::job::JobSpec {
         account: Some(account.to_string()),
         ..job(count, 1_000, 300)
@@ -369,11 +370,11 @@
     world.set_quotas(&[("shop", 8_000), ("dock", 8_000)]);
     world.run(SETTLE_MS);
     for n in 0..40 {
-        world.submit(&format!("flood-{n}"), of_account("shop", 4));
+        world.submit(&format!("flood-{n}"), job_of_account("shop", 4));
     }
     let mut most = 0;
     for n in 0..20 {
-        world.submit(&format!("dock-{n}"), of_account("dock", 2));
+        world.submit(&format!("dock-{n}"), job_of_account("dock", 2));
         for _ in 0..10 {
             world.run(40);
             most = most.max(world.account_cpu_milli("shop"));
@@ -397,7 +398,7 @@
     let mut world = World::new(42, 2, 4);
     world.set_quotas(&[("shop", 16_000)]);
     world.run(SETTLE_MS);
-    world.submit("wide", of_account("shop", 48));
+    world.submit("wide", job_of_account("shop", 48));
     world.run(150);
     assert!(world.account_cpu_milli("shop") > 12_000);
     world.set_quotas(&[("shop", 4_000)]);
@@ -413,14 +414,14 @@
     assert_eq!(world.recorded_state("wide"), JobState::Completed);
 }
 
-/// The owner is killed in a flood. The next owner counts the tasks that it started.
+/// The owner is killed while an account floods the pool. The next owner counts the tasks that the killed owner started.
 #[test]
 fn quota_takeover() {
     let mut world = World::new(43, 3, 4);
     world.set_quotas(&[("shop", 6_000)]);
     world.run(SETTLE_MS);
     for n in 0..60 {
-        world.submit(&format!("flood-{n}"), of_account("shop", 2));
+        world.submit(&format!("flood-{n}"), job_of_account("shop", 2));
     }
     for _ in 0..3 {
         world.run(700);
--- a/tests/test_removal.rs
+++ b/tests/test_removal.rs
@@ -1,4 +1,4 @@
-//! A finished job that is removed from the store while an owner reads it never starts again.
+//! A finished job that is removed from the store while an owner reads the store never starts again.
 
 use rockwick::core::sched::state::Event;
 use rockwick::port::fleet::{StoredRow, Table};
@@ -11,7 +11,7 @@
 /// Time after which a finished job is still stored.
 const KEPT_MS: u64 = 140_000;
 
-/// Further time after which it is removed.
+/// Further time after which the job is removed.
 const GONE_MS: u64 = 20_000;
 
 fn intake_rows(world: &World, id: &str) -> Vec<StoredRow> {
--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -1,6 +1,8 @@
 //! An owner reads its rows again within an ownership, after something else changed one of them. The new in-memory
-//! state has new keys of workers and tasks under the same epoch, so pending answers and timers of the old state must
-//! not apply to it, and leases that this owner renewed must not count as expired, or running tasks are requeued.
+//! state has new keys of workers and tasks, but answers and timers of the old state were told apart from those of the
+//! new one by the epoch alone, which stays the same. One worker's report was applied to another worker, whose runs then
+//! counted as not running there. The timers of a lost pool stayed as well. Worker leases counted as expired one lease
+//! after the claim although this owner had renewed them since, so a reading requeued all running tasks at once.
 
 use fastrand::Rng;
 use rockwick::core::sched::job::JobState;
--- a/tests/test_restarts.rs
+++ b/tests/test_restarts.rs
@@ -1,11 +1,11 @@
 //! Guards against starting done tasks again after their worker restarted under its id.
 //!
-//! Workers had crashed and restarted under their ids with their numbers of ends begun at 1. The owner kept the number
+//! Workers had crashed and restarted under their ids, and numbered their ends from 1 again. The owner kept the number
 //! of the last end it had processed by worker id, so it skipped the later instance's ends up to that number as known
-//! and acknowledged them with the next renewal. The tasks were requeued 0.14 s after their end, since the report did
-//! not list them as running. A worker that had restarted 5 s before logged `ends-taken` "again 6, taken_before 9,
-//! told_seen 9, runs ''", and at once `task-requeued` "not among what the worker runs, answered 1, settled_ago_ms
-//! 1596" for four tasks.
+//! and acknowledged them with the next renewal. The tasks were requeued 0.14 s after their end by the same owner that
+//! had started them, since the report did not list them as running. A worker that had restarted 5 s before logged
+//! `ends-taken` "again 6, taken_before 9, told_seen 9, runs ''", and at once `task-requeued` "not among what the worker
+//! runs, answered 1, settled_ago_ms 1596" for four tasks.
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::keys::{TaskKey, WorkerKey};
@@ -56,9 +56,10 @@
     }
     world.run(30_000);
     for id in &jobs {
-        let is_due = world.recorded_state(id) == JobState::Completed || world.may_be_given_up(id);
+        let is_settled =
+            world.recorded_state(id) == JobState::Completed || world.may_be_given_up(id);
         assert!(
-            is_due,
+            is_settled,
             "seed {seed}: {id} is {:?}",
             world.recorded_state(id)
         );
@@ -106,7 +107,7 @@
 /// The id that both instances use.
 const ID: &str = "i-1";
 
-fn fact(born_wall_ms: u64) -> WorkerInfo {
+fn worker_info(born_wall_ms: u64) -> WorkerInfo {
     WorkerInfo {
         born_wall_ms: Some(born_wall_ms),
         ..listed_worker(ID, "host")
@@ -132,7 +133,7 @@
 impl Scene {
     fn new() -> Self {
         let mut pool_state = PoolState::default();
-        let earlier = load::add_worker(&mut pool_state, fact(BORN_MS[0]), 0);
+        let earlier = load::add_worker(&mut pool_state, worker_info(BORN_MS[0]), 0);
         let w = &mut pool_state.workers[earlier];
         w.is_answering = true;
         w.answered_ms = LAST_REPORT_MS;
@@ -196,7 +197,7 @@
     /// Reads the later instance's entry and its first answer; returns its key and the fencing token of its second
     /// renewal.
     fn confirm_later(&mut self, now_ms: u64) -> (WorkerKey, u64) {
-        let later = load::add_worker(&mut self.pool_state, fact(BORN_MS[1]), now_ms);
+        let later = load::add_worker(&mut self.pool_state, worker_info(BORN_MS[1]), now_ms);
         let effects = self.apply_report(later, now_ms + 10, report(BORN_MS[1], now_ms));
         let (fence, request) = only_renewal(&effects);
         assert_eq!((request.acked_through, request.lease_until_ms), (0, None));
@@ -260,8 +261,8 @@
     );
 }
 
-/// Orders to the earlier instance also match the later one. Until the later one refuses late orders, no run counts as
-/// over, and a run that it lists is its own.
+/// Orders to the earlier instance are also valid for the later one, which has the same id. Until the later one refuses
+/// late orders, no run counts as over, and a run that the later one lists is its own.
 #[test]
 fn restarts_adopt_start() {
     let mut scene = Scene::new();
@@ -359,7 +360,7 @@
             let offers = Offers::default();
             worker_list::apply_worker_entry(
                 &mut pool_state,
-                &fact(born_wall_ms),
+                &worker_info(born_wall_ms),
                 &offers,
                 EPOCH,
                 ctx,
@@ -367,7 +368,7 @@
         });
         let key = pool_state
             .find_instance(ID, Some(born_wall_ms))
-            .expect("it is listed");
+            .expect("the instance is listed");
         pool_state.workers[key].lease_end_ms - 100_000
     };
     assert!(lease_end_ms(70_000) < 5_000);
@@ -417,7 +418,7 @@
     let mut scene = Scene::new();
     let (later, _) = scene.confirm_later(3_000);
     scene.apply_report(later, 3_020, report(BORN_MS[1], 20));
-    let stale = load::add_worker(&mut scene.pool_state, fact(BORN_MS[0]), 3_100);
+    let stale = load::add_worker(&mut scene.pool_state, worker_info(BORN_MS[0]), 3_100);
     scene.apply_report(stale, 3_120, report(BORN_MS[1], 120));
     assert!(
         scene.pool_state.workers.get(stale).is_none(),
@@ -463,7 +464,7 @@
 }
 
 /// The record names instances, so the next owner, which knows only the later one, does not take runs of the earlier
-/// one for its runs.
+/// one for runs of the later one.
 #[test]
 fn restarts_on_record() {
     let scene = Scene::new();
@@ -471,13 +472,13 @@
     let row = scene
         .pool_state
         .progress_row(key)
-        .expect("the job is there");
+        .expect("the job is known");
     let named: Vec<_> = row.instances().collect();
     assert_eq!(named, [(ID, "host", Some(BORN_MS[0]))]);
-    let read: rows::ProgressRow = rows::decode(&rows::encode(&row)).expect("it decodes");
+    let read: rows::ProgressRow = rows::decode(&rows::encode(&row)).expect("the row decodes");
     assert_eq!(read, row);
     let before = r#"{"state":"Running","workers":[["i-1","host"]]}"#;
-    let before: rows::ProgressRow = rows::decode(before.as_bytes()).expect("it decodes");
+    let before: rows::ProgressRow = rows::decode(before.as_bytes()).expect("the row decodes");
     assert_eq!(before.instances().collect::<Vec<_>>(), [(ID, "host", None)]);
 }
 
