--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -1,6 +1,7 @@
-//! The store's answers name its newest revision, which another write may have made. Taken for the transaction's own,
-//! it makes the next condition fail, and the owner reads all its rows again while old answers and timers go on. With
-//! one commit in twenty answered like that, 111 of 150 random worlds failed, many since tasks ran twice.
+//! Each answer of the store names the store's newest revision, which another write may have made. If the owner takes
+//! that revision for its own transaction's, its next condition fails although nothing else changed the row, and it
+//! reads all its rows again within its ownership while answers and timers of the old state go on. With one commit in
+//! twenty answered like that, 111 of 150 random worlds failed, many because tasks ran twice.
 
 use rockwick::core::sched::job::JobState;
 
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -29,8 +29,8 @@
     pool_state.update_free_index(key);
 }
 
-/// Returns the least cost of a place by scanning all workers. The cost is the share that stays free, plus penalties
-/// for failures and 1,000 where the data is on another rack.
+/// Returns the least cost of a place by scanning all workers. The cost is the share of the worker that is free before
+/// the placement, in thousandths, plus 300 for each failure in a row and 1,000 if the data is on another rack.
 fn least_cost(pool_state: &PoolState, cpu_milli: u64, rack: Option<&str>) -> Option<u64> {
     let fits = pool_state.workers.keys().filter(|key| {
         let w = &pool_state.workers[*key];
@@ -43,9 +43,9 @@
 fn cost(pool_state: &PoolState, key: WorkerKey, rack: Option<&str>) -> u64 {
     let w = &pool_state.workers[key];
     let total = w.fact.capacity.cpu_milli;
-    let far = rack.is_some_and(|rack| rack != w.rack());
+    let is_far = rack.is_some_and(|rack| rack != w.rack());
     let free = total.saturating_sub(w.used.cpu_milli);
-    free * 1_000 / total + u64::from(far) * 1_000 + u64::from(w.fails_in_row) * 300
+    free * 1_000 / total + u64::from(is_far) * 1_000 + u64::from(w.fails_in_row) * 300
 }
 
 #[test]
--- a/tests/test_rounds.rs
+++ b/tests/test_rounds.rs
@@ -1,6 +1,6 @@
-//! A round of a timed job may end before an earlier one does. Progress that names only the rounds that are open makes
-//! an ended round above the last of them look as if it had never begun, and the next owner begins it again. With the
-//! owner killed 4 to 8 s after the job was submitted, 9 of the 120 seeds below failed.
+//! A round of a timed job may end before an earlier one does. If the recorded progress names only the open rounds, an
+//! ended round with a higher number than all of them looks as if it had never begun, and the next owner begins it
+//! again. With the owner killed 4 to 8 s after the job was submitted, 9 of the 120 seeds below failed.
 
 use rockwick::core::sched::job::JobState;
 use rockwick::core::sched::rows::{self, ProgressRow};
--- a/tests/test_run_log.rs
+++ b/tests/test_run_log.rs
@@ -25,7 +25,7 @@
 /// The owner's epoch.
 const EPOCH: u64 = 7;
 
-/// Time at which its starts are sent.
+/// Time at which the owner's starts are sent.
 const SENT_MS: u64 = 1_000;
 
 /// Time within which an entry has claimed the pool.
@@ -216,7 +216,7 @@
     assert_eq!(name_in(log_line, "runs"), runs);
 }
 
-/// A run is taken for over, the next one is started elsewhere, and then the first one's end arrives.
+/// The owner decides that a run is over and starts the next one elsewhere, and then the first one's end arrives.
 #[test]
 fn run_log_earlier_run() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
@@ -414,7 +414,7 @@
     world
 }
 
-/// The log shows each end, the batch that recorded it, and from the next report on that its worker received the
+/// The log shows each end, the batch that recorded the end and, from the next report on, that the worker received the
 /// acknowledgement.
 #[test]
 fn run_log_acked_ends() {
@@ -486,7 +486,7 @@
 /// A task's later run is placed only after a line has logged why the run before it is over, whatever fails.
 #[test]
 fn run_log_before_start() {
-    let mut again = 0;
+    let mut later_runs = 0;
     for seed in 0..30 {
         let mut world = logging_world(seed, 3, 5);
         world.faults = Faults {
@@ -524,15 +524,15 @@
                 over.insert(run_key(log_line, run));
             }
             if log_line.code == Code::TaskPlaced && run > 1 {
-                again += 1;
+                later_runs += 1;
                 let before = run_key(log_line, run - 1);
                 assert!(over.contains(&before), "seed {seed}: {log_line:?}");
             }
         }
     }
     assert!(
-        again > 100,
-        "only {again} runs were a task's second or later"
+        later_runs > 100,
+        "only {later_runs} runs were a task's second or later"
     );
 }
 
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler in a simulated world, with at most one fault each.
+//! Tests of the scheduler in a simulated world without random faults; each test injects only the faults it is about.
 
 use std::sync::Arc;
 
@@ -242,7 +242,7 @@
     let out_before = world.upkept[&1].len();
     assert!(out_before > 0, "the wave has begun");
     world.kill(world.owner_entry().expect("the pool has an owner"));
-    // Time for a lease, the claim, and a host that the former owner did not order out.
+    // Time for the lease to expire, for the claim, and for the order to a host that the former owner did not order out.
     world.run(4_000);
     assert!(
         world.upkept[&1].len() > out_before,
@@ -290,21 +290,21 @@
             .filter(|id| world.worker_info(id).host == host);
         ids.next().cloned().expect("a worker is up on the host")
     };
-    let young = on(&world, &old.host);
+    let successor = on(&world, &old.host);
     let other = worker_ids
         .iter()
-        .find(|id| **id != young)
+        .find(|id| **id != successor)
         .cloned()
         .expect("another host");
     // The long job may have taken either host; the lasting task takes the other one.
     world.submit("a", lasting(1, 0));
     world.run(5_000);
-    let (there, stale) = if world.running_on(&young) > 0 {
-        (young, old)
+    let (busy, stale) = if world.running_on(&successor) > 0 {
+        (successor, old)
     } else {
         (other.clone(), world.earlier_instance_info(&other))
     };
-    assert_eq!(world.running_on(&there), 1);
+    assert_eq!(world.running_on(&busy), 1);
     let before = world.starts;
     world.deliver_event(0, Event::Worker(WorkerEvent::Present(stale)));
     world.run(2_000);
@@ -312,7 +312,7 @@
         world.starts, before,
         "the entry of the ended instance must not affect the instance that is up"
     );
-    assert_eq!(world.running_on(&there), 1);
+    assert_eq!(world.running_on(&busy), 1);
 }
 
 #[test]
@@ -347,7 +347,7 @@
     assert!(world.entries[owner].state.is_none(), "the entry has ended");
     assert!(
         world.owner().is_some(),
-        "the other took over before the lease ended"
+        "the other entry took over before the lease ended"
     );
 }
 
@@ -374,10 +374,14 @@
     assert_eq!(
         world.store.len(),
         lease_rows + 2,
-        "owner and heartbeat a shard, job, progress"
+        "owner and heartbeat per shard, job, progress"
     );
     world.run(20_000);
-    assert_eq!(world.store.len(), lease_rows, "owner and heartbeat a shard");
+    assert_eq!(
+        world.store.len(),
+        lease_rows,
+        "owner and heartbeat per shard"
+    );
     assert_eq!(world.recorded_state("a"), JobState::Completed);
 }
 
--- a/tests/test_sched_model.rs
+++ b/tests/test_sched_model.rs
@@ -1,5 +1,6 @@
 //! Plays the scheduler in random worlds: entries are killed, frozen and disconnected, answers and orders are lost or
-//! late, and workers crash or keep running while disconnected. The world checks its guarantees at every step.
+//! late, and workers crash or keep running while disconnected. The world checks the scheduler's guarantees at every
+//! step.
 
 use fastrand::Rng;
 use rockwick::core::sched::job::JobState;
@@ -12,15 +13,15 @@
 
 /// Seeds that failed before.
 ///
-/// 3043: a start without an answer was carried out seconds after the end of an earlier run was acknowledged, because
-/// the stop of the leftover run was lost as well and not repeated. 140: a gang that lost a member while its record
-/// waited for a partition was placed and stopped 30,000 times. 8711: three runs of a gang failed, the first by one
-/// member and the others by another, and the check counted by member.
+/// 3043: a start without an answer was carried out seconds after the end of an earlier run was processed, because the
+/// stop of the leftover run was lost as well and not repeated. 140: a gang that lost a member while its record waited
+/// for a partition was placed and stopped 30,000 times. 8711: three runs of a gang failed, the first by one member and
+/// the others by another, and the check counted by member.
 ///
-/// The others have tasks that crash workers. 5: a gang member that was being stopped when its worker's end was
-/// processed was not counted. 181: nor was a member on a host that was about to leave for maintenance. 649 and 329:
-/// nor were runs whose own end was never received. 805: a slow task was started once too often. 2117: so was a gang,
-/// of whose five ends two were certain.
+/// The others have tasks that crash workers. 5: the crash of a worker was not counted for a gang member that was being
+/// stopped when the worker's end was processed. 181: nor was it for a member on a host that was about to leave for
+/// maintenance. 649 and 329: it was counted for runs that had already ended, whose ends were never received. 805: a
+/// slow task was started once too often. 2117: so was a gang, of whose five ends two were certainly crashes.
 const SAVED: [u64; 9] = [3_043, 140, 5, 181, 649, 329, 805, 2_117, 8_711];
 
 fn seeds() -> std::ops::Range<u64> {
@@ -73,8 +74,8 @@
     }
 }
 
-/// Additional faults of a world. Each kind is drawn by a generator of its own and played by a test of its own, so the
-/// other worlds stay the same.
+/// Additional faults of a world. They are drawn by a generator of their own, and each kind is played by a test of its
+/// own, so the other worlds stay the same.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Extra {
     Nothing,
@@ -98,14 +99,14 @@
     Configs,
 }
 
-/// An additional fault occurs in one of this many rounds.
-const EXTRA_IN: u32 = 4;
+/// An additional fault occurs in one of this many rounds on average.
+const ROUNDS_PER_EXTRA: u32 = 4;
 
 /// Probability of a late order in worlds with late orders, in thousandths.
 const LATE_ORDERS_MILLI: u32 = 30;
 
 fn inject_extra_fault(world: &mut World, extra: Extra, jobs: &[String], rng: &mut Rng) {
-    if extra == Extra::Nothing || rng.u32(0..EXTRA_IN) > 0 {
+    if extra == Extra::Nothing || rng.u32(0..ROUNDS_PER_EXTRA) > 0 {
         return;
     }
     let worker_ids = world.worker_ids();
@@ -165,7 +166,8 @@
     if extra == Extra::Configs {
         world.faults.run_fails = extras.u32(0..600);
     }
-    // In worlds with crashing tasks no order is lost, since the bound on starts only holds for an undisturbed entry.
+    // In worlds with crashing tasks no order is lost: an entry whose orders are lost is not in contact with its
+    // workers, and the bound on starts holds only for an entry that is.
     let has_crashers = seed % 4 == 1;
     if has_crashers {
         world.faults.order_lost = 0;
@@ -243,7 +245,7 @@
         };
         assert!(
             is_settled,
-            "seed {seed}: {id} is {state:?} after a calm minute: {}",
+            "seed {seed}: {id} is {state:?} after 90 s without new faults: {}",
             world.describe(id)
         );
     }
@@ -317,9 +319,9 @@
     }
 }
 
-/// Guards against giving up a job under which no worker crashed. A gang member crashes workers 350 ms after its start,
-/// past half of its estimate; two of the three ends are seen only by new owners, and a fourth run ends with another
-/// member. If four such ends gave a job up, seed 1581 would record a job as failed without any crash.
+/// A gang member crashes workers 350 ms after its start, past half of its estimate; two of the three ends are seen only
+/// by new owners, and a fourth run ends with another member. A rule that gives up a job after four such ends would end
+/// this job, but in seed 1581 it would also record a job as failed under which no worker crashed.
 #[test]
 fn sched_model_open() {
     play(2_609);
@@ -342,9 +344,9 @@
 /// recorded as running.
 ///
 /// Three kinds of end were counted as crashes. Ends by the pool's own maintenance (3753, 4353, 5625): the host crashed
-/// between its slot and the order, its next instance got work, `upkeep-ordered` ended that 50 ms later, and
-/// `task-suspected` said "blamed 2". Runs that were stopped before their worker went (3753 run 5, 4353 run 2). Gang
-/// members that another member's crash had ended 34 ms before their own worker went (6461).
+/// after its slot was taken and before the order, its next instance got work, `upkeep-ordered` ended that 50 ms later,
+/// and `task-suspected` said "blamed 2". Runs that were stopped before their worker ended (3753 run 5, 4353 run 2).
+/// Gang members that another member's crash had ended 34 ms before their own worker ended (6461).
 #[test]
 fn sched_model_spared() {
     for seed in [3_753, 4_353, 5_625, 6_461] {
@@ -352,10 +354,11 @@
     }
 }
 
-/// Guards against giving up a harmless task after two likely ends and a certain one. In the two likely ones, runs of a
-/// few hundred milliseconds had ended by themselves just before the worker went, and these ends were never received;
-/// two more starts ended otherwise, and a crashing task would have used up the allowed starts. In 14873 two ends are
-/// certain by the reports, and one of the two runs had already ended.
+/// Guards against giving up a harmless task after two ends that counted as likely crashes and one that counted as a
+/// certain crash. In the two likely ones, runs of a few hundred milliseconds had ended by themselves just before the
+/// worker ended, and the ends of these runs were never received; two more starts ended otherwise, and a crashing task
+/// would have used up the allowed starts. In 14873 two ends count as certain crashes by the reports, and one of the two
+/// runs had already ended.
 #[test]
 fn sched_model_unheard() {
     for seed in [229, 14_873] {
@@ -363,8 +366,8 @@
     }
 }
 
-/// Guards against a seventh start of a crashing task: of its six ends two are likely and none is certain, and the
-/// weight that ends a job at the bound is 3.
+/// Guards against a seventh start of a crashing task: of its six ends two count as likely crashes and none as a certain
+/// one, and the weight that ends a job at the bound is 3.
 #[test]
 fn sched_model_weight() {
     play(8_941);
@@ -410,17 +413,19 @@
 }
 
 /// Guards against a gang that waits forever for the second host of its pool. The slot of that host was taken, but the
-/// answer was lost. The host had its maintenance and came back, and its owner kept it closed because it still wanted
-/// the slot that it already had ("row: out host-1, is_ordered true" beside "turn: Closing" to the end).
+/// answer was lost. The host had its maintenance and came back, and the pool's owner kept the host closed because the
+/// owner still wanted the slot that it already had ("row: out host-1, is_ordered true" beside "turn: Closing" to the
+/// end).
 #[test]
 fn sched_model_slot() {
     play(42_449);
 }
 
-/// Guards against taking a crash for a planned end. A worker and its connections went 50 ms before the slot of its
-/// host was requested, and whether that was planned was checked seconds later, when its next instance answered: the
-/// crash was not counted, and a sixth start followed (13081). 13281 failed on the same code only: a job was given up
-/// for likely ends, one of them of a run that was done but not recorded.
+/// Guards against taking a crash for a planned end. A worker crashed and its connections broke 50 ms before the slot of
+/// its host was requested. Whether that end was planned was checked seconds later, when the next instance answered, so
+/// the crash was not counted, and a sixth start followed (13081). 13281 failed on the same code, and on
+/// no other before or after: a job was given up for ends that counted as likely crashes, one of them of a run that was
+/// done but not recorded.
 #[test]
 fn sched_model_planned() {
     for seed in [13_081, 13_281] {
@@ -428,8 +433,8 @@
     }
 }
 
-/// Guards against a job in two shards: its first record was still in flight in one shard when the rows were read again
-/// without it.
+/// Guards against a job in two shards: its first record was still in flight in one shard when the rows were read again,
+/// and that reading did not find the record.
 #[test]
 fn sched_model_two_shards() {
     for seed in [84, 149] {
--- a/tests/test_shards.rs
+++ b/tests/test_shards.rs
@@ -8,7 +8,8 @@
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// How long partitions are unavailable; a load with 350 workers had a quarter of them unavailable for as long.
+/// Time for which partitions are unavailable. On a day with 350 workers, a quarter of the partitions was unavailable
+/// for as long.
 const AWAY_MS: u64 = 5_800;
 
 fn make_unavailable(world: &mut World, shard: usize) {
@@ -72,8 +73,8 @@
     assert_eq!(world.recorded_state("begun"), JobState::Completed);
 }
 
-/// An owner that renews in one shard only is not taken over, however long that lasts. One that died is taken over once
-/// all shards are available again.
+/// The pool of an owner that renews in one shard only is not taken over, however long that lasts. The pool of an owner
+/// that died is taken over once all shards are available again.
 #[test]
 fn shards_takeover() {
     let mut world = World::new(33, 3, 4);
--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// A changed capacity is logged with the part that is in use.
+/// A changed capacity is logged with the capacity before the change; the line also states what is in use.
 #[test]
 fn shrinks_logged() {
     let mut world = World::new(1, 1, 1);
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -61,8 +61,8 @@
     }
 
     /// Runs sizing passes for one second in which nothing changes, and returns the hosts needed and wanted.
-    fn reconcile_for_second(&mut self, pressed: bool) -> (u64, u64) {
-        let inputs = base_inputs(pressed);
+    fn reconcile_for_second(&mut self, another_pool_lacks_hosts: bool) -> (u64, u64) {
+        let inputs = base_inputs(another_pool_lacks_hosts);
         for _ in 0..10 {
             self.now_ms += 100;
             self.with_ctx(|pool_state, sizing, ctx| {
@@ -74,12 +74,12 @@
 }
 
 /// Returns the inputs of a pass in which no host can be given away.
-fn base_inputs(pressed: bool) -> Inputs<'static> {
+fn base_inputs(another_pool_lacks_hosts: bool) -> Inputs<'static> {
     Inputs {
         pool: POOL,
         epoch: 1,
         can_park: false,
-        another_pool_lacks_hosts: pressed,
+        another_pool_lacks_hosts,
         answer_ms: 5,
     }
 }
@@ -228,7 +228,9 @@
 
 /// A lasting task that fits on no open host must count as needing another one. The task takes a third of a host's
 /// memory, of which two thirds are in use on each host, so by sums there is capacity. The pool then gave hosts away,
-/// the task's worker among them, and the task never got a place.
+/// the task's worker among them, and the task waited for 14 s, until the day ended, and never got a place. Meanwhile
+/// `pool-load` showed 24 open hosts, 83 of 384 cores used and one task waiting, `pool-sized` showed 18 hosts wanted,
+/// and eight more hosts were idle and on offer.
 #[test]
 fn sizing_waiting_shape() {
     let mut fixture = Fixture::new(4);
--- a/tests/test_unknown.rs
+++ b/tests/test_unknown.rs
@@ -1,4 +1,4 @@
-//! Guards against decisions that cannot be undone and were made before a fact was known, or by an outdated one.
+//! Guards against decisions that cannot be undone and were made before a fact was known, or on an outdated fact.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -48,15 +48,15 @@
 }
 
 /// Replaces the bytes of a job's intake row without informing any entry.
-fn rewrite_intake(world: &mut World, id: &str, to: impl Fn(&[u8]) -> Vec<u8>) {
+fn rewrite_intake(world: &mut World, id: &str, rewrite: impl Fn(&[u8]) -> Vec<u8>) {
     let part = find_part(world, Table::Intake, id).expect("the job was submitted");
     let place = (Table::Intake, part, id.to_string());
     let (value, _) = world.store.get_mut(&place).expect("the row exists");
-    *value = to(value);
+    *value = rewrite(value);
 }
 
-/// The owner's configuration is older than the one that accepted the job and allows fewer attempts. The job keeps its
-/// own number.
+/// The owner's configuration is older than the one under which the job was accepted, and allows fewer attempts. The job
+/// keeps the number of attempts that it was accepted with.
 #[test]
 fn attempts_older_config() {
     assert_no_failures(&failing_seeds(|seed| {
@@ -84,7 +84,7 @@
         for queue in newer.queues.values_mut() {
             queue.attempts_max = 5;
         }
-        let owner = world.owner_entry().expect("it settled");
+        let owner = world.owner_entry().expect("the pool has an owner");
         let newer = OperatorEvent::Config(Arc::new(newer));
         world.deliver_event(owner, Event::Operator(newer));
         world.submit("job", job(1, 1_000, 2_000));
@@ -120,7 +120,7 @@
             (world.most_failed_runs("job"), world.running("job")),
             (2, 0)
         );
-        let owner = world.owner_entry().expect("it settled");
+        let owner = world.owner_entry().expect("the pool has an owner");
         for (version, attempts_max) in [(10, 2), (11, 5)] {
             let mut passing = config(version);
             for queue in passing.queues.values_mut() {
@@ -135,7 +135,8 @@
     }));
 }
 
-/// A job that an earlier version accepted without recording its attempts meets an owner without a configuration.
+/// An owner without a configuration takes over a job that an earlier version accepted without recording the allowed
+/// attempts. The job must still get as many as its queue allows.
 #[test]
 fn attempts_unrecorded() {
     assert_no_failures(&failing_seeds(|seed| {
@@ -147,7 +148,7 @@
         }
         world.submit("job", job(1, 1_000, 200));
         rewrite_intake(&mut world, "job", |value| {
-            let mut spec: JobSpec = rows::decode(value).expect("it decodes");
+            let mut spec: JobSpec = rows::decode(value).expect("the spec decodes");
             spec.policy = None;
             rows::encode(&spec)
         });
@@ -250,7 +251,8 @@
         *table == Table::Owners && key == HEARTBEAT_KEY && shard_of_part(part).is_some()
     });
     let (_, (value, _)) = heartbeats.max_by_key(|(_, (_, revision))| *revision)?;
-    let heartbeat: serde_json::Value = serde_json::from_slice(value).expect("it decodes");
+    let heartbeat: serde_json::Value =
+        serde_json::from_slice(value).expect("the heartbeat decodes");
     let waiting = heartbeat.get("waiting")?.as_object()?;
     Some(waiting.get(QUEUE).and_then(|n| n.as_u64()).unwrap_or(0))
 }
--- a/tests/test_waves.rs
+++ b/tests/test_waves.rs
@@ -80,8 +80,8 @@
 
     /// Runs passes for `ms` and returns the log lines about waiting.
     fn wait_lines(&mut self, ms: u64) -> Vec<Decision> {
-        let looks = (0..ms / 100).flat_map(|_| self.reconcile_once());
-        let logged = looks.filter_map(|effect| match effect {
+        let effects = (0..ms / 100).flat_map(|_| self.reconcile_once());
+        let logged = effects.filter_map(|effect| match effect {
             Effect::Log(decision) => Some(decision),
             _ => None,
         });
@@ -102,7 +102,7 @@
 }
 
 /// The host crashed while it held its slot, and the order reached its next instance, which is just ending. That
-/// instance in the in-memory state must not count as the host's return, or another host goes out beside it.
+/// instance in the in-memory state must not count as the host's return, or another host goes out at the same time.
 #[test]
 fn waves_crashed_host_is_out() {
     let mut scenario = Scenario::new();
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -27,7 +27,7 @@
 const NOW_MS: u64 = 100_000;
 
 /// Returns a job with one task on each host, of 400 to 1,600 ms.
-fn small() -> JobSpec {
+fn small_job() -> JobSpec {
     let mut spec = job(HOSTS, 1_300, 800);
     spec.steps[0].per_worker_max = 1;
     spec
@@ -47,7 +47,7 @@
 /// Submits the stream of small jobs for `ms`.
 fn submit_stream(world: &mut World, ms: u64) {
     for _ in 0..ms / STREAM_MS {
-        world.submit(&format!("small-{}", world.now_ms), small());
+        world.submit(&format!("small-{}", world.now_ms), small_job());
         world.run(STREAM_MS);
     }
 }
@@ -235,7 +235,7 @@
 }
 
 /// Returns a job of one task that needs nearly a whole host.
-fn wide(accepted_wall_ms: u64) -> JobSpec {
+fn wide_job(accepted_wall_ms: u64) -> JobSpec {
     JobSpec {
         accepted_wall_ms,
         ..job(1, 14_550, 1_000)
@@ -245,7 +245,7 @@
 /// Returns why the reservation is dropped after `fault` hit the reserved host, and whether another host is reserved
 /// then.
 fn dropped_after(fault: impl Fn(&mut Worker)) -> (String, bool) {
-    let mut pool_state = fragmented_pool(4, 4_000, &wide(NOW_MS));
+    let mut pool_state = fragmented_pool(4, 4_000, &wide_job(NOW_MS));
     let logged = place_at(&mut pool_state, NOW_MS + 999);
     assert_eq!(logged, [], "the task waits for a second first");
     let logged = place_at(&mut pool_state, NOW_MS + 1_250);
@@ -286,7 +286,7 @@
 
 #[test]
 fn wide_host_slow() {
-    let mut pool_state = fragmented_pool(4, 4_000, &wide(NOW_MS));
+    let mut pool_state = fragmented_pool(4, 4_000, &wide_job(NOW_MS));
     let logged = place_at(&mut pool_state, NOW_MS + 1_250);
     let [(Code::HostReserved, host, _)] = &logged[..] else {
         panic!("{logged:?}");
@@ -318,20 +318,20 @@
         place_at(&mut pool_state, NOW_MS + 1_250).len()
     };
     let late_ms = NOW_MS - 60_000;
-    assert_eq!(reserved(8, 9_600, &wide(late_ms)), 1, "late, 60%");
-    assert_eq!(reserved(8, 10_000, &wide(late_ms)), 0, "late, 63%");
+    assert_eq!(reserved(8, 9_600, &wide_job(late_ms)), 1, "late, 60%");
+    assert_eq!(reserved(8, 10_000, &wide_job(late_ms)), 0, "late, 63%");
     let half = JobSpec {
         accepted_wall_ms: NOW_MS,
         ..job(1, 8_000, 1_000)
     };
     assert_eq!(reserved(8, 9_600, &half), 1, "half a host, 60%");
     assert_eq!(reserved(8, 10_000, &half), 0, "half a host, 63%");
-    assert_eq!(reserved(16, 12_800, &wide(NOW_MS)), 1, "wide, 80%");
-    assert_eq!(reserved(16, 13_000, &wide(NOW_MS)), 0, "wide, 82%");
+    assert_eq!(reserved(16, 12_800, &wide_job(NOW_MS)), 1, "wide, 80%");
+    assert_eq!(reserved(16, 13_000, &wide_job(NOW_MS)), 0, "wide, 82%");
 }
 
-/// Returns the hosts that a pool of six needs, each of which runs a lasting task, once a task of nearly a host has
-/// waited. The lasting tasks take up as much as three hosts.
+/// Returns the number of hosts that a pool needs once a task of nearly a host has waited. Each of the pool's six hosts
+/// runs a lasting task; together these tasks take as much as three hosts.
 fn needed_beside_lasting(wide: &JobSpec) -> u64 {
     let mut pool_state = PoolState::default();
     for n in 0..6 {
@@ -367,10 +367,12 @@
 }
 
 /// A pool whose hosts each run a lasting task must ask for another host for a task of nearly a host. By its sums it
-/// wanted fewer and gave its empty hosts away, while tasks of 14,550 thousandths of a core waited for 15 s.
+/// wanted fewer hosts and gave its empty ones away: `pool-load` showed 53 open hosts, 315 of 848 cores used and three
+/// tasks of 14,550 thousandths of a core that had waited for 15 s, `pool-sized` showed 46 hosts wanted, and 38 were on
+/// offer.
 #[test]
 fn wide_asks_host() {
-    assert!(needed_beside_lasting(&wide(NOW_MS)) > 6, "in time");
+    assert!(needed_beside_lasting(&wide_job(NOW_MS)) > 6, "in time");
     let late_ms = NOW_MS - 60_000;
-    assert!(needed_beside_lasting(&wide(late_ms)) > 6, "late");
+    assert!(needed_beside_lasting(&wide_job(late_ms)) > 6, "late");
 }
