--- a/tests/test_revisions.rs
+++ b/tests/test_revisions.rs
@@ -16,7 +16,7 @@
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// Commits of a thousand whose answer names a newer revision: one in ten.
+/// Number of commits in a thousand whose answer names a newer revision: one in ten.
 const AHEAD_MILLI: u32 = 100;
 
 fn simulate(seed: u64) {
--- a/tests/test_shards.rs
+++ b/tests/test_shards.rs
@@ -10,7 +10,7 @@
 
 /// Time for which partitions are unavailable. On a day with 350 workers, a quarter of the partitions was unavailable
 /// for as long.
-const AWAY_MS: u64 = 5_800;
+const UNAVAILABLE_MS: u64 = 5_800;
 
 fn make_unavailable(world: &mut World, shard: usize) {
     world.unavailable_parts.insert(shard_part(POOL, shard));
@@ -25,7 +25,7 @@
     let owner = world.owner_entry();
     make_unavailable(&mut world, 0);
     let mut ids = Vec::new();
-    for n in 0..(AWAY_MS / 25) {
+    for n in 0..(UNAVAILABLE_MS / 25) {
         let id = format!("job-{n}");
         world.submit(&id, job(4, 1_000, 300));
         ids.push(id);
