--- a/tests/test_shards.rs
+++ b/tests/test_shards.rs
@@ -8,8 +8,9 @@
 /// Time within which an entry has claimed the pool.
 const SETTLE_MS: u64 = 8_000;
 
-/// How long partitions are unavailable; a load with 350 workers had a quarter of them unavailable for as long.
-const AWAY_MS: u64 = 5_800;
+/// Time for which partitions are unavailable. On a day with 350 workers, a quarter of the partitions was unavailable
+/// for as long.
+const UNAVAILABLE_MS: u64 = 5_800;
 
 fn make_unavailable(world: &mut World, shard: usize) {
     world.unavailable_parts.insert(shard_part(POOL, shard));
@@ -24,7 +25,7 @@
     let owner = world.owner_entry();
     make_unavailable(&mut world, 0);
     let mut ids = Vec::new();
-    for n in 0..(AWAY_MS / 25) {
+    for n in 0..(UNAVAILABLE_MS / 25) {
         let id = format!("job-{n}");
         world.submit(&id, job(4, 1_000, 300));
         ids.push(id);
@@ -72,8 +73,8 @@
     assert_eq!(world.recorded_state("begun"), JobState::Completed);
 }
 
-/// An owner that renews in one shard only is not taken over, however long that lasts. One that died is taken over once
-/// all shards are available again.
+/// The pool of an owner that renews in one shard only is not taken over, however long that lasts. The pool of an owner
+/// that died is taken over once all shards are available again.
 #[test]
 fn shards_takeover() {
     let mut world = World::new(33, 3, 4);
