--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,4 +1,5 @@
-//! Helpers for tests of single scheduler decisions: a context with a fixed clock whose effects the test can inspect.
+//! Helpers for tests of single scheduler decisions: they run on a context with a fixed clock and
+//! return the effects of the decision.
 
 use rockwick::clock::Now;
 use rockwick::core::sched::hosts::PoolNeed;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Runs the real binaries for tests: a stand-in platform, backend servers and entries, on ports chosen by the system.
+//! Starts the real binaries for tests, on ports chosen by the system: entries, and the stand-ins of the platform and of
+//! the backend servers. The tests of entries use it.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -15,8 +16,8 @@
 use rockwick::http::{Answer, Client, ExchangeError};
 use serde_json::{json, Value};
 
-/// The longest wait for a condition; far beyond what any of them takes, even on a busy machine.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+/// The longest wait for a condition; far longer than any condition takes to hold, even on a busy machine.
+pub(crate) const WAIT_MAX: Duration = Duration::from_secs(60);
 
 /// The configuration of most tests: one service, one pool, and the accounts `demo` and `other`.
 pub(crate) const CONFIG: &str = r#"
@@ -45,7 +46,7 @@
 reserve = "none"
 "#;
 
-pub(crate) fn binary(name: &str) -> PathBuf {
+pub(crate) fn binary_path(name: &str) -> PathBuf {
     let mut path = PathBuf::from(env!("CARGO_BIN_EXE_rockwick"));
     path.set_file_name(name);
     assert!(
@@ -63,7 +64,7 @@
 
 impl Process {
     pub(crate) fn start(name: &str, args: &[String]) -> Self {
-        let mut child = Command::new(binary(name))
+        let mut child = Command::new(binary_path(name))
             .args(args)
             .stdout(Stdio::piped())
             .stderr(Stdio::inherit())
@@ -91,7 +92,7 @@
     }
 
     /// Waits for the process to end and returns its exit code.
-    pub(crate) fn wait(&mut self) -> Option<i32> {
+    pub(crate) fn wait_exit(&mut self) -> Option<i32> {
         wait_for("the process ends", || self.child.try_wait().ok().flatten()).code()
     }
 
@@ -111,9 +112,9 @@
     }
 }
 
-/// Calls `check` every 20 ms until it returns a value; panics after [`PATIENCE`].
+/// Calls `check` every 20 ms until it returns a value; panics after [`WAIT_MAX`].
 pub(crate) fn wait_for<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_MAX;
     loop {
         if let Some(found) = check() {
             return found;
@@ -123,8 +124,8 @@
     }
 }
 
-/// Returns a free port on a loopback address that no other call returns. An outgoing connection of another test would
-/// otherwise take the port before the entry binds it.
+/// Returns a free port on a loopback address that no other call returns. On a shared address an outgoing
+/// connection of another test could take the port before the entry binds it.
 pub(crate) fn free_addr() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -222,17 +223,17 @@
         wait_for("the entry is ready", || self.is_ready().then_some(()));
     }
 
-    pub(crate) fn admin(&self, path: &str) -> Value {
+    pub(crate) fn get_admin(&self, path: &str) -> Value {
         value(&get(path).to(self.admin))
     }
 
-    pub(crate) fn edit(&self, edit: &Value) -> Answer {
+    pub(crate) fn send_edit(&self, edit: &Value) -> Answer {
         post("/v1/edit", &edit.to_string()).to(self.admin)
     }
 
     /// Returns the state of a host's row as this entry sees it; empty without a row.
     pub(crate) fn host_state(&self, id: &str) -> String {
-        let host = self.admin(&format!("/v1/hosts/{id}"));
+        let host = self.get_admin(&format!("/v1/hosts/{id}"));
         host["row"]["state"]
             .as_str()
             .unwrap_or_default()
@@ -240,7 +241,7 @@
     }
 
     /// Returns how many log events with this name the entry has written so far.
-    pub(crate) fn logged(&self, name: &str) -> usize {
+    pub(crate) fn count_logged(&self, name: &str) -> usize {
         let needle = format!("\"name\":\"{name}\"");
         self.process
             .lines()
@@ -250,15 +251,15 @@
     }
 
     /// Runs an operators' command against this entry.
-    pub(crate) fn command(&self, args: &[&str]) -> Output {
+    pub(crate) fn run_command(&self, args: &[&str]) -> Output {
         let admin = self.admin.to_string();
-        run(args, &[("ROCKWICK_ENTRY", &admin)])
+        run_rockwick(args, &[("ROCKWICK_ENTRY", &admin)])
     }
 }
 
 /// Runs the `rockwick` binary and waits for it to end.
-pub(crate) fn run(args: &[&str], env: &[(&str, &str)]) -> Output {
-    Command::new(binary("rockwick"))
+pub(crate) fn run_rockwick(args: &[&str], env: &[(&str, &str)]) -> Output {
+    Command::new(binary_path("rockwick"))
         .args(args)
         .envs(env.iter().copied())
         .output()
@@ -287,7 +288,7 @@
         }
     }
 
-    pub(crate) fn set(&self, fault: &str, work_ms: u64) {
+    pub(crate) fn set_fault(&self, fault: &str, work_ms: u64) {
         let body = json!({ "fault": fault, "work_ms": work_ms }).to_string();
         assert_eq!(post("/control/set", &body).to(self.addr).status, 200);
     }
@@ -396,7 +397,7 @@
             entry.wait_ready();
         }
         if let Some(text) = plan.config {
-            fleet.apply(0, text);
+            fleet.apply_config(0, text);
             fleet.wait_settled();
         }
         fleet
@@ -442,13 +443,13 @@
     }
 
     /// Applies a configuration and waits until it is in force at every entry.
-    pub(crate) fn apply(&self, expect: u64, text: &str) {
+    pub(crate) fn apply_config(&self, expect: u64, text: &str) {
         let edit = json!({ "ask": "apply", "expect": expect, "text": text });
-        let answer = self.entries[0].edit(&edit);
+        let answer = self.entries[0].send_edit(&edit);
         assert_eq!(answer.status, 200, "{}", super::fleet::text(&answer));
         for entry in &self.entries {
             wait_for("the version is in force", || {
-                (entry.admin("/v1/status")["config_version"] == expect + 1).then_some(())
+                (entry.get_admin("/v1/status")["config_version"] == expect + 1).then_some(())
             });
         }
     }
@@ -457,7 +458,7 @@
     pub(crate) fn wait_settled(&self) {
         for entry in &self.entries {
             wait_for("pools have their hosts", || {
-                let pools = entry.admin("/v1/pools");
+                let pools = entry.get_admin("/v1/pools");
                 let full = |p: &Value| p["serving"] == p["wanted"] && p["out"] == 0;
                 pools.as_array()?.iter().all(full).then_some(())
             });
@@ -484,7 +485,7 @@
         value(&get("/control/stats").to(self.platform))
     }
 
-    /// Counts the runs at all backend servers whose `field` has the value `mark`.
+    /// Counts the runs whose `field` has the value `mark`, at all backend servers.
     pub(crate) fn count_runs(&self, field: &str, mark: &str) -> usize {
         let all = self.backends.iter().flat_map(Backend::runs);
         all.filter(|r| r[field] == mark).count()
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -8,26 +8,26 @@
 /// A relay that accepts connections at `addr` and forwards them to one target.
 pub(crate) struct Relay {
     pub(crate) addr: SocketAddr,
-    cut: Arc<AtomicBool>,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    is_cut: Arc<AtomicBool>,
+    open_streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Relay {
-    pub(crate) fn to(target: SocketAddr) -> Self {
+    pub(crate) fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let relay = Self {
             addr: listener.local_addr().expect("an address"),
-            cut: Arc::new(AtomicBool::new(false)),
-            open: Arc::new(Mutex::new(Vec::new())),
+            is_cut: Arc::new(AtomicBool::new(false)),
+            open_streams: Arc::new(Mutex::new(Vec::new())),
         };
-        let (cut, open) = (Arc::clone(&relay.cut), Arc::clone(&relay.open));
+        let (is_cut, open_streams) = (Arc::clone(&relay.is_cut), Arc::clone(&relay.open_streams));
         std::thread::spawn(move || {
             for from in listener.incoming().map_while(Result::ok) {
-                if cut.load(Ordering::SeqCst) {
+                if is_cut.load(Ordering::SeqCst) {
                     continue;
                 }
                 if let Ok(to) = TcpStream::connect(target) {
-                    forward(from, to, &open);
+                    forward(from, to, &open_streams);
                 }
             }
         });
@@ -36,9 +36,9 @@
 
     /// Closes all open connections, and every new one as soon as it is accepted.
     pub(crate) fn cut(&self) {
-        self.cut.store(true, Ordering::SeqCst);
+        self.is_cut.store(true, Ordering::SeqCst);
         for stream in self
-            .open
+            .open_streams
             .lock()
             .expect("the lock is not poisoned")
             .drain(..)
@@ -48,14 +48,14 @@
     }
 
     pub(crate) fn restore(&self) {
-        self.cut.store(false, Ordering::SeqCst);
+        self.is_cut.store(false, Ordering::SeqCst);
     }
 }
 
 /// Forwards bytes in both directions between two connections until one of them ends.
-fn forward(a: TcpStream, b: TcpStream, open: &Mutex<Vec<TcpStream>>) {
+fn forward(a: TcpStream, b: TcpStream, open_streams: &Mutex<Vec<TcpStream>>) {
     let clone = |s: &TcpStream| s.try_clone().expect("a descriptor");
-    let mut streams = open.lock().expect("the lock is not poisoned");
+    let mut streams = open_streams.lock().expect("the lock is not poisoned");
     streams.push(clone(&a));
     streams.push(clone(&b));
     for (mut from, mut to) in [(clone(&a), clone(&b)), (b, a)] {
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -25,10 +25,10 @@
 /// A table whose first attempts have the given outcomes; all later ones are answered.
 #[derive(Default)]
 pub(crate) struct FakeTable {
-    pub(crate) inner: Mutex<Rows>,
+    pub(crate) rows: Mutex<Rows>,
     pub(crate) send_outcomes: Mutex<VecDeque<SendOutcome>>,
-    late: Mutex<Option<Transaction>>,
-    pub(crate) reads_down: Mutex<bool>,
+    late_txn: Mutex<Option<Transaction>>,
+    pub(crate) are_reads_down: Mutex<bool>,
 }
 
 impl FakeTable {
@@ -46,8 +46,8 @@
             .unwrap()
             .pop_front()
             .unwrap_or(SendOutcome::Answered);
-        let mut rows = self.inner.lock().unwrap();
-        if let Some(late) = self.late.lock().unwrap().take() {
+        let mut rows = self.rows.lock().unwrap();
+        if let Some(late) = self.late_txn.lock().unwrap().take() {
             rows.apply_with_token(&late);
         }
         match outcome {
@@ -59,7 +59,7 @@
             SendOutcome::Lost => Attempt::Lost,
             SendOutcome::NotSent => Attempt::NotSent,
             SendOutcome::Late => {
-                *self.late.lock().unwrap() = Some(txn.clone());
+                *self.late_txn.lock().unwrap() = Some(txn.clone());
                 Attempt::Lost
             }
         }
@@ -68,8 +68,8 @@
 
 impl Table for FakeTable {
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Row>, Down>> + Send {
-        let down = *self.reads_down.lock().unwrap();
-        let row = self.inner.lock().unwrap().rows.get(key).cloned();
+        let down = *self.are_reads_down.lock().unwrap();
+        let row = self.rows.lock().unwrap().rows.get(key).cloned();
         ready(if down { Err(Down) } else { Ok(row) })
     }
 
@@ -78,7 +78,7 @@
         since: u64,
         _spaces: &[&str],
     ) -> impl Future<Output = Result<Changes, Down>> + Send {
-        ready(Ok(self.inner.lock().unwrap().changes(since, &[])))
+        ready(Ok(self.rows.lock().unwrap().changes(since, &[])))
     }
 
     fn send(&self, txn: &Transaction) -> impl Future<Output = Attempt> + Send {
--- a/tests/test_admit.rs
+++ b/tests/test_admit.rs
@@ -88,7 +88,11 @@
 #[test]
 fn admit_window() {
     let mut w = Window::new(8, 9);
-    assert_eq!(w.size(), 1, "nine entries start with one each");
+    assert_eq!(
+        w.size(),
+        1,
+        "each of nine entries starts with a window of one"
+    );
     for n in 1..=16 {
         w.grow();
         assert_eq!(
@@ -111,10 +115,10 @@
 
 #[test]
 fn admit_pick() {
-    let candidate = |in_flight, window, barred| Candidate {
+    let candidate = |in_flight, window, is_excluded| Candidate {
         in_flight,
         window,
-        is_excluded: barred,
+        is_excluded,
         is_same_hall: true,
     };
     let mut rng = fastrand::Rng::with_seed(7);
@@ -221,7 +225,7 @@
     }
     assert!(
         retries <= 110,
-        "a tenth of the requests and what was saved: {retries}"
+        "at most a tenth of the requests and the saved retries: {retries}"
     );
 }
 
--- a/tests/test_answers.rs
+++ b/tests/test_answers.rs
@@ -77,23 +77,26 @@
     // Many concurrent callers, each with its own marks, under all faults and with time-outs: no answer may reach
     // another caller.
     const CALLERS: u64 = 32;
-    const EACH: u64 = 100;
+    const REQUESTS_EACH: u64 = 100;
     let fleet = Plan::new(3, 2).without_config().start();
     let entries: Vec<_> = fleet.entries.iter().map(|e| e.listen).collect();
     let threads: Vec<_> = (0..CALLERS)
         .map(|caller_id| {
             let client = Arc::new(Client::new(entries[caller_id as usize % entries.len()]));
-            std::thread::spawn(move || caller(caller_id, EACH, &client))
+            std::thread::spawn(move || send_marked_requests(caller_id, REQUESTS_EACH, &client))
         })
         .collect();
     let whole: u64 = threads
         .into_iter()
         .map(|t| t.join().expect("every caller got its own answers"))
         .sum();
-    assert!(whole > CALLERS * EACH / 4, "only {whole} whole answers");
+    assert!(
+        whole > CALLERS * REQUESTS_EACH / 4,
+        "only {whole} whole answers"
+    );
 }
 
-fn caller(caller_id: u64, request_count: u64, client: &Client) -> u64 {
+fn send_marked_requests(caller_id: u64, request_count: u64, client: &Client) -> u64 {
     let mut rng = fastrand::Rng::with_seed(caller_id);
     let mut whole = 0;
     for n in 0..request_count {
--- a/tests/test_budget.rs
+++ b/tests/test_budget.rs
@@ -68,22 +68,22 @@
 
 fn start_wave(entry: &Entry) -> String {
     let edit = json!({ "ask": "start_wave", "pool": "pool", "windows": [] });
-    let answer = entry.edit(&edit);
+    let answer = entry.send_edit(&edit);
     assert_eq!(answer.status, 200, "{}", text(&answer));
     let reply: Value = answer.json().expect("json");
     reply["wave"].as_str().expect("an id").to_string()
 }
 
-fn wait_done(entry: &Entry, id: &str, mut meanwhile: impl FnMut()) {
+fn wait_wave_done(entry: &Entry, id: &str, mut meanwhile: impl FnMut()) {
     wait_for("the wave is done", || {
         meanwhile();
-        let wave = entry.admin(&format!("/v1/waves/{id}"));
+        let wave = entry.get_admin(&format!("/v1/waves/{id}"));
         (wave["row"]["state"] == "done").then_some(())
     });
 }
 
 /// Counts the serving hosts of the pool in the rows of the table itself, since the view of an entry may lag.
-fn serving_rows(fleet: &Fleet) -> usize {
+fn count_serving_rows(fleet: &Fleet) -> usize {
     let rows = get("/control/rows").to(fleet.platform);
     let rows: Value = rows.json().expect("json");
     let hosts = rows.as_object().into_iter().flatten();
@@ -100,8 +100,8 @@
     let fleet = Plan::new(4, 3).start();
     let id = start_wave(&fleet.entries[0]);
     let mut least = usize::MAX;
-    wait_done(&fleet.entries[0], &id, || {
-        least = least.min(serving_rows(&fleet))
+    wait_wave_done(&fleet.entries[0], &id, || {
+        least = least.min(count_serving_rows(&fleet))
     });
     assert_eq!(
         least, 2,
@@ -118,19 +118,23 @@
     let fleet = Plan::new(4, 2).start();
     fleet.set_host_status("h4", "gone");
     wait_for("the loss is seen", || {
-        (fleet.entries.iter().all(|e| e.logged("host-lost") > 0)).then_some(())
+        (fleet
+            .entries
+            .iter()
+            .all(|e| e.count_logged("host-lost") > 0))
+        .then_some(())
     });
     let id = start_wave(&fleet.entries[0]);
     let mut least = usize::MAX;
     wait_for("the other three hosts are rebooted", || {
         // The row of h4 still has the state serving, but the host is gone.
-        least = least.min(serving_rows(&fleet) - 1);
+        least = least.min(count_serving_rows(&fleet) - 1);
         let reboots = fleet.stats()["reboots"].as_object().map_or(0, |r| r.len());
         (reboots == 3).then_some(())
     });
     assert_eq!(least, 2);
     fleet.set_host_status("h4", "live");
-    wait_done(&fleet.entries[1], &id, || {});
+    wait_wave_done(&fleet.entries[1], &id, || {});
 }
 
 /// Two of three entries are killed during a wave: the last one must finish it within the budget, and each host is
@@ -142,19 +146,19 @@
     wait_for("the wave is under way", || {
         (fleet.stats()["reboots"].as_object().map_or(0, |r| r.len()) >= 1).then_some(())
     });
-    // Any entry may decide for the pool: both others are killed in turn, and e3 finishes the wave.
+    // Any entry may decide for the pool, so e1 and e2 are killed in turn; e3 finishes the wave.
     for n in [0, 1] {
         fleet.entries[n].process.signal(Signal::SIGKILL);
         let out = wait_for("the killed entry can be forgotten", || {
             let name = format!("e{}", n + 1);
-            let out = fleet.entries[2].command(&["forget", &name]);
+            let out = fleet.entries[2].run_command(&["forget", &name]);
             out.status.success().then_some(out)
         });
         assert!(out.status.success());
     }
     let mut least = usize::MAX;
-    wait_done(&fleet.entries[2], &id, || {
-        least = least.min(serving_rows(&fleet))
+    wait_wave_done(&fleet.entries[2], &id, || {
+        least = least.min(count_serving_rows(&fleet))
     });
     assert!(least >= 2);
     for host in ["h1", "h2", "h3", "h4"] {
@@ -170,9 +174,9 @@
         .start();
     let id = start_wave(&fleet.entries[0]);
     wait_for("the wave is under way", || {
-        (fleet.entries[0].admin("/v1/pools/pool")["out"] != 0).then_some(())
+        (fleet.entries[0].get_admin("/v1/pools/pool")["out"] != 0).then_some(())
     });
-    let out = fleet.entries[1].command(&["wave", "stop", &id]);
+    let out = fleet.entries[1].run_command(&["wave", "stop", &id]);
     assert!(out.status.success(), "{out:?}");
     fleet.wait_settled();
     let reboots = fleet.stats()["reboots"].as_object().map_or(0, |r| r.len());
@@ -210,17 +214,17 @@
 
 #[test]
 fn budget_racing_moves() {
-    // Two entries move the same host to different pools at once while a third is suspended: the table accepts one
-    // move, and the host is a member of one pool only.
+    // Two entries move the same host at once, one to the other pool and one to the free hosts, while a third entry is
+    // suspended: the table accepts one move, and the host is a member of one pool only.
     let fleet = Plan::new(6, 3).with_config(TWO_POOLS).start();
     fleet.entries[2].process.signal(Signal::SIGSTOP);
     let (e1, e2) = (&fleet.entries[0], &fleet.entries[1]);
-    let pool_of = |e: &Entry| e.admin("/v1/hosts/h1")["row"]["pool"].clone();
+    let pool_of = |e: &Entry| e.get_admin("/v1/hosts/h1")["row"]["pool"].clone();
     let from = pool_of(e1);
     let to = if from == "one" { "two" } else { "one" };
     let answers = std::thread::scope(|s| {
-        let a = s.spawn(|| e1.edit(&json!({ "ask": "move", "host": "h1", "pool": to })));
-        let b = s.spawn(|| e2.edit(&json!({ "ask": "move", "host": "h1", "pool": null })));
+        let a = s.spawn(|| e1.send_edit(&json!({ "ask": "move", "host": "h1", "pool": to })));
+        let b = s.spawn(|| e2.send_edit(&json!({ "ask": "move", "host": "h1", "pool": null })));
         [a.join().expect("no panic"), b.join().expect("no panic")]
     });
     let mut statuses = answers.map(|a| a.status);
@@ -235,12 +239,12 @@
     fleet.entries[2].process.signal(Signal::SIGCONT);
     // If the host went to the free hosts, its old pool may have taken it again by now.
     wait_for("the host has moved", || {
-        let moved = |e: &Entry| e.logged("host-moved") > 0;
+        let moved = |e: &Entry| e.count_logged("host-moved") > 0;
         fleet.entries.iter().any(moved).then_some(())
     });
     fleet.wait_settled();
     let lists = |e: &Entry| {
-        let pools = e.admin("/v1/pools");
+        let pools = e.get_admin("/v1/pools");
         let members = pools.as_array().into_iter().flatten().flat_map(|p| {
             let m = p["members"].as_array().cloned().unwrap_or_default();
             m.into_iter().map(|h| h.to_string())
@@ -263,11 +267,11 @@
     let fleet = Plan::new(5, 2)
         .with_entry_args(&["--replace-ms", "2000"])
         .start();
-    let members = || fleet.entries[0].admin("/v1/pools/pool")["members"].clone();
+    let members = || fleet.entries[0].get_admin("/v1/pools/pool")["members"].clone();
     let lost = members()[0].as_str().expect("a host").to_string();
     fleet.set_host_status(&lost, "gone");
     wait_for("the lost host is replaced", || {
-        let pool = fleet.entries[0].admin("/v1/pools/pool");
+        let pool = fleet.entries[0].get_admin("/v1/pools/pool");
         (pool["serving"] == 4 && pool["hosts"] == 5).then_some(())
     });
     fleet.set_host_status(&lost, "live");
--- a/tests/test_catalogue.rs
+++ b/tests/test_catalogue.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::{get, text, Plan};
 
-fn page(name: &str) -> String {
+fn read_page(name: &str) -> String {
     let path = format!("{}/docs/{name}", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(path).expect("the page is there")
 }
@@ -29,7 +29,7 @@
         ));
     }
     insta::assert_snapshot!("errors", lines.join("\n"));
-    let page = page("ERRORS.md");
+    let page = read_page("ERRORS.md");
     for line in lines {
         assert!(page.contains(&line), "docs/ERRORS.md lacks: {line}");
     }
@@ -38,7 +38,7 @@
 
 #[test]
 fn catalogue_events() {
-    let page = page("EVENTS.md");
+    let page = read_page("EVENTS.md");
     let mut last = 0;
     for e in CATALOGUE {
         assert!(
--- a/tests/test_chaos.rs
+++ b/tests/test_chaos.rs
@@ -90,7 +90,8 @@
     applied
 }
 
-/// Injects random faults for [`FAULTS_DURATION`]; a cut or lost commits last until the next fault of the platform.
+/// Injects random faults for [`FAULTS_DURATION`]. A network cut or a loss of commits lasts until the next fault of the
+/// platform replaces it.
 fn inject_faults(fleet: &mut Fleet, peers: &[std::net::SocketAddr]) {
     let mut rng = fastrand::Rng::with_seed(7);
     let until = Instant::now() + FAULTS_DURATION;
@@ -114,7 +115,7 @@
                 fleet.entries[at].process.signal(Signal::SIGKILL);
                 let old = &fleet.entries[at];
                 let (name, listen, admin) = (old.name.clone(), old.listen, old.admin);
-                fleet.entries[at].process.wait();
+                fleet.entries[at].process.wait_exit();
                 fleet.entries[at] = fleet.start_entry_at(&name, listen, admin, peers[at], peers);
             }
             _ => {
@@ -131,14 +132,14 @@
 
 /// Checks until stopped that no host is rebooted with a request in flight, and returns the number of reboots seen.
 fn watch_reboots(
-    fleet_platform: std::net::SocketAddr,
+    platform: std::net::SocketAddr,
     backends: &[std::net::SocketAddr],
     stop: &AtomicBool,
 ) -> u64 {
     let mut seen: HashMap<String, u64> = HashMap::new();
     let get = |addr, path: &str| crate::fleet::get(path).try_to(addr).ok().map(|a| value(&a));
     while !stop.load(Ordering::SeqCst) {
-        let stats = get(fleet_platform, "/control/stats").unwrap_or_default();
+        let stats = get(platform, "/control/stats").unwrap_or_default();
         for (host, count) in stats["reboots"].as_object().into_iter().flatten() {
             let count = count.as_u64().unwrap_or(0);
             if seen.insert(host.clone(), count) != Some(count) && count > 0 {
@@ -178,12 +179,12 @@
         let mark = run["mark"].as_str().unwrap_or_default().to_string();
         *runs.entry(mark).or_default() += 1;
     }
-    for t in reported {
-        let n = runs.get(&t.mark).copied().unwrap_or(0);
-        match t.run.as_str() {
-            "no" => assert_eq!(n, 0, "{} was reported as not run", t.mark),
-            "yes" => assert_eq!(n, 1, "{} was reported as run", t.mark),
-            _ => assert!(n <= 1, "{} ran {n} times", t.mark),
+    for request in reported {
+        let n = runs.get(&request.mark).copied().unwrap_or(0);
+        match request.run.as_str() {
+            "no" => assert_eq!(n, 0, "{} was reported as not run", request.mark),
+            "yes" => assert_eq!(n, 1, "{} was reported as run", request.mark),
+            _ => assert!(n <= 1, "{} ran {n} times", request.mark),
         }
     }
     let served = reported.iter().filter(|t| t.run == "yes").count();
@@ -203,12 +204,12 @@
         entry.wait_ready();
         fleet.entries.push(entry);
     }
-    fleet.apply(0, crate::fleet::CONFIG);
+    fleet.apply_config(0, crate::fleet::CONFIG);
     fleet.wait_settled();
     let listen: Vec<_> = fleet.entries.iter().map(|e| e.listen).collect();
     let admin: Vec<_> = fleet.entries.iter().map(|e| e.admin).collect();
     let backends: Vec<_> = fleet.backends.iter().map(|b| b.addr).collect();
-    let (stop, watch) = (
+    let (stop, stop_watching) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicBool::new(false)),
     );
@@ -225,8 +226,8 @@
         })
         .collect();
     let watching = {
-        let (platform, watch) = (fleet.platform, Arc::clone(&watch));
-        std::thread::spawn(move || watch_reboots(platform, &backends, &watch))
+        let (platform, stop) = (fleet.platform, Arc::clone(&stop_watching));
+        std::thread::spawn(move || watch_reboots(platform, &backends, &stop))
     };
     let jobs = {
         let (listen, stop) = (listen.clone(), Arc::clone(&stop));
@@ -243,7 +244,8 @@
         .map(|t| t.join().expect("no panic"))
         .sum();
     let ids = jobs.join().expect("no panic");
-    // The faults have ended: every host, job and version must come to rest.
+    // The faults have ended: every host must come to rest, every job must end, and every entry must adopt the newest
+    // version.
     for entry in &fleet.entries {
         entry.wait_ready();
     }
@@ -251,16 +253,16 @@
     for host in ["h1", "h2", "h3", "h4", "h5", "h6"] {
         let began = Instant::now();
         wait_for(&format!("{host} is at rest"), || {
-            let reported = fleet.entries[0].admin(&format!("/v1/hosts/{host}"));
+            let shown = fleet.entries[0].get_admin(&format!("/v1/hosts/{host}"));
             assert!(
                 began.elapsed() < FAULTS_DURATION * 2,
-                "{host} is not at rest: {reported}"
+                "{host} is not at rest: {shown}"
             );
-            matches!(reported["row"]["state"].as_str(), Some("serving" | "free")).then_some(())
+            matches!(shown["row"]["state"].as_str(), Some("serving" | "free")).then_some(())
         });
     }
     check_jobs(&fleet, &ids);
-    watch.store(true, Ordering::SeqCst);
+    stop_watching.store(true, Ordering::SeqCst);
     let reboots = watching.join().expect("no reboot with a request in flight");
     check_runs(&fleet, &reported);
     assert_eq!(fleet.stats()["reboots_over_tasks"], 0);
@@ -274,10 +276,10 @@
 
 /// Stops all running waves, since hosts would otherwise keep leaving.
 fn stop_waves(fleet: &Fleet) {
-    let waves = fleet.entries[0].admin("/v1/waves");
+    let waves = fleet.entries[0].get_admin("/v1/waves");
     for wave in waves.as_array().into_iter().flatten() {
         if wave["row"]["state"] == "running" {
-            fleet.entries[0].edit(&json!({ "ask": "stop_wave", "wave": wave["id"] }));
+            fleet.entries[0].send_edit(&json!({ "ask": "stop_wave", "wave": wave["id"] }));
         }
     }
 }
@@ -302,10 +304,10 @@
     ids
 }
 
-/// Checks that every entry reaches the newest version, that it counts every accepted one, and that no entry adopted an
-/// older version after a newer one.
+/// Checks that no accepted configuration was lost, that every entry reaches the newest version, and that no entry
+/// adopted an older version after a newer one.
 fn check_versions(fleet: &Fleet, applied: u64) {
-    let version = |e: &crate::fleet::Entry| e.admin("/v1/status")["config_version"].as_u64();
+    let version = |e: &crate::fleet::Entry| e.get_admin("/v1/status")["config_version"].as_u64();
     let newest = fleet.entries.iter().filter_map(version).max();
     assert!(
         newest > Some(applied),
--- a/tests/test_commands.rs
+++ b/tests/test_commands.rs
@@ -5,7 +5,7 @@
 use rockwick::config::is_known_variable;
 use serde_json::Value;
 
-use crate::fleet::{run, wait_for, Plan, CONFIG};
+use crate::fleet::{run_rockwick, wait_for, Plan, CONFIG};
 
 fn stdout(out: &Output) -> String {
     String::from_utf8_lossy(&out.stdout).into_owned()
@@ -17,17 +17,17 @@
 
 #[test]
 fn commands_help() {
-    let all = run(&["--help"], &[]);
+    let all = run_rockwick(&["--help"], &[]);
     assert_eq!(all.status.code(), Some(0));
     for name in [
         "entry", "template", "pool", "host", "wave", "job", "status", "explain", "forget", "events",
     ] {
         assert!(stdout(&all).contains(name), "{name}");
-        let help = run(&[name, "--help"], &[]);
+        let help = run_rockwick(&[name, "--help"], &[]);
         assert_eq!(help.status.code(), Some(0), "{name}");
         assert!(stdout(&help).contains("Usage"), "{name}");
     }
-    let version = run(&["--version"], &[]);
+    let version = run_rockwick(&["--version"], &[]);
     assert!(stdout(&version).contains(env!("CARGO_PKG_VERSION")));
 }
 
@@ -35,7 +35,7 @@
 #[test]
 fn commands_known_settings() {
     for command in ["entry", "serve"] {
-        let help = stdout(&run(&[command, "--help"], &[]));
+        let help = stdout(&run_rockwick(&[command, "--help"], &[]));
         let named = help.split("[env:").skip(1);
         let names: Vec<&str> = named
             .filter_map(|rest| rest.split([':', ' ', ']']).next())
@@ -49,7 +49,7 @@
 
 #[test]
 fn commands_completion() {
-    let out = run(&["--bpaf-complete-style-bash"], &[]);
+    let out = run_rockwick(&["--bpaf-complete-style-bash"], &[]);
     assert!(stdout(&out).contains("rockwick"), "{}", stdout(&out));
 }
 
@@ -72,7 +72,7 @@
         ],
     ];
     for args in cases {
-        let out = run(args, &[]);
+        let out = run_rockwick(args, &[]);
         assert_eq!(out.status.code(), Some(2), "{args:?}: {}", stderr(&out));
         assert!(!stderr(&out).is_empty(), "{args:?}");
     }
@@ -103,7 +103,7 @@
             args.extend([*f, *v]);
         }
         args.extend([flag, value]);
-        let out = run(&args, &[]);
+        let out = run_rockwick(&args, &[]);
         let message = stderr(&out);
         assert_eq!(out.status.code(), Some(2), "{flag} {value}: {message}");
         assert!(
@@ -117,10 +117,10 @@
 
 #[test]
 fn commands_refused() {
-    let out = run(&["status", "--entry", "127.0.0.1:1"], &[]);
+    let out = run_rockwick(&["status", "--entry", "127.0.0.1:1"], &[]);
     assert_eq!(out.status.code(), Some(1));
     assert_eq!(stderr(&out).trim().lines().count(), 1, "{}", stderr(&out));
-    let out = run(&["template", "check", "/no/such/file"], &[]);
+    let out = run_rockwick(&["template", "check", "/no/such/file"], &[]);
     assert_eq!(out.status.code(), Some(1));
 }
 
@@ -129,7 +129,7 @@
     let fleet = Plan::new(4, 2).start();
     let entry = &fleet.entries[0];
     let json = |args: &[&str]| -> Value {
-        let out = entry.command(args);
+        let out = entry.run_command(args);
         assert!(out.status.success(), "{args:?}: {}", stderr(&out));
         serde_json::from_slice(&out.stdout).expect("JSON")
     };
@@ -145,10 +145,13 @@
     let file = std::env::temp_dir().join(format!("rockwick-{}.toml", fastrand::u64(..)));
     let path = file.to_string_lossy().into_owned();
     std::fs::write(&file, CONFIG.replace("20000", "10000")).expect("a file");
-    let out = entry.command(&["template", "apply", "--expect", "1", &path]);
+    let out = entry.run_command(&["template", "apply", "--expect", "1", &path]);
     assert_eq!(stdout(&out).trim(), "version 2", "{}", stderr(&out));
-    assert!(entry.command(&["status", "--wait", "2"]).status.success());
-    let out = entry.command(&["template", "apply", "--expect", "1", &path]);
+    assert!(entry
+        .run_command(&["status", "--wait", "2"])
+        .status
+        .success());
+    let out = entry.run_command(&["template", "apply", "--expect", "1", &path]);
     assert_eq!(out.status.code(), Some(1));
     assert!(
         stderr(&out).contains("the version is 2"),
@@ -156,38 +159,41 @@
         stderr(&out)
     );
     std::fs::write(&file, "[[pool]]\nname = 5\n").expect("a file");
-    let out = entry.command(&["template", "check", &path]);
+    let out = entry.run_command(&["template", "check", &path]);
     assert!(
         stderr(&out).contains(&format!("{path}:2:")),
         "{}",
         stderr(&out)
     );
     let _ = std::fs::remove_file(&file);
-    let out = entry.command(&["job", "submit", "--account", "demo", "--pool", "pool"]);
+    let out = entry.run_command(&["job", "submit", "--account", "demo", "--pool", "pool"]);
     let id = stdout(&out).trim().to_string();
     wait_for("the job is done", || {
         let job = json(&["job", "show", &id, "--json"]);
         (job["row"]["state"] == "done").then_some(())
     });
-    let explanation = stdout(&entry.command(&["explain", "job", &id]));
+    let explanation = stdout(&entry.run_command(&["explain", "job", &id]));
     for word in ["job-accepted", "job-placed", "job-ended"] {
         assert!(explanation.contains(word), "{word}: {explanation}");
     }
-    let out = entry.command(&["host", "drain", "h1", "--why", "a look inside"]);
+    let out = entry.run_command(&["host", "drain", "h1", "--why", "a look inside"]);
     assert!(out.status.success(), "{}", stderr(&out));
     wait_for("h1 is out", || {
         (entry.host_state("h1") == "out").then_some(())
     });
-    let explanation = stdout(&fleet.entries[1].command(&["explain", "host", "h1"]));
+    let explanation = stdout(&fleet.entries[1].run_command(&["explain", "host", "h1"]));
     let order = ["a look inside", "host-let-go"].map(|w| explanation.find(w));
     assert!(
         order.iter().all(Option::is_some) && order.is_sorted(),
         "{explanation}"
     );
-    assert!(entry.command(&["host", "return", "h1"]).status.success());
-    let out = entry.command(&["host", "show", "nowhere"]);
+    assert!(entry
+        .run_command(&["host", "return", "h1"])
+        .status
+        .success());
+    let out = entry.run_command(&["host", "show", "nowhere"]);
     assert_eq!(out.status.code(), Some(1));
-    let out = entry.command(&["status", "--wait", "99", "--timeout-s", "1"]);
+    let out = entry.run_command(&["status", "--wait", "99", "--timeout-s", "1"]);
     assert_eq!(out.status.code(), Some(1));
     assert!(
         stderr(&out).contains("e1") && stderr(&out).contains("e2"),
@@ -205,7 +211,7 @@
         .expect("an id")
         .to_string();
     // The other entry is asked, and fetches the events from the entry that handled the request.
-    let explanation = stdout(&fleet.entries[0].command(&["explain", "request", &id]));
+    let explanation = stdout(&fleet.entries[0].run_command(&["explain", "request", &id]));
     assert!(
         explanation.contains("routed: h") && explanation.contains("e2"),
         "{explanation}"
--- a/tests/test_commit.rs
+++ b/tests/test_commit.rs
@@ -9,7 +9,7 @@
     pause_ms: 1,
 };
 
-fn claim(token: &str) -> Transaction {
+fn claim_transaction(token: &str) -> Transaction {
     Transaction {
         token: token.to_string(),
         checks: vec![],
@@ -17,8 +17,8 @@
     }
 }
 
-fn outcome(table: &FakeTable, token: &str) -> Outcome {
-    smol::block_on(commit(table, &claim(token), QUICK))
+fn commit_claim(table: &FakeTable, token: &str) -> Outcome {
+    smol::block_on(commit(table, &claim_transaction(token), QUICK))
 }
 
 #[test]
@@ -42,15 +42,15 @@
     ];
     for (send_outcomes, expected) in cases {
         let table = FakeTable::with_outcomes(send_outcomes);
-        assert_eq!(outcome(&table, "mine"), *expected, "{send_outcomes:?}");
+        assert_eq!(commit_claim(&table, "mine"), *expected, "{send_outcomes:?}");
     }
 }
 
 #[test]
 fn commit_conflict() {
     let table = FakeTable::default();
-    assert_eq!(outcome(&table, "first"), Outcome::Committed(1));
-    assert_eq!(outcome(&table, "second"), Outcome::Conflict);
+    assert_eq!(commit_claim(&table, "first"), Outcome::Committed(1));
+    assert_eq!(commit_claim(&table, "second"), Outcome::Conflict);
 }
 
 #[test]
@@ -58,8 +58,8 @@
     // The transaction was lost before it took effect and another writer came first. The row alone does not show
     // whether the transaction was applied and then overwritten, so the outcome is unknown.
     let table = FakeTable::with_outcomes(&[SendOutcome::Answered, SendOutcome::Lost]);
-    assert_eq!(outcome(&table, "theirs"), Outcome::Committed(1));
-    assert_eq!(outcome(&table, "ours"), Outcome::Unknown);
+    assert_eq!(commit_claim(&table, "theirs"), Outcome::Committed(1));
+    assert_eq!(commit_claim(&table, "ours"), Outcome::Unknown);
 }
 
 #[test]
@@ -97,6 +97,6 @@
 #[test]
 fn commit_reads_down() {
     let table = FakeTable::with_outcomes(&[SendOutcome::AnswerLost]);
-    *table.reads_down.lock().unwrap() = true;
-    assert_eq!(outcome(&table, "mine"), Outcome::Unknown);
+    *table.are_reads_down.lock().unwrap() = true;
+    assert_eq!(commit_claim(&table, "mine"), Outcome::Unknown);
 }
--- a/tests/test_config.rs
+++ b/tests/test_config.rs
@@ -9,12 +9,12 @@
 
 use crate::fleet::{free_addr, get, text, value, wait_for, Entry, Plan, CONFIG};
 
-fn apply(entry: &Entry, expect: u64, config: &str) -> Answer {
-    entry.edit(&json!({ "ask": "apply", "expect": expect, "text": config }))
+fn apply_config(entry: &Entry, expect: u64, config: &str) -> Answer {
+    entry.send_edit(&json!({ "ask": "apply", "expect": expect, "text": config }))
 }
 
-fn version(entry: &Entry) -> u64 {
-    entry.admin("/v1/status")["config_version"]
+fn config_version(entry: &Entry) -> u64 {
+    entry.get_admin("/v1/status")["config_version"]
         .as_u64()
         .unwrap_or(0)
 }
@@ -118,11 +118,11 @@
 fn config_bad_refused() {
     let fleet = Plan::new(4, 1).start();
     let entry = &fleet.entries[0];
-    let answer = apply(entry, 1, &CONFIG.replace("hosts = 4", "hosts = 900"));
+    let answer = apply_config(entry, 1, &CONFIG.replace("hosts = 4", "hosts = 900"));
     assert_eq!(answer.status, 422);
     assert!(text(&answer).contains("line 22"), "{}", text(&answer));
-    assert_eq!(version(entry), 1);
-    let kept = entry.admin("/v1/template");
+    assert_eq!(config_version(entry), 1);
+    let kept = entry.get_admin("/v1/template");
     assert_eq!(kept["text"], CONFIG);
 }
 
@@ -133,7 +133,7 @@
     for round in 1..6 {
         for entry in &fleet.entries {
             wait_for("both know the version", || {
-                (version(entry) == round).then_some(())
+                (config_version(entry) == round).then_some(())
             });
         }
         let (one, two) = (
@@ -141,8 +141,8 @@
             config_with_timeout(15_000 + round),
         );
         let (a, b) = std::thread::scope(|s| {
-            let a = s.spawn(|| apply(&fleet.entries[0], round, &one));
-            let b = s.spawn(|| apply(&fleet.entries[1], round, &two));
+            let a = s.spawn(|| apply_config(&fleet.entries[0], round, &one));
+            let b = s.spawn(|| apply_config(&fleet.entries[1], round, &two));
             (a.join().expect("no panic"), b.join().expect("no panic"))
         });
         let mut statuses = [a.status, b.status];
@@ -157,7 +157,7 @@
         let winner = if a.status == 200 { &one } else { &two };
         for entry in &fleet.entries {
             wait_for("the accepted text is in force", || {
-                (entry.admin("/v1/template")["text"] == *winner).then_some(())
+                (entry.get_admin("/v1/template")["text"] == *winner).then_some(())
             });
         }
     }
@@ -168,12 +168,12 @@
     // The commit takes effect and its answer is lost: the configuration is still accepted, and once.
     let fleet = Plan::new(4, 2).start();
     fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "config/" }));
-    let answer = apply(&fleet.entries[0], 1, &config_with_timeout(9_000));
+    let answer = apply_config(&fleet.entries[0], 1, &config_with_timeout(9_000));
     assert_eq!(answer.status, 200, "{}", text(&answer));
     assert_eq!(value(&answer), json!({ "version": 2 }));
     for entry in &fleet.entries {
         wait_for("the version is in force", || {
-            (version(entry) == 2).then_some(())
+            (config_version(entry) == 2).then_some(())
         });
     }
 }
@@ -199,13 +199,13 @@
     fleet.set_faults(json!({ "down": true }));
     let second = fleet.start_entry("e3", peers[1], &peers);
     second.wait_ready();
-    assert_eq!(version(&second), 1);
-    assert_eq!(second.admin("/v1/status")["store"], "down");
+    assert_eq!(config_version(&second), 1);
+    assert_eq!(second.get_admin("/v1/status")["store"], "down");
     assert_eq!(get("/s/route/x").to(second.listen).status, 200);
-    assert_eq!(first.logged("peer-sponsored"), 1);
+    assert_eq!(first.count_logged("peer-sponsored"), 1);
     fleet.clear_faults();
     wait_for("e3 registers", || {
-        let status = first.admin("/v1/status");
+        let status = first.get_admin("/v1/status");
         let mut entries = status["entries"].as_array()?.iter();
         entries.any(|e| e["name"] == "e3").then_some(())
     });
@@ -220,7 +220,7 @@
     let first = fleet.start_entry("e1", peers[0], &peers);
     first.wait_ready();
     fleet.entries.push(first);
-    fleet.apply(0, CONFIG);
+    fleet.apply_config(0, CONFIG);
     fleet.wait_settled();
     fleet.set_faults(json!({ "down": true }));
     let second = fleet.start_entry("e2", peers[1], &peers);
@@ -229,10 +229,10 @@
     fleet.set_faults(json!({ "cut": ["e2"] }));
     second.process.signal(nix::sys::signal::Signal::SIGSTOP);
     wait_for("the table is back", || {
-        (fleet.entries[0].admin("/v1/status")["store"] == "ok").then_some(())
+        (fleet.entries[0].get_admin("/v1/status")["store"] == "ok").then_some(())
     });
     let edit = json!({ "ask": "drain", "host": "h1", "reboot": true, "why": "test" });
-    assert_eq!(fleet.entries[0].edit(&edit).status, 200);
+    assert_eq!(fleet.entries[0].send_edit(&edit).status, 200);
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(fleet.entries[0].host_state("h1"), "draining");
     second.process.signal(nix::sys::signal::Signal::SIGCONT);
@@ -248,9 +248,9 @@
     let fleet = Plan::new(4, 2).start();
     fleet.set_faults(json!({ "down": true }));
     wait_for("the outage is seen", || {
-        (fleet.entries[0].admin("/v1/status")["store"] == "down").then_some(())
+        (fleet.entries[0].get_admin("/v1/status")["store"] == "down").then_some(())
     });
-    let answer = apply(&fleet.entries[0], 1, &config_with_timeout(8_000));
+    let answer = apply_config(&fleet.entries[0], 1, &config_with_timeout(8_000));
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
     for entry in &fleet.entries {
@@ -258,11 +258,12 @@
     }
     fleet.clear_faults();
     wait_for("a configuration is accepted again", || {
-        (apply(&fleet.entries[0], 1, &config_with_timeout(8_000)).status == 200).then_some(())
+        (apply_config(&fleet.entries[0], 1, &config_with_timeout(8_000)).status == 200)
+            .then_some(())
     });
     for entry in &fleet.entries {
         wait_for("the version is in force", || {
-            (version(entry) == 2).then_some(())
+            (config_version(entry) == 2).then_some(())
         });
     }
 }
@@ -276,22 +277,22 @@
         .signal(nix::sys::signal::Signal::SIGSTOP);
     for v in 1..4 {
         assert_eq!(
-            apply(&fleet.entries[0], v, &config_with_timeout(9_000 + v)).status,
+            apply_config(&fleet.entries[0], v, &config_with_timeout(9_000 + v)).status,
             200
         );
         wait_for("the version is in force", || {
-            (version(&fleet.entries[0]) == v + 1).then_some(())
+            (config_version(&fleet.entries[0]) == v + 1).then_some(())
         });
     }
     fleet.entries[2]
         .process
         .signal(nix::sys::signal::Signal::SIGCONT);
     wait_for("the resumed entry has the newest version", || {
-        (version(&fleet.entries[2]) == 4).then_some(())
+        (config_version(&fleet.entries[2]) == 4).then_some(())
     });
     for entry in &fleet.entries {
         wait_for("the version is in force", || {
-            (version(entry) == 4).then_some(())
+            (config_version(entry) == 4).then_some(())
         });
         let lines = entry.process.lines();
         let adopted: Vec<u64> = lines
--- a/tests/test_drain.rs
+++ b/tests/test_drain.rs
@@ -13,7 +13,7 @@
 
 fn drain(entry: &Entry, host: &str) -> (u16, Value) {
     let edit = json!({ "ask": "drain", "host": host, "reboot": true, "why": "test" });
-    let answer = entry.edit(&edit);
+    let answer = entry.send_edit(&edit);
     (answer.status, value(&answer))
 }
 
@@ -23,7 +23,7 @@
 }
 
 fn held_by(entry: &Entry, host: &str) -> Vec<String> {
-    let host = entry.admin(&format!("/v1/hosts/{host}"));
+    let host = entry.get_admin(&format!("/v1/hosts/{host}"));
     let names = host["held_by"].as_array().cloned().unwrap_or_default();
     names
         .iter()
@@ -71,11 +71,11 @@
     assert_eq!(count_reboots(&fleet, HOST), 1);
 }
 
-/// A request that runs long at e2 must delay the reboot until it has ended, and is not cut.
+/// A long request that e2 has sent to the host must delay the reboot until the request has ended, and is not cut.
 #[test]
 fn drain_long_request() {
     let fleet = Plan::new(2, 2).with_config(TWO_HOSTS).start();
-    fleet.backends[1].set("refuse", 0);
+    fleet.backends[1].set_fault("refuse", 0);
     let addr = fleet.entries[1].listen;
     let long =
         std::thread::spawn(move || post("/s/route/x", "long").with("x-work-ms", 4_000).to(addr));
@@ -165,7 +165,7 @@
     let fleet = Plan::new(4, 2).start();
     fleet.set_faults(json!({ "cut": ["e2"] }));
     wait_for("e2 has lost the table", || {
-        (fleet.entries[1].admin("/v1/status")["store"] == "down").then_some(())
+        (fleet.entries[1].get_admin("/v1/status")["store"] == "down").then_some(())
     });
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_state(&fleet.entries[1], HOST, "draining");
@@ -183,13 +183,13 @@
 fn relayed_fleet() -> (Fleet, [Relay; 2]) {
     let mut fleet = Plan::new(4, 0).without_config().start();
     let peers = [free_addr(), free_addr()];
-    let relays = [Relay::to(peers[0]), Relay::to(peers[1])];
+    let relays = [Relay::start(peers[0]), Relay::start(peers[1])];
     let e1 = fleet.start_entry("e1", peers[0], &[relays[1].addr]);
     let e2 = fleet.start_entry("e2", peers[1], &[relays[0].addr]);
     e1.wait_ready();
     e2.wait_ready();
     fleet.entries = vec![e1, e2];
-    fleet.apply(0, CONFIG);
+    fleet.apply_config(0, CONFIG);
     fleet.wait_settled();
     (fleet, relays)
 }
@@ -200,7 +200,7 @@
     let (fleet, relays) = relayed_fleet();
     relays.iter().for_each(Relay::cut);
     wait_for("e1 has lost e2", || {
-        (fleet.entries[0].logged("peer-lost") > 0).then_some(())
+        (fleet.entries[0].count_logged("peer-lost") > 0).then_some(())
     });
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_for("h1 is rebooted", || {
@@ -248,7 +248,7 @@
             let body = json!({ "entries": ["e2"] }).to_string();
             post("/control/ended", &body).to(fleet.platform);
         } else {
-            let out = fleet.entries[0].command(&["forget", "e2"]);
+            let out = fleet.entries[0].run_command(&["forget", "e2"]);
             assert!(out.status.success(), "{out:?}");
         }
         wait_for("h1 is rebooted", || {
@@ -257,7 +257,8 @@
     }
 }
 
-/// The platform's list of hosts lags by 3 s: entries must stop sending to the drained host before the list shows it.
+/// The platform's list of hosts lags by 3 s: entries must stop sending to the drained host before the list
+/// shows the host as gone.
 #[test]
 fn drain_lagging_list() {
     let fleet = Plan::new(4, 2)
@@ -290,7 +291,7 @@
     fleet.entries[1].process.signal(Signal::SIGSTOP);
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_state(&fleet.entries[0], HOST, "draining");
-    let back = fleet.entries[0].edit(&json!({ "ask": "return", "host": HOST }));
+    let back = fleet.entries[0].send_edit(&json!({ "ask": "return", "host": HOST }));
     assert_eq!(back.status, 200, "{}", text(&back));
     wait_state(&fleet.entries[0], HOST, "serving");
     fleet.entries[1].process.signal(Signal::SIGCONT);
@@ -307,7 +308,7 @@
     for host in ["h1", "h2"] {
         let edit = json!({ "ask": "drain", "host": host, "reboot": false, "why": "test" });
         let answer = wait_for("no other change of the pool is under way", || {
-            let answer = entry.edit(&edit);
+            let answer = entry.send_edit(&edit);
             (answer.status != 409 || !text(&answer).contains("under way")).then_some(answer)
         });
         assert_eq!(answer.status, 200, "{}", text(&answer));
@@ -323,8 +324,8 @@
     );
     fleet.set_faults(json!({ "down": true }));
     wait_for("the outage is seen", || {
-        (entry.admin("/v1/status")["store"] == "down").then_some(())
+        (entry.get_admin("/v1/status")["store"] == "down").then_some(())
     });
     let edit = json!({ "ask": "return", "host": "h1" });
-    assert_eq!(entry.edit(&edit).status, 503);
+    assert_eq!(entry.send_edit(&edit).status, 503);
 }
--- a/tests/test_edge.rs
+++ b/tests/test_edge.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::{get, post, value, Plan};
 
-/// Sends raw bytes and reads until the entry closes or stays silent.
+/// Sends raw bytes, and reads until the entry closes the connection or sends nothing for 3 s.
 fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream
@@ -154,7 +154,7 @@
         let got = send_raw(addr, &bytes);
         assert!(got.starts_with("HTTP/1.1 400 "), "{got:?}");
     }
-    // The codec does not wait for the rest of a trailer that arrives in pieces.
+    // The codec does not wait for the rest of a trailer that arrives in pieces, so the entry must.
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream.write_all(head.as_bytes()).expect("sent");
     stream.write_all(b"X-T: ").expect("sent");
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::rows::{intake_parts, intake_parts_of, pool_of_part, SHARDS};
 use standin::fleet::Fleet;
 
-use crate::test_serve::{job_state, start_entry, status, submit, wait_until};
+use crate::test_serve::{get_status, job_state, start_entry, submit, wait_until};
 use crate::world::{job, World};
 
 #[test]
@@ -69,7 +69,7 @@
     assert_eq!(job_state(one.callers, id), "completed");
     assert_eq!(fleet.starts(), 9, "no task ran twice");
     fleet.set_unavailable_parts(&[first, second]);
-    assert_eq!(status(one.callers, &format!("/q/{id}")), Some(504));
+    assert_eq!(get_status(one.callers, &format!("/q/{id}")), Some(504));
 }
 
 /// A job that is stored in two partitions runs once. It is removed from both before its progress is, or it would be
@@ -105,7 +105,7 @@
     wait_until("owned", || job_state(one.callers, before) == "completed");
     fleet.set_operator_unavailable(true);
     wait_until("noticed", || fleet.operator_calls_refused() > 3);
-    assert_eq!(status(one.ready, "/readyz"), Some(200));
+    assert_eq!(get_status(one.ready, "/readyz"), Some(200));
     assert_eq!(submit(one.callers, id, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, id) == "completed");
     fleet.set_operator_unavailable(false);
--- a/tests/test_jobs.rs
+++ b/tests/test_jobs.rs
@@ -29,12 +29,14 @@
     })
 }
 
-fn starts(fleet: &Fleet, id: &str) -> u64 {
+fn count_starts(fleet: &Fleet, id: &str) -> u64 {
     fleet.stats()["starts"][id].as_u64().unwrap_or(0)
 }
 
 fn wait_started(fleet: &Fleet, id: &str) {
-    wait_for("the task starts", || (starts(fleet, id) == 1).then_some(()));
+    wait_for("the task starts", || {
+        (count_starts(fleet, id) == 1).then_some(())
+    });
 }
 
 fn cancel(fleet: &Fleet, entry: usize, id: &str) -> Answer {
@@ -53,7 +55,7 @@
         .collect();
     for id in &ids {
         wait_state(&fleet, 0, id, "done");
-        assert_eq!(starts(&fleet, id), 1, "{id}");
+        assert_eq!(count_starts(&fleet, id), 1, "{id}");
     }
 }
 
@@ -64,7 +66,7 @@
     let id = submit(&fleet, 0, &job_spec(300, "done", false));
     fleet.entries[0].process.signal(Signal::SIGKILL);
     wait_state(&fleet, 1, &id, "done");
-    assert_eq!(starts(&fleet, &id), 1);
+    assert_eq!(count_starts(&fleet, &id), 1);
 }
 
 /// The answers to the start of a task are lost: the repeated start must not run it a second time.
@@ -74,7 +76,7 @@
     fleet.set_faults(json!({ "lose_task_answers": 2 }));
     let id = submit(&fleet, 0, &job_spec(500, "done", false));
     wait_state(&fleet, 0, &id, "done");
-    assert_eq!(starts(&fleet, &id), 1);
+    assert_eq!(count_starts(&fleet, &id), 1);
 }
 
 /// The answer to the commit of a job is lost: the job must be accepted once and run once.
@@ -84,7 +86,7 @@
     fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "job/" }));
     let id = submit(&fleet, 0, &job_spec(100, "done", false));
     wait_state(&fleet, 1, &id, "done");
-    assert_eq!(starts(&fleet, &id), 1);
+    assert_eq!(count_starts(&fleet, &id), 1);
 }
 
 #[test]
@@ -100,7 +102,7 @@
             .to_string();
         fleet.set_host_status(&host, "gone");
         wait_state(&fleet, 0, &id, state);
-        assert_eq!(starts(&fleet, &id), times, "repeatable {repeatable}");
+        assert_eq!(count_starts(&fleet, &id), times, "repeatable {repeatable}");
         fleet.set_host_status(&host, "live");
         fleet.wait_settled();
     }
@@ -117,7 +119,7 @@
     std::thread::sleep(std::time::Duration::from_secs(12));
     each(Signal::SIGCONT);
     wait_state(&fleet, 0, &id, "unknown");
-    assert_eq!(starts(&fleet, &id), 1);
+    assert_eq!(count_starts(&fleet, &id), 1);
 }
 
 #[test]
@@ -153,7 +155,7 @@
         (answer.status == 200).then_some(answer)
     });
     assert_eq!(value(&answer)["state"], "cancelled", "{}", text(&answer));
-    assert_eq!(starts(&fleet, &waiting), 0);
+    assert_eq!(count_starts(&fleet, &waiting), 0);
 }
 
 #[test]
@@ -189,7 +191,7 @@
     assert_eq!(theirs.to(entry).status, 404, "another account's job");
     fleet.set_faults(json!({ "down": true }));
     wait_for("the outage is seen", || {
-        (fleet.entries[0].admin("/v1/status")["store"] == "down").then_some(())
+        (fleet.entries[0].get_admin("/v1/status")["store"] == "down").then_some(())
     });
     let answer = post("/jobs", &job_spec(10, "done", false).to_string()).to(entry);
     assert_eq!(
@@ -220,7 +222,7 @@
     );
     let id = value(&first)["job"].as_str().expect("an id").to_string();
     wait_state(&fleet, 0, &id, "done");
-    assert_eq!(starts(&fleet, &id), 1);
+    assert_eq!(count_starts(&fleet, &id), 1);
 }
 
 #[test]
@@ -229,7 +231,7 @@
     // A job that fails wherever it runs is given up: the failure is the job's own.
     let bad = submit(&fleet, 0, &job_spec(50, "failed", true));
     let failed_job = wait_state(&fleet, 0, &bad, "failed");
-    assert_eq!(starts(&fleet, &bad), 3);
+    assert_eq!(count_starts(&fleet, &bad), 3);
     assert_eq!(failed_job["failed_on"].as_array().map(Vec::len), Some(2));
     // A host that fails every job is avoided after a few failures, and the jobs succeed elsewhere.
     let payload = json!({ "run_ms": 50, "fail_on": ["h2"] }).to_string();
@@ -238,12 +240,12 @@
     for id in &ids {
         wait_state(&fleet, 0, id, "done");
     }
-    let on_bad = ids.iter().filter(|id| starts(&fleet, id) > 1).count();
+    let on_bad = ids.iter().filter(|id| count_starts(&fleet, id) > 1).count();
     assert!(
         (1..=8).contains(&on_bad),
         "{on_bad} jobs went to the bad host"
     );
-    assert_eq!(fleet.entries[0].logged("host-fails-jobs"), 1);
+    assert_eq!(fleet.entries[0].count_logged("host-fails-jobs"), 1);
 }
 
 #[test]
@@ -264,7 +266,7 @@
         "both jobs are placed on one host"
     );
     let edit = json!({ "ask": "drain", "host": host, "reboot": true, "why": "test" });
-    assert_eq!(fleet.entries[0].edit(&edit).status, 200);
+    assert_eq!(fleet.entries[0].send_edit(&edit).status, 200);
     wait_for("the repeatable job moves", || {
         let at = get_job(&fleet, 0, &moves)["host"].clone();
         (at.is_string() && at != host.as_str()).then_some(())
@@ -274,6 +276,6 @@
     wait_for("the host is rebooted", || {
         (fleet.stats()["reboots"][&host] == 1).then_some(())
     });
-    assert_eq!(starts(&fleet, &stays), 1);
+    assert_eq!(count_starts(&fleet, &stays), 1);
     assert_eq!(fleet.stats()["reboots_over_tasks"], 0);
 }
--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -18,86 +18,101 @@
     ("dock", &["dock-key"]),
 ];
 
-fn start() -> (Fleet, Entry) {
+fn start_fleet() -> (Fleet, Entry) {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
     let one = start_entry(&fleet, "e1");
     (fleet, one)
 }
 
-fn body(spec: &str) -> Value {
+fn job_body(spec: &str) -> Value {
     json!({"spec": spec, "steps": [{"count": 1, "cpu": 500, "mem_mb": 100, "estimate_ms": 50}]})
 }
 
-fn status(to: SocketAddr, method: Method, path: &str, key: Option<&str>) -> u16 {
+fn call_status(to: SocketAddr, method: Method, path: &str, key: Option<&str>) -> u16 {
     let headers: Vec<(&str, &str)> = key.into_iter().map(|key| ("x-api-key", key)).collect();
-    let answer = call_with(to, method, path, &body("work"), &headers);
+    let answer = call_with(to, method, path, &job_body("work"), &headers);
     answer.expect("an answer").status
 }
 
 #[test]
 fn keys_required() {
-    let (fleet, one) = start();
+    let (fleet, one) = start_fleet();
     let to = one.callers;
     let path = format!("/q/{JOB}");
-    assert_eq!(status(to, Method::Post, &path, None), 401);
-    assert_eq!(status(to, Method::Post, &path, Some("no-key")), 401);
-    assert_eq!(status(to, Method::Get, &path, Some("shop-key-")), 401);
-    assert_eq!(status(to, Method::Get, "/q/", None), 401);
+    assert_eq!(call_status(to, Method::Post, &path, None), 401);
+    assert_eq!(call_status(to, Method::Post, &path, Some("no-key")), 401);
+    assert_eq!(call_status(to, Method::Get, &path, Some("shop-key-")), 401);
+    assert_eq!(call_status(to, Method::Get, "/q/", None), 401);
     assert_eq!(
-        status(to, Method::Get, "/elsewhere/", None),
+        call_status(to, Method::Get, "/elsewhere/", None),
         404,
         "an unknown queue is reported before a missing key"
     );
-    assert_eq!(status(to, Method::Post, &path, Some("shop-key-1")), 200);
-    assert_eq!(status(to, Method::Get, "/q/", Some("dock-key")), 200);
+    assert_eq!(
+        call_status(to, Method::Post, &path, Some("shop-key-1")),
+        200
+    );
+    assert_eq!(call_status(to, Method::Get, "/q/", Some("dock-key")), 200);
     wait_until("completed", || fleet.starts() == 1);
 }
 
 #[test]
 fn keys_public_queue() {
-    let (fleet, one) = start();
+    let (fleet, one) = start_fleet();
     let path = format!("/open/{JOB}");
-    assert_eq!(status(one.callers, Method::Post, &path, None), 200);
-    assert_eq!(status(one.callers, Method::Get, &path, Some("no-key")), 200);
+    assert_eq!(call_status(one.callers, Method::Post, &path, None), 200);
+    assert_eq!(
+        call_status(one.callers, Method::Get, &path, Some("no-key")),
+        200
+    );
     wait_until("completed", || fleet.starts() == 1);
 }
 
 #[test]
 fn keys_other_account() {
-    let (_fleet, one) = start();
+    let (_fleet, one) = start_fleet();
     let to = one.callers;
     let path = format!("/q/{JOB}");
-    assert_eq!(status(to, Method::Post, &path, Some("shop-key-1")), 200);
+    assert_eq!(
+        call_status(to, Method::Post, &path, Some("shop-key-1")),
+        200
+    );
     for other in [Some("dock-key"), None] {
         let queue = if other.is_some() { "q" } else { "open" };
         let path = format!("/{queue}/{JOB}");
-        assert_eq!(status(to, Method::Get, &path, other), 410);
-        assert_eq!(status(to, Method::Delete, &path, other), 410);
+        assert_eq!(call_status(to, Method::Get, &path, other), 410);
+        assert_eq!(call_status(to, Method::Delete, &path, other), 410);
         assert_eq!(
-            status(to, Method::Post, &path, other),
+            call_status(to, Method::Post, &path, other),
             503,
             "the id is taken, and the answer does not reveal it"
         );
     }
-    assert_eq!(status(to, Method::Get, &path, Some("shop-key-2")), 200);
-    assert_eq!(status(to, Method::Delete, &path, Some("shop-key-2")), 200);
+    assert_eq!(call_status(to, Method::Get, &path, Some("shop-key-2")), 200);
+    assert_eq!(
+        call_status(to, Method::Delete, &path, Some("shop-key-2")),
+        200
+    );
 }
 
 #[test]
 fn keys_revoked() {
-    let (fleet, one) = start();
+    let (fleet, one) = start_fleet();
     let to = one.callers;
     let path = format!("/q/{JOB}");
-    assert_eq!(status(to, Method::Post, &path, Some("shop-key-1")), 200);
+    assert_eq!(
+        call_status(to, Method::Post, &path, Some("shop-key-1")),
+        200
+    );
     let left: [(&str, &[&str]); 2] = [("shop", &["shop-key-2"]), ("dock", &[])];
     fleet.configure_accounts(2, POOL, &left);
     wait_until("revoked", || {
-        status(to, Method::Get, &path, Some("shop-key-1")) == 401
+        call_status(to, Method::Get, &path, Some("shop-key-1")) == 401
     });
-    assert_eq!(status(to, Method::Get, &path, Some("dock-key")), 401);
+    assert_eq!(call_status(to, Method::Get, &path, Some("dock-key")), 401);
     assert_eq!(
-        status(to, Method::Post, &path, Some("shop-key-2")),
+        call_status(to, Method::Post, &path, Some("shop-key-2")),
         200,
         "the same job with another key of its account"
     );
@@ -119,15 +134,19 @@
         &["--config-within-ms", "800", "--config-outage-ms", "800"],
     );
     let to = one.callers;
-    let get = |path: &str, key| status(to, Method::Get, path, Some(key));
+    let get = |path: &str, key| call_status(to, Method::Get, path, Some(key));
     assert_eq!(get("/elsewhere/", "shop-key-1"), 404);
     assert_eq!(get("/q/", "no-key"), 401);
     fleet.set_store_fault(StoreFault::Mute);
-    wait_until("unsure", || get("/elsewhere/", "shop-key-1") == 503);
+    wait_until("the configuration is outdated", || {
+        get("/elsewhere/", "shop-key-1") == 503
+    });
     assert_eq!(get("/q/", "no-key"), 503);
     assert_eq!(get(&format!("/q/{JOB}"), "shop-key-1"), 503);
     fleet.set_store_fault(StoreFault::None);
-    wait_until("sure", || get("/elsewhere/", "shop-key-1") == 404);
+    wait_until("the configuration is current again", || {
+        get("/elsewhere/", "shop-key-1") == 404
+    });
 }
 
 /// The feed returns one row per answer and answers slowly: an entry that has not read the newest configuration yet must
@@ -150,11 +169,11 @@
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     for _ in 0..20 {
-        let answer = status(to, Method::Get, "/q/", Some("shop-key-1"));
+        let answer = call_status(to, Method::Get, "/q/", Some("shop-key-1"));
         assert!(answer == 503 || answer == 401, "{answer}");
         std::thread::sleep(std::time::Duration::from_millis(30));
     }
-    wait_until("sure", || {
-        status(to, Method::Get, "/q/", Some("shop-key-1")) == 401
+    wait_until("the newest configuration is read", || {
+        call_status(to, Method::Get, "/q/", Some("shop-key-1")) == 401
     });
 }
--- a/tests/test_links.rs
+++ b/tests/test_links.rs
@@ -14,16 +14,17 @@
 const TIMEOUT_MS: u64 = 300;
 
 /// The number of connections that are open when they fall silent.
-const OPEN: usize = 3;
+const OPEN_CONNECTIONS: usize = 3;
 
-/// A server whose first [`OPEN`] connections can be made silent.
+/// A server whose first [`OPEN_CONNECTIONS`] connections can be made silent.
 struct Peer {
     addr: SocketAddr,
     is_silent: Arc<AtomicBool>,
 }
 
 impl Peer {
-    /// Starts the server. It answers the first [`OPEN`] requests together, so that each takes its own connection.
+    /// Starts the server. It answers the first [`OPEN_CONNECTIONS`] requests together, so that each takes its own
+    /// connection.
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let peer = Self {
@@ -32,10 +33,10 @@
         };
         let is_silent = Arc::clone(&peer.is_silent);
         std::thread::spawn(move || {
-            let barrier = Arc::new(Barrier::new(OPEN));
+            let barrier = Arc::new(Barrier::new(OPEN_CONNECTIONS));
             for (n, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-                let barrier = (n < OPEN).then(|| Arc::clone(&barrier));
-                let falls_silent = (n < OPEN).then(|| Arc::clone(&is_silent));
+                let barrier = (n < OPEN_CONNECTIONS).then(|| Arc::clone(&barrier));
+                let falls_silent = (n < OPEN_CONNECTIONS).then(|| Arc::clone(&is_silent));
                 std::thread::spawn(move || serve(stream, barrier, falls_silent));
             }
         });
--- a/tests/test_load.rs
+++ b/tests/test_load.rs
@@ -83,7 +83,7 @@
         .start();
     std::thread::scope(|s| {
         let batch = s.spawn(|| send_load(&fleet, 32, 8, "batch", 20_000));
-        wait_for("batch is at work", || {
+        wait_for("batch requests are in flight", || {
             (fleet.backends[0].stats()["in_flight"].as_u64() > Some(0)).then_some(())
         });
         let (urgent, slowest) = send_load(&fleet, 4, 6, "urgent", 2_000);
@@ -101,7 +101,7 @@
         "rate_per_s = 10\nburst = 10\nname = \"other\"",
     );
     let fleet = Plan::new(4, 2).start();
-    fleet.apply(1, &text);
+    fleet.apply_config(1, &text);
     let began = Instant::now();
     let mut counts: BTreeMap<u16, u32> = BTreeMap::new();
     for n in 0..120 {
@@ -129,7 +129,7 @@
 }
 
 /// Sends repeatable requests and returns the share of answers other than 200, in percent.
-fn failing_percent(fleet: &Fleet, requests: usize) -> usize {
+fn measure_failing_percent(fleet: &Fleet, requests: usize) -> usize {
     let client = Client::new(fleet.entries[0].listen);
     let failed = (0..requests)
         .filter(|_| {
@@ -143,13 +143,14 @@
 
 #[test]
 fn load_bad_backends() {
-    // One of four backend servers fails, closes or refuses every request. Its fast answers must not attract more work.
+    // One of four backend servers fails, closes or refuses every request. Its fast failures must not attract more work.
+    // A refusal is no fault, so only the first two kinds lead to an ejection.
     for fault in ["fail", "close", "refuse"] {
         let fleet = Plan::new(4, 1).without_config().start();
-        fleet.backends[0].set(fault, 0);
-        failing_percent(&fleet, 100);
+        fleet.backends[0].set_fault(fault, 0);
+        measure_failing_percent(&fleet, 100);
         let before = fleet.backends[0].stats();
-        assert!(failing_percent(&fleet, 200) <= 5, "{fault}");
+        assert!(measure_failing_percent(&fleet, 200) <= 5, "{fault}");
         let after = fleet.backends[0].stats();
         let asked = |s: &serde_json::Value| {
             s["runs"].as_u64().unwrap_or(0) + s["refused"].as_u64().unwrap_or(0)
@@ -158,14 +159,14 @@
         if fault != "refuse" {
             assert!(attracted <= 10, "{fault}: {attracted} of 200");
             // A separate thread writes the log, so the line may come a moment later.
-            wait_for("its ejection is logged", || {
-                (fleet.entries[0].logged("backend-ejected") > 0).then_some(())
+            wait_for("the ejection is logged", || {
+                (fleet.entries[0].count_logged("backend-ejected") > 0).then_some(())
             });
         }
-        fleet.backends[0].set("none", 0);
+        fleet.backends[0].set_fault("none", 0);
         let before = asked(&fleet.backends[0].stats());
         wait_for("the backend server gets work again", || {
-            failing_percent(&fleet, 20);
+            measure_failing_percent(&fleet, 20);
             (asked(&fleet.backends[0].stats()) > before + 20).then_some(())
         });
     }
@@ -175,7 +176,7 @@
 #[test]
 fn load_hanging_backend() {
     let fleet = Plan::new(4, 1).without_config().start();
-    fleet.backends[0].set("hang", 0);
+    fleet.backends[0].set_fault("hang", 0);
     let client = Client::new(fleet.entries[0].listen);
     let mut failed = 0;
     for _ in 0..60 {
@@ -184,14 +185,14 @@
         failed += u32::from(answer.status != 200);
     }
     assert!(failed <= 6, "{failed} of 60");
-    assert!(fleet.entries[0].logged("backend-ejected") > 0);
+    assert!(fleet.entries[0].count_logged("backend-ejected") > 0);
 }
 
 #[test]
 fn load_all_fail() {
     // All backend servers fail: at most half of them are ejected, and each answer is passed on unchanged.
     let fleet = Plan::new(4, 1).without_config().start();
-    fleet.backends.iter().for_each(|b| b.set("fail", 0));
+    fleet.backends.iter().for_each(|b| b.set_fault("fail", 0));
     for _ in 0..100 {
         let answer = post("/s/route/x", "b").to(fleet.entries[0].listen);
         assert_eq!(
@@ -199,16 +200,16 @@
             (500, Some("yes"))
         );
     }
-    fleet.backends.iter().for_each(|b| b.set("none", 0));
-    assert_eq!(failing_percent(&fleet, 40), 0);
+    fleet.backends.iter().for_each(|b| b.set_fault("none", 0));
+    assert_eq!(measure_failing_percent(&fleet, 40), 0);
 }
 
 #[test]
 fn load_retry_budget() {
-    // Under every fault the attempts exceed the requests by at most a tenth and the saved retries.
+    // Under every fault the attempts exceed the requests by at most a tenth, the 10 saved retries, and 10 a second.
     for fault in ["fail", "close", "refuse", "garbage"] {
         let fleet = Plan::new(4, 1).without_config().start();
-        fleet.backends.iter().for_each(|b| b.set(fault, 0));
+        fleet.backends.iter().for_each(|b| b.set_fault(fault, 0));
         let requests = 200;
         let began = Instant::now();
         for _ in 0..requests {
@@ -233,23 +234,23 @@
 
 #[test]
 fn load_hall_gone() {
-    // Half of the hosts are lost at once: after the loss is seen, retries hide it from callers.
+    // Half of the hosts are lost at once: after the entries have seen the loss, no repeatable request fails.
     let fleet = Plan::new(4, 2).start();
     for host in ["h3", "h4"] {
         fleet.set_host_status(host, "gone");
     }
     for b in &fleet.backends[2..] {
-        b.set("close", 0);
+        b.set_fault("close", 0);
     }
-    failing_percent(&fleet, 20);
+    measure_failing_percent(&fleet, 20);
     wait_for("the loss is seen", || {
         fleet
             .entries
             .iter()
-            .all(|e| e.logged("host-lost") >= 2)
+            .all(|e| e.count_logged("host-lost") >= 2)
             .then_some(())
     });
-    assert_eq!(failing_percent(&fleet, 100), 0);
+    assert_eq!(measure_failing_percent(&fleet, 100), 0);
 }
 
 #[test]
@@ -263,7 +264,7 @@
     post("/control/reset-peak", "").to(fleet.platform);
     fleet.clear_faults();
     wait_for("the table is back", || {
-        let ok = |e: &crate::fleet::Entry| e.admin("/v1/status")["store"] == "ok";
+        let ok = |e: &crate::fleet::Entry| e.get_admin("/v1/status")["store"] == "ok";
         fleet.entries.iter().all(ok).then_some(())
     });
     std::thread::sleep(Duration::from_secs(3));
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -67,7 +67,7 @@
     published_seq: u64,
     in_flight: HashMap<String, u32>,
     is_suspended: bool,
-    version: u64,
+    adopted_version: u64,
     /// Holds, for each open transaction, the hosts that the entry believed live when it decided.
     live_at_decision: HashMap<TxnKey, BTreeSet<String>>,
 }
@@ -86,7 +86,7 @@
             published_seq: 0,
             in_flight: HashMap::new(),
             is_suspended: false,
-            version: 0,
+            adopted_version: 0,
             live_at_decision: HashMap::new(),
         }
     }
@@ -108,7 +108,7 @@
             .collect()
     }
 
-    fn busy(&self) -> Vec<String> {
+    fn busy_hosts(&self) -> Vec<String> {
         let routed = self.routed_hosts();
         let held = self.in_flight.iter().filter(|(_, n)| **n > 0);
         held.map(|(h, _)| h.clone())
@@ -121,7 +121,7 @@
 struct PlatformTask {
     attempt: u32,
     host: String,
-    running: bool,
+    is_running: bool,
     repeatable: bool,
     starts: u32,
 }
@@ -135,13 +135,13 @@
     host_infos: Vec<HostInfo>,
     reboot_tokens: BTreeSet<String>,
     tasks: BTreeMap<String, PlatformTask>,
-    fenced: HashMap<String, u32>,
+    fenced_attempts: HashMap<String, u32>,
     reports: Vec<TaskReport>,
-    accepted: BTreeSet<String>,
+    accepted_jobs: BTreeSet<String>,
     final_states: BTreeMap<String, rockwick::core::rows::JobState>,
     tickets: u64,
     reboots: usize,
-    grants: usize,
+    drain_grants: usize,
 }
 
 impl World {
@@ -176,13 +176,13 @@
             host_infos,
             reboot_tokens: BTreeSet::new(),
             tasks: BTreeMap::new(),
-            fenced: HashMap::new(),
+            fenced_attempts: HashMap::new(),
             reports: Vec::new(),
-            accepted: BTreeSet::new(),
+            accepted_jobs: BTreeSet::new(),
             final_states: BTreeMap::new(),
             tickets: 0,
             reboots: 0,
-            grants: 0,
+            drain_grants: 0,
         }
     }
 
@@ -193,7 +193,7 @@
             .and_then(|r| decode(r).expect("the entries' rows decode"))
     }
 
-    fn feed(&mut self, at: usize, event: Event) {
+    fn apply_event(&mut self, at: usize, event: Event) {
         let e = &mut self.entries[at];
         for effect in reduce(&mut e.state, event, self.now) {
             match effect {
@@ -201,7 +201,7 @@
                 Effect::Log(_) => {}
                 Effect::Answer { result, .. } => {
                     if let Ok(Reply::Job(id)) = result {
-                        self.accepted.insert(id);
+                        self.accepted_jobs.insert(id);
                     }
                 }
                 other => {
@@ -216,19 +216,19 @@
             e.published_seq = e.state.seq;
         }
         assert!(
-            e.state.config_version >= e.version,
+            e.state.config_version >= e.adopted_version,
             "a configuration never reverts"
         );
-        e.version = e.state.config_version;
+        e.adopted_version = e.state.config_version;
     }
 
     fn tick(&mut self, at: usize) {
         let e = &self.entries[at];
         let event = Event::Tick {
             published_seq: e.published_seq,
-            busy: e.busy(),
+            busy: e.busy_hosts(),
         };
-        self.feed(at, event);
+        self.apply_event(at, event);
     }
 
     /// Executes one random effect that the entry asked for and queues the resulting event for it.
@@ -266,7 +266,7 @@
                 Event::Committed { txn, outcome }
             }
             Effect::StartTask(start) => {
-                let answer = self.start(&start);
+                let answer = self.start_task(&start);
                 let task = TaskRef {
                     job: start.job,
                     attempt: start.attempt,
@@ -277,7 +277,7 @@
                 }
             }
             Effect::StopTask(task) => {
-                let answer = self.stop(&task);
+                let answer = self.stop_task(&task);
                 Event::StopAnswered {
                     task,
                     answer: (!lost).then_some(answer),
@@ -285,7 +285,7 @@
             }
             Effect::Reboot { host, token } => {
                 if !lost {
-                    self.reboot(&host, token);
+                    self.reboot_host(&host, token);
                 }
                 let accepted = !lost;
                 Event::RebootAnswered { host, accepted }
@@ -331,7 +331,7 @@
             let Some(pool) = row.pool.as_ref().filter(|_| granted) else {
                 continue;
             };
-            self.grants += 1;
+            self.drain_grants += 1;
             let head: HeadRow = self
                 .row(HEAD_KEY)
                 .expect("a pool exists only under a configuration");
@@ -372,7 +372,7 @@
         }
     }
 
-    fn start(&mut self, start: &TaskStart) -> OrderAnswer {
+    fn start_task(&mut self, start: &TaskStart) -> OrderAnswer {
         let job: JobRow = self
             .row(&format!("job/{}", start.job))
             .expect("committed before");
@@ -387,7 +387,7 @@
             return OrderAnswer::Accepted;
         }
         let fenced = self
-            .fenced
+            .fenced_attempts
             .get(&start.job)
             .is_some_and(|f| *f >= start.attempt);
         if task.attempt >= start.attempt || fenced {
@@ -396,11 +396,15 @@
         if !live {
             return OrderAnswer::NoHost;
         }
-        assert!(!task.running, "job {} would run twice at once", start.job);
+        assert!(
+            !task.is_running,
+            "job {} would run twice at once",
+            start.job
+        );
         *task = PlatformTask {
             attempt: start.attempt,
             host: start.host.clone(),
-            running: true,
+            is_running: true,
             repeatable: job.spec.repeatable,
             starts: task.starts + 1,
         };
@@ -409,31 +413,31 @@
             "{} may not be repeated",
             start.job
         );
-        self.report(&start.job, TaskState::Running);
+        self.report_task(&start.job, TaskState::Running);
         OrderAnswer::Accepted
     }
 
-    fn stop(&mut self, task: &TaskRef) -> OrderAnswer {
+    fn stop_task(&mut self, task: &TaskRef) -> OrderAnswer {
         let known = self
             .tasks
             .get_mut(&task.job)
             .filter(|t| t.attempt == task.attempt);
         match known {
-            Some(t) if t.running => {
-                t.running = false;
-                self.report(&task.job, TaskState::Stopped);
+            Some(t) if t.is_running => {
+                t.is_running = false;
+                self.report_task(&task.job, TaskState::Stopped);
                 OrderAnswer::Accepted
             }
             Some(_) => OrderAnswer::AlreadyEnded,
             None => {
-                let fence = self.fenced.entry(task.job.clone()).or_default();
+                let fence = self.fenced_attempts.entry(task.job.clone()).or_default();
                 *fence = (*fence).max(task.attempt);
                 OrderAnswer::NeverStarted
             }
         }
     }
 
-    fn report(&mut self, job: &str, state: TaskState) {
+    fn report_task(&mut self, job: &str, state: TaskState) {
         let t = &self.tasks[job];
         self.reports.push(TaskReport {
             job: job.to_string(),
@@ -444,7 +448,7 @@
         });
     }
 
-    fn reboot(&mut self, host: &str, token: String) {
+    fn reboot_host(&mut self, host: &str, token: String) {
         if !self.reboot_tokens.insert(token) {
             return;
         }
@@ -462,7 +466,7 @@
         let tasks = self
             .tasks
             .iter()
-            .filter(|(_, t)| t.running && t.host == host);
+            .filter(|(_, t)| t.is_running && t.host == host);
         assert_eq!(tasks.count(), 0, "{host} is rebooted over a task");
         let info = self
             .host_infos
@@ -472,7 +476,7 @@
         info.boots += 1;
     }
 
-    fn edit(&mut self, at: usize) {
+    fn request_random_edit(&mut self, at: usize) {
         let host = format!("h{}", self.rng.usize(..HOSTS));
         let pool = ["one", "two"][self.rng.usize(..2)].to_string();
         let edit = match self.rng.u32(0..12) {
@@ -508,7 +512,7 @@
                 ),
             },
             6 => {
-                let ids: Vec<&String> = self.accepted.iter().collect();
+                let ids: Vec<&String> = self.accepted_jobs.iter().collect();
                 if ids.is_empty() {
                     return;
                 }
@@ -533,11 +537,11 @@
         };
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
-        self.feed(at, Event::EditRequested { ticket, edit });
+        self.apply_event(at, Event::EditRequested { ticket, edit });
     }
 
-    /// Lets the entry poll another one; one answer in ten is lost.
-    fn poll(&mut self, at: usize) {
+    /// Lets the entry poll a random other entry; one answer in ten is lost.
+    fn poll_peer(&mut self, at: usize) {
         let other = (at + 1 + self.rng.usize(..ENTRIES - 1)) % ENTRIES;
         if self.entries[other].is_suspended {
             return;
@@ -549,7 +553,7 @@
             since: self.entries[at].state.seq,
         };
         let begun_ms = self.now.ms;
-        self.feed(other, event);
+        self.apply_event(other, event);
         let outbox = &mut self.entries[other].outbox;
         let Some(n) = outbox
             .iter()
@@ -578,7 +582,7 @@
     }
 
     /// Delivers one random queued event; one host listing in ten is queued again and so arrives twice.
-    fn deliver(&mut self, at: usize) {
+    fn deliver_event(&mut self, at: usize) {
         let n = self.entries[at].inbox.len();
         if n > 0 {
             let event = self.entries[at].inbox.swap_remove(self.rng.usize(..n));
@@ -588,7 +592,7 @@
                     self.entries[at].inbox.push(again);
                 }
             }
-            self.feed(at, event);
+            self.apply_event(at, event);
         }
     }
 
@@ -638,19 +642,19 @@
         let ended: Vec<String> = self
             .tasks
             .iter_mut()
-            .filter(|(_, t)| t.running && which(t))
+            .filter(|(_, t)| t.is_running && which(t))
             .map(|(job, t)| {
-                t.running = false;
+                t.is_running = false;
                 job.clone()
             })
             .collect();
         for job in ended {
-            self.report(&job, state);
+            self.report_task(&job, state);
         }
     }
 
     /// Checks the invariants that hold at any time against the rows of the table.
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let hosts = self.host_rows();
         for (pool, row) in ["one", "two"].map(|p| (p, self.row::<PoolRow>(&format!("pool/{p}")))) {
             let Some(row) = row else { continue };
@@ -667,7 +671,7 @@
                 "the row of pool {pool} lists the hosts that are out"
             );
         }
-        for id in &self.accepted {
+        for id in &self.accepted_jobs {
             let job: Option<JobRow> = self.row(&format!("job/{id}"));
             let job = job.expect("an accepted job is never lost");
             if let Some(state) = self.final_states.get(id) {
@@ -682,7 +686,7 @@
         let at = self.rng.usize(..ENTRIES);
         let what = self.rng.u32(0..100);
         if self.entries[at].is_suspended && what < 96 {
-            // A suspended entry does nothing, while time passes for the others.
+            // A suspended entry does nothing while time passes. Only `inject_fault` may change it, for example resume it.
             self.now.ms += 50;
             self.now.wall_ms += 50;
             return;
@@ -695,13 +699,13 @@
                 self.tick(at);
             }
             25..=49 => self.execute_effect(at),
-            50..=74 => self.deliver(at),
-            75..=82 => self.poll(at),
+            50..=74 => self.deliver_event(at),
+            75..=82 => self.poll_peer(at),
             83..=89 => self.change_traffic(at),
-            90..=95 => self.edit(at),
+            90..=95 => self.request_random_edit(at),
             _ => self.inject_fault(at),
         }
-        self.check();
+        self.check_invariants();
     }
 
     fn stop_waves(&mut self) {
@@ -715,11 +719,12 @@
             self.tickets += 1;
             let ticket = Ticket(self.tickets);
             let edit = Edit::StopWave { wave };
-            self.feed(0, Event::EditRequested { ticket, edit });
+            self.apply_event(0, Event::EditRequested { ticket, edit });
         }
     }
 
-    /// Ends all faults and checks that every drain, move and job that had begun comes to its end.
+    /// Ends all faults and checks that every drain, move and job that had begun comes to its end, except for hosts that
+    /// an operator keeps out and jobs for which no host is left.
     fn recover(&mut self) {
         for f in &mut self.host_infos {
             f.status = HostStatus::Live;
@@ -734,13 +739,13 @@
                 self.now.ms += 200;
                 self.now.wall_ms += 200;
                 self.tick(at);
-                self.poll(at);
+                self.poll_peer(at);
                 for _ in 0..30 {
                     self.execute_effect(at);
-                    self.deliver(at);
+                    self.deliver_event(at);
                 }
                 self.end_tasks(TaskState::Done, |_| true);
-                self.check();
+                self.check_invariants();
             }
         }
         for (id, row) in self.host_rows() {
@@ -748,7 +753,7 @@
             let held = row.purpose == rockwick::core::rows::Purpose::Hold;
             assert!(is_at_rest || held, "{id} is stuck: {row:?}");
         }
-        for id in &self.accepted {
+        for id in &self.accepted_jobs {
             let job: JobRow = self
                 .row(&format!("job/{id}"))
                 .expect("an accepted job has a row");
@@ -776,7 +781,7 @@
             world.now.ms += 100;
             world.tick(at);
             world.execute_effect(at);
-            world.deliver(at);
+            world.deliver_event(at);
         }
     }
     let edit = Edit::Apply {
@@ -784,7 +789,7 @@
         text: config_text(3, 1, "none"),
     };
     let ticket = Ticket(0);
-    world.feed(0, Event::EditRequested { ticket, edit });
+    world.apply_event(0, Event::EditRequested { ticket, edit });
     for _ in 0..steps {
         world.step();
     }
@@ -794,15 +799,19 @@
 
 #[test]
 fn model_coverage() {
-    // Without reboots, drain grants, jobs and tasks the checks of the model would pass on nothing.
+    // Without reboots, drain grants, jobs and tasks the checks of the model would pass without checking anything.
     let worlds: Vec<World> = (0..60).map(|seed| run(seed, 1_500)).collect();
     let sum = |f: fn(&World) -> usize| worlds.iter().map(f).sum::<usize>();
     assert!(sum(|w| w.reboots) > 50, "{} reboots", sum(|w| w.reboots));
-    assert!(sum(|w| w.grants) > 80, "{} grants", sum(|w| w.grants));
     assert!(
-        sum(|w| w.accepted.len()) > 100,
+        sum(|w| w.drain_grants) > 80,
+        "{} grants",
+        sum(|w| w.drain_grants)
+    );
+    assert!(
+        sum(|w| w.accepted_jobs.len()) > 100,
         "{} jobs",
-        sum(|w| w.accepted.len())
+        sum(|w| w.accepted_jobs.len())
     );
     assert!(
         sum(|w| w.tasks.len()) > 50,
@@ -815,7 +824,7 @@
 const SAVED: [(u64, usize); 6] = [
     // A placement that was not committed kept its capacity and blocked drains for ever.
     (2709426922828149065, 1_073),
-    // A pool took a host that it was giving back for a borrowed one, and repeated this without end.
+    // A pool treated a host that it was giving back as a borrowed host, and repeated this without end.
     (0, 1_500),
     (3259529198519870271, 1_123),
     (4640936066412646744, 1_772),
--- a/tests/test_place.rs
+++ b/tests/test_place.rs
@@ -31,16 +31,16 @@
         let head = serde_json::json!({
             "version": 1, "text": crate::fleet::CONFIG, "by": "e1", "at_ms": 0
         });
-        view.put("config/head", &head);
+        view.put_row("config/head", &head);
         for n in 1..=hosts {
             let row = HostRow {
                 pool: Some("pool".to_string()),
                 state: HostState::Serving,
                 ..HostRow::default()
             };
-            view.put(&format!("host/h{n}"), &row);
+            view.put_row(&format!("host/h{n}"), &row);
         }
-        let facts = (1..=hosts).map(|n| HostInfo {
+        let host_infos = (1..=hosts).map(|n| HostInfo {
             id: format!("h{n}"),
             hall: "a".to_string(),
             rack: format!("a{n}"),
@@ -51,18 +51,18 @@
             backends: Vec::new(),
         });
         let listing = Listing {
-            hosts: facts.collect(),
+            hosts: host_infos.collect(),
             ended_entries: Vec::new(),
         };
         reduce(&mut view.state, Event::HostsRead(Some(listing)), NOW);
-        let me = serde_json::json!({
+        let own_entry = serde_json::json!({
             "incarnation": 1, "state": "live", "peer": "", "hall": "a", "view_seq": 0, "busy": []
         });
-        view.put("entry/e1", &me);
+        view.put_row("entry/e1", &own_entry);
         view
     }
 
-    fn put<T: Serialize>(&mut self, key: &str, body: &T) {
+    fn put_row<T: Serialize>(&mut self, key: &str, body: &T) {
         self.seq += 1;
         let body = serde_json::to_string(body).expect("JSON");
         self.rows.push(Row {
@@ -72,7 +72,14 @@
         });
     }
 
-    fn job(&mut self, id: &str, account: &str, class: Class, cores: u32, waited_ms: u64) {
+    fn put_waiting_job(
+        &mut self,
+        id: &str,
+        account: &str,
+        class: Class,
+        cores: u32,
+        waited_ms: u64,
+    ) {
         self.put_job(id, account, class, cores, waited_ms, None);
     }
 
@@ -108,11 +115,11 @@
             submitted_ms: NOW.wall_ms - waited_ms,
             history: Vec::new(),
         };
-        self.put(&format!("job/{id}"), &row);
+        self.put_row(&format!("job/{id}"), &row);
     }
 
     /// Lets the entry read the view and returns its placements in order, as `job@host`.
-    fn placed(mut self) -> Vec<String> {
+    fn place_jobs(mut self) -> Vec<String> {
         let changes = Changes {
             seq: self.seq,
             rows: self.rows,
@@ -141,13 +148,13 @@
 fn place_order() {
     let mut view = View::new(1);
     view.put_job("busy", "loud", Class::Normal, 2, 0, Some("h1"));
-    view.job("batch", "calm", Class::Batch, 1, 5_000);
-    view.job("loud", "loud", Class::Normal, 1, 9_000);
-    view.job("calm", "calm", Class::Normal, 1, 1_000);
-    view.job("urgent", "loud", Class::Urgent, 1, 0);
+    view.put_waiting_job("batch", "calm", Class::Batch, 1, 5_000);
+    view.put_waiting_job("loud", "loud", Class::Normal, 1, 9_000);
+    view.put_waiting_job("calm", "calm", Class::Normal, 1, 1_000);
+    view.put_waiting_job("urgent", "loud", Class::Urgent, 1, 0);
     let order = ["urgent@h1", "calm@h1", "loud@h1", "batch@h1"];
     assert_eq!(
-        view.placed(),
+        view.place_jobs(),
         order,
         "by class, then the account with fewer cores in use, then age"
     );
@@ -156,10 +163,10 @@
 #[test]
 fn place_old_batch() {
     let mut view = View::new(1);
-    view.job("fresh", "a", Class::Urgent, 1, 0);
-    view.job("old", "a", Class::Batch, 1, 1_300_000);
+    view.put_waiting_job("fresh", "a", Class::Urgent, 1, 0);
+    view.put_waiting_job("old", "a", Class::Batch, 1, 1_300_000);
     assert_eq!(
-        view.placed(),
+        view.place_jobs(),
         ["old@h1", "fresh@h1"],
         "a batch job that waited long goes before an urgent one"
     );
@@ -169,10 +176,10 @@
 fn place_batch_leaves_room() {
     let mut view = View::new(1);
     for n in 0..8 {
-        view.job(&format!("b{n}"), "a", Class::Batch, 1, 0);
+        view.put_waiting_job(&format!("b{n}"), "a", Class::Batch, 1, 0);
     }
     assert_eq!(
-        view.placed().len(),
+        view.place_jobs().len(),
         7,
         "one core in eight stays free for other classes"
     );
@@ -181,9 +188,9 @@
 #[test]
 fn place_large_batch() {
     let mut view = View::new(1);
-    view.job("large", "a", Class::Batch, 8, 0);
+    view.put_waiting_job("large", "a", Class::Batch, 8, 0);
     assert_eq!(
-        view.placed(),
+        view.place_jobs(),
         ["large@h1"],
         "a batch job alone on its host may use all cores"
     );
@@ -199,9 +206,9 @@
         let mut view = View::new(2);
         view.put_job("r1", "b", Class::Normal, 2, 0, Some("h1"));
         view.put_job("r2", "b", Class::Normal, 2, 0, Some("h2"));
-        view.job("large", "a", Class::Normal, 8, waited_ms);
-        view.job("s0", "a", Class::Normal, 1, 0);
-        view.job("s1", "a", Class::Normal, 1, 0);
-        assert_eq!(view.placed(), expected, "waited {waited_ms}");
+        view.put_waiting_job("large", "a", Class::Normal, 8, waited_ms);
+        view.put_waiting_job("s0", "a", Class::Normal, 1, 0);
+        view.put_waiting_job("s1", "a", Class::Normal, 1, 0);
+        assert_eq!(view.place_jobs(), expected, "waited {waited_ms}");
     }
 }
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -10,15 +10,15 @@
 use standin::fleet::{Fleet, StoreFault};
 
 const TIMEOUT_MS: u64 = 5_000;
-const SHORT_MS: u64 = 300;
+const SHORT_TIMEOUT_MS: u64 = 300;
 
-fn fleet() -> (Fleet, Platform) {
+fn start_fleet() -> (Fleet, Platform) {
     let fleet = Fleet::start("pool", 2, 50).expect("it starts");
     let platform = Platform::new(fleet.address, Some(fleet.address));
     (fleet, platform)
 }
 
-fn tx(key: &str, revision: u64, value: &[u8]) -> RowTx {
+fn guarded_write(key: &str, revision: u64, value: &[u8]) -> RowTx {
     RowTx {
         part: "a/b".to_string(),
         guards: vec![Guard {
@@ -36,16 +36,16 @@
 
 #[test]
 fn platform_transactions() {
-    let (fleet, platform) = fleet();
+    let (fleet, platform) = start_fleet();
     smol::block_on(async {
         let first = platform
-            .transact(&tx("k", ABSENT, b"one"), TIMEOUT_MS)
+            .transact(&guarded_write("k", ABSENT, b"one"), TIMEOUT_MS)
             .await;
         let TxOutcome::Committed(revision) = first else {
             panic!("{first:?}");
         };
         let again = platform
-            .transact(&tx("k", ABSENT, b"two"), TIMEOUT_MS)
+            .transact(&guarded_write("k", ABSENT, b"two"), TIMEOUT_MS)
             .await;
         let TxOutcome::Conflict(found) = again else {
             panic!("{again:?}");
@@ -53,14 +53,18 @@
         assert_eq!(found[0].1.value.as_deref(), Some(&b"one"[..]));
         assert_eq!(found[0].1.revision, revision);
         fleet.set_store_fault(StoreFault::Busy);
-        let busy = platform.transact(&tx("l", ABSENT, b""), TIMEOUT_MS).await;
+        let busy = platform
+            .transact(&guarded_write("l", ABSENT, b""), TIMEOUT_MS)
+            .await;
         assert_eq!(busy, TxOutcome::Refused);
         fleet.set_store_fault(StoreFault::Mute);
-        let unanswered = platform.transact(&tx("m", ABSENT, b"done"), SHORT_MS).await;
+        let unanswered = platform
+            .transact(&guarded_write("m", ABSENT, b"done"), SHORT_TIMEOUT_MS)
+            .await;
         assert_eq!(unanswered, TxOutcome::Unknown);
         fleet.set_store_fault(StoreFault::None);
         let after = platform
-            .transact(&tx("m", ABSENT, b"done"), TIMEOUT_MS)
+            .transact(&guarded_write("m", ABSENT, b"done"), TIMEOUT_MS)
             .await;
         assert!(
             matches!(after, TxOutcome::Conflict(_)),
@@ -76,7 +80,9 @@
     drop(dead);
     let platform = Platform::new(address, None);
     smol::block_on(async {
-        let outcome = platform.transact(&tx("k", ABSENT, b""), TIMEOUT_MS).await;
+        let outcome = platform
+            .transact(&guarded_write("k", ABSENT, b""), TIMEOUT_MS)
+            .await;
         assert_eq!(outcome, TxOutcome::Refused, "no byte was sent");
         let read = platform.read_operator_table().await;
         assert_eq!(read.err(), Some(ReadError::Down));
@@ -86,11 +92,11 @@
 
 #[test]
 fn platform_scans_and_feeds() {
-    let (fleet, platform) = fleet();
+    let (fleet, platform) = start_fleet();
     smol::block_on(async {
         for n in 0..5 {
             let outcome = platform
-                .transact(&tx(&format!("k{n}"), ABSENT, b"v"), TIMEOUT_MS)
+                .transact(&guarded_write(&format!("k{n}"), ABSENT, b"v"), TIMEOUT_MS)
                 .await;
             assert!(matches!(outcome, TxOutcome::Committed(_)));
         }
@@ -137,7 +143,7 @@
 
 #[test]
 fn platform_directory() {
-    let (fleet, platform) = fleet();
+    let (fleet, platform) = start_fleet();
     fleet.configure(7, "pool");
     fleet.put(
         "op",
@@ -182,7 +188,7 @@
     });
 }
 
-fn start(run: u32, lease_until_ms: u64) -> RunStart {
+fn run_start(run: u32, lease_until_ms: u64) -> RunStart {
     RunStart {
         task: TaskName {
             job: "0123456789abcdef".to_string(),
@@ -199,15 +205,15 @@
 
 #[test]
 fn platform_orders() {
-    let (_fleet, platform) = fleet();
+    let (_fleet, platform) = start_fleet();
     smol::block_on(async {
         let workers = platform.read_workers().await.expect("read").changes;
-        let Some(WorkerEvent::Present(fact)) = workers.into_iter().next() else {
+        let Some(WorkerEvent::Present(info)) = workers.into_iter().next() else {
             panic!("a worker");
         };
         let to = |fence, worker: &str| OrderTarget {
             worker: worker.to_string(),
-            address: fact.address,
+            address: info.address,
             fence,
         };
         let far_ms = 1_000_000;
@@ -217,37 +223,52 @@
             wait_ms: 0,
         };
         let cases = [
-            (5, fact.id.as_str(), start(1, far_ms), OrderReply::Accepted),
-            (5, fact.id.as_str(), start(1, far_ms), OrderReply::Accepted),
-            (4, fact.id.as_str(), start(2, far_ms), OrderReply::Fenced),
-            (5, fact.id.as_str(), start(2, 0), OrderReply::TooLate),
-            (5, "another", start(2, far_ms), OrderReply::OtherLife),
+            (
+                5,
+                info.id.as_str(),
+                run_start(1, far_ms),
+                OrderReply::Accepted,
+            ),
+            (
+                5,
+                info.id.as_str(),
+                run_start(1, far_ms),
+                OrderReply::Accepted,
+            ),
+            (
+                4,
+                info.id.as_str(),
+                run_start(2, far_ms),
+                OrderReply::Fenced,
+            ),
+            (5, info.id.as_str(), run_start(2, 0), OrderReply::TooLate),
+            (5, "another", run_start(2, far_ms), OrderReply::OtherLife),
         ];
-        for (fence, worker, order, wanted) in cases {
+        for (fence, worker, order, expected) in cases {
             let reply = platform.start(&to(fence, worker), &order, TIMEOUT_MS).await;
             assert_eq!(
-                reply, wanted,
+                reply, expected,
                 "fence {fence} worker {worker} run {}",
                 order.run
             );
         }
         let report = platform
-            .renew_lease(&to(5, &fact.id), renewal, TIMEOUT_MS)
+            .renew_lease(&to(5, &info.id), renewal, TIMEOUT_MS)
             .await
             .expect("a report");
-        assert_eq!(report.running[0].task, start(1, 0).task);
+        assert_eq!(report.running[0].task, run_start(1, 0).task);
         assert_eq!(report.running[0].percent, 100);
         let stop = platform
-            .stop(&to(5, &fact.id), &start(1, 0).task, 1, TIMEOUT_MS)
+            .stop(&to(5, &info.id), &run_start(1, 0).task, 1, TIMEOUT_MS)
             .await;
         assert_eq!(stop, OrderReply::Accepted);
         let report = platform
-            .renew_lease(&to(6, &fact.id), renewal, TIMEOUT_MS)
+            .renew_lease(&to(6, &info.id), renewal, TIMEOUT_MS)
             .await
             .expect("a report");
         assert_eq!((report.running.len(), report.ended.len()), (0, 1));
         let old = platform
-            .renew_lease(&to(5, &fact.id), renewal, TIMEOUT_MS)
+            .renew_lease(&to(5, &info.id), renewal, TIMEOUT_MS)
             .await;
         assert_eq!(old.err(), Some(OrderReply::Fenced));
     });
@@ -267,7 +288,7 @@
         let (mut first, _) = listener.accept().expect("a connection");
         let _ = first.read(&mut bytes).expect("a renewal");
         drop(first);
-        let (mut second, _) = listener.accept().expect("another");
+        let (mut second, _) = listener.accept().expect("a second connection");
         let _ = second.read(&mut bytes).expect("a renewal");
         end_receiver.recv().expect("the test goes on");
     });
@@ -285,7 +306,7 @@
     smol::block_on(async {
         let broken = platform.renew_lease(&to, renewal, TIMEOUT_MS).await;
         assert_eq!(broken.err(), Some(OrderReply::Broken));
-        let silent = platform.renew_lease(&to, renewal, SHORT_MS).await;
+        let silent = platform.renew_lease(&to, renewal, SHORT_TIMEOUT_MS).await;
         assert_eq!(silent.err(), Some(OrderReply::Silent));
         end_sender.send(()).expect("the worker waits");
         worker.join().expect("no panic");
@@ -296,7 +317,7 @@
 
 #[test]
 fn platform_hosts() {
-    let (fleet, platform) = fleet();
+    let (fleet, platform) = start_fleet();
     smol::block_on(async {
         let hosts = platform.list_hosts().await.expect("read");
         assert_eq!(hosts.len(), 2);
--- a/tests/test_report.rs
+++ b/tests/test_report.rs
@@ -4,7 +4,7 @@
 
 use rockwick::report::Report;
 
-use crate::fleet::binary;
+use crate::fleet::binary_path;
 
 /// Two seconds of one pool, a wave, a configuration at two entries, moves, and a line that is not JSON.
 const LINES: &str = r#"{"at_ms":1000,"event":608,"name":"pool-load","pool":"a","open":2,"workers":4,"room_cpu_milli":32000,"used_cpu_milli":16000}
@@ -46,7 +46,7 @@
 fn report_prints() {
     let path = std::env::temp_dir().join(format!("rockwick-report-{}.log", std::process::id()));
     std::fs::write(&path, LINES).expect("the file is written");
-    let output = Command::new(binary("rockwick"))
+    let output = Command::new(binary_path("rockwick"))
         .arg("report")
         .arg(&path)
         .output()
@@ -58,7 +58,7 @@
 
 #[test]
 fn report_no_file() {
-    let output = Command::new(binary("rockwick"))
+    let output = Command::new(binary_path("rockwick"))
         .args(["report", "/nowhere/at/all.log"])
         .output()
         .expect("the command runs");
--- a/tests/test_runs.rs
+++ b/tests/test_runs.rs
@@ -126,14 +126,14 @@
 fn runs_killed_before_send() {
     // The entry is killed after it claimed the key, while the request waits for a slot.
     let fleet = single_slot_fleet();
-    fleet.backends[0].set("none", 20_000);
+    fleet.backends[0].set_fault("none", 20_000);
     let _blocker = send_in_background(&fleet, 0, post("/s/route/x", "b"));
     wait_for("the slot is taken", || {
         (fleet.backends[0].stats()["in_flight"] == 1).then_some(())
     });
     let _waiting = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for("the key is claimed", || {
-        (fleet.entries[0].logged("run-claimed") == 1).then_some(())
+        (fleet.entries[0].count_logged("run-claimed") == 1).then_some(())
     });
     fleet.entries[0].process.signal(Signal::SIGKILL);
     let answer = keyed_post("k", "b").to(fleet.entries[1].listen);
@@ -145,7 +145,7 @@
 fn runs_killed_mid_send() {
     // The entry is killed while the backend server works on the request.
     let fleet = single_slot_fleet();
-    fleet.backends[0].set("none", 1_000);
+    fleet.backends[0].set_fault("none", 1_000);
     let _running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
     fleet.entries[0].process.signal(Signal::SIGKILL);
@@ -158,7 +158,7 @@
 fn runs_killed_before_record() {
     // The entry is killed after the run and before its outcome is recorded.
     let fleet = single_slot_fleet();
-    fleet.backends[0].set("none", 700);
+    fleet.backends[0].set_fault("none", 700);
     let running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
     fleet.set_faults(json!({ "cut": ["e1"] }));
@@ -178,7 +178,7 @@
 fn runs_recorded_late() {
     // The table is unreachable when the run ends; the entry records the outcome when the table is back.
     let fleet = single_slot_fleet();
-    fleet.backends[0].set("none", 700);
+    fleet.backends[0].set_fault("none", 700);
     let running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
     fleet.set_faults(json!({ "cut": ["e1"] }));
@@ -196,7 +196,7 @@
 fn runs_record_answer_lost() {
     // Failure at the record: it takes effect and its answer is lost.
     let fleet = single_slot_fleet();
-    fleet.backends[0].set("none", 500);
+    fleet.backends[0].set_fault("none", 500);
     let running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
     fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "run/" }));
@@ -211,7 +211,7 @@
 fn runs_frozen() {
     // The entry is suspended during the run and resumes after its peers consider it lost.
     let fleet = single_slot_fleet();
-    fleet.backends[0].set("none", 500);
+    fleet.backends[0].set_fault("none", 500);
     let running = send_in_background(&fleet, 0, keyed_post("k", "b"));
     wait_for_run(&fleet, "k");
     fleet.entries[0].process.signal(Signal::SIGSTOP);
@@ -234,7 +234,7 @@
 fn runs_same_key_race() {
     let fleet = Plan::new(2, 2).without_config().start();
     for b in &fleet.backends {
-        b.set("none", 50);
+        b.set_fault("none", 50);
     }
     for round in 0..5 {
         let key = format!("k{round}");
@@ -262,11 +262,11 @@
 #[test]
 fn runs_refused_then_again() {
     let fleet = single_slot_fleet();
-    fleet.backends[0].set("refuse", 0);
+    fleet.backends[0].set_fault("refuse", 0);
     let refused = keyed_post("k", "b").to(fleet.entries[0].listen);
     assert_eq!((refused.status, run_header(&refused)), (503, "no"));
     assert_eq!(fleet.count_runs("key", "k"), 0);
-    fleet.backends[0].set("none", 0);
+    fleet.backends[0].set_fault("none", 0);
     let again = keyed_post("k", "b").to(fleet.entries[1].listen);
     assert_eq!(
         (again.status, run_header(&again)),
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 use standin::fleet::{Fleet, StoreFault};
 
-use crate::fleet::{binary, Process, PATIENCE};
+use crate::fleet::{binary_path, Process, WAIT_MAX};
 
 const POOL: &str = "pool";
 
@@ -25,7 +25,7 @@
 }
 
 /// Returns a free port, which the process binds a moment later.
-fn port() -> SocketAddr {
+fn free_port() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("bound")
 }
@@ -36,7 +36,7 @@
 
 /// Starts an entry with flags beside the usual ones and waits until it is ready.
 pub(crate) fn start_entry_with(fleet: &Fleet, name: &str, more: &[&str]) -> Entry {
-    let (callers, ready, metrics) = (port(), port(), port());
+    let (callers, ready, metrics) = (free_port(), free_port(), free_port());
     let args = [
         ("--name", name.to_string()),
         ("--hall", "hall".to_string()),
@@ -61,7 +61,7 @@
         ready,
         metrics,
     };
-    wait_until("ready", || status(entry.ready, "/readyz") == Some(200));
+    wait_until("ready", || get_status(entry.ready, "/readyz") == Some(200));
     entry
 }
 
@@ -72,9 +72,9 @@
     }
 }
 
-/// Waits until `holds` returns true; panics after [`PATIENCE`].
+/// Waits until `holds` returns true; panics after [`WAIT_MAX`].
 pub(crate) fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_MAX;
     while !holds() {
         assert!(Instant::now() < end, "timed out waiting: {what}");
         std::thread::sleep(Duration::from_millis(10));
@@ -105,7 +105,7 @@
     smol::block_on(client.exchange(req, deadline_after_ms(10_000))).ok()
 }
 
-pub(crate) fn status(to: SocketAddr, path: &str) -> Option<u16> {
+pub(crate) fn get_status(to: SocketAddr, path: &str) -> Option<u16> {
     call(to, Method::Get, path, &Value::Null).map(|a| a.status)
 }
 
@@ -143,9 +143,9 @@
     );
     wait_until("completed", || job_state(two.callers, A) == "completed");
     assert_eq!(fleet.starts(), 3);
-    assert_eq!(status(one.callers, "/q/"), Some(200));
-    assert_eq!(status(one.callers, &format!("/q/{B}")), Some(410));
-    assert_eq!(status(one.callers, "/elsewhere/"), Some(404));
+    assert_eq!(get_status(one.callers, "/q/"), Some(200));
+    assert_eq!(get_status(one.callers, &format!("/q/{B}")), Some(410));
+    assert_eq!(get_status(one.callers, "/elsewhere/"), Some(404));
     let bad = call(
         one.callers,
         Method::Post,
@@ -198,8 +198,8 @@
     assert!(lines.iter().any(|l| l.contains("\"pool-owned\"")));
 }
 
-/// The store executes the writes of a part one after the other: jobs that arrive together must share a write and not
-/// wait for each other.
+/// The store applies the writes to a partition one after the other: jobs that arrive together must share a write and
+/// not wait for each other.
 #[test]
 fn serve_slow_writes() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
@@ -217,8 +217,8 @@
     }
 }
 
-/// The store executes the writes of a part one after the other, each slower than the timeout for a fast store. A write
-/// that timed out and was sent again would wait behind its first attempt for ever.
+/// The store applies the writes to a partition one after the other, and each takes longer than the timeout for a fast
+/// store. A write that timed out and was sent again would wait behind its first attempt for ever.
 #[test]
 fn serve_slow_turns() {
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
@@ -242,8 +242,8 @@
 fn serve_last_line() {
     let fleet = Fleet::start(POOL, 1, 50).expect("it starts");
     fleet.configure(1, POOL);
-    let (callers, ready, store) = (port(), port(), fleet.address.to_string());
-    let child = Command::new(binary("rockwick"))
+    let (callers, ready, store) = (free_port(), free_port(), fleet.address.to_string());
+    let child = Command::new(binary_path("rockwick"))
         .args(["serve", "--name", "e1", "--hall", "hall"])
         .args(["--listen", &callers.to_string()])
         .args(["--ready", &ready.to_string()])
@@ -251,7 +251,7 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("it starts");
-    wait_until("ready", || status(ready, "/readyz") == Some(200));
+    wait_until("ready", || get_status(ready, "/readyz") == Some(200));
     kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).expect("it runs");
     let output = child.wait_with_output().expect("it ends");
     assert!(output.status.success());
@@ -275,11 +275,13 @@
     let refused = refused.expect("an answer");
     assert_eq!(refused.status, 503);
     assert_eq!(refused.header("retry-after"), Some("1"));
-    wait_until("not ready", || status(one.ready, "/readyz") == Some(503));
+    wait_until("not ready", || {
+        get_status(one.ready, "/readyz") == Some(503)
+    });
     fleet.set_store_fault(StoreFault::None);
-    wait_until("ready", || status(one.ready, "/readyz") == Some(200));
+    wait_until("ready", || get_status(one.ready, "/readyz") == Some(200));
     assert_eq!(
-        status(one.callers, &format!("/q/{A}")),
+        get_status(one.callers, &format!("/q/{A}")),
         Some(410),
         "the refused job was not accepted"
     );
@@ -295,15 +297,19 @@
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     fleet.set_store_fault(StoreFault::Mute);
-    wait_until("not ready", || status(one.ready, "/readyz") == Some(503));
+    wait_until("not ready", || {
+        get_status(one.ready, "/readyz") == Some(503)
+    });
     let body = json!({"spec": "work", "steps": [{"count": 1, "cpu": 500, "mem_mb": 100}]});
     let refused = call(one.callers, Method::Post, &format!("/q/{A}"), &body).expect("an answer");
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
     fleet.set_store_fault(StoreFault::None);
-    wait_until("ready again", || status(one.ready, "/readyz") == Some(200));
+    wait_until("ready again", || {
+        get_status(one.ready, "/readyz") == Some(200)
+    });
     assert_eq!(
-        status(one.callers, &format!("/q/{A}")),
+        get_status(one.callers, &format!("/q/{A}")),
         Some(410),
         "the refused job does not exist"
     );
--- a/tests/test_soak.rs
+++ b/tests/test_soak.rs
@@ -2,13 +2,13 @@
 
 use std::process::Command;
 
-use crate::fleet::binary;
+use crate::fleet::binary_path;
 
 /// Runs the soak with `options`. Its waits are bounded, and its exit code says whether all guarantees held.
 fn run_soak(options: &[String]) {
     // Each process has its own folder: two suites on one machine would remove each other's logs.
     let logs = std::env::temp_dir().join(format!("rockwick-soak-{}", std::process::id()));
-    let output = Command::new(binary("standin"))
+    let output = Command::new(binary_path("standin"))
         .arg("soak")
         .args(options)
         .arg("--logs")
--- a/tests/test_stop.rs
+++ b/tests/test_stop.rs
@@ -9,16 +9,16 @@
 use crate::test_serve::{self, submit};
 
 /// The time that the store takes for a write.
-const TURN_MS: u64 = 300;
+const STORE_WRITE_MS: u64 = 300;
 
 /// The number of calls that arrive while the entry is suspended.
-const FRESH: u64 = 64;
+const SUSPENDED_CALLS: u64 = 64;
 
-/// Long enough for the first call to begin, and shorter than [`TURN_MS`], so that its write is still open.
-const BEGUN: Duration = Duration::from_millis(150);
+/// Long enough for the first call to begin, and shorter than [`STORE_WRITE_MS`], so that its write is still open.
+const FIRST_CALL_WAIT: Duration = Duration::from_millis(150);
 
 /// The time for which the entry is suspended; longer than a stop may take.
-const STANDSTILL: Duration = Duration::from_secs(6);
+const SUSPENSION: Duration = Duration::from_secs(6);
 
 /// An entry is stopped under load: it must refuse to be ready, finish its requests and leave, and no request may fail.
 #[test]
@@ -32,20 +32,20 @@
             .to(addr)
             .status
     });
-    wait_for("the long request runs", || {
-        let busy = |b: &crate::fleet::Backend| b.runs().len() > 5;
-        fleet.backends.iter().all(busy).then_some(())
+    wait_for("every backend server has begun requests", || {
+        let has_runs = |b: &crate::fleet::Backend| b.runs().len() > 5;
+        fleet.backends.iter().all(has_runs).then_some(())
     });
     fleet.entries[0].process.signal(Signal::SIGTERM);
     wait_for("the entry is not ready", || {
         (!fleet.entries[0].is_ready()).then_some(())
     });
     assert_eq!(long.join().expect("no panic"), 200);
-    assert_eq!(fleet.entries[0].process.wait(), Some(0));
+    assert_eq!(fleet.entries[0].process.wait_exit(), Some(0));
     let outcomes = load.stop();
     assert!(failures(&outcomes).is_empty(), "{:?}", failures(&outcomes));
     wait_for("e1 has left", || {
-        let status = fleet.entries[1].admin("/v1/status");
+        let status = fleet.entries[1].get_admin("/v1/status");
         let mut entries = status["entries"].as_array()?.iter();
         entries
             .any(|e| e["name"] == "e1" && e["state"] == "left")
@@ -71,7 +71,7 @@
         (fleet.backends[0].stats()["in_flight"] == 1).then_some(())
     });
     fleet.entries[0].process.signal(Signal::SIGTERM);
-    assert_eq!(fleet.entries[0].process.wait(), Some(0));
+    assert_eq!(fleet.entries[0].process.wait_exit(), Some(0));
     assert!(!hung.join().expect("no panic"));
 }
 
@@ -83,7 +83,7 @@
     let answer = smol::block_on(get("/s/route/x").send(&client)).expect("an answer");
     assert_eq!(answer.status, 200);
     fleet.entries[0].process.signal(Signal::SIGTERM);
-    assert_eq!(fleet.entries[0].process.wait(), Some(0));
+    assert_eq!(fleet.entries[0].process.wait_exit(), Some(0));
 }
 
 /// An entry of `serve` is suspended while it stops and resumes after its time to stop has passed. The call that it had
@@ -95,20 +95,20 @@
     let mut one = test_serve::start_entry(&fleet, "e1");
     let to = one.callers;
     let send = |n: u64| std::thread::spawn(move || submit(to, &format!("{n:016x}"), "work"));
-    fleet.set_store_fault(StoreFault::Turns(TURN_MS));
+    fleet.set_store_fault(StoreFault::Turns(STORE_WRITE_MS));
     one.process.signal(Signal::SIGTERM);
-    let begun = send(0);
-    std::thread::sleep(BEGUN);
+    let first = send(0);
+    std::thread::sleep(FIRST_CALL_WAIT);
     one.process.signal(Signal::SIGSTOP);
-    let fresh: Vec<_> = (1..=FRESH).map(send).collect();
-    std::thread::sleep(STANDSTILL);
+    let suspended: Vec<_> = (1..=SUSPENDED_CALLS).map(send).collect();
+    std::thread::sleep(SUSPENSION);
     one.process.signal(Signal::SIGCONT);
-    let answers = fresh
+    let answers = suspended
         .into_iter()
         .map(|thread| thread.join().expect("no panic"));
     let answers: Vec<Option<u16>> = answers.collect();
-    assert!(matches!(begun.join().expect("no panic"), Some(200 | 504)));
+    assert!(matches!(first.join().expect("no panic"), Some(200 | 504)));
     let refused = answers.iter().filter(|status| **status == Some(503));
-    assert_eq!(refused.count() as u64, FRESH, "{answers:?}");
-    assert_eq!(one.process.wait(), Some(0));
+    assert_eq!(refused.count() as u64, SUSPENDED_CALLS, "{answers:?}");
+    assert_eq!(one.process.wait_exit(), Some(0));
 }
