--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,5 +1,5 @@
-//! Helpers for tests of single scheduler decisions: they run on a context with a fixed clock and
-//! return the effects of the decision.
+//! Helpers for tests of single scheduler decisions: a decision runs on a context with a fixed clock, and its effects
+//! are returned for the test to check.
 
 use rockwick::clock::Now;
 use rockwick::core::sched::hosts::PoolNeed;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -197,11 +197,11 @@
     }
 }
 
-pub(crate) fn text(answer: &Answer) -> String {
+pub(crate) fn body_text(answer: &Answer) -> String {
     String::from_utf8_lossy(&answer.body).into_owned()
 }
 
-pub(crate) fn value(answer: &Answer) -> Value {
+pub(crate) fn body_json(answer: &Answer) -> Value {
     answer.json().unwrap_or(Value::Null)
 }
 
@@ -224,7 +224,7 @@
     }
 
     pub(crate) fn get_admin(&self, path: &str) -> Value {
-        value(&get(path).to(self.admin))
+        body_json(&get(path).to(self.admin))
     }
 
     pub(crate) fn send_edit(&self, edit: &Value) -> Answer {
@@ -294,12 +294,12 @@
     }
 
     pub(crate) fn runs(&self) -> Vec<Value> {
-        let runs = value(&get("/control/runs").to(self.addr));
+        let runs = body_json(&get("/control/runs").to(self.addr));
         runs.as_array().cloned().unwrap_or_default()
     }
 
     pub(crate) fn stats(&self) -> Value {
-        value(&get("/control/stats").to(self.addr))
+        body_json(&get("/control/stats").to(self.addr))
     }
 }
 
@@ -369,7 +369,7 @@
         let backends: Vec<Backend> = (1..=plan.hosts)
             .map(|n| Backend::start(&format!("h{n}"), &plan.backend_args))
             .collect();
-        let file = fleet_file(&backends);
+        let file = write_fleet_file(&backends);
         let mut args = vec!["platform", "--listen", "127.0.0.1:0", "--fleet"];
         let path = file.to_string_lossy().into_owned();
         args.push(&path);
@@ -446,7 +446,7 @@
     pub(crate) fn apply_config(&self, expect: u64, text: &str) {
         let edit = json!({ "ask": "apply", "expect": expect, "text": text });
         let answer = self.entries[0].send_edit(&edit);
-        assert_eq!(answer.status, 200, "{}", super::fleet::text(&answer));
+        assert_eq!(answer.status, 200, "{}", super::fleet::body_text(&answer));
         for entry in &self.entries {
             wait_for("the version is in force", || {
                 (entry.get_admin("/v1/status")["config_version"] == expect + 1).then_some(())
@@ -475,14 +475,14 @@
         self.set_faults(json!({}));
     }
 
-    pub(crate) fn set_host_status(&self, host: &str, life: &str) {
-        let body = json!({ "life": life }).to_string();
+    pub(crate) fn set_host_status(&self, host: &str, status: &str) {
+        let body = json!({ "life": status }).to_string();
         let path = format!("/control/hosts/{host}");
         assert_eq!(post(&path, &body).to(self.platform).status, 200);
     }
 
     pub(crate) fn stats(&self) -> Value {
-        value(&get("/control/stats").to(self.platform))
+        body_json(&get("/control/stats").to(self.platform))
     }
 
     /// Counts the runs whose `field` has the value `mark`, at all backend servers.
@@ -492,7 +492,7 @@
     }
 }
 
-fn fleet_file(backends: &[Backend]) -> PathBuf {
+fn write_fleet_file(backends: &[Backend]) -> PathBuf {
     let mut text = String::new();
     for (n, b) in backends.iter().enumerate() {
         let hall = ["a", "b"][n / 2 % 2];
@@ -568,12 +568,12 @@
         }
         outcomes.push(match result {
             Ok(answer) if answer.status == 200 => {
-                let got = text(&answer);
+                let got = body_text(&answer);
                 assert!(got.ends_with(&format!(" {mark} b")), "{mark} got {got}");
                 "200".to_string()
             }
-            Ok(answer) => format!("{} {}", answer.status, text(&answer)),
-            Err(trouble) => format!("{trouble:?}"),
+            Ok(answer) => format!("{} {}", answer.status, body_text(&answer)),
+            Err(error) => format!("{error:?}"),
         });
     }
     outcomes
--- a/tests/test_answers.rs
+++ b/tests/test_answers.rs
@@ -4,7 +4,7 @@
 
 use rockwick::http::Client;
 
-use crate::fleet::{get, post, text, Plan};
+use crate::fleet::{body_text, get, post, Plan};
 
 /// Fault of the backend server, and the status and `Rockwick-Run` header that the caller of a POST receives.
 const CASES: [(&str, u16, &str); 13] = [
@@ -36,18 +36,18 @@
                 .with("x-fault", fault)
                 .with("x-mark", &mark);
             let answer = smol::block_on(call.send(&client)).expect("an answer");
-            assert_eq!(answer.status, status, "{mark}: {}", text(&answer));
+            assert_eq!(answer.status, status, "{mark}: {}", body_text(&answer));
             assert_eq!(answer.header("rockwick-run"), Some(run), "{mark}");
             if status == 200 {
-                let body = text(&answer);
+                let body = body_text(&answer);
                 assert!(body.ends_with(&format!(" {mark} body")), "{mark}: {body}");
             }
             let plain = get("/s/route/x").with("x-mark", "plain");
             let plain = smol::block_on(plain.send(&client)).expect("an answer");
             assert!(
-                text(&plain).contains(" plain "),
+                body_text(&plain).contains(" plain "),
                 "after {mark}: {}",
-                text(&plain)
+                body_text(&plain)
             );
         }
     }
@@ -68,7 +68,7 @@
         let mark = format!("after-{n}");
         let next = post("/s/route/x", "b").with("x-mark", &mark);
         let answer = smol::block_on(next.send(&client)).expect("an answer");
-        assert!(text(&answer).contains(&mark), "{}", text(&answer));
+        assert!(body_text(&answer).contains(&mark), "{}", body_text(&answer));
     }
 }
 
@@ -86,19 +86,19 @@
             std::thread::spawn(move || send_marked_requests(caller_id, REQUESTS_EACH, &client))
         })
         .collect();
-    let whole: u64 = threads
+    let answered: u64 = threads
         .into_iter()
         .map(|t| t.join().expect("every caller got its own answers"))
         .sum();
     assert!(
-        whole > CALLERS * REQUESTS_EACH / 4,
-        "only {whole} whole answers"
+        answered > CALLERS * REQUESTS_EACH / 4,
+        "only {answered} answers with status 200"
     );
 }
 
 fn send_marked_requests(caller_id: u64, request_count: u64, client: &Client) -> u64 {
     let mut rng = fastrand::Rng::with_seed(caller_id);
-    let mut whole = 0;
+    let mut answered = 0;
     for n in 0..request_count {
         let mark = format!("m-{caller_id}-{n}");
         let body = "z".repeat(rng.usize(0..5000));
@@ -111,16 +111,16 @@
         }
         let answer = smol::block_on(call.send(client)).expect("an answer");
         if answer.status == 200 {
-            let got = text(&answer);
+            let got = body_text(&answer);
             assert!(
                 got.ends_with(&format!(" {mark} {body}")),
                 "{mark} got {} bytes",
                 got.len()
             );
-            whole += 1;
+            answered += 1;
         }
     }
-    whole
+    answered
 }
 
 /// The caller must receive the backend server's headers, and the request id that the backend server received.
--- a/tests/test_budget.rs
+++ b/tests/test_budget.rs
@@ -6,7 +6,7 @@
 use rockwick::core::wave::pace_limit;
 use serde_json::{json, Value};
 
-use crate::fleet::{get, text, wait_for, Entry, Fleet, Plan};
+use crate::fleet::{body_text, get, wait_for, Entry, Fleet, Plan};
 
 fn member(rack: usize, serving: bool) -> Member {
     Member {
@@ -69,7 +69,7 @@
 fn start_wave(entry: &Entry) -> String {
     let edit = json!({ "ask": "start_wave", "pool": "pool", "windows": [] });
     let answer = entry.send_edit(&edit);
-    assert_eq!(answer.status, 200, "{}", text(&answer));
+    assert_eq!(answer.status, 200, "{}", body_text(&answer));
     let reply: Value = answer.json().expect("json");
     reply["wave"].as_str().expect("an id").to_string()
 }
--- a/tests/test_catalogue.rs
+++ b/tests/test_catalogue.rs
@@ -3,7 +3,7 @@
 use rockwick::error::{Kind, TABLE};
 use rockwick::event::CATALOGUE;
 
-use crate::fleet::{get, text, Plan};
+use crate::fleet::{body_text, get, Plan};
 
 fn read_page(name: &str) -> String {
     let path = format!("{}/docs/{name}", env!("CARGO_MANIFEST_DIR"));
@@ -59,7 +59,7 @@
     let entry = &fleet.entries[0];
     assert_eq!(get("/s/route/x").to(entry.listen).status, 200);
     assert_eq!(get("/s/nowhere/x").to(entry.listen).status, 404);
-    let metrics_text = text(&get("/metrics").to(entry.admin));
+    let metrics_text = body_text(&get("/metrics").to(entry.admin));
     for line in [
         "rockwick_requests_total 2",
         "rockwick_answered_total 1",
--- a/tests/test_chaos.rs
+++ b/tests/test_chaos.rs
@@ -10,7 +10,7 @@
 use rockwick::http::{Client, ExchangeError};
 use serde_json::{json, Value};
 
-use crate::fleet::{free_addr, post, text, value, wait_for, Fleet, Plan};
+use crate::fleet::{body_json, body_text, free_addr, post, wait_for, Fleet, Plan};
 
 const ENTRIES: usize = 4;
 const FAULTS_DURATION: Duration = Duration::from_secs(20);
@@ -38,7 +38,7 @@
         let run = match smol::block_on(call.send(&clients[rng.usize(..clients.len())])) {
             Ok(answer) => {
                 if answer.status == 200 {
-                    let got = text(&answer);
+                    let got = body_text(&answer);
                     assert!(got.ends_with(&format!(" {mark} b")), "{mark} got {got}");
                 }
                 answer
@@ -69,7 +69,7 @@
             _ => {
                 let version = post("/v1/status", "")
                     .try_to(addr)
-                    .map(|a| value(&a)["config_version"].clone());
+                    .map(|a| body_json(&a)["config_version"].clone());
                 let text =
                     crate::fleet::CONFIG.replace("20000", &(10_000 + rng.u32(0..999)).to_string());
                 json!({ "ask": "apply", "expect": version.unwrap_or_default(), "text": text })
@@ -81,7 +81,7 @@
         call.timeout_ms = 3_000;
         if call
             .try_to(addr)
-            .is_ok_and(|a| a.status == 200 && value(&a)["version"].is_u64())
+            .is_ok_and(|a| a.status == 200 && body_json(&a)["version"].is_u64())
         {
             applied += 1;
         }
@@ -137,7 +137,12 @@
     stop: &AtomicBool,
 ) -> u64 {
     let mut seen: HashMap<String, u64> = HashMap::new();
-    let get = |addr, path: &str| crate::fleet::get(path).try_to(addr).ok().map(|a| value(&a));
+    let get = |addr, path: &str| {
+        crate::fleet::get(path)
+            .try_to(addr)
+            .ok()
+            .map(|a| body_json(&a))
+    };
     while !stop.load(Ordering::SeqCst) {
         let stats = get(platform, "/control/stats").unwrap_or_default();
         for (host, count) in stats["reboots"].as_object().into_iter().flatten() {
@@ -159,7 +164,8 @@
 fn check_jobs(fleet: &Fleet, ids: &[String]) {
     for id in ids {
         let job = wait_for(&format!("job {id} ends"), || {
-            let job = value(&crate::fleet::get(&format!("/jobs/{id}")).to(fleet.entries[0].listen));
+            let job =
+                body_json(&crate::fleet::get(&format!("/jobs/{id}")).to(fleet.entries[0].listen));
             let state = job["state"].as_str()?.to_string();
             (!matches!(state.as_str(), "waiting" | "placed")).then_some(job)
         });
@@ -295,7 +301,7 @@
         if let Some(id) = answer
             .ok()
             .filter(|a| a.status == 202)
-            .map(|a| value(&a)["job"].clone())
+            .map(|a| body_json(&a)["job"].clone())
         {
             ids.push(id.as_str().expect("an id").to_string());
         }
--- a/tests/test_config.rs
+++ b/tests/test_config.rs
@@ -7,7 +7,7 @@
 use rockwick::http::Answer;
 use serde_json::json;
 
-use crate::fleet::{free_addr, get, text, value, wait_for, Entry, Plan, CONFIG};
+use crate::fleet::{body_json, body_text, free_addr, get, wait_for, Entry, Plan, CONFIG};
 
 fn apply_config(entry: &Entry, expect: u64, config: &str) -> Answer {
     entry.send_edit(&json!({ "ask": "apply", "expect": expect, "text": config }))
@@ -120,7 +120,11 @@
     let entry = &fleet.entries[0];
     let answer = apply_config(entry, 1, &CONFIG.replace("hosts = 4", "hosts = 900"));
     assert_eq!(answer.status, 422);
-    assert!(text(&answer).contains("line 22"), "{}", text(&answer));
+    assert!(
+        body_text(&answer).contains("line 22"),
+        "{}",
+        body_text(&answer)
+    );
     assert_eq!(config_version(entry), 1);
     let kept = entry.get_admin("/v1/template");
     assert_eq!(kept["text"], CONFIG);
@@ -147,12 +151,12 @@
         });
         let mut statuses = [a.status, b.status];
         statuses.sort_unstable();
-        assert_eq!(statuses, [200, 409], "{} {}", text(&a), text(&b));
+        assert_eq!(statuses, [200, 409], "{} {}", body_text(&a), body_text(&b));
         let loser = if a.status == 409 { &a } else { &b };
         assert!(
-            text(loser).contains("service route: changed"),
+            body_text(loser).contains("service route: changed"),
             "{}",
-            text(loser)
+            body_text(loser)
         );
         let winner = if a.status == 200 { &one } else { &two };
         for entry in &fleet.entries {
@@ -169,8 +173,8 @@
     let fleet = Plan::new(4, 2).start();
     fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "config/" }));
     let answer = apply_config(&fleet.entries[0], 1, &config_with_timeout(9_000));
-    assert_eq!(answer.status, 200, "{}", text(&answer));
-    assert_eq!(value(&answer), json!({ "version": 2 }));
+    assert_eq!(answer.status, 200, "{}", body_text(&answer));
+    assert_eq!(body_json(&answer), json!({ "version": 2 }));
     for entry in &fleet.entries {
         wait_for("the version is in force", || {
             (config_version(entry) == 2).then_some(())
--- a/tests/test_drain.rs
+++ b/tests/test_drain.rs
@@ -7,14 +7,15 @@
 use serde_json::{json, Value};
 
 use crate::fleet::{
-    failures, free_addr, get, post, text, value, wait_for, Entry, Fleet, LoadCallers, Plan, CONFIG,
+    body_json, body_text, failures, free_addr, get, post, wait_for, Entry, Fleet, LoadCallers,
+    Plan, CONFIG,
 };
 use crate::relay::Relay;
 
 fn drain(entry: &Entry, host: &str) -> (u16, Value) {
     let edit = json!({ "ask": "drain", "host": host, "reboot": true, "why": "test" });
     let answer = entry.send_edit(&edit);
-    (answer.status, value(&answer))
+    (answer.status, body_json(&answer))
 }
 
 fn wait_state(entry: &Entry, host: &str, state: &str) {
@@ -88,7 +89,7 @@
     });
     assert_eq!(count_reboots(&fleet, HOST), 0);
     let answer = long.join().expect("no panic");
-    assert_eq!(answer.status, 200, "{}", text(&answer));
+    assert_eq!(answer.status, 200, "{}", body_text(&answer));
     wait_for("h1 is rebooted", || {
         (count_reboots(&fleet, HOST) == 1).then_some(())
     });
@@ -217,7 +218,7 @@
     relays.iter().for_each(Relay::cut);
     wait_for("e2 refuses requests as isolated", || {
         let refused = post("/s/route/x", "b").to(fleet.entries[1].listen);
-        (refused.status == 503 && text(&refused).contains("isolated")).then_some(())
+        (refused.status == 503 && body_text(&refused).contains("isolated")).then_some(())
     });
     let refused = post("/s/route/x", "b").to(fleet.entries[1].listen);
     assert_eq!(refused.header("rockwick-run"), Some("no"));
@@ -292,7 +293,7 @@
     assert_eq!(drain(&fleet.entries[0], HOST).0, 200);
     wait_state(&fleet.entries[0], HOST, "draining");
     let back = fleet.entries[0].send_edit(&json!({ "ask": "return", "host": HOST }));
-    assert_eq!(back.status, 200, "{}", text(&back));
+    assert_eq!(back.status, 200, "{}", body_text(&back));
     wait_state(&fleet.entries[0], HOST, "serving");
     fleet.entries[1].process.signal(Signal::SIGCONT);
     fleet.wait_settled();
@@ -309,9 +310,9 @@
         let edit = json!({ "ask": "drain", "host": host, "reboot": false, "why": "test" });
         let answer = wait_for("no other change of the pool is under way", || {
             let answer = entry.send_edit(&edit);
-            (answer.status != 409 || !text(&answer).contains("under way")).then_some(answer)
+            (answer.status != 409 || !body_text(&answer).contains("under way")).then_some(answer)
         });
-        assert_eq!(answer.status, 200, "{}", text(&answer));
+        assert_eq!(answer.status, 200, "{}", body_text(&answer));
         wait_state(entry, host, "out");
     }
     let (status, problem) = drain(entry, "h3");
--- a/tests/test_edge.rs
+++ b/tests/test_edge.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use crate::fleet::{get, post, value, Plan};
+use crate::fleet::{body_json, get, post, Plan};
 
 /// Sends raw bytes, and reads until the entry closes the connection or sends nothing for 3 s.
 fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
@@ -242,7 +242,7 @@
         let path = call.path.to_string();
         let answer = call.to(addr);
         assert_eq!(answer.status, status, "{path}");
-        let problem = value(&answer);
+        let problem = body_json(&answer);
         assert_eq!(problem["type"], format!("/problems/{kind}"), "{path}");
         assert_eq!(answer.header("rockwick-run"), Some("no"), "{path}");
     }
--- a/tests/test_fuzz.rs
+++ b/tests/test_fuzz.rs
@@ -17,7 +17,7 @@
 
 use crate::fleet::CONFIG;
 
-fn cases(n: u32) -> ProptestConfig {
+fn config_with_cases(n: u32) -> ProptestConfig {
     ProptestConfig {
         cases: n,
         rng_seed: prop::test_runner::RngSeed::Fixed(20_261_202),
@@ -43,7 +43,7 @@
     ]
 }
 
-fn message() -> impl Strategy<Value = Vec<u8>> {
+fn http_message() -> impl Strategy<Value = Vec<u8>> {
     vec(http_piece(), 0..10).prop_map(|pieces| pieces.concat())
 }
 
@@ -58,10 +58,10 @@
 }
 
 proptest! {
-    #![proptest_config(cases(300))]
+    #![proptest_config(config_with_cases(300))]
 
     #[test]
-    fn fuzz_requests(bytes in message()) {
+    fn fuzz_requests(bytes in http_message()) {
         let limits = Limits { idle_ms: 200, receive_ms: 200, body_bytes: 1_000 };
         let wire = Wire::for_requests(connection(&bytes));
         smol::block_on(async {
@@ -74,7 +74,7 @@
     }
 
     #[test]
-    fn fuzz_answers(bytes in message()) {
+    fn fuzz_answers(bytes in http_message()) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let client = Client::new(listener.local_addr().expect("an address"));
         std::thread::scope(|s| {
@@ -114,7 +114,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(3_000))]
+    #![proptest_config(config_with_cases(3_000))]
 
     #[test]
     fn fuzz_peers(bytes in vec(any::<u8>(), 0..200)) {
@@ -125,9 +125,9 @@
     #[test]
     fn fuzz_peers_cut(name in ".{0,20}", seq in any::<u64>(), cut in 0usize..60) {
         let digest = Digest { name, incarnation: 7, ..Digest::default() };
-        let ask = PeerRequest::Poll { digest, since: seq };
-        let bytes = encode(&ask).expect("encodes");
-        prop_assert_eq!(decode::<PeerRequest>(&bytes), Some(ask));
+        let request = PeerRequest::Poll { digest, since: seq };
+        let bytes = encode(&request).expect("encodes");
+        prop_assert_eq!(decode::<PeerRequest>(&bytes), Some(request));
         let cut = cut.min(bytes.len());
         prop_assert_eq!(decode::<PeerRequest>(&bytes[..bytes.len() - cut]).is_some(), cut == 0);
     }
--- a/tests/test_intake.rs
+++ b/tests/test_intake.rs
@@ -6,7 +6,7 @@
 use rockwick::core::sched::rows::{intake_parts, intake_parts_of, pool_of_part, SHARDS};
 use standin::fleet::Fleet;
 
-use crate::test_serve::{get_status, job_state, start_entry, submit, wait_until};
+use crate::test_serve::{get_status, job_state, start_entry, submit_job, wait_until};
 use crate::world::{job, World};
 
 #[test]
@@ -42,14 +42,14 @@
     let one = start_entry(&fleet, "e1");
     let (id, other) = ("00000000000000aa", "00000000000000bb");
     let before = "00000000000000cc";
-    assert_eq!(submit(one.callers, before, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, before, "work"), Some(200));
     wait_until("owned", || job_state(one.callers, before) == "completed");
     let [first, second] = intake_parts_of("pool", id);
     let [other_first, _] = intake_parts_of("pool", other);
     fleet.set_unavailable_parts(&[first.clone(), other_first]);
-    assert_eq!(submit(one.callers, id, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, id, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, id) == "completed");
-    assert_eq!(submit(one.callers, other, "lasts"), Some(200));
+    assert_eq!(submit_job(one.callers, other, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
     let path = format!("/q/{other}");
     let gone = crate::test_serve::call(
@@ -62,7 +62,7 @@
     wait_until("stopped", || fleet.running() == 0);
     fleet.set_unavailable_parts(&[]);
     assert_eq!(
-        submit(one.callers, id, "work"),
+        submit_job(one.callers, id, "work"),
         Some(200),
         "the same job is submitted again"
     );
@@ -101,12 +101,12 @@
     fleet.configure(1, "pool");
     let one = start_entry(&fleet, "e1");
     let (before, id) = ("00000000000000cc", "00000000000000aa");
-    assert_eq!(submit(one.callers, before, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, before, "work"), Some(200));
     wait_until("owned", || job_state(one.callers, before) == "completed");
     fleet.set_operator_unavailable(true);
     wait_until("noticed", || fleet.operator_calls_refused() > 3);
     assert_eq!(get_status(one.ready, "/readyz"), Some(200));
-    assert_eq!(submit(one.callers, id, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, id, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, id) == "completed");
     fleet.set_operator_unavailable(false);
 }
--- a/tests/test_jobs.rs
+++ b/tests/test_jobs.rs
@@ -4,7 +4,7 @@
 use rockwick::http::Answer;
 use serde_json::{json, Value};
 
-use crate::fleet::{get, post, text, value, wait_for, Call, Fleet, Plan};
+use crate::fleet::{body_json, body_text, get, post, wait_for, Call, Fleet, Plan};
 
 /// Returns the spec of a job whose task runs for `run_ms` and ends in the state `end`.
 fn job_spec(run_ms: u64, end: &str, repeatable: bool) -> Value {
@@ -12,14 +12,17 @@
     json!({ "pool": "pool", "repeatable": repeatable, "payload": payload })
 }
 
-fn submit(fleet: &Fleet, entry: usize, job: &Value) -> String {
+fn submit_job(fleet: &Fleet, entry: usize, job: &Value) -> String {
     let answer = post("/jobs", &job.to_string()).to(fleet.entries[entry].listen);
-    assert_eq!(answer.status, 202, "{}", text(&answer));
-    value(&answer)["job"].as_str().expect("an id").to_string()
+    assert_eq!(answer.status, 202, "{}", body_text(&answer));
+    body_json(&answer)["job"]
+        .as_str()
+        .expect("an id")
+        .to_string()
 }
 
 fn get_job(fleet: &Fleet, entry: usize, id: &str) -> Value {
-    value(&get(&format!("/jobs/{id}")).to(fleet.entries[entry].listen))
+    body_json(&get(&format!("/jobs/{id}")).to(fleet.entries[entry].listen))
 }
 
 fn wait_state(fleet: &Fleet, entry: usize, id: &str, state: &str) -> Value {
@@ -39,7 +42,7 @@
     });
 }
 
-fn cancel(fleet: &Fleet, entry: usize, id: &str) -> Answer {
+fn cancel_job(fleet: &Fleet, entry: usize, id: &str) -> Answer {
     Call {
         method: http_types::Method::Delete,
         ..get(&format!("/jobs/{id}"))
@@ -51,7 +54,7 @@
 fn jobs_done() {
     let fleet = Plan::new(4, 2).start();
     let ids: Vec<_> = (0..20)
-        .map(|n| submit(&fleet, n % 2, &job_spec(100, "done", false)))
+        .map(|n| submit_job(&fleet, n % 2, &job_spec(100, "done", false)))
         .collect();
     for id in &ids {
         wait_state(&fleet, 0, id, "done");
@@ -63,7 +66,7 @@
 fn jobs_entry_killed() {
     // The entry that accepted the job is killed at once; another entry runs it.
     let fleet = Plan::new(4, 2).start();
-    let id = submit(&fleet, 0, &job_spec(300, "done", false));
+    let id = submit_job(&fleet, 0, &job_spec(300, "done", false));
     fleet.entries[0].process.signal(Signal::SIGKILL);
     wait_state(&fleet, 1, &id, "done");
     assert_eq!(count_starts(&fleet, &id), 1);
@@ -74,7 +77,7 @@
 fn jobs_start_answer_lost() {
     let fleet = Plan::new(4, 2).start();
     fleet.set_faults(json!({ "lose_task_answers": 2 }));
-    let id = submit(&fleet, 0, &job_spec(500, "done", false));
+    let id = submit_job(&fleet, 0, &job_spec(500, "done", false));
     wait_state(&fleet, 0, &id, "done");
     assert_eq!(count_starts(&fleet, &id), 1);
 }
@@ -84,7 +87,7 @@
 fn jobs_accept_answer_lost() {
     let fleet = Plan::new(4, 2).start();
     fleet.set_faults(json!({ "lose_commits": 1, "lose_prefix": "job/" }));
-    let id = submit(&fleet, 0, &job_spec(100, "done", false));
+    let id = submit_job(&fleet, 0, &job_spec(100, "done", false));
     wait_state(&fleet, 1, &id, "done");
     assert_eq!(count_starts(&fleet, &id), 1);
 }
@@ -94,7 +97,7 @@
     // The host of a running job is lost: a repeatable job runs again, any other ends as unknown.
     let fleet = Plan::new(4, 2).start();
     for (repeatable, state, times) in [(true, "done", 2), (false, "unknown", 1)] {
-        let id = submit(&fleet, 0, &job_spec(2_500, "done", repeatable));
+        let id = submit_job(&fleet, 0, &job_spec(2_500, "done", repeatable));
         wait_started(&fleet, &id);
         let host = get_job(&fleet, 0, &id)["host"]
             .as_str()
@@ -112,7 +115,7 @@
 fn jobs_lease_lapses() {
     // No entry renews the lease while both are suspended, so the platform ends the task.
     let fleet = Plan::new(4, 2).start();
-    let id = submit(&fleet, 0, &job_spec(60_000, "done", false));
+    let id = submit_job(&fleet, 0, &job_spec(60_000, "done", false));
     wait_started(&fleet, &id);
     let each = |signal| fleet.entries.iter().for_each(|e| e.process.signal(signal));
     each(Signal::SIGSTOP);
@@ -126,16 +129,21 @@
 fn jobs_cancel() {
     let fleet = Plan::new(4, 2).start();
     // A running job is stopped.
-    let running = submit(&fleet, 0, &job_spec(60_000, "done", false));
+    let running = submit_job(&fleet, 0, &job_spec(60_000, "done", false));
     wait_started(&fleet, &running);
-    let answer = cancel(&fleet, 1, &running);
-    assert_eq!(value(&answer)["state"], "cancelled", "{}", text(&answer));
+    let answer = cancel_job(&fleet, 1, &running);
+    assert_eq!(
+        body_json(&answer)["state"],
+        "cancelled",
+        "{}",
+        body_text(&answer)
+    );
     // A job that has finished keeps its state, which the answer reports.
-    let done = submit(&fleet, 0, &job_spec(50, "done", false));
+    let done = submit_job(&fleet, 0, &job_spec(50, "done", false));
     wait_state(&fleet, 0, &done, "done");
-    let answer = cancel(&fleet, 0, &done);
+    let answer = cancel_job(&fleet, 0, &done);
     assert_eq!(
-        (answer.status, &value(&answer)["state"]),
+        (answer.status, &body_json(&answer)["state"]),
         (200, &json!("done"))
     );
     // A waiting job is never started.
@@ -143,18 +151,23 @@
         .map(|_| {
             let mut spec = job_spec(60_000, "done", false);
             spec["cores"] = json!(16);
-            submit(&fleet, 0, &spec)
+            submit_job(&fleet, 0, &spec)
         })
         .collect();
     large.iter().for_each(|id| wait_started(&fleet, id));
     let mut spec = job_spec(100, "done", false);
     spec["cores"] = json!(16);
-    let waiting = submit(&fleet, 0, &spec);
+    let waiting = submit_job(&fleet, 0, &spec);
     let answer = wait_for("the cancel is accepted", || {
-        let answer = cancel(&fleet, 1, &waiting);
+        let answer = cancel_job(&fleet, 1, &waiting);
         (answer.status == 200).then_some(answer)
     });
-    assert_eq!(value(&answer)["state"], "cancelled", "{}", text(&answer));
+    assert_eq!(
+        body_json(&answer)["state"],
+        "cancelled",
+        "{}",
+        body_text(&answer)
+    );
     assert_eq!(count_starts(&fleet, &waiting), 0);
 }
 
@@ -182,10 +195,10 @@
     ];
     for (spec, status, kind) in cases {
         let answer = post("/jobs", &spec.to_string()).to(entry);
-        assert_eq!(answer.status, status, "{}", text(&answer));
-        assert_eq!(value(&answer)["type"], format!("/problems/{kind}"));
+        assert_eq!(answer.status, status, "{}", body_text(&answer));
+        assert_eq!(body_json(&answer)["type"], format!("/problems/{kind}"));
     }
-    let id = submit(&fleet, 0, &job_spec(10, "done", false));
+    let id = submit_job(&fleet, 0, &job_spec(10, "done", false));
     let path = format!("/jobs/{id}");
     let theirs = get(&path).with("authorization", "Bearer other");
     assert_eq!(theirs.to(entry).status, 404, "another account's job");
@@ -215,12 +228,15 @@
         let answer = send(1, &spec);
         (answer.status == 202).then_some(answer)
     });
-    assert_eq!(value(&first)["job"], value(&again)["job"]);
+    assert_eq!(body_json(&first)["job"], body_json(&again)["job"]);
     assert_eq!(
         send(0, &job_spec(101, "done", false).to_string()).status,
         422
     );
-    let id = value(&first)["job"].as_str().expect("an id").to_string();
+    let id = body_json(&first)["job"]
+        .as_str()
+        .expect("an id")
+        .to_string();
     wait_state(&fleet, 0, &id, "done");
     assert_eq!(count_starts(&fleet, &id), 1);
 }
@@ -229,14 +245,14 @@
 fn jobs_failure_cause() {
     let fleet = Plan::new(4, 1).start();
     // A job that fails wherever it runs is given up: the failure is the job's own.
-    let bad = submit(&fleet, 0, &job_spec(50, "failed", true));
+    let bad = submit_job(&fleet, 0, &job_spec(50, "failed", true));
     let failed_job = wait_state(&fleet, 0, &bad, "failed");
     assert_eq!(count_starts(&fleet, &bad), 3);
     assert_eq!(failed_job["failed_on"].as_array().map(Vec::len), Some(2));
     // A host that fails every job is avoided after a few failures, and the jobs succeed elsewhere.
     let payload = json!({ "run_ms": 50, "fail_on": ["h2"] }).to_string();
     let spec = json!({ "pool": "pool", "repeatable": true, "cores": 6, "payload": payload });
-    let ids: Vec<_> = (0..24).map(|_| submit(&fleet, 0, &spec)).collect();
+    let ids: Vec<_> = (0..24).map(|_| submit_job(&fleet, 0, &spec)).collect();
     for id in &ids {
         wait_state(&fleet, 0, id, "done");
     }
@@ -252,8 +268,8 @@
 fn jobs_leave_host() {
     // The drain of a host waits for a job that may not be repeated, and moves a repeatable job to another host.
     let fleet = Plan::new(4, 2).start();
-    let stays = submit(&fleet, 0, &job_spec(4_000, "done", false));
-    let moves = submit(&fleet, 0, &job_spec(4_000, "done", true));
+    let stays = submit_job(&fleet, 0, &job_spec(4_000, "done", false));
+    let moves = submit_job(&fleet, 0, &job_spec(4_000, "done", true));
     wait_started(&fleet, &stays);
     wait_started(&fleet, &moves);
     let host = get_job(&fleet, 0, &stays)["host"]
--- a/tests/test_links.rs
+++ b/tests/test_links.rs
@@ -37,14 +37,14 @@
             for (n, stream) in listener.incoming().map_while(Result::ok).enumerate() {
                 let barrier = (n < OPEN_CONNECTIONS).then(|| Arc::clone(&barrier));
                 let falls_silent = (n < OPEN_CONNECTIONS).then(|| Arc::clone(&is_silent));
-                std::thread::spawn(move || serve(stream, barrier, falls_silent));
+                std::thread::spawn(move || serve_connection(stream, barrier, falls_silent));
             }
         });
         peer
     }
 }
 
-fn serve(
+fn serve_connection(
     mut stream: TcpStream,
     barrier: Option<Arc<Barrier>>,
     falls_silent: Option<Arc<AtomicBool>>,
--- a/tests/test_load.rs
+++ b/tests/test_load.rs
@@ -6,14 +6,14 @@
 use rockwick::http::Client;
 use serde_json::json;
 
-use crate::fleet::{failures, get, post, text, wait_for, Fleet, LoadCallers, Plan};
+use crate::fleet::{body_text, failures, get, post, wait_for, Fleet, LoadCallers, Plan};
 
-/// Sends `each` requests from each of `threads` threads. Returns the count of each status and the time of the slowest
-/// 200.
+/// Sends `requests_each` requests from each of `threads` threads. Returns the number of answers by status and the time
+/// of the slowest 200.
 fn send_load(
     fleet: &Fleet,
     threads: usize,
-    each: usize,
+    requests_each: usize,
     class: &'static str,
     deadline_ms: u64,
 ) -> (BTreeMap<u16, usize>, Duration) {
@@ -24,14 +24,18 @@
             std::thread::spawn(move || {
                 let client = Client::new(addr);
                 let mut answers = Vec::new();
-                for _ in 0..each {
+                for _ in 0..requests_each {
                     let call = post("/s/route/x", "b")
                         .with("rockwick-class", class)
                         .with("rockwick-deadline-ms", deadline_ms);
                     let began = Instant::now();
                     let answer = smol::block_on(call.send(&client)).expect("an answer");
                     if !matches!(answer.status, 200 | 504) {
-                        assert!(answer.header("retry-after").is_some(), "{}", text(&answer));
+                        assert!(
+                            answer.header("retry-after").is_some(),
+                            "{}",
+                            body_text(&answer)
+                        );
                         assert_eq!(answer.header("rockwick-run"), Some("no"));
                     }
                     answers.push((answer.status, began.elapsed()));
@@ -152,10 +156,10 @@
         let before = fleet.backends[0].stats();
         assert!(measure_failing_percent(&fleet, 200) <= 5, "{fault}");
         let after = fleet.backends[0].stats();
-        let asked = |s: &serde_json::Value| {
+        let count_attempts = |s: &serde_json::Value| {
             s["runs"].as_u64().unwrap_or(0) + s["refused"].as_u64().unwrap_or(0)
         };
-        let attracted = asked(&after) - asked(&before);
+        let attracted = count_attempts(&after) - count_attempts(&before);
         if fault != "refuse" {
             assert!(attracted <= 10, "{fault}: {attracted} of 200");
             // A separate thread writes the log, so the line may come a moment later.
@@ -164,10 +168,10 @@
             });
         }
         fleet.backends[0].set_fault("none", 0);
-        let before = asked(&fleet.backends[0].stats());
+        let before = count_attempts(&fleet.backends[0].stats());
         wait_for("the backend server gets work again", || {
             measure_failing_percent(&fleet, 20);
-            (asked(&fleet.backends[0].stats()) > before + 20).then_some(())
+            (count_attempts(&fleet.backends[0].stats()) > before + 20).then_some(())
         });
     }
 }
@@ -216,7 +220,7 @@
             let call = get("/s/route/x").with("rockwick-deadline-ms", 100);
             call.to(fleet.entries[0].listen);
         }
-        let asked: u64 = fleet
+        let attempts: u64 = fleet
             .backends
             .iter()
             .map(|b| b.stats())
@@ -224,10 +228,10 @@
             .sum();
         // A retry after a refusal costs two fifths of a retry that repeats work.
         let (num, den) = if fault == "refuse" { (10, 4) } else { (1, 1) };
-        let floor = 10 * (began.elapsed().as_secs() + 1);
+        let earned_by_time = 10 * (began.elapsed().as_secs() + 1);
         assert!(
-            asked <= requests + (requests / 10 + 10 + floor) * num / den,
-            "{fault}: {asked} for {requests}"
+            attempts <= requests + (requests / 10 + 10 + earned_by_time) * num / den,
+            "{fault}: {attempts} attempts for {requests} requests"
         );
     }
 }
--- a/tests/test_model.rs
+++ b/tests/test_model.rs
@@ -686,7 +686,8 @@
         let at = self.rng.usize(..ENTRIES);
         let what = self.rng.u32(0..100);
         if self.entries[at].is_suspended && what < 96 {
-            // A suspended entry does nothing while time passes. Only `inject_fault` may change it, for example resume it.
+            // A suspended entry does nothing while time passes. Only `inject_fault` may change it, for example resume
+            // it.
             self.now.ms += 50;
             self.now.wall_ms += 50;
             return;
@@ -750,8 +751,8 @@
         }
         for (id, row) in self.host_rows() {
             let is_at_rest = matches!(row.state, HostState::Free | HostState::Serving);
-            let held = row.purpose == rockwick::core::rows::Purpose::Hold;
-            assert!(is_at_rest || held, "{id} is stuck: {row:?}");
+            let is_kept_out = row.purpose == rockwick::core::rows::Purpose::Hold;
+            assert!(is_at_rest || is_kept_out, "{id} is stuck: {row:?}");
         }
         for id in &self.accepted_jobs {
             let job: JobRow = self
@@ -774,7 +775,7 @@
     }
 }
 
-fn run(seed: u64, steps: usize) -> World {
+fn run_model(seed: u64, steps: usize) -> World {
     let mut world = World::new(seed);
     for at in 0..ENTRIES {
         for _ in 0..20 {
@@ -800,7 +801,7 @@
 #[test]
 fn model_coverage() {
     // Without reboots, drain grants, jobs and tasks the checks of the model would pass without checking anything.
-    let worlds: Vec<World> = (0..60).map(|seed| run(seed, 1_500)).collect();
+    let worlds: Vec<World> = (0..60).map(|seed| run_model(seed, 1_500)).collect();
     let sum = |f: fn(&World) -> usize| worlds.iter().map(f).sum::<usize>();
     assert!(sum(|w| w.reboots) > 50, "{} reboots", sum(|w| w.reboots));
     assert!(
@@ -821,7 +822,7 @@
 }
 
 /// Seeds and step counts that failed once.
-const SAVED: [(u64, usize); 6] = [
+const SAVED_SEEDS: [(u64, usize); 6] = [
     // A placement that was not committed kept its capacity and blocked drains for ever.
     (2709426922828149065, 1_073),
     // A pool treated a host that it was giving back as a borrowed host, and repeated this without end.
@@ -834,8 +835,8 @@
 
 #[test]
 fn model_saved_seeds() {
-    for (seed, steps) in SAVED {
-        run(seed, steps);
+    for (seed, steps) in SAVED_SEEDS {
+        run_model(seed, steps);
     }
 }
 
@@ -850,6 +851,6 @@
 
     #[test]
     fn model_random(seed in any::<u64>(), steps in 200usize..2_000) {
-        run(seed, steps);
+        run_model(seed, steps);
     }
 }
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -75,9 +75,9 @@
 
 #[test]
 fn platform_unreachable() {
-    let dead = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = dead.local_addr().expect("bound");
-    drop(dead);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("bound");
+    drop(listener);
     let platform = Platform::new(address, None);
     smol::block_on(async {
         let outcome = platform
--- a/tests/test_runs.rs
+++ b/tests/test_runs.rs
@@ -7,7 +7,7 @@
 use rockwick::http::{Answer, Client};
 use serde_json::json;
 
-use crate::fleet::{get, post, text, value, wait_for, Call, Fleet, Plan};
+use crate::fleet::{body_json, body_text, get, post, wait_for, Call, Fleet, Plan};
 
 fn keyed_post<'a>(key: &str, body: &'a str) -> Call<'a> {
     post("/s/route/run", body).with("idempotency-key", key)
@@ -50,7 +50,7 @@
     assert_eq!((first.status, run_header(&first)), (200, "yes"));
     let again = keyed_post("k", "body").to(e2);
     assert_eq!((again.status, run_header(&again)), (200, "yes"));
-    assert_eq!(text(&again), text(&first));
+    assert_eq!(body_text(&again), body_text(&first));
     assert_eq!(again.header("rockwick-replayed"), Some("true"));
     let other = keyed_post("k", "other body").to(e2);
     assert_eq!(other.status, 422);
@@ -65,7 +65,7 @@
     let first = keyed_post("k", &body).to(fleet.entries[0].listen);
     let again = keyed_post("k", &body).to(fleet.entries[1].listen);
     assert_eq!(again.status, 200);
-    assert_eq!(text(&again), text(&first));
+    assert_eq!(body_text(&again), body_text(&first));
     assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
@@ -111,7 +111,7 @@
         (answer.status, run_header(&answer)),
         (503, "no"),
         "{}",
-        text(&answer)
+        body_text(&answer)
     );
     fleet.clear_faults();
     let again = wait_for("the key can be used", || {
@@ -188,7 +188,7 @@
         let again = keyed_post("k", "b").to(fleet.entries[1].listen);
         (again.status == 200).then_some(again)
     });
-    assert_eq!(text(&again), text(&answer));
+    assert_eq!(body_text(&again), body_text(&answer));
     assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
@@ -203,7 +203,7 @@
     let answer = running.join().expect("no panic").expect("an answer");
     assert_eq!(answer.status, 200);
     let again = keyed_post("k", "b").to(fleet.entries[1].listen);
-    assert_eq!((again.status, text(&again)), (200, text(&answer)));
+    assert_eq!((again.status, body_text(&again)), (200, body_text(&answer)));
     assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
@@ -225,7 +225,7 @@
         let again = keyed_post("k", "b").to(fleet.entries[1].listen);
         (again.status == 200).then_some(again)
     });
-    assert_eq!(text(&again), text(&answer));
+    assert_eq!(body_text(&again), body_text(&answer));
     assert_eq!(fleet.count_runs("key", "k"), 1);
 }
 
@@ -252,7 +252,7 @@
                 (outcome.0, outcome.1.as_str()),
                 (200, "yes") | (409, "unknown")
             );
-            assert!(is_expected, "{outcome:?}: {}", text(&answer));
+            assert!(is_expected, "{outcome:?}: {}", body_text(&answer));
         }
         assert_eq!(fleet.count_runs("key", &key), 1);
     }
@@ -272,7 +272,7 @@
         (again.status, run_header(&again)),
         (200, "yes"),
         "{}",
-        text(&again)
+        body_text(&again)
     );
     assert_eq!(fleet.count_runs("key", "k"), 1);
 }
@@ -369,9 +369,13 @@
         .with("x-mark", "theirs")
         .to(entry);
     assert_eq!((mine.status, theirs.status), (200, 200));
-    assert!(text(&theirs).contains("theirs"), "{}", text(&theirs));
+    assert!(
+        body_text(&theirs).contains("theirs"),
+        "{}",
+        body_text(&theirs)
+    );
     assert_eq!(
-        value(&get("/v1/status").to(fleet.entries[0].admin))["store"],
+        body_json(&get("/v1/status").to(fleet.entries[0].admin))["store"],
         "ok"
     );
 }
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -116,7 +116,7 @@
         .unwrap_or_default()
 }
 
-pub(crate) fn submit(to: SocketAddr, id: &str, spec: &str) -> Option<u16> {
+pub(crate) fn submit_job(to: SocketAddr, id: &str, spec: &str) -> Option<u16> {
     let body = json!({"spec": spec, "steps": [{"count": 3, "cpu": 500, "mem_mb": 100, "estimate_ms": 50}],
         "unknown": 1});
     call(to, Method::Post, &format!("/q/{id}"), &body).map(|a| a.status)
@@ -130,14 +130,14 @@
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
     let (one, two) = (start_entry(&fleet, "e1"), start_entry(&fleet, "e2"));
-    assert_eq!(submit(one.callers, A, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "work"), Some(200));
     assert_eq!(
-        submit(two.callers, A, "work"),
+        submit_job(two.callers, A, "work"),
         Some(200),
         "a repeated submission is the same job"
     );
     assert_eq!(
-        submit(two.callers, A, "other"),
+        submit_job(two.callers, A, "other"),
         Some(409),
         "another job under the same id is refused"
     );
@@ -160,7 +160,7 @@
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
-    assert_eq!(submit(one.callers, A, "lasts"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
     let gone = call(
         one.callers,
@@ -186,11 +186,11 @@
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
-    assert_eq!(submit(one.callers, A, "lasts"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
     let two = start_entry(&fleet, "e2");
     drop(one);
-    assert_eq!(submit(two.callers, B, "work"), Some(200));
+    assert_eq!(submit_job(two.callers, B, "work"), Some(200));
     wait_until("completed", || job_state(two.callers, B) == "completed");
     assert_eq!(fleet.running(), 3, "the running tasks continue");
     assert_eq!(fleet.starts(), 6, "the running tasks are not started again");
@@ -205,12 +205,12 @@
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
-    assert_eq!(submit(one.callers, A, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(150));
     let to = one.callers;
     let sent: Vec<_> = (0..24)
-        .map(|n| std::thread::spawn(move || submit(to, &format!("{:016x}", n * 7_919), "work")))
+        .map(|n| std::thread::spawn(move || submit_job(to, &format!("{:016x}", n * 7_919), "work")))
         .collect();
     for thread in sent {
         assert_eq!(thread.join().expect("no panic"), Some(200));
@@ -224,13 +224,13 @@
     let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
-    assert_eq!(submit(one.callers, A, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(900));
     let slow = format!("{:016x}", 7);
     // The write may take longer than the caller waits; it still takes effect.
     assert!(matches!(
-        submit(one.callers, &slow, "work"),
+        submit_job(one.callers, &slow, "work"),
         Some(200 | 504)
     ));
     wait_until("completed", || job_state(one.callers, &slow) == "completed");
@@ -285,7 +285,7 @@
         Some(410),
         "the refused job was not accepted"
     );
-    assert_eq!(submit(one.callers, A, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, A) == "completed");
 }
 
--- a/tests/test_soak.rs
+++ b/tests/test_soak.rs
@@ -19,13 +19,13 @@
     assert!(output.status.success(), "{options:?}: {text}");
 }
 
-fn options(text: &str) -> Vec<String> {
+fn split_options(text: &str) -> Vec<String> {
     text.split_whitespace().map(str::to_string).collect()
 }
 
 #[test]
 fn soak_short() {
-    run_soak(&options("--seed 1 --seconds 8"));
+    run_soak(&split_options("--seed 1 --seconds 8"));
 }
 
 /// Replays seeds that failed once; the first line of each file in `tests/seeds` holds the options.
@@ -37,7 +37,7 @@
         let path = file.expect("it can be read").path();
         if path.extension().is_some_and(|e| e == "seed") {
             let text = std::fs::read_to_string(&path).expect("it can be read");
-            run_soak(&options(text.lines().next().unwrap_or_default()));
+            run_soak(&split_options(text.lines().next().unwrap_or_default()));
         }
     }
 }
--- a/tests/test_stop.rs
+++ b/tests/test_stop.rs
@@ -6,13 +6,13 @@
 use standin::fleet::{Fleet, StoreFault};
 
 use crate::fleet::{failures, get, post, wait_for, LoadCallers, Plan};
-use crate::test_serve::{self, submit};
+use crate::test_serve::{self, submit_job};
 
 /// The time that the store takes for a write.
 const STORE_WRITE_MS: u64 = 300;
 
 /// The number of calls that arrive while the entry is suspended.
-const SUSPENDED_CALLS: u64 = 64;
+const CALLS_WHILE_SUSPENDED: u64 = 64;
 
 /// Long enough for the first call to begin, and shorter than [`STORE_WRITE_MS`], so that its write is still open.
 const FIRST_CALL_WAIT: Duration = Duration::from_millis(150);
@@ -94,21 +94,21 @@
     fleet.configure(1, "pool");
     let mut one = test_serve::start_entry(&fleet, "e1");
     let to = one.callers;
-    let send = |n: u64| std::thread::spawn(move || submit(to, &format!("{n:016x}"), "work"));
+    let send = |n: u64| std::thread::spawn(move || submit_job(to, &format!("{n:016x}"), "work"));
     fleet.set_store_fault(StoreFault::Turns(STORE_WRITE_MS));
     one.process.signal(Signal::SIGTERM);
     let first = send(0);
     std::thread::sleep(FIRST_CALL_WAIT);
     one.process.signal(Signal::SIGSTOP);
-    let suspended: Vec<_> = (1..=SUSPENDED_CALLS).map(send).collect();
+    let late_calls: Vec<_> = (1..=CALLS_WHILE_SUSPENDED).map(send).collect();
     std::thread::sleep(SUSPENSION);
     one.process.signal(Signal::SIGCONT);
-    let answers = suspended
+    let answers = late_calls
         .into_iter()
         .map(|thread| thread.join().expect("no panic"));
     let answers: Vec<Option<u16>> = answers.collect();
     assert!(matches!(first.join().expect("no panic"), Some(200 | 504)));
     let refused = answers.iter().filter(|status| **status == Some(503));
-    assert_eq!(refused.count() as u64, SUSPENDED_CALLS, "{answers:?}");
+    assert_eq!(refused.count() as u64, CALLS_WHILE_SUSPENDED, "{answers:?}");
     assert_eq!(one.process.wait_exit(), Some(0));
 }
