--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -124,8 +124,8 @@
     }
 }
 
-/// Returns a free port on a loopback address that no other call returns. On a shared address an outgoing
-/// connection of another test could take the port before the entry binds it.
+/// Returns a free port on a loopback address that no other call returns. On a shared address an outgoing connection of
+/// another test could take the port before the entry binds it.
 pub(crate) fn free_addr() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -175,7 +175,9 @@
     }
 
     pub(crate) async fn send(self, client: &Client) -> Result<Answer, ExchangeError> {
-        let mut req = client.request(self.method, self.path).expect("a good path");
+        let mut req = client
+            .request(self.method, self.path)
+            .expect("a valid path");
         for (name, value) in &self.headers {
             req.insert_header(*name, value.as_str());
         }
--- a/tests/test_drain.rs
+++ b/tests/test_drain.rs
@@ -238,7 +238,7 @@
 
 #[test]
 fn drain_dead_entry() {
-    // A dead entry blocks the drain until the platform or an operator says that it has ended.
+    // A killed entry blocks the drain until the platform or an operator says that the entry has ended.
     for by_platform in [true, false] {
         let fleet = Plan::new(4, 2).start();
         fleet.entries[1].process.signal(Signal::SIGKILL);
@@ -258,8 +258,8 @@
     }
 }
 
-/// The platform's list of hosts lags by 3 s: entries must stop sending to the drained host before the list
-/// shows the host as gone.
+/// The platform's list of hosts lags by 3 s: entries must stop sending to the drained host before the list shows
+/// the host as gone.
 #[test]
 fn drain_lagging_list() {
     let fleet = Plan::new(4, 2)
--- a/tests/test_edge.rs
+++ b/tests/test_edge.rs
@@ -119,7 +119,10 @@
     }
     let got = send_raw(fleet.entries[0].listen, bytes.as_bytes());
     let marks: Vec<usize> = (0..5)
-        .map(|n| got.find(&format!(" p{n} abc")).expect("its answer"))
+        .map(|n| {
+            got.find(&format!(" p{n} abc"))
+                .expect("an answer with the mark")
+        })
         .collect();
     assert!(marks.is_sorted(), "{got}");
 }
@@ -154,7 +157,7 @@
         let got = send_raw(addr, &bytes);
         assert!(got.starts_with("HTTP/1.1 400 "), "{got:?}");
     }
-    // The codec does not wait for the rest of a trailer that arrives in pieces, so the entry must.
+    // The codec is not woken for the rest of a trailer that arrives in pieces, so the entry must poll it again.
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream.write_all(head.as_bytes()).expect("sent");
     stream.write_all(b"X-T: ").expect("sent");
--- a/tests/test_keys.rs
+++ b/tests/test_keys.rs
@@ -19,7 +19,7 @@
 ];
 
 fn start_fleet() -> (Fleet, Entry) {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
     let one = start_entry(&fleet, "e1");
     (fleet, one)
@@ -126,7 +126,7 @@
 /// deny a queue that could have been added.
 #[test]
 fn keys_stale_config() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
     let one = start_entry_with(
         &fleet,
@@ -153,7 +153,7 @@
 /// neither deny an existing queue nor accept a revoked key.
 #[test]
 fn keys_slow_feed() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure_accounts(1, POOL, &ACCOUNTS);
     let one = start_entry_with(&fleet, "e1", &["--config-within-ms", "600"]);
     let to = one.callers;
--- a/tests/test_place.rs
+++ b/tests/test_place.rs
@@ -168,7 +168,7 @@
     assert_eq!(
         view.place_jobs(),
         ["old@h1", "fresh@h1"],
-        "a batch job that waited long goes before an urgent one"
+        "a batch job that waited long goes before an urgent one, or it would starve"
     );
 }
 
--- a/tests/test_platform.rs
+++ b/tests/test_platform.rs
@@ -13,7 +13,7 @@
 const SHORT_TIMEOUT_MS: u64 = 300;
 
 fn start_fleet() -> (Fleet, Platform) {
-    let fleet = Fleet::start("pool", 2, 50).expect("it starts");
+    let fleet = Fleet::start("pool", 2, 50).expect("the stand-in starts");
     let platform = Platform::new(fleet.address, Some(fleet.address));
     (fleet, platform)
 }
@@ -350,7 +350,7 @@
 #[test]
 fn platform_many_parts() {
     smol::block_on(async {
-        let fleet = Fleet::start("pool", 0, 1).expect("it starts");
+        let fleet = Fleet::start("pool", 0, 1).expect("the stand-in starts");
         let platform = Platform::new(fleet.address, None);
         for n in 0..2_300 {
             fleet.put_bytes("intake", &format!("pool/{n:04}"), "a", b"{}");
--- a/tests/test_report.rs
+++ b/tests/test_report.rs
@@ -51,7 +51,7 @@
         .arg(&path)
         .output()
         .expect("the command runs");
-    std::fs::remove_file(&path).expect("the file goes");
+    std::fs::remove_file(&path).expect("the file is removed");
     assert!(output.status.success());
     insta::assert_snapshot!("report", String::from_utf8_lossy(&output.stdout));
 }
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -127,7 +127,7 @@
 
 #[test]
 fn serve_runs_jobs() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let (one, two) = (start_entry(&fleet, "e1"), start_entry(&fleet, "e2"));
     assert_eq!(submit_job(one.callers, A, "work"), Some(200));
@@ -157,7 +157,7 @@
 
 #[test]
 fn serve_cancels() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     assert_eq!(submit_job(one.callers, A, "lasts"), Some(200));
@@ -183,7 +183,7 @@
 /// The owner of a pool is killed: another entry must take the pool over without starting running tasks again.
 #[test]
 fn serve_takes_over() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     assert_eq!(submit_job(one.callers, A, "lasts"), Some(200));
@@ -202,7 +202,7 @@
 /// not wait for each other.
 #[test]
 fn serve_slow_writes() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     assert_eq!(submit_job(one.callers, A, "work"), Some(200));
@@ -221,7 +221,7 @@
 /// store. A write that timed out and was sent again would wait behind its first attempt for ever.
 #[test]
 fn serve_slow_turns() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     assert_eq!(submit_job(one.callers, A, "work"), Some(200));
@@ -240,7 +240,7 @@
 /// written.
 #[test]
 fn serve_last_line() {
-    let fleet = Fleet::start(POOL, 1, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 1, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let (callers, ready, store) = (free_port(), free_port(), fleet.address.to_string());
     let child = Command::new(binary_path("rockwick"))
@@ -250,10 +250,10 @@
         .args(["--store", &store])
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the binary starts");
     wait_until("ready", || get_status(ready, "/readyz") == Some(200));
-    kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).expect("it runs");
-    let output = child.wait_with_output().expect("it ends");
+    kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).expect("the process runs");
+    let output = child.wait_with_output().expect("the process ends");
     assert!(output.status.success());
     let text = String::from_utf8_lossy(&output.stdout);
     let last = text.lines().last().unwrap_or_default();
@@ -262,7 +262,7 @@
 
 #[test]
 fn serve_store_refuses() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     fleet.set_store_fault(StoreFault::Busy);
@@ -293,7 +293,7 @@
 /// during an outage has an unknown outcome.
 #[test]
 fn serve_store_silent() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     fleet.set_store_fault(StoreFault::Mute);
--- a/tests/test_soak.rs
+++ b/tests/test_soak.rs
@@ -34,9 +34,9 @@
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/seeds");
     let files = std::fs::read_dir(folder).expect("the folder is there");
     for file in files {
-        let path = file.expect("it can be read").path();
+        let path = file.expect("the folder can be read").path();
         if path.extension().is_some_and(|e| e == "seed") {
-            let text = std::fs::read_to_string(&path).expect("it can be read");
+            let text = std::fs::read_to_string(&path).expect("the seed file can be read");
             run_soak(&split_options(text.lines().next().unwrap_or_default()));
         }
     }
--- a/tests/test_stop.rs
+++ b/tests/test_stop.rs
@@ -90,7 +90,7 @@
 /// begun must be answered, and calls that arrived meanwhile must be refused; none may be cut.
 #[test]
 fn stop_suspended() {
-    let fleet = Fleet::start("pool", 1, 50).expect("it starts");
+    let fleet = Fleet::start("pool", 1, 50).expect("the stand-in starts");
     fleet.configure(1, "pool");
     let mut one = test_serve::start_entry(&fleet, "e1");
     let to = one.callers;
