--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,4 +1,5 @@
-//! Helpers for tests of single scheduler decisions: a context with a fixed clock whose effects the test can inspect.
+//! Helpers for tests of single scheduler decisions: a decision runs on a context with a fixed clock, and its effects
+//! are returned for the test to check.
 
 use rockwick::clock::Now;
 use rockwick::core::sched::hosts::PoolNeed;
--- a/tests/test_catalogue.rs
+++ b/tests/test_catalogue.rs
@@ -3,9 +3,9 @@
 use rockwick::error::{Kind, KINDS};
 use rockwick::event::CATALOGUE;
 
-use crate::fleet::{get, text, Plan};
+use crate::fleet::{body_text, get, Plan};
 
-fn page(name: &str) -> String {
+fn read_page(name: &str) -> String {
     let path = format!("{}/docs/{name}", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(path).expect("the page is there")
 }
@@ -29,7 +29,7 @@
         ));
     }
     insta::assert_snapshot!("errors", lines.join("\n"));
-    let page = page("ERRORS.md");
+    let page = read_page("ERRORS.md");
     for line in lines {
         assert!(page.contains(&line), "docs/ERRORS.md lacks: {line}");
     }
@@ -38,7 +38,7 @@
 
 #[test]
 fn catalogue_events() {
-    let page = page("EVENTS.md");
+    let page = read_page("EVENTS.md");
     let mut last = 0;
     for e in CATALOGUE {
         assert!(
@@ -59,7 +59,7 @@
     let entry = &fleet.entries[0];
     assert_eq!(get("/s/route/x").to(entry.listen).status, 200);
     assert_eq!(get("/s/nowhere/x").to(entry.listen).status, 404);
-    let metrics_text = text(&get("/metrics").to(entry.admin));
+    let metrics_text = body_text(&get("/metrics").to(entry.admin));
     for line in [
         "rockwick_requests_total 2",
         "rockwick_answered_total 1",
--- a/tests/test_edge.rs
+++ b/tests/test_edge.rs
@@ -4,9 +4,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use crate::fleet::{get, post, value, Plan};
+use crate::fleet::{body_json, get, post, Plan};
 
-/// Sends raw bytes and reads until the entry closes or stays silent.
+/// Sends raw bytes, and reads until the entry closes the connection or sends nothing for 3 s.
 fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream
@@ -119,7 +119,10 @@
     }
     let got = send_raw(fleet.entries[0].listen, bytes.as_bytes());
     let marks: Vec<usize> = (0..5)
-        .map(|n| got.find(&format!(" p{n} abc")).expect("its answer"))
+        .map(|n| {
+            got.find(&format!(" p{n} abc"))
+                .expect("an answer with the mark")
+        })
         .collect();
     assert!(marks.is_sorted(), "{got}");
 }
@@ -154,7 +157,7 @@
         let got = send_raw(addr, &bytes);
         assert!(got.starts_with("HTTP/1.1 400 "), "{got:?}");
     }
-    // The codec does not wait for the rest of a trailer that arrives in pieces.
+    // The codec is not woken for the rest of a trailer that arrives in pieces, so the entry must poll it again.
     let mut stream = TcpStream::connect(addr).expect("a connection");
     stream.write_all(head.as_bytes()).expect("sent");
     stream.write_all(b"X-T: ").expect("sent");
@@ -242,7 +245,7 @@
         let path = call.path.to_string();
         let answer = call.to(addr);
         assert_eq!(answer.status, status, "{path}");
-        let problem = value(&answer);
+        let problem = body_json(&answer);
         assert_eq!(problem["type"], format!("/problems/{kind}"), "{path}");
         assert_eq!(answer.header("rockwick-run"), Some("no"), "{path}");
     }
--- a/tests/test_serve.rs
+++ b/tests/test_serve.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 use standin::fleet::{Fleet, StoreFault};
 
-use crate::fleet::{binary, Process, PATIENCE};
+use crate::fleet::{binary_path, Process, WAIT_MAX};
 
 const POOL: &str = "pool";
 
@@ -25,7 +25,7 @@
 }
 
 /// Returns a free port, which the process binds a moment later.
-fn port() -> SocketAddr {
+fn free_port() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("bound")
 }
@@ -36,7 +36,7 @@
 
 /// Starts an entry with flags beside the usual ones and waits until it is ready.
 pub(crate) fn start_entry_with(fleet: &Fleet, name: &str, more: &[&str]) -> Entry {
-    let (callers, ready, metrics) = (port(), port(), port());
+    let (callers, ready, metrics) = (free_port(), free_port(), free_port());
     let args = [
         ("--name", name.to_string()),
         ("--hall", "hall".to_string()),
@@ -61,7 +61,7 @@
         ready,
         metrics,
     };
-    wait_until("ready", || status(entry.ready, "/readyz") == Some(200));
+    wait_until("ready", || get_status(entry.ready, "/readyz") == Some(200));
     entry
 }
 
@@ -72,9 +72,9 @@
     }
 }
 
-/// Waits until `holds` returns true; panics after [`PATIENCE`].
+/// Waits until `holds` returns true; panics after [`WAIT_MAX`].
 pub(crate) fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_MAX;
     while !holds() {
         assert!(Instant::now() < end, "timed out waiting: {what}");
         std::thread::sleep(Duration::from_millis(10));
@@ -105,7 +105,7 @@
     smol::block_on(client.exchange(req, deadline_after_ms(10_000))).ok()
 }
 
-pub(crate) fn status(to: SocketAddr, path: &str) -> Option<u16> {
+pub(crate) fn get_status(to: SocketAddr, path: &str) -> Option<u16> {
     call(to, Method::Get, path, &Value::Null).map(|a| a.status)
 }
 
@@ -116,7 +116,7 @@
         .unwrap_or_default()
 }
 
-pub(crate) fn submit(to: SocketAddr, id: &str, spec: &str) -> Option<u16> {
+pub(crate) fn submit_job(to: SocketAddr, id: &str, spec: &str) -> Option<u16> {
     let body = json!({"spec": spec, "steps": [{"count": 3, "cpu": 500, "mem_mb": 100, "estimate_ms": 50}],
         "unknown": 1});
     call(to, Method::Post, &format!("/q/{id}"), &body).map(|a| a.status)
@@ -127,25 +127,25 @@
 
 #[test]
 fn serve_runs_jobs() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let (one, two) = (start_entry(&fleet, "e1"), start_entry(&fleet, "e2"));
-    assert_eq!(submit(one.callers, A, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "work"), Some(200));
     assert_eq!(
-        submit(two.callers, A, "work"),
+        submit_job(two.callers, A, "work"),
         Some(200),
         "a repeated submission is the same job"
     );
     assert_eq!(
-        submit(two.callers, A, "other"),
+        submit_job(two.callers, A, "other"),
         Some(409),
         "another job under the same id is refused"
     );
     wait_until("completed", || job_state(two.callers, A) == "completed");
     assert_eq!(fleet.starts(), 3);
-    assert_eq!(status(one.callers, "/q/"), Some(200));
-    assert_eq!(status(one.callers, &format!("/q/{B}")), Some(410));
-    assert_eq!(status(one.callers, "/elsewhere/"), Some(404));
+    assert_eq!(get_status(one.callers, "/q/"), Some(200));
+    assert_eq!(get_status(one.callers, &format!("/q/{B}")), Some(410));
+    assert_eq!(get_status(one.callers, "/elsewhere/"), Some(404));
     let bad = call(
         one.callers,
         Method::Post,
@@ -157,10 +157,10 @@
 
 #[test]
 fn serve_cancels() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
-    assert_eq!(submit(one.callers, A, "lasts"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
     let gone = call(
         one.callers,
@@ -183,14 +183,14 @@
 /// The owner of a pool is killed: another entry must take the pool over without starting running tasks again.
 #[test]
 fn serve_takes_over() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
-    assert_eq!(submit(one.callers, A, "lasts"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "lasts"), Some(200));
     wait_until("running", || fleet.running() == 3);
     let two = start_entry(&fleet, "e2");
     drop(one);
-    assert_eq!(submit(two.callers, B, "work"), Some(200));
+    assert_eq!(submit_job(two.callers, B, "work"), Some(200));
     wait_until("completed", || job_state(two.callers, B) == "completed");
     assert_eq!(fleet.running(), 3, "the running tasks continue");
     assert_eq!(fleet.starts(), 6, "the running tasks are not started again");
@@ -198,39 +198,39 @@
     assert!(lines.iter().any(|l| l.contains("\"pool-owned\"")));
 }
 
-/// The store executes the writes of a part one after the other: jobs that arrive together must share a write and not
-/// wait for each other.
+/// The store applies the writes to a partition one after the other: jobs that arrive together must share a write and
+/// not wait for each other.
 #[test]
 fn serve_slow_writes() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
-    assert_eq!(submit(one.callers, A, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(150));
     let to = one.callers;
     let sent: Vec<_> = (0..24)
-        .map(|n| std::thread::spawn(move || submit(to, &format!("{:016x}", n * 7_919), "work")))
+        .map(|n| std::thread::spawn(move || submit_job(to, &format!("{:016x}", n * 7_919), "work")))
         .collect();
     for thread in sent {
         assert_eq!(thread.join().expect("no panic"), Some(200));
     }
 }
 
-/// The store executes the writes of a part one after the other, each slower than the timeout for a fast store. A write
-/// that timed out and was sent again would wait behind its first attempt for ever.
+/// The store applies the writes to a partition one after the other, and each takes longer than the timeout for a fast
+/// store. A write that timed out and was sent again would wait behind its first attempt for ever.
 #[test]
 fn serve_slow_turns() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
-    assert_eq!(submit(one.callers, A, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, A) == "completed");
     fleet.set_store_fault(StoreFault::Turns(900));
     let slow = format!("{:016x}", 7);
     // The write may take longer than the caller waits; it still takes effect.
     assert!(matches!(
-        submit(one.callers, &slow, "work"),
+        submit_job(one.callers, &slow, "work"),
         Some(200 | 504)
     ));
     wait_until("completed", || job_state(one.callers, &slow) == "completed");
@@ -240,20 +240,20 @@
 /// written.
 #[test]
 fn serve_last_line() {
-    let fleet = Fleet::start(POOL, 1, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 1, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
-    let (callers, ready, store) = (port(), port(), fleet.address.to_string());
-    let child = Command::new(binary("rockwick"))
+    let (callers, ready, store) = (free_port(), free_port(), fleet.address.to_string());
+    let child = Command::new(binary_path("rockwick"))
         .args(["serve", "--name", "e1", "--hall", "hall"])
         .args(["--listen", &callers.to_string()])
         .args(["--ready", &ready.to_string()])
         .args(["--store", &store])
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts");
-    wait_until("ready", || status(ready, "/readyz") == Some(200));
-    kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).expect("it runs");
-    let output = child.wait_with_output().expect("it ends");
+        .expect("the binary starts");
+    wait_until("ready", || get_status(ready, "/readyz") == Some(200));
+    kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).expect("the process runs");
+    let output = child.wait_with_output().expect("the process ends");
     assert!(output.status.success());
     let text = String::from_utf8_lossy(&output.stdout);
     let last = text.lines().last().unwrap_or_default();
@@ -262,7 +262,7 @@
 
 #[test]
 fn serve_store_refuses() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     fleet.set_store_fault(StoreFault::Busy);
@@ -275,15 +275,17 @@
     let refused = refused.expect("an answer");
     assert_eq!(refused.status, 503);
     assert_eq!(refused.header("retry-after"), Some("1"));
-    wait_until("not ready", || status(one.ready, "/readyz") == Some(503));
+    wait_until("not ready", || {
+        get_status(one.ready, "/readyz") == Some(503)
+    });
     fleet.set_store_fault(StoreFault::None);
-    wait_until("ready", || status(one.ready, "/readyz") == Some(200));
+    wait_until("ready", || get_status(one.ready, "/readyz") == Some(200));
     assert_eq!(
-        status(one.callers, &format!("/q/{A}")),
+        get_status(one.callers, &format!("/q/{A}")),
         Some(410),
         "the refused job was not accepted"
     );
-    assert_eq!(submit(one.callers, A, "work"), Some(200));
+    assert_eq!(submit_job(one.callers, A, "work"), Some(200));
     wait_until("completed", || job_state(one.callers, A) == "completed");
 }
 
@@ -291,19 +293,23 @@
 /// during an outage has an unknown outcome.
 #[test]
 fn serve_store_silent() {
-    let fleet = Fleet::start(POOL, 2, 50).expect("it starts");
+    let fleet = Fleet::start(POOL, 2, 50).expect("the stand-in starts");
     fleet.configure(1, POOL);
     let one = start_entry(&fleet, "e1");
     fleet.set_store_fault(StoreFault::Mute);
-    wait_until("not ready", || status(one.ready, "/readyz") == Some(503));
+    wait_until("not ready", || {
+        get_status(one.ready, "/readyz") == Some(503)
+    });
     let body = json!({"spec": "work", "steps": [{"count": 1, "cpu": 500, "mem_mb": 100}]});
     let refused = call(one.callers, Method::Post, &format!("/q/{A}"), &body).expect("an answer");
     assert_eq!(refused.status, 503);
     assert!(refused.header("retry-after").is_some());
     fleet.set_store_fault(StoreFault::None);
-    wait_until("ready again", || status(one.ready, "/readyz") == Some(200));
+    wait_until("ready again", || {
+        get_status(one.ready, "/readyz") == Some(200)
+    });
     assert_eq!(
-        status(one.callers, &format!("/q/{A}")),
+        get_status(one.callers, &format!("/q/{A}")),
         Some(410),
         "the refused job does not exist"
     );
--- a/tests/test_soak.rs
+++ b/tests/test_soak.rs
@@ -2,13 +2,13 @@
 
 use std::process::Command;
 
-use crate::fleet::binary;
+use crate::fleet::binary_path;
 
 /// Runs the soak with `options`. Its waits are bounded, and its exit code says whether all guarantees held.
 fn run_soak(options: &[String]) {
     // Each process has its own folder: two suites on one machine would remove each other's logs.
     let logs = std::env::temp_dir().join(format!("rockwick-soak-{}", std::process::id()));
-    let output = Command::new(binary("standin"))
+    let output = Command::new(binary_path("standin"))
         .arg("soak")
         .args(options)
         .arg("--logs")
@@ -19,13 +19,13 @@
     assert!(output.status.success(), "{options:?}: {text}");
 }
 
-fn options(text: &str) -> Vec<String> {
+fn split_options(text: &str) -> Vec<String> {
     text.split_whitespace().map(str::to_string).collect()
 }
 
 #[test]
 fn soak_short() {
-    run_soak(&options("--seed 1 --seconds 8"));
+    run_soak(&split_options("--seed 1 --seconds 8"));
 }
 
 /// Replays seeds that failed once; the first line of each file in `tests/seeds` holds the options.
@@ -34,10 +34,10 @@
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/seeds");
     let files = std::fs::read_dir(folder).expect("the folder is there");
     for file in files {
-        let path = file.expect("it can be read").path();
+        let path = file.expect("the folder can be read").path();
         if path.extension().is_some_and(|e| e == "seed") {
-            let text = std::fs::read_to_string(&path).expect("it can be read");
-            run_soak(&options(text.lines().next().unwrap_or_default()));
+            let text = std::fs::read_to_string(&path).expect("the seed file can be read");
+            run_soak(&split_options(text.lines().next().unwrap_or_default()));
         }
     }
 }
