--- a/standin/src/fleet/clocks.rs
+++ b/standin/src/fleet/clocks.rs
@@ -1,10 +1,10 @@
 //! Clocks of workers: each instance's clock starts from its own value, and some run slow. The worker code of the
 //! stand-in platform converts between these clocks and its own.
 
-/// Largest rate error of a worker's clock in percent; the platform allows this much.
+/// Largest percentage by which a worker's clock may run slow; the platform allows this much.
 const SLOW_MAX_PERCENT: u64 = 2;
 
-/// Largest value from which a worker's clock may start.
+/// Bound, exclusive, of the value from which a worker's clock starts.
 const BASE_MAX_MS: u64 = 10_000_000;
 
 /// Holds the clock of one instance; the default is the platform's own clock.
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -105,7 +105,7 @@
 struct Worker {
     /// Number among all instances started so far; an id that is used again gets a new one.
     serial: u64,
-    /// Start time that it states, as Unix time.
+    /// Start time that the instance states, as Unix time.
     born_ms: u64,
     clock: WorkerClock,
     fencing_token: u64,
@@ -135,8 +135,8 @@
     rows: BTreeMap<(String, String, String), Stored>,
     ver: u64,
     fault: StoreFault,
-    parts_away: BTreeSet<String>,
-    is_operator_away: bool,
+    unavailable_parts: BTreeSet<String>,
+    is_operator_unavailable: bool,
     operator_calls_refused: u64,
     feed_rows_max: usize,
     feed_page_ms: u64,
@@ -146,13 +146,14 @@
     hall_cut: HallCut,
     /// Owners by epoch: the entry that took the pool at that revision.
     owners: BTreeMap<u64, String>,
-    /// Set while the next renewal of the pool's lease is to be answered late and reported.
+    /// Trap that delays the answer to one renewal of the pool's lease; set until [`Fleet::take_trapped_renewal`] reports
+    /// that renewal.
     renewal_trap: Option<Trap>,
     rng: fastrand::Rng,
     /// Separate generator for newer faults, so that saved seeds draw the older ones as before.
     late_rng: fastrand::Rng,
     /// Separate generator for the start times that instances state.
-    births: fastrand::Rng,
+    start_time_rng: fastrand::Rng,
     /// Whether instances have clocks of their own, some of them slow.
     has_clocks: bool,
     /// The last instance of each id, ended ones included.
@@ -221,7 +222,7 @@
         let mut state = self.lock();
         state.rng = fastrand::Rng::with_seed(seed);
         state.late_rng = fastrand::Rng::with_seed(seed.rotate_left(17));
-        state.births = fastrand::Rng::with_seed(seed.rotate_left(29));
+        state.start_time_rng = fastrand::Rng::with_seed(seed.rotate_left(29));
     }
 
     /// Writes a row without a condition, as the operator or a worker would.
@@ -297,12 +298,12 @@
 
     /// Makes exactly these partitions refuse all calls.
     pub fn set_unavailable_parts(&self, parts: &[String]) {
-        self.lock().parts_away = parts.iter().cloned().collect();
+        self.lock().unavailable_parts = parts.iter().cloned().collect();
     }
 
     /// Makes the operator's table refuse all reads, or serve them again.
-    pub fn set_operator_unavailable(&self, is_away: bool) {
-        self.lock().is_operator_away = is_away;
+    pub fn set_operator_unavailable(&self, is_unavailable: bool) {
+        self.lock().is_operator_unavailable = is_unavailable;
     }
 
     /// Returns the number of calls that the operator's table has refused.
@@ -310,7 +311,8 @@
         self.lock().operator_calls_refused
     }
 
-    /// Limits an answer of the feed to `rows_max` changes, and delays it by `page_ms`; 0 rows for no limit.
+    /// Limits an answer of the feed to `rows_max` changes, and delays each answer with changes by `page_ms`. With a
+    /// `rows_max` of 0 there is neither limit nor delay.
     pub fn set_feed_pages(&self, rows_max: usize, page_ms: u64) {
         let mut state = self.lock();
         state.feed_rows_max = rows_max;
@@ -322,7 +324,7 @@
         self.lock().workers.values().map(|w| w.starts).sum()
     }
 
-    async fn unanswered(&self) {
+    async fn wait_unanswered(&self) {
         Timer::after(Duration::from_millis(UNANSWERED_MS)).await;
     }
 
@@ -337,8 +339,8 @@
                         let fleet = served.clone();
                         async move {
                             match host {
-                                Some(n) => fleet.order(n, &incoming).await,
-                                None => fleet.store(&incoming).await,
+                                Some(n) => fleet.handle_order(n, &incoming).await,
+                                None => fleet.handle_store_call(&incoming).await,
                             }
                         }
                     };
--- a/standin/src/fleet/order_faults.rs
+++ b/standin/src/fleet/order_faults.rs
@@ -1,5 +1,5 @@
-//! Faults of orders to workers and of renewals of the pool's lease. The worker code draws the fate of each order
-//! here; the soak sets the faults.
+//! Faults of orders to workers and of renewals of the pool's lease. The worker code draws here how each
+//! order is delivered; the soak sets the faults.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use super::{Fleet, HallCut, OrderFault, State, UNANSWERED_MS};
 
-/// Largest delay of a late order.
+/// Bound, exclusive, of the delay of a very late order.
 const VERY_LATE_MS: u64 = 12_000;
 
 /// Delay of the answer to a trapped renewal.
--- a/standin/src/fleet/promises.rs
+++ b/standin/src/fleet/promises.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Records that an owner has acknowledged an end. No start may follow that end, whether it came before or after
-    /// this acknowledgement, unless the worker's lease lapsed between the end and the acknowledgement.
+    /// Records that an owner has acknowledged an end as done. No start may follow this acknowledgement. Starts between
+    /// the end and the acknowledgement are allowed only if the worker's lease lapsed in that time.
     pub(super) fn acknowledge_end(
         &mut self,
         task: &str,
--- a/standin/src/fleet/restarts.rs
+++ b/standin/src/fleet/restarts.rs
@@ -29,7 +29,7 @@
     pub(super) fn draw_born_ms(&mut self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let now_ms = since.unwrap_or_default().as_millis() as u64;
-        now_ms - self.births.u64(..CLOCK_SETBACK_MAX_MS)
+        now_ms - self.start_time_rng.u64(..CLOCK_SETBACK_MAX_MS)
     }
 }
 
--- a/standin/src/fleet/store.rs
+++ b/standin/src/fleet/store.rs
@@ -21,11 +21,11 @@
 }
 
 impl Fleet {
-    pub(super) async fn store(&self, incoming: &Incoming) -> Response {
+    pub(super) async fn handle_store_call(&self, incoming: &Incoming) -> Response {
         let fault = self.lock().fault;
         let path = incoming.head.url().path().to_string();
         if path.starts_with("/machine") {
-            return self.hosts(&path, incoming);
+            return self.handle_hosts_call(&path, incoming);
         }
         match fault {
             StoreFault::Choosy(percent) if self.lock().late_rng.u32(..100) < percent => {
@@ -45,11 +45,11 @@
             "/rows-get" => query(incoming, "part"),
             _ => String::new(),
         };
-        if self.lock().is_operator_away && query(incoming, "table") == "op" {
+        if self.lock().is_operator_unavailable && query(incoming, "table") == "op" {
             self.lock().operator_calls_refused += 1;
             return answer(503, "application/json", Vec::new());
         }
-        if self.lock().parts_away.contains(&part) {
+        if self.lock().unavailable_parts.contains(&part) {
             return answer(503, "application/json", Vec::new());
         }
         if let (StoreFault::Turns(ms), "/rows-tx") = (fault, path.as_str()) {
@@ -66,26 +66,26 @@
             if let Some(after_ms) = after_ms {
                 Timer::after(Duration::from_millis(after_ms)).await;
                 self.transact(&incoming.body).await;
-                self.unanswered().await;
+                self.wait_unanswered().await;
             }
         }
         let res = match path.as_str() {
             "/rows-tx" => self.transact(&incoming.body).await,
-            "/rows-get" => self.read(incoming),
-            "/rows-feed" => self.feed(incoming).await,
-            "/rows-parts" => self.parts(incoming),
+            "/rows-get" => self.read_rows(incoming),
+            "/rows-feed" => self.read_feed(incoming).await,
+            "/rows-parts" => self.list_parts(incoming),
             _ => answer(404, "application/json", Vec::new()),
         };
         let is_lost =
             fault == StoreFault::Lossy && path == "/rows-tx" && self.lock().rng.u32(..3) == 0;
         if fault == StoreFault::Mute || is_lost {
-            self.unanswered().await;
+            self.wait_unanswered().await;
         }
         res
     }
 
-    /// Waits until the partition has applied the writes before this one; returns false if that would take more than a
-    /// second.
+    /// Waits until the partition has applied the earlier writes and this one, which takes `ms`; returns false at once if
+    /// the earlier writes take longer than a second.
     async fn wait_turn(&self, part: String, ms: u64) -> bool {
         let now = Instant::now();
         let done = {
@@ -147,7 +147,7 @@
         (json(200, &json!({"ver": ver, "now_ms": 1})), is_delayed)
     }
 
-    fn read(&self, incoming: &Incoming) -> Response {
+    fn read_rows(&self, incoming: &Incoming) -> Response {
         let q = |name: &str| query(incoming, name);
         let state = self.lock();
         let until = q("target_version");
@@ -171,7 +171,7 @@
         )
     }
 
-    async fn feed(&self, incoming: &Incoming) -> Response {
+    async fn read_feed(&self, incoming: &Incoming) -> Response {
         let since = query(incoming, "depends_on").parse::<u64>().unwrap_or(0);
         let wait_ms = query(incoming, "wait_ms").parse::<u64>().unwrap_or(0);
         let until = Instant::now() + Duration::from_millis(wait_ms);
@@ -188,7 +188,7 @@
             };
             if !rows.is_empty() || Instant::now() >= until {
                 rows.sort_by_key(|r| r["ver"].as_u64());
-                let ver = self.page(&mut rows, ver).await;
+                let ver = self.limit_to_page(&mut rows, ver).await;
                 return json(200, &json!({"rows": rows, "ver": ver, "now_ms": 1}));
             }
             Timer::after(Duration::from_millis(POLL_MS)).await;
@@ -196,7 +196,7 @@
     }
 
     /// Limits changes to one page; returns the version to continue from.
-    async fn page(&self, rows: &mut Vec<Value>, ver: u64) -> u64 {
+    async fn limit_to_page(&self, rows: &mut Vec<Value>, ver: u64) -> u64 {
         let (rows_max, page_ms) = {
             let state = self.lock();
             (state.feed_rows_max, state.feed_page_ms)
@@ -213,7 +213,7 @@
         last.unwrap_or(ver)
     }
 
-    fn parts(&self, incoming: &Incoming) -> Response {
+    fn list_parts(&self, incoming: &Incoming) -> Response {
         const PAGE: usize = 1_000;
         let table = query(incoming, "table");
         let after_part = query(incoming, "depends_on");
--- a/standin/src/fleet/workers.rs
+++ b/standin/src/fleet/workers.rs
@@ -123,7 +123,7 @@
             let host = &mut state.hosts[n];
             host.instance = Some(instance.clone());
             host.out_for = None;
-            entry(&self.pool, &host.name, &host.address.to_string(), born_ms)
+            server_row(&self.pool, &host.name, &host.address.to_string(), born_ms)
         };
         self.put("servers", "", &instance, &row);
     }
@@ -138,7 +138,7 @@
             .as_ref()
             .and_then(|instance| state.workers.get(instance));
         let born_ms = worker.map_or(0, |w| w.born_ms);
-        let row = entry(&self.pool, &host.name, &address.to_string(), born_ms);
+        let row = server_row(&self.pool, &host.name, &address.to_string(), born_ms);
         let instance = host.instance.clone();
         drop(state);
         if let Some(instance) = instance {
@@ -217,7 +217,7 @@
         self.lock().upkeeps.clone()
     }
 
-    pub(super) fn hosts(&self, path: &str, incoming: &Incoming) -> Response {
+    pub(super) fn handle_hosts_call(&self, path: &str, incoming: &Incoming) -> Response {
         if path == "/machines" {
             let state = self.lock();
             let of = |h: &super::Host| {
@@ -263,7 +263,7 @@
         json(200, &json!({}))
     }
 
-    pub(super) async fn order(&self, n: usize, incoming: &Incoming) -> Response {
+    pub(super) async fn handle_order(&self, n: usize, incoming: &Incoming) -> Response {
         let body: Value = serde_json::from_slice(&incoming.body).unwrap_or_default();
         let is_renewal = incoming.head.url().path() == "/hold";
         let fencing_token = body["fencing_token"].as_u64().unwrap_or(0);
@@ -277,7 +277,7 @@
         match delivery {
             OrderDelivery::Normal => return self.carry_out(n, incoming, &body).await,
             OrderDelivery::Lost => {
-                self.unanswered().await;
+                self.wait_unanswered().await;
                 return answer(503, "application/json", Vec::new());
             }
             OrderDelivery::Delayed(after) => {
@@ -285,7 +285,7 @@
                 // An order that a process had received is lost when that process ends. A delay within the sender's
                 // timeout counts as time on the way, so the order reaches whichever instance runs then.
                 if after > ORDER_TIMEOUT && self.lock().serial_on(n) != serial {
-                    self.unanswered().await;
+                    self.wait_unanswered().await;
                     return answer(503, "application/json", Vec::new());
                 }
             }
@@ -293,13 +293,13 @@
         }
         // The sender has stopped waiting, so the order gets no answer.
         let res = self.carry_out(n, incoming, &body).await;
-        self.unanswered().await;
+        self.wait_unanswered().await;
         res
     }
 
     async fn carry_out(&self, n: usize, incoming: &Incoming, body: &Value) -> Response {
         let Some(instance) = self.lock().hosts[n].instance.clone() else {
-            self.unanswered().await;
+            self.wait_unanswered().await;
             return answer(503, "application/json", Vec::new());
         };
         let named = incoming.header("Rockwick-Expected-Instance");
@@ -401,7 +401,7 @@
         let label = self.lock().instance_label(instance);
         loop {
             if self.lock().instance_label(instance) != label {
-                self.unanswered().await;
+                self.wait_unanswered().await;
                 return answer(503, "application/json", Vec::new());
             }
             if let Some(res) = self.report_runs(instance, seen, Instant::now() >= until) {
@@ -456,7 +456,7 @@
     stated.parse().ok()
 }
 
-fn entry(pool: &str, host: &str, address: &str, born_ms: u64) -> Value {
+fn server_row(pool: &str, host: &str, address: &str, born_ms: u64) -> Value {
     json!({"service": pool, "address": address, "zone": "hall", "state": "ready", "machine": host,
         "capacity": {"cpu": CAPACITY_MILLI, "mem_mb": 32_768, "gpu": 0}, "labels": ["a", "r1"],
         "sequence": 1, "born": born_ms})
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -121,12 +121,12 @@
         let result = smol::block_on(client.exchange(req, deadline_after_ms(DEADLINE_MS + 500)));
         match result {
             Ok(answer) => Some(answer),
-            Err(trouble) => {
+            Err(error) => {
                 self.shared
                     .counts
                     .unanswered
                     .fetch_add(1, Ordering::Relaxed);
-                self.check_unanswered(entry, began, trouble, path);
+                self.check_unanswered(entry, began, error, path);
                 None
             }
         }
@@ -134,12 +134,12 @@
 
     /// Reports a broken promise if an undisturbed entry, or one that is stopping in an orderly way, did not answer a
     /// request that it had read.
-    fn check_unanswered(&self, entry: usize, began: Instant, trouble: ExchangeError, path: &str) {
-        let is_sent = trouble.sent() == rockwick::http::Sent::Some;
-        // An idle connection may be closed at the moment a request is sent on it.
+    fn check_unanswered(&self, entry: usize, began: Instant, error: ExchangeError, path: &str) {
+        let is_sent = error.sent() == rockwick::http::Sent::Some;
+        // A call that fails sooner may have been sent on an idle connection that the entry was closing.
         let is_read = began.elapsed() > Duration::from_millis(200);
         if is_sent && is_read && self.shared.disturbances.is_undisturbed_since(entry, began) {
-            let what = format!("{path} at entry {entry} got no answer: {trouble:?}");
+            let what = format!("{path} at entry {entry} got no answer: {error:?}");
             self.shared.fleet.report_broken(what);
         }
     }
--- a/standin/src/soak/disturbances.rs
+++ b/standin/src/soak/disturbances.rs
@@ -1,5 +1,5 @@
-//! Records when faults last disturbed each entry. Some promises hold only for undisturbed entries: faults mark
-//! entries here, callers and the configuration check ask.
+//! Records when faults last disturbed each entry. Some promises hold only for undisturbed entries: fault
+//! injection marks entries here, and callers and the configuration check read the marks.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
--- a/standin/src/soak/entry.rs
+++ b/standin/src/soak/entry.rs
@@ -18,10 +18,10 @@
     /// Name of the entry.
     pub(crate) name: String,
     /// Address where it takes callers' requests.
-    pub(crate) callers: SocketAddr,
+    pub(crate) caller_address: SocketAddr,
     /// Address of its readiness endpoint.
-    pub(crate) ready: SocketAddr,
-    store: SocketAddr,
+    pub(crate) ready_address: SocketAddr,
+    store_address: SocketAddr,
     log: PathBuf,
     child: Option<Child>,
     /// Number of processes started so far.
@@ -52,18 +52,18 @@
 }
 
 impl Entry {
-    /// Creates an entry without a process; it will reach the platform at `store`.
+    /// Creates an entry without a process; it will reach the platform at `store_address`.
     pub(crate) fn new(
         name: &str,
-        store: SocketAddr,
+        store_address: SocketAddr,
         logs: &Path,
         ports: &mut Ports,
     ) -> std::io::Result<Self> {
         Ok(Self {
             name: name.to_string(),
-            callers: ports.next()?,
-            ready: ports.next()?,
-            store,
+            caller_address: ports.next()?,
+            ready_address: ports.next()?,
+            store_address,
             log: logs.join(format!("{name}.log")),
             child: None,
             starts: 0,
@@ -82,10 +82,10 @@
             .open(&self.log)?;
         let child = Command::new(binary)
             .args(["serve", "--hall", "hall", "--name", &self.name])
-            .args(["--listen", &self.callers.to_string()])
-            .args(["--ready", &self.ready.to_string()])
-            .args(["--store", &self.store.to_string()])
-            .args(["--hosts", &self.store.to_string()])
+            .args(["--listen", &self.caller_address.to_string()])
+            .args(["--ready", &self.ready_address.to_string()])
+            .args(["--store", &self.store_address.to_string()])
+            .args(["--hosts", &self.store_address.to_string()])
             .stdout(Stdio::from(log))
             .spawn()?;
         self.child = Some(child);
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -125,7 +125,8 @@
     disturbances: Arc<Disturbances>,
     /// Version of the configuration; version N has N - 1 queues besides the first.
     version: u64,
-    changed: Instant,
+    /// When that version was written.
+    config_changed_at: Instant,
 }
 
 impl Cluster {
@@ -138,7 +139,7 @@
         std::fs::create_dir_all(&logs)?;
         // Runs a copy, so that a build during the soak does not replace the program under test.
         let binary = logs.join("rockwick");
-        std::fs::copy(program(args)?, &binary)?;
+        std::fs::copy(binary_path(args)?, &binary)?;
         let mut workers = Vec::new();
         for n in 0..args.workers {
             let proxy = Proxy::start(runtime, fleet.worker_address(n))?;
@@ -163,7 +164,7 @@
             workers,
             disturbances: Arc::new(Disturbances::new(args.entries)),
             version: 1,
-            changed: Instant::now(),
+            config_changed_at: Instant::now(),
         })
     }
 
@@ -184,13 +185,13 @@
 
     fn change_config(&mut self) {
         self.version += 1;
-        self.changed = Instant::now();
+        self.config_changed_at = Instant::now();
         self.fleet
             .configure_queues(self.version, POOL, self.version - 1);
     }
 }
 
-fn program(args: &Args) -> std::io::Result<PathBuf> {
+fn binary_path(args: &Args) -> std::io::Result<PathBuf> {
     match &args.binary {
         Some(path) => Ok(path.clone()),
         None => Ok(std::env::current_exe()?.with_file_name("rockwick")),
@@ -218,10 +219,11 @@
             };
         }
         let newest = cluster.version - 1;
-        let in_force = cluster.changed.elapsed() > Duration::from_millis(CONFIG_MS);
-        let is_undisturbed_since = cluster
+        let must_be_in_force =
+            cluster.config_changed_at.elapsed() > Duration::from_millis(CONFIG_MS);
+        let is_undisturbed = cluster
             .disturbances
-            .is_undisturbed_since(n, cluster.changed)
+            .is_undisturbed_since(n, cluster.config_changed_at)
             && cluster.disturbances.is_undisturbed_since(n, asked);
         match caller.has_queue(n, &format!("x{newest}")) {
             Some(true) => seen[n].version = cluster.version,
@@ -232,7 +234,7 @@
                 );
                 cluster.fleet.report_broken(what);
             }
-            Some(false) if in_force && is_undisturbed_since => {
+            Some(false) if must_be_in_force && is_undisturbed => {
                 let what = format!("configuration {} is not in force at {n}", cluster.version);
                 cluster.fleet.report_broken(what);
             }
@@ -257,7 +259,7 @@
     faults.tick(&mut cluster)?;
     let shared = Callers {
         fleet: cluster.fleet.clone(),
-        entries: cluster.entries.iter().map(|e| e.callers).collect(),
+        entries: cluster.entries.iter().map(|e| e.caller_address).collect(),
         disturbances: Arc::clone(&cluster.disturbances),
         open: Arc::default(),
         counts: Arc::default(),
@@ -316,8 +318,8 @@
     })
 }
 
-/// Waits after the last fault until every job has ended, every wave is completed and every long-running job has
-/// been seen running; reports a broken promise after `SETTLE_MS`.
+/// Waits after the last fault until every job has ended and every wave is completed; reports a broken promise after
+/// `SETTLE_MS`. Long-running jobs are cancelled once all their tasks run; no task of a cancelled job may still run.
 fn settle(
     cluster: &mut Cluster,
     faults: &mut Faults,
--- a/standin/src/soak/proxy.rs
+++ b/standin/src/soak/proxy.rs
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Waits while the fault blocks this direction; returns whether the connection goes on. A silenced connection waits
-    /// until one of its peers closes it.
+    /// Waits while the fault blocks this direction; returns whether the connection goes on. Never returns for a
+    /// connection that is silenced for good: such a connection ends when the other direction reads its end of stream.
     async fn may_pass(&self, is_back: bool, opened_generation: u64) -> bool {
         loop {
             if self.generation.load(Ordering::SeqCst) != opened_generation {
