--- a/standin/src/backend.rs
+++ b/standin/src/backend.rs
@@ -144,6 +144,7 @@
     in_flight: AtomicU32,
     peak: AtomicU32,
     connected: AtomicU32,
+    /// When the last run was started, as Unix time.
     last_run_ms: AtomicU64,
 }
 
@@ -226,7 +227,7 @@
             };
             let path = incoming.head.url().path().to_string();
             if path.starts_with("/control/") {
-                let res = self.control(&path, &incoming);
+                let res = self.handle_control_call(&path, &incoming);
                 if server::write_answer(&wire, res, incoming.head.method(), false)
                     .await
                     .is_err()
@@ -241,7 +242,7 @@
         }
     }
 
-    fn control(&self, path: &str, incoming: &Incoming) -> Response {
+    fn handle_control_call(&self, path: &str, incoming: &Incoming) -> Response {
         match path {
             "/control/set" => {
                 if let Ok(settings) = serde_json::from_slice(&incoming.body) {
@@ -267,9 +268,9 @@
     /// Handles one request; returns `None` if the connection is to be closed.
     async fn exchange(&self, wire: &Wire, incoming: &Incoming) -> Option<()> {
         let settings = *lock(&self.settings);
-        let asked = incoming.header("x-fault").map(|v| format!("\"{v}\""));
-        let asked = asked.and_then(|v| serde_json::from_str(&v).ok());
-        let fault = asked.unwrap_or(settings.fault);
+        let requested = incoming.header("x-fault").map(|v| format!("\"{v}\""));
+        let requested = requested.and_then(|v| serde_json::from_str(&v).ok());
+        let fault = requested.unwrap_or(settings.fault);
         let method = incoming.head.method();
         if fault == Fault::Refuse || !self.take_slot() {
             self.refused.fetch_add(1, Ordering::SeqCst);
@@ -283,7 +284,7 @@
         if work_ms > 0 {
             Timer::after(Duration::from_millis(work_ms)).await;
         }
-        let outcome = self.finish(wire, incoming, fault).await;
+        let outcome = self.send_answer(wire, incoming, fault).await;
         self.in_flight.fetch_sub(1, Ordering::SeqCst);
         outcome
     }
@@ -314,7 +315,7 @@
         }
     }
 
-    async fn finish(&self, wire: &Wire, incoming: &Incoming, fault: Fault) -> Option<()> {
+    async fn send_answer(&self, wire: &Wire, incoming: &Incoming, fault: Fault) -> Option<()> {
         let body = self.body(incoming);
         let whole = |extra: &str| {
             format!(
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -171,16 +171,16 @@
     }
     let mut ratios = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..args.rounds {
-        let bare = smol::block_on(run_round(&args, &args.direct, true, runtime))?;
+        let direct = smol::block_on(run_round(&args, &args.direct, true, runtime))?;
         let through = smol::block_on(run_round(&args, &args.target, false, runtime))?;
-        print_summary(&args, "direct", &bare);
+        print_summary(&args, "direct", &direct);
         print_summary(&args, "through", &through);
         ratios
             .0
-            .push(through.p50_us as f64 / bare.p50_us.max(1) as f64);
+            .push(through.p50_us as f64 / direct.p50_us.max(1) as f64);
         ratios
             .1
-            .push(through.p99_us as f64 / bare.p99_us.max(1) as f64);
+            .push(through.p99_us as f64 / direct.p99_us.max(1) as f64);
         ratios.2.push(through.sent - through.ok);
     }
     println!(
@@ -214,7 +214,7 @@
 async fn run_round(
     args: &Args,
     targets: &[SocketAddr],
-    bare: bool,
+    is_direct: bool,
     runtime: Runtime,
 ) -> Result<Summary, String> {
     let tally = Arc::new(Mutex::new(Tally::new()?));
@@ -233,7 +233,7 @@
         let tally = Arc::clone(&tally);
         let call = args.clone();
         tasks.push(runtime.spawn(async move {
-            let status = send(&call, &client, bare).await;
+            let status = send_request(&call, &client, is_direct).await;
             lock(&tally).record(status, due.elapsed());
         }));
         // Exponential gaps, as between the arrivals of independent callers.
@@ -246,12 +246,16 @@
     Ok(summary)
 }
 
-async fn send(args: &Args, client: &Client, bare: bool) -> String {
-    let plain = match bare {
+async fn send_request(args: &Args, client: &Client, is_direct: bool) -> String {
+    let default_path = match is_direct {
         true => "/load".to_string(),
         false => format!("/s/{}/load", args.service),
     };
-    let path = args.path.clone().filter(|_| !bare).unwrap_or(plain);
+    let path = args
+        .path
+        .clone()
+        .filter(|_| !is_direct)
+        .unwrap_or(default_path);
     let method = if args.method == "POST" {
         Method::Post
     } else {
@@ -269,6 +273,6 @@
         .await
     {
         Ok(answer) => answer.status.to_string(),
-        Err(trouble) => format!("{trouble:?}"),
+        Err(error) => format!("{error:?}"),
     }
 }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -110,18 +110,22 @@
     ended_entries: Vec<String>,
     /// The host list as callers see it, with the number in its etag.
     listed: (u64, Listing),
+    /// When the listed hosts are next updated, if a change is due.
     list_due_ms: Option<Millis>,
+    /// When the reboot of each host that is rebooting ends.
     rebooting: HashMap<String, Millis>,
     reboot_tokens: BTreeSet<String>,
     /// Highest attempt that may not start any more, by job.
     fenced: HashMap<String, u32>,
     tasks: HashMap<String, Task>,
     reports: BTreeMap<u64, TaskReport>,
+    /// Number of the newest report of each job and attempt.
     report_at: HashMap<(String, u32), u64>,
     report_seq: u64,
     faults: Faults,
     stats: Stats,
-    this_second: (u64, u64),
+    /// Current second, and the number of calls in it.
+    calls_in_second: (u64, u64),
 }
 
 struct Platform {
@@ -227,11 +231,11 @@
                 }
             };
             let path = incoming.head.url().path().to_string();
-            if !path.starts_with("/control/") && self.is_cut(&incoming).await {
+            if !path.starts_with("/control/") && self.apply_call_faults(&incoming).await {
                 return;
             }
             let method = incoming.head.method();
-            match self.answer(&path, incoming) {
+            match self.execute_call(&path, incoming) {
                 Some(res) => {
                     if server::write_answer(&wire, res, method, false)
                         .await
@@ -246,10 +250,10 @@
     }
 
     /// Counts a call and applies the delay of `slow_ms`; returns whether the call gets no answer and has no effect.
-    async fn is_cut(&self, incoming: &Incoming) -> bool {
+    async fn apply_call_faults(&self, incoming: &Incoming) -> bool {
         let agent = incoming.header("user-agent").unwrap_or_default();
         let entry = agent.strip_prefix("rockwick/").unwrap_or_default();
-        let (slow_ms, cut) = {
+        let (slow_ms, is_cut) = {
             let mut inner = self.inner();
             inner.count_call(self.clock.now_ms());
             let f = &inner.faults;
@@ -258,11 +262,11 @@
         if slow_ms > 0 {
             Timer::after(Duration::from_millis(slow_ms)).await;
         }
-        cut
+        is_cut
     }
 
     /// Executes a call and returns its answer; `None` if the answer is lost.
-    fn answer(&self, path: &str, incoming: Incoming) -> Option<Response> {
+    fn execute_call(&self, path: &str, incoming: Incoming) -> Option<Response> {
         let now_ms = self.clock.now_ms();
         let mut inner = self.inner();
         let method = incoming.head.method();
@@ -277,7 +281,7 @@
             });
         }
         if let Some(name) = path.strip_prefix("/objects/") {
-            return Some(inner.object(method, name, incoming.body));
+            return Some(inner.handle_object(method, name, incoming.body));
         }
         if let Some(id) = path.strip_prefix("/control/hosts/") {
             return Some(inner.set_host(id, &incoming.body, now_ms + self.list_lag_ms));
@@ -299,17 +303,17 @@
             "/tasks/start" => {
                 let task: TaskStart = serde_json::from_slice(&incoming.body).ok()?;
                 let answer = inner.start(task, now_ms);
-                inner.task_answer(answer)
+                inner.answer_task_order(answer)
             }
             "/tasks/renew" => {
                 let tasks: Vec<TaskRef> = serde_json::from_slice(&incoming.body).ok()?;
                 inner.renew(&tasks, now_ms);
-                inner.task_answer(OrderAnswer::Accepted)
+                inner.answer_task_order(OrderAnswer::Accepted)
             }
             "/tasks/stop" => {
                 let task: TaskRef = serde_json::from_slice(&incoming.body).ok()?;
                 let answer = inner.stop(&task, now_ms);
-                inner.task_answer(answer)
+                inner.answer_task_order(answer)
             }
             "/tasks/reports" => Some(inner.reports_after(since)),
             "/control/faults" if method == Method::Post => {
@@ -344,14 +348,14 @@
 impl Inner {
     fn count_call(&mut self, now_ms: Millis) {
         let second = now_ms / 1_000;
-        if self.this_second.0 != second {
-            self.this_second = (second, 0);
+        if self.calls_in_second.0 != second {
+            self.calls_in_second = (second, 0);
         }
-        self.this_second.1 += 1;
-        self.stats.peak_calls_per_s = self.stats.peak_calls_per_s.max(self.this_second.1);
+        self.calls_in_second.1 += 1;
+        self.stats.peak_calls_per_s = self.stats.peak_calls_per_s.max(self.calls_in_second.1);
     }
 
-    fn object(&mut self, method: Method, name: &str, body: Vec<u8>) -> Response {
+    fn handle_object(&mut self, method: Method, name: &str, body: Vec<u8>) -> Response {
         if method == Method::Put {
             self.objects.insert(name.to_string(), body);
             return server::json(200, &());
@@ -427,7 +431,7 @@
         server::json(200, &OrderResponse { answer })
     }
 
-    fn task_answer(&mut self, answer: OrderAnswer) -> Option<Response> {
+    fn answer_task_order(&mut self, answer: OrderAnswer) -> Option<Response> {
         if self.faults.lose_task_answers > 0 {
             self.faults.lose_task_answers -= 1;
             return None;
--- a/standin/src/routes.rs
+++ b/standin/src/routes.rs
@@ -28,8 +28,10 @@
 const HANG_US: u64 = 1_000_000;
 /// Interval between digests of peers, and so their greatest age.
 const DIGEST_US: u64 = 1_000_000;
-const WARM_US: u64 = 3_000_000;
-const SPAN_US: u64 = 20_000_000;
+/// Time at the start whose requests are not counted.
+const WARM_UP_US: u64 = 3_000_000;
+/// Time in which requests arrive.
+const ARRIVALS_US: u64 = 20_000_000;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Args {
@@ -108,7 +110,7 @@
 
 struct Req {
     entry: usize,
-    came_us: u64,
+    arrived_us: u64,
     attempts: u32,
     tried: Vec<usize>,
     /// Whether its next attempt has been charged to the retry budget.
@@ -124,7 +126,8 @@
 
 struct EntrySide {
     views: Vec<View>,
-    peers: Vec<u32>,
+    /// Requests of the other entries in flight at each backend server, as of the last digests.
+    peers_in_flight: Vec<u32>,
     queue: Vec<usize>,
     budget: RetryBudget,
     next: usize,
@@ -145,9 +148,11 @@
     scenario: Scenario,
     rng: fastrand::Rng,
     now_us: u64,
-    order: u64,
+    /// Number of the last event; orders events at the same time.
+    event_number: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    working: Vec<u32>,
+    /// Slots in use at each backend server.
+    used_slots: Vec<u32>,
     entries: Vec<EntrySide>,
     reqs: Vec<Req>,
     gap_us: f64,
@@ -166,7 +171,7 @@
                     health: Health::default(),
                 })
                 .collect(),
-            peers: vec![0; BACKENDS],
+            peers_in_flight: vec![0; BACKENDS],
             queue: Vec::new(),
             budget: RetryBudget::new(),
             next: 0,
@@ -176,9 +181,9 @@
             scenario,
             rng: fastrand::Rng::with_seed(seed),
             now_us: 0,
-            order: 0,
+            event_number: 0,
             events: BinaryHeap::new(),
-            working: vec![0; BACKENDS],
+            used_slots: vec![0; BACKENDS],
             entries: (0..ENTRIES).map(|_| entry()).collect(),
             reqs: Vec::new(),
             gap_us: 1.0 / (capacity_per_us * load),
@@ -194,8 +199,8 @@
     }
 
     fn push(&mut self, at_us: u64, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at_us, self.order, event)));
+        self.event_number += 1;
+        self.events.push(Reverse((at_us, self.event_number, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> u64 {
@@ -203,24 +208,24 @@
     }
 
     fn is_measured(&self) -> bool {
-        self.now_us > WARM_US
+        self.now_us > WARM_UP_US
     }
 
     fn run(mut self) -> (Figures, Histogram<u64>) {
         while let Some(Reverse((at_us, _, event))) = self.events.pop() {
             self.now_us = at_us;
             match event {
-                Event::Arrive => self.arrive(),
-                Event::AtBackend { req, backend } => self.at_backend(req, backend),
+                Event::Arrive => self.handle_arrival(),
+                Event::AtBackend { req, backend } => self.arrive_at_backend(req, backend),
                 Event::Answer {
                     req,
                     backend,
                     outcome,
-                } => self.answer(req, backend, outcome),
-                Event::Digest => self.digest(),
+                } => self.handle_answer(req, backend, outcome),
+                Event::Digest => self.update_digests(),
                 Event::SendQueued { entry } => {
                     self.send_queued(entry);
-                    if self.now_us < SPAN_US + WAIT_MAX_US {
+                    if self.now_us < ARRIVALS_US + WAIT_MAX_US {
                         self.push(self.now_us + 50_000, Event::SendQueued { entry });
                     }
                 }
@@ -229,8 +234,8 @@
         (self.figures, self.times)
     }
 
-    fn arrive(&mut self) {
-        if self.now_us >= SPAN_US {
+    fn handle_arrival(&mut self) {
+        if self.now_us >= ARRIVALS_US {
             return;
         }
         let gap = self.exponential(self.gap_us);
@@ -239,7 +244,7 @@
         let req = self.reqs.len();
         self.reqs.push(Req {
             entry,
-            came_us: self.now_us,
+            arrived_us: self.now_us,
             attempts: 0,
             tried: Vec::new(),
             is_paid: true,
@@ -285,7 +290,7 @@
             Strategy::TwoWithDigests => {
                 let mut rng = fastrand::Rng::with_seed(self.rng.u64(..));
                 let candidate = |b: usize| {
-                    let peers_in_flight = self.entries[entry].peers[b];
+                    let peers_in_flight = self.entries[entry].peers_in_flight[b];
                     Candidate {
                         in_flight: self.entries[entry].views[b].in_flight + peers_in_flight,
                         window: SLOTS,
@@ -326,7 +331,7 @@
         true
     }
 
-    fn at_backend(&mut self, req: usize, backend: usize) {
+    fn arrive_at_backend(&mut self, req: usize, backend: usize) {
         let first = backend == 0;
         let gone = self.scenario == Scenario::HallGone && backend.is_multiple_of(HALLS);
         let answer = |at_us, outcome| {
@@ -343,13 +348,13 @@
             answer(self.now_us + HOP_US, BAD)
         } else if first && self.scenario == Scenario::OneHangs {
             answer(self.now_us + HANG_US, BAD)
-        } else if self.working[backend] >= SLOTS {
+        } else if self.used_slots[backend] >= SLOTS {
             if self.is_measured() {
                 self.figures.over_slots += 1;
             }
             answer(self.now_us + HOP_US, FULL)
         } else {
-            self.working[backend] += 1;
+            self.used_slots[backend] += 1;
             let slow = first && self.scenario == Scenario::OneSlow;
             let mean = if slow { WORK_US * 10.0 } else { WORK_US };
             let took = self.exponential(mean);
@@ -358,17 +363,17 @@
         self.push(at_us, event);
     }
 
-    fn answer(&mut self, req: usize, backend: usize, outcome: u8) {
+    fn handle_answer(&mut self, req: usize, backend: usize, outcome: u8) {
         let entry = self.reqs[req].entry;
         if outcome == GOOD {
-            self.working[backend] -= 1;
+            self.used_slots[backend] -= 1;
         }
         self.record_outcome(entry, backend, outcome);
         match outcome {
             GOOD => {
                 if self.is_measured() {
                     self.figures.good += 1;
-                    let took = self.now_us - self.reqs[req].came_us;
+                    let took = self.now_us - self.reqs[req].arrived_us;
                     self.times.saturating_record(took);
                 }
             }
@@ -379,27 +384,27 @@
 
     fn record_outcome(&mut self, entry: usize, backend: usize, outcome: u8) {
         let now_ms = self.now_ms();
-        let shipped = self.strategy == Strategy::Windows;
+        let has_windows = self.strategy == Strategy::Windows;
         let out = |v: &View| v.health.is_ejected(now_ms);
         let ejected = self.entries[entry].views.iter().filter(|v| out(v)).count();
         let v = &mut self.entries[entry].views[backend];
         let at_window = v.in_flight >= v.window.size();
         v.in_flight -= 1;
-        let sign = match outcome {
+        let exchange_outcome = match outcome {
             GOOD => ExchangeOutcome::Good,
             FULL => ExchangeOutcome::Full,
             _ => ExchangeOutcome::Bad,
         };
-        if shipped && sign == ExchangeOutcome::Full {
+        if has_windows && exchange_outcome == ExchangeOutcome::Full {
             v.window.shrink();
         }
-        if shipped && sign == ExchangeOutcome::Good && at_window {
+        if has_windows && exchange_outcome == ExchangeOutcome::Good && at_window {
             v.window.grow();
         }
         // The two-choice strategies and the fixed share track health; random and round robin do not.
         if !matches!(self.strategy, Strategy::Random | Strategy::RoundRobin) {
             v.health
-                .record_outcome(sign, may_eject(ejected, BACKENDS), now_ms);
+                .record_outcome(exchange_outcome, may_eject(ejected, BACKENDS), now_ms);
         }
     }
 
@@ -407,8 +412,8 @@
     /// the budget lasts, else when the budget allows the next retry. Gives up the request otherwise.
     fn queue_retry(&mut self, req: usize, backend: usize, outcome: u8) {
         let entry = self.reqs[req].entry;
-        let late = self.now_us - self.reqs[req].came_us > WAIT_MAX_US;
-        if late || self.strategy != Strategy::Windows {
+        let is_late = self.now_us - self.reqs[req].arrived_us > WAIT_MAX_US;
+        if is_late || self.strategy != Strategy::Windows {
             self.give_up(outcome);
             return;
         }
@@ -446,7 +451,7 @@
     fn send_queued(&mut self, entry: usize) {
         let mut at = 0;
         while let Some(req) = self.entries[entry].queue.get(at).copied() {
-            if self.now_us - self.reqs[req].came_us > WAIT_MAX_US {
+            if self.now_us - self.reqs[req].arrived_us > WAIT_MAX_US {
                 self.entries[entry].queue.remove(at);
                 self.give_up(FULL);
             } else if !self.may_attempt(req) {
@@ -459,15 +464,15 @@
         }
     }
 
-    fn digest(&mut self) {
+    fn update_digests(&mut self) {
         for e in 0..ENTRIES {
             for b in 0..BACKENDS {
                 let others = (0..ENTRIES).filter(|o| *o != e);
                 let sum = others.map(|o| self.entries[o].views[b].in_flight).sum();
-                self.entries[e].peers[b] = sum;
+                self.entries[e].peers_in_flight[b] = sum;
             }
         }
-        if self.now_us < SPAN_US {
+        if self.now_us < ARRIVALS_US {
             self.push(self.now_us + DIGEST_US, Event::Digest);
         }
     }
--- a/standin/src/slopes.rs
+++ b/standin/src/slopes.rs
@@ -102,7 +102,7 @@
         .collect()
 }
 
-fn table(size: Size) -> Rows {
+fn build_table(size: Size) -> Rows {
     let mut rows = Rows::default();
     let head = HeadRow {
         version: 1,
@@ -170,7 +170,7 @@
         ms: 1_000,
         wall_ms: 1_000_000,
     };
-    let rows = table(size);
+    let rows = build_table(size);
     let listing = Listing {
         hosts: host_facts(size),
         ended_entries: vec![],
@@ -252,11 +252,11 @@
 }
 
 fn idle_poll_bytes(state: &State) -> usize {
-    let ask = PeerRequest::Poll {
+    let request = PeerRequest::Poll {
         digest: state.digest(),
         since: state.seq,
     };
-    let told = PeerReply::View {
+    let reply = PeerReply::View {
         digest: state.digest(),
         changes: Changes {
             seq: state.seq,
@@ -266,7 +266,7 @@
         hosts: vec![],
     };
     let length = |bytes: Option<Vec<u8>>| bytes.map_or(0, |b| b.len());
-    length(encode(&ask)) + length(encode(&told))
+    length(encode(&request)) + length(encode(&reply))
 }
 
 /// Allocator that counts the allocated bytes, so that the size of the state can be measured within one process.
@@ -312,8 +312,8 @@
 }
 
 pub(crate) fn run(_: Args) -> Result<(), String> {
-    type With = fn(usize) -> Size;
-    let sweeps: [(&str, [usize; 5], With); 5] = [
+    type SizeWith = fn(usize) -> Size;
+    let sweeps: [(&str, [usize; 5], SizeWith); 5] = [
         ("hosts", [250, 500, 750, 1_000, 1_500], |n| Size {
             hosts: n,
             ..FULL
--- a/standin/src/waves.rs
+++ b/standin/src/waves.rs
@@ -33,7 +33,7 @@
 const RESTART_MS: Millis = 5 * MINUTE_MS;
 const RACK_REPAIR_MS: Millis = 6 * HOUR_MS;
 
-/// Longest simulated duration of a run; a longer run is stopped and reported as not done.
+/// Longest simulated duration of a run; a longer run is stopped, and its figures up to then are reported as not done.
 const RUN_MAX_MS: Millis = 30 * DAY_MS;
 
 /// Largest number of events handled at one instant; more would mean an endless loop.
@@ -73,7 +73,7 @@
     restarts_per_day: f64,
     lose_rack: bool,
     jobs_per_pool: usize,
-    /// Pace that the user has as default; it is marked in the table.
+    /// Default pace of the user that the case stands for; the table marks it.
     pace_percent: u64,
 }
 
@@ -158,11 +158,14 @@
     now: Now,
     state: State,
     rows: Rows,
-    facts: Vec<HostInfo>,
-    listed: bool,
+    host_infos: Vec<HostInfo>,
+    /// Whether the reducer has read the current host list.
+    is_host_list_read: bool,
+    /// When each host that is down comes back.
     back_ms: HashMap<String, Millis>,
     tasks: BTreeMap<String, Task>,
     reports: Vec<TaskReport>,
+    /// Number of the last edit's ticket.
     tickets: u64,
     /// Tokens of the reboot orders that were executed; a repeated order has no effect.
     tokens: HashSet<String>,
@@ -209,7 +212,7 @@
             pause_ms: Millis::MAX,
             ..Tuning::default()
         };
-        let facts = (0..case.hosts).map(|n| HostInfo {
+        let host_infos = (0..case.hosts).map(|n| HostInfo {
             id: format!("h{n:03}"),
             hall: format!("hall{}", n / 4 % 11),
             rack: format!("rack{}", n / 4),
@@ -232,8 +235,8 @@
             },
             state: State::new(me, tuning, seed),
             rows: Rows::default(),
-            facts: facts.collect(),
-            listed: false,
+            host_infos: host_infos.collect(),
+            is_host_list_read: false,
             back_ms: HashMap::new(),
             tasks: BTreeMap::new(),
             reports: Vec::new(),
@@ -250,7 +253,7 @@
         fleet.run_for(30 * MINUTE_MS);
         for n in 1..=case.pools.iter().map(|p| p.0).sum() {
             for _ in 0..case.jobs_per_pool {
-                fleet.submit(n);
+                fleet.submit_job(n);
             }
         }
         fleet.run_for(HOUR_MS);
@@ -258,7 +261,7 @@
         fleet
     }
 
-    fn submit(&mut self, pool: usize) {
+    fn submit_job(&mut self, pool: usize) {
         // Declared run times are wrong by up to a factor of ten either way.
         let actual_ms = self.rng.u64(5..120) * MINUTE_MS;
         let factor = 10f64.powf(self.rng.f64() * 2.0 - 1.0);
@@ -301,10 +304,10 @@
                 begun_ms: self.now.ms,
                 changes: Some(self.rows.changes(since, &[])),
             }),
-            Effect::ReadHosts if !self.listed => {
-                self.listed = true;
+            Effect::ReadHosts if !self.is_host_list_read => {
+                self.is_host_list_read = true;
                 Some(Event::HostsRead(Some(Listing {
-                    hosts: self.facts.clone(),
+                    hosts: self.host_infos.clone(),
                     ended_entries: vec![],
                 })))
             }
@@ -377,9 +380,9 @@
     }
 
     fn take_down(&mut self, host: &str, for_ms: Millis) {
-        if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
+        if let Some(f) = self.host_infos.iter_mut().find(|f| f.id == host) {
             f.status = HostStatus::Gone;
-            self.listed = false;
+            self.is_host_list_read = false;
         }
         let until_ms = self.now.ms + for_ms;
         let back = self.back_ms.entry(host.to_string()).or_default();
@@ -421,10 +424,10 @@
             .collect();
         for host in back {
             self.back_ms.remove(&host);
-            if let Some(f) = self.facts.iter_mut().find(|f| f.id == host) {
+            if let Some(f) = self.host_infos.iter_mut().find(|f| f.id == host) {
                 f.status = HostStatus::Live;
                 f.boots += 1;
-                self.listed = false;
+                self.is_host_list_read = false;
             }
         }
         let ended: Vec<String> = self
@@ -462,8 +465,8 @@
 
     fn inject_failures(&mut self, case: &Case, began_ms: Millis) {
         let share = self.step_ms as f64 / DAY_MS as f64;
-        let hosts = self.facts.len();
-        let pick = |f: &mut Self| f.facts[f.rng.usize(..hosts)].id.clone();
+        let hosts = self.host_infos.len();
+        let pick = |f: &mut Self| f.host_infos[f.rng.usize(..hosts)].id.clone();
         if self.rng.f64() < case.fails_per_day * share {
             let host = pick(self);
             self.take_down(&host, REPAIR_MS);
@@ -475,7 +478,7 @@
         let at_ms = self.now.ms - began_ms;
         if case.lose_rack && (HOUR_MS..HOUR_MS + self.step_ms).contains(&at_ms) {
             for n in 0..4 {
-                let host = self.facts[8 + n].id.clone();
+                let host = self.host_infos[8 + n].id.clone();
                 self.take_down(&host, RACK_REPAIR_MS);
             }
         }
@@ -495,7 +498,7 @@
             })
             .collect();
         for pool in short {
-            self.submit(pool);
+            self.submit_job(pool);
         }
     }
 
@@ -563,7 +566,7 @@
     let pools = fleet.state.pools.keys().collect::<Vec<_>>();
     let moved = |f: &Fleet| f.state.pools.values().map(|p| p.row.moves).sum::<u64>();
     let moved_before = moved(&fleet);
-    let mut waiting: Vec<String> = fleet.facts.iter().map(|f| f.id.clone()).collect();
+    let mut waiting: Vec<String> = fleet.host_infos.iter().map(|f| f.id.clone()).collect();
     if let Strategy::Wave(_) = strategy {
         fleet.submit_edit(Edit::StartWave {
             pool: "*".to_string(),
