--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -27,7 +27,8 @@
     StoredRow, WorkerInfo,
 };
 
-const SIZES: [usize; 4] = [50, 150, 500, 1_000];
+/// Numbers of workers in a pool.
+const WORKER_COUNTS: [usize; 4] = [50, 150, 500, 1_000];
 
 const NOW_MS: u64 = 100_000;
 
@@ -35,7 +36,8 @@
     divan::main();
 }
 
-fn decide<T>(work: impl FnOnce(&mut Ctx<'_>) -> T) -> (T, Vec<Effect>) {
+/// Runs `work` in the context of a decision; returns its result and the effects that it requested.
+fn run_in_context<T>(work: impl FnOnce(&mut Ctx<'_>) -> T) -> (T, Vec<Effect>) {
     let mut timers = Timers::new();
     let mut out = Vec::new();
     let mut ctx = Ctx {
@@ -111,7 +113,7 @@
 fn loaded_pool(workers: usize) -> PoolState {
     let mut pool_state = PoolState::default();
     for n in 0..workers {
-        let fact = WorkerInfo {
+        let worker_info = WorkerInfo {
             id: format!("life-{n}"),
             born_wall_ms: None,
             host: format!("host-{n}"),
@@ -126,7 +128,7 @@
             },
             is_draining: false,
         };
-        let key = load::add_worker(&mut pool_state, fact, 0);
+        let key = load::add_worker(&mut pool_state, worker_info, 0);
         let worker = &mut pool_state.workers[key];
         worker.is_answering = true;
         worker.clock = Some(ClockSample {
@@ -140,20 +142,20 @@
         worker.add_task(TaskKey::default(), taken);
         pool_state.update_free_index(key);
     }
-    decide(|ctx| load::apply_intake(&mut pool_state, &task_row("a"), &config(), 1, ctx));
+    run_in_context(|ctx| load::apply_intake(&mut pool_state, &task_row("a"), &config(), 1, ctx));
     pool_state
 }
 
 /// Places one task.
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = WORKER_COUNTS)]
 fn place_task(bencher: Bencher<'_, '_>, workers: usize) {
     bencher
         .with_inputs(|| loaded_pool(workers))
-        .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
+        .bench_local_refs(|pool_state| run_in_context(|ctx| place::place(pool_state, ctx)));
 }
 
 /// Tries to place one task for which no worker has enough free capacity.
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = WORKER_COUNTS)]
 fn place_task_in_vain(bencher: Bencher<'_, '_>, workers: usize) {
     let full = || {
         let mut pool_state = loaded_pool(workers);
@@ -166,40 +168,41 @@
     };
     bencher
         .with_inputs(full)
-        .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
+        .bench_local_refs(|pool_state| run_in_context(|ctx| place::place(pool_state, ctx)));
 }
 
 /// Returns the state of a pool with 2,000 queued tasks, none of which fits on any worker.
 fn loaded_pool_with_queue(workers: usize) -> PoolState {
     let mut pool_state = loaded_pool(workers);
     let row = job_row("queue", 2_000, 16_100);
-    decide(|ctx| load::apply_intake(&mut pool_state, &row, &config(), 1, ctx));
+    run_in_context(|ctx| load::apply_intake(&mut pool_state, &row, &config(), 1, ctx));
     pool_state
 }
 
 /// Scans a long queue of tasks that fit nowhere, for the first time.
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = WORKER_COUNTS)]
 fn place_queue_in_vain(bencher: Bencher<'_, '_>, workers: usize) {
     bencher
         .with_inputs(|| loaded_pool_with_queue(workers))
-        .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
+        .bench_local_refs(|pool_state| run_in_context(|ctx| place::place(pool_state, ctx)));
 }
 
 /// Scans the same queue a second time, with nothing changed since.
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = WORKER_COUNTS)]
 fn place_queue_again(bencher: Bencher<'_, '_>, workers: usize) {
     let scanned = || {
         let mut pool_state = loaded_pool_with_queue(workers);
-        decide(|ctx| place::place(&mut pool_state, ctx));
+        run_in_context(|ctx| place::place(&mut pool_state, ctx));
         pool_state
     };
     bencher
         .with_inputs(scanned)
-        .bench_local_refs(|pool_state| decide(|ctx| place::place(pool_state, ctx)));
+        .bench_local_refs(|pool_state| run_in_context(|ctx| place::place(pool_state, ctx)));
 }
 
-/// Reconciles hosts at the start of a load peak: one pool lacks half of all hosts, the others offer a quarter.
-#[divan::bench(args = SIZES)]
+/// Reconciles hosts at the start of a load peak: one pool lacks half of all hosts, and the others
+/// together offer a quarter of all hosts.
+#[divan::bench(args = WORKER_COUNTS)]
 fn look_at_hosts(bencher: Bencher<'_, '_>, workers: usize) {
     let config = config();
     let list: Vec<HostRecord> = (0..workers)
@@ -242,12 +245,12 @@
             hosts::apply_list(&mut controller, list.clone());
             controller
         };
-        decide(new).0
+        run_in_context(new).0
     };
     bencher
         .with_inputs(controller)
         .bench_local_refs(|controller| {
-            decide(|ctx| hosts::reconcile(controller, &BTreeMap::new(), &inputs, ctx))
+            run_in_context(|ctx| hosts::reconcile(controller, &BTreeMap::new(), &inputs, ctx))
         });
 }
 
--- a/tests/compare/main.rs
+++ b/tests/compare/main.rs
@@ -15,7 +15,7 @@
 use paired::{DayFigures, Difference, WORTH};
 
 /// Smallest difference for which a single part is printed.
-const SHOWN: f64 = 0.002;
+const SHOWN_MIN: f64 = 0.002;
 
 /// Holds the command-line arguments.
 #[derive(Clone, Debug)]
@@ -79,7 +79,7 @@
 
 /// Identifies one run: a day with a seed on one of the checkouts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Play {
+struct DayRun {
     day: String,
     seed: u64,
     is_after: bool,
@@ -98,12 +98,12 @@
             std::process::exit(1);
         }
     }
-    let mut plays = Vec::new();
+    let mut runs = Vec::new();
     for day in &args.days {
         for seed in args.first_seed..args.first_seed + args.seeds {
             for is_after in [true, false] {
                 let day = day.clone();
-                plays.push(Play {
+                runs.push(DayRun {
                     day,
                     seed,
                     is_after,
@@ -111,23 +111,23 @@
             }
         }
     }
-    let played = play_all(&args, plays);
-    report(&args, &played);
+    let figures_by_run = run_all(&args, runs);
+    print_report(&args, &figures_by_run);
 }
 
-fn play_all(args: &Args, plays: Vec<Play>) -> BTreeMap<Play, DayFigures> {
-    let queue = Mutex::new(plays);
-    let played = Mutex::new(BTreeMap::new());
+fn run_all(args: &Args, runs: Vec<DayRun>) -> BTreeMap<DayRun, DayFigures> {
+    let queue = Mutex::new(runs);
+    let figures_by_run = Mutex::new(BTreeMap::new());
     std::thread::scope(|scope| {
         for _ in 0..args.jobs.max(1) {
             scope.spawn(|| loop {
                 let Some(next) = queue.lock().ok().and_then(|mut q| q.pop()) else {
                     return;
                 };
-                match play(args, &next) {
+                match run_day(args, &next) {
                     Ok(day) => {
-                        if let Ok(mut played) = played.lock() {
-                            played.insert(next, day);
+                        if let Ok(mut figures_by_run) = figures_by_run.lock() {
+                            figures_by_run.insert(next, day);
                         }
                     }
                     Err(why) => eprintln!("compare: {next:?}: {why}"),
@@ -135,11 +135,11 @@
             });
         }
     });
-    played.into_inner().unwrap_or_default()
+    figures_by_run.into_inner().unwrap_or_default()
 }
 
-fn play(args: &Args, play: &Play) -> Result<DayFigures, String> {
-    let dir = if play.is_after {
+fn run_day(args: &Args, run: &DayRun) -> Result<DayFigures, String> {
+    let dir = if run.is_after {
         &args.after
     } else {
         &args.before
@@ -147,48 +147,51 @@
     let name = format!(
         "compare-{}-{}-{}-{}.json",
         std::process::id(),
-        play.day.replace('/', "_"),
-        play.seed,
-        play.is_after
+        run.day.replace('/', "_"),
+        run.seed,
+        run.is_after
     );
     let report = std::env::temp_dir().join(name);
     let why = format!(
         "{} ({})",
         args.why,
-        if play.is_after { "after" } else { "before" }
+        if run.is_after { "after" } else { "before" }
     );
     let out = Command::new(&args.bench)
         .arg("run")
-        .args([args.site.as_path(), Path::new(&play.day)])
-        .args(["--seed", &play.seed.to_string(), "--why", &why])
+        .args([args.site.as_path(), Path::new(&run.day)])
+        .args(["--seed", &run.seed.to_string(), "--why", &why])
         .arg("--report")
         .arg(&report)
         .current_dir(dir)
         .output()
         .map_err(|e| e.to_string())?;
     let text = std::fs::read_to_string(&report).map_err(|e| {
-        let said = String::from_utf8_lossy(&out.stderr);
-        format!("{e}: {}", said.lines().last().unwrap_or_default())
+        let stderr = String::from_utf8_lossy(&out.stderr);
+        format!("{e}: {}", stderr.lines().last().unwrap_or_default())
     })?;
     let _ = std::fs::remove_file(&report);
     DayFigures::parse(&text).map_err(|e| e.to_string())
 }
 
-fn report(args: &Args, played: &BTreeMap<Play, DayFigures>) {
+fn print_report(args: &Args, figures_by_run: &BTreeMap<DayRun, DayFigures>) {
     println!(
         "{:<28} {:>7} {:>7} {:>8} {:>7}",
         "", "before", "after", "diff", "+-"
     );
     let mut all: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
     for day in &args.days {
-        let mut worth = Vec::new();
+        let mut worth_pairs = Vec::new();
         let mut notes = Vec::new();
-        for (play, after) in played.iter().filter(|(p, _)| p.is_after && p.day == *day) {
-            let twin = Play {
+        for (run, after) in figures_by_run
+            .iter()
+            .filter(|(p, _)| p.is_after && p.day == *day)
+        {
+            let before_run = DayRun {
                 is_after: false,
-                ..play.clone()
+                ..run.clone()
             };
-            let Some(before) = played.get(&twin) else {
+            let Some(before) = figures_by_run.get(&before_run) else {
                 continue;
             };
             let names: BTreeSet<&String> =
@@ -198,31 +201,31 @@
                 let pairs = all.entry(name).or_default();
                 pairs.push((figure(before), figure(after)));
             }
-            worth.push((before.figures[WORTH], after.figures[WORTH]));
+            worth_pairs.push((before.figures[WORTH], after.figures[WORTH]));
             for (which, day) in [("before", before), ("after", after)] {
                 if !day.broken.is_empty() || day.short > 0 {
                     let broken = day.broken.join(" ");
                     notes.push(format!(
                         "seed {} {which}: {broken} floors missed {}",
-                        play.seed, day.short
+                        run.seed, day.short
                     ));
                 }
             }
         }
-        line(day, &worth);
+        print_line(day, &worth_pairs);
         for note in notes {
             println!("    {note}");
         }
     }
     for (name, pairs) in &all {
-        let is_large = Difference::new(pairs).is_some_and(|d| d.mean().abs() >= SHOWN);
+        let is_large = Difference::new(pairs).is_some_and(|d| d.mean().abs() >= SHOWN_MIN);
         if *name == WORTH || is_large {
-            line(&format!("all: {name}"), pairs);
+            print_line(&format!("all: {name}"), pairs);
         }
     }
 }
 
-fn line(name: &str, pairs: &[(f64, f64)]) {
+fn print_line(name: &str, pairs: &[(f64, f64)]) {
     let Some(d) = Difference::new(pairs) else {
         println!("{name:<28} not played");
         return;
--- a/tests/compare/paired.rs
+++ b/tests/compare/paired.rs
@@ -42,8 +42,12 @@
         for (name, weight, value) in report.parts {
             figures.insert(name, weight * value);
         }
-        for (name, _, off) in report.prices.into_iter().filter(|(_, _, off)| *off > 0.0) {
-            figures.insert(format!("price: {name}"), -off);
+        for (name, _, deduction) in report
+            .prices
+            .into_iter()
+            .filter(|(_, _, deduction)| *deduction > 0.0)
+        {
+            figures.insert(format!("price: {name}"), -deduction);
         }
         Ok(Self {
             figures,
