--- a/standin/src/fleet/promises.rs
+++ b/standin/src/fleet/promises.rs
@@ -113,12 +113,12 @@
             .for_each(|what| promises.record_broken(what));
         if promises.acknowledged.contains(task) {
             promises.record_broken(format!(
-                "{now_ms} ms: {task} starts on {instance} after its end was noted"
+                "{now_ms} ms: {task} starts on {instance} after an owner acknowledged its end"
             ));
         }
         if promises.specs.get(&job).is_none_or(|text| text != spec) {
             promises.record_broken(format!(
-                "{now_ms} ms: {task} starts, which nobody sent like that"
+                "{now_ms} ms: {task} starts with a text that no caller sent"
             ));
         }
         let cancelled_ms = promises.cancelled_ms.get(&job);
@@ -215,7 +215,7 @@
         let through = state.maintained.get(&wave).map_or(0, |hosts| hosts.len());
         if is_completed && through < state.hosts.len() {
             let all = state.hosts.len();
-            let what = format!("wave {wave} is told completed with {through} of {all} hosts");
+            let what = format!("wave {wave} is shown as completed with {through} of {all} hosts");
             state.promises.record_broken(what);
         }
         is_completed
