--- a/standin/src/fleet/runs.rs
+++ b/standin/src/fleet/runs.rs
@@ -49,7 +49,7 @@
             return None;
         }
         Some(format!(
-            "{} ms: {task} run {} starts on {} under epoch {}, after run {} was done on {} at {} ms, noted at {acknowledged_ms} ms",
+            "{} ms: {task} run {} starts on {} with fencing token {}, after run {} was done on {} at {} ms, acknowledged at {acknowledged_ms} ms",
             start.at_ms, start.run, start.label, start.fencing_token,
             self.run, self.instance, self.at_ms
         ))
