--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -235,7 +235,10 @@
                 cluster.fleet.report_broken(what);
             }
             Some(false) if must_be_in_force && is_undisturbed => {
-                let what = format!("configuration {} is not in force at {n}", cluster.version);
+                let what = format!(
+                    "configuration {} is not in force at entry {n}",
+                    cluster.version
+                );
                 cluster.fleet.report_broken(what);
             }
             _ => {}
