--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -97,6 +97,7 @@
 #[derive(Clone, Debug)]
 struct Run {
     run: u64,
+    /// When its work is finished; `None` if it runs until it is stopped.
     ends_ms: Option<u64>,
 }
 
@@ -115,8 +116,10 @@
     running: BTreeMap<String, Run>,
     /// For each task, the highest run that was stopped or has ended here; runs up to it may not start.
     barred_through: HashMap<String, u64>,
+    /// Ends that no owner has acknowledged, in the form in which they are reported.
     ended: Vec<Value>,
-    next_end: u64,
+    /// Number of the last end.
+    last_end: u64,
     starts: u64,
 }
 
@@ -127,7 +130,7 @@
     /// Id of the worker instance that runs on it; `None` while it is down.
     instance: Option<String>,
     /// Wave whose maintenance it is down for.
-    out_for: Option<u64>,
+    maintenance_wave: Option<u64>,
 }
 
 #[derive(Default)]
@@ -146,8 +149,8 @@
     hall_cut: HallCut,
     /// Owners by epoch: the entry that took the pool at that revision.
     owners: BTreeMap<u64, String>,
-    /// Trap that delays the answer to one renewal of the pool's lease; set until [`Fleet::take_trapped_renewal`] reports
-    /// that renewal.
+    /// Trap that delays the answer to one renewal of the pool's lease; set until [`Fleet::take_trapped_renewal`]
+    /// reports that renewal.
     renewal_trap: Option<Trap>,
     rng: fastrand::Rng,
     /// Separate generator for newer faults, so that saved seeds draw the older ones as before.
@@ -162,7 +165,8 @@
     keeps_ids: bool,
     hosts: Vec<Host>,
     instances_started: u64,
-    upkeeps: Vec<String>,
+    /// Hosts in the order in which they were ordered into maintenance.
+    maintenance_orders: Vec<String>,
     /// Hosts that each wave has taken through maintenance.
     maintained: BTreeMap<u64, BTreeSet<String>>,
     promises: Promises,
@@ -200,7 +204,7 @@
                 name: format!("m-{n}"),
                 address: listener.get_ref().local_addr()?,
                 instance: None,
-                out_for: None,
+                maintenance_wave: None,
             };
             fleet.lock().hosts.push(host);
             fleet.start_new_instance(n);
--- a/standin/src/fleet/promises.rs
+++ b/standin/src/fleet/promises.rs
@@ -8,7 +8,7 @@
 
 /// Time after a cancel was acknowledged in which tasks may still start. It covers a change of owner, a read of the
 /// rows, and an order that is executed late.
-const CANCEL_MS: u64 = 12_000;
+const START_AFTER_CANCEL_MAX_MS: u64 = 12_000;
 
 /// Holds what callers were answered, which tasks started and ended, and which promises were broken.
 #[derive(Default)]
@@ -28,7 +28,7 @@
     /// Starts and ends of all tasks.
     runs: Runs,
     /// Largest number of hosts that each wave may have out at once.
-    out_max: BTreeMap<u64, usize>,
+    hosts_out_max: BTreeMap<u64, usize>,
     broken: Vec<String>,
 }
 
@@ -122,7 +122,7 @@
             ));
         }
         let cancelled_ms = promises.cancelled_ms.get(&job);
-        if cancelled_ms.is_some_and(|at| now_ms > at + CANCEL_MS) {
+        if cancelled_ms.is_some_and(|at| now_ms > at + START_AFTER_CANCEL_MAX_MS) {
             promises.record_broken(format!("{now_ms} ms: {task} starts long after its cancel"));
         }
         if promises.refused.contains(&job) {
@@ -133,13 +133,13 @@
     }
 
     /// Checks the number of hosts that are out for a wave against its maximum.
-    pub(super) fn check_out(&mut self, wave: u64) {
+    pub(super) fn check_hosts_out(&mut self, wave: u64) {
         let out = self
             .hosts
             .iter()
-            .filter(|h| h.out_for == Some(wave))
+            .filter(|h| h.maintenance_wave == Some(wave))
             .count();
-        let hosts_max = self.promises.out_max.get(&wave).copied();
+        let hosts_max = self.promises.hosts_out_max.get(&wave).copied();
         if hosts_max.is_some_and(|hosts_max| out > hosts_max) {
             self.promises
                 .record_broken(format!("wave {wave}: {out} hosts are out at once"));
@@ -199,7 +199,7 @@
     /// Requests a wave over all hosts, with at most `hosts_max` of them out at once.
     pub fn begin_wave(&self, wave: u64, duration_s: u64, hosts_max: usize) {
         let hosts: Vec<String> = self.lock().hosts.iter().map(|h| h.name.clone()).collect();
-        self.lock().promises.out_max.insert(wave, hosts_max);
+        self.lock().promises.hosts_out_max.insert(wave, hosts_max);
         let order = serde_json::json!({"wave": wave, "machines": hosts, "duration_s": duration_s,
             "maximum": hosts_max});
         self.put("op", "", &format!("wave/{wave}"), &order);
--- a/standin/src/fleet/store.rs
+++ b/standin/src/fleet/store.rs
@@ -84,8 +84,8 @@
         res
     }
 
-    /// Waits until the partition has applied the earlier writes and this one, which takes `ms`; returns false at once if
-    /// the earlier writes take longer than a second.
+    /// Waits until the partition has applied the earlier writes and this one, which takes `ms`; returns false at once
+    /// if the earlier writes take longer than a second.
     async fn wait_turn(&self, part: String, ms: u64) -> bool {
         let now = Instant::now();
         let done = {
--- a/standin/src/fleet/workers.rs
+++ b/standin/src/fleet/workers.rs
@@ -73,8 +73,8 @@
         worker.running.remove(task);
         let barred_through = worker.barred_through.entry(task.to_string()).or_default();
         *barred_through = (*barred_through).max(run);
-        worker.next_end += 1;
-        let row = json!([worker.next_end, task, run, how, ""]);
+        worker.last_end += 1;
+        let row = json!([worker.last_end, task, run, how, ""]);
         worker.ended.push(row);
         let label = self.instance_label(instance);
         self.promises.record_end(task, how, (&label, run), at_ms);
@@ -122,7 +122,7 @@
             state.workers.insert(instance.clone(), worker);
             let host = &mut state.hosts[n];
             host.instance = Some(instance.clone());
-            host.out_for = None;
+            host.maintenance_wave = None;
             server_row(&self.pool, &host.name, &host.address.to_string(), born_ms)
         };
         self.put("servers", "", &instance, &row);
@@ -214,7 +214,7 @@
 
     /// Returns the hosts that were ordered into maintenance, in order of the orders.
     pub fn maintained_hosts(&self) -> Vec<String> {
-        self.lock().upkeeps.clone()
+        self.lock().maintenance_orders.clone()
     }
 
     pub(super) fn handle_hosts_call(&self, path: &str, incoming: &Incoming) -> Response {
@@ -254,10 +254,10 @@
         let Some(instance) = state.end_instance(n, self.clock_ms()) else {
             return json(409, &json!({"reason": "busy"}));
         };
-        state.hosts[n].out_for = Some(wave);
-        state.upkeeps.push(name.clone());
+        state.hosts[n].maintenance_wave = Some(wave);
+        state.maintenance_orders.push(name.clone());
         state.maintained.entry(wave).or_default().insert(name);
-        state.check_out(wave);
+        state.check_hosts_out(wave);
         drop(state);
         self.replace_instance(n, instance, UPKEEP_MS, 0);
         json(200, &json!({}))
--- a/standin/src/soak/faults.rs
+++ b/standin/src/soak/faults.rs
@@ -120,7 +120,7 @@
                 self.end_after(ms, Recovery::RestoreOrders);
             }
             11 => {
-                let host = self.rng.usize(..cluster.workers.len());
+                let host = self.rng.usize(..cluster.worker_paths.len());
                 cluster.fleet.crash(host, ms);
                 self.record(format!("host {host} crashes, back after {ms} ms"));
             }
@@ -154,8 +154,8 @@
                 self.delay_orders(cluster, fault, ms);
             }
             RareFault::HalfCut(fault) => {
-                let host = ms as usize % cluster.workers.len();
-                cluster.workers[host].set(LinkFault::OneWay);
+                let host = ms as usize % cluster.worker_paths.len();
+                cluster.worker_paths[host].set(LinkFault::OneWay);
                 self.end_after(ms, Recovery::RestoreWorkerPath(host));
                 self.delay_orders(cluster, fault, ms);
             }
@@ -165,7 +165,7 @@
                 cluster.fleet.trap_renewal();
             }
             RareFault::Reborn(listed_ms) => {
-                let host = ms as usize % cluster.workers.len();
+                let host = ms as usize % cluster.worker_paths.len();
                 cluster.fleet.crash_listed(host, ms % 50, listed_ms);
             }
             RareFault::Halls(cut) => self.cut_halls(cluster, cut, ms),
@@ -189,22 +189,22 @@
             }
             RareFault::Lapse(back_ms) => {
                 self.break_store(cluster, StoreFault::Busy, ms);
-                for host in 0..cluster.workers.len() {
+                for host in 0..cluster.worker_paths.len() {
                     cluster.fleet.unlist(host);
                     self.end_after(ms + back_ms, Recovery::RelistWorker(host));
                 }
             }
             RareFault::Withdrawn => {
-                let host = ms as usize % cluster.workers.len();
+                let host = ms as usize % cluster.worker_paths.len();
                 cluster.fleet.unlist(host);
                 self.end_after(ms, Recovery::CrashWorker(host));
             }
             RareFault::Restarts(count, back_ms) => {
                 let first = ms as usize;
-                for n in 0..count.min(cluster.workers.len()) {
+                for n in 0..count.min(cluster.worker_paths.len()) {
                     cluster
                         .fleet
-                        .restart((first + n) % cluster.workers.len(), back_ms);
+                        .restart((first + n) % cluster.worker_paths.len(), back_ms);
                 }
             }
             RareFault::KeptIds => {
@@ -281,9 +281,9 @@
     }
 
     fn break_worker_path(&mut self, cluster: &mut Cluster, ms: u64) {
-        let host = self.rng.usize(..cluster.workers.len());
+        let host = self.rng.usize(..cluster.worker_paths.len());
         let link_fault = self.draw_link_fault();
-        cluster.workers[host].set(link_fault);
+        cluster.worker_paths[host].set(link_fault);
         self.record(format!("host {host}: {link_fault:?} for {ms} ms"));
         self.end_after(ms, Recovery::RestoreWorkerPath(host));
     }
@@ -291,7 +291,7 @@
     /// Silences every open connection between entries, the store and workers for good.
     fn silence_connections(&mut self, cluster: &mut Cluster) {
         cluster.disturbances.disturb_all(0);
-        let paths = cluster.store_paths.iter().chain(&cluster.workers);
+        let paths = cluster.store_paths.iter().chain(&cluster.worker_paths);
         for path in paths {
             path.set(LinkFault::Deaf);
         }
@@ -354,7 +354,7 @@
                 // `tick` starts every entry that does not run.
                 Recovery::StartEntry(_) => {}
                 Recovery::RestoreStorePath(n) => cluster.store_paths[n].set(LinkFault::None),
-                Recovery::RestoreWorkerPath(n) => cluster.workers[n].set(LinkFault::None),
+                Recovery::RestoreWorkerPath(n) => cluster.worker_paths[n].set(LinkFault::None),
                 Recovery::RestoreStore => cluster.fleet.set_store_fault(StoreFault::None),
                 Recovery::RestorePartitions => cluster.fleet.set_unavailable_parts(&[]),
                 Recovery::RelistWorker(host) => cluster.fleet.relist(host),
--- a/standin/src/soak/mod.rs
+++ b/standin/src/soak/mod.rs
@@ -120,8 +120,10 @@
     binary: PathBuf,
     fleet: Fleet,
     entries: Vec<Entry>,
+    /// Relays before the store, one for each entry.
     store_paths: Vec<Proxy>,
-    workers: Vec<Proxy>,
+    /// Relays before the workers.
+    worker_paths: Vec<Proxy>,
     disturbances: Arc<Disturbances>,
     /// Version of the configuration; version N has N - 1 queues besides the first.
     version: u64,
@@ -140,11 +142,11 @@
         // Runs a copy, so that a build during the soak does not replace the program under test.
         let binary = logs.join("rockwick");
         std::fs::copy(binary_path(args)?, &binary)?;
-        let mut workers = Vec::new();
+        let mut worker_paths = Vec::new();
         for n in 0..args.workers {
             let proxy = Proxy::start(runtime, fleet.worker_address(n))?;
             fleet.announce(n, proxy.address);
-            workers.push(proxy);
+            worker_paths.push(proxy);
         }
         let mut entries = Vec::new();
         let mut ports = Ports::default();
@@ -161,7 +163,7 @@
             fleet,
             entries,
             store_paths,
-            workers,
+            worker_paths,
             disturbances: Arc::new(Disturbances::new(args.entries)),
             version: 1,
             config_changed_at: Instant::now(),
