--- a/tests/compare/main.rs
+++ b/tests/compare/main.rs
@@ -206,7 +206,7 @@
                 if !day.broken.is_empty() || day.short > 0 {
                     let broken = day.broken.join(" ");
                     notes.push(format!(
-                        "seed {} {which}: {broken} floors missed {}",
+                        "seed {} {which}: broken rules: {broken}; floors missed: {}",
                         run.seed, day.short
                     ));
                 }
@@ -227,7 +227,7 @@
 
 fn print_line(name: &str, pairs: &[(f64, f64)]) {
     let Some(d) = Difference::new(pairs) else {
-        println!("{name:<28} not played");
+        println!("{name:<28} not run");
         return;
     };
     println!(
