--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -85,7 +85,7 @@
         .argument("N")
         .fallback(1);
     let direct = long("direct")
-        .help("Backend server; pairs each round with one sent to it directly")
+        .help("Backend server; each round through the entries follows one sent to it directly")
         .argument("IP:PORT")
         .many();
     let rounds = long("rounds")
