--- a/src/core/sched/crashes.rs
+++ b/src/core/sched/crashes.rs
@@ -199,7 +199,7 @@
     let Some(w) = pool_state.workers.get(worker) else {
         return;
     };
-    if w.fact.is_draining && w.has_been_listed() {
+    if w.info.is_draining && w.has_been_listed() {
         // The worker announced its end by draining.
         return;
     }
--- a/src/core/sched/fragmentation.rs
+++ b/src/core/sched/fragmentation.rs
@@ -39,7 +39,7 @@
         };
         for worker in pool_state.workers.values().filter(|w| w.is_open(now_ms)) {
             fragmentation.hosts += 1;
-            fragmentation.capacity.add(worker.fact.capacity);
+            fragmentation.capacity.add(worker.info.capacity);
             fragmentation.free.add(worker.free());
         }
         fragmentation
--- a/src/core/sched/free_index.rs
+++ b/src/core/sched/free_index.rs
@@ -35,7 +35,7 @@
 impl FreeIndex {
     /// Updates the index with a worker's free processors and rack.
     pub fn update(&mut self, key: WorkerKey, worker: &Worker) {
-        let room = worker.fact.capacity.cpu_milli;
+        let room = worker.info.capacity.cpu_milli;
         let free = room.saturating_sub(worker.used.cpu_milli);
         let slot = Slot {
             free_milli: free * 1_000 / room.max(1),
--- a/src/core/sched/instances.rs
+++ b/src/core/sched/instances.rs
@@ -14,9 +14,9 @@
 impl PoolState {
     /// Adds a worker instance.
     pub fn add_worker(&mut self, mut worker: Worker) -> WorkerKey {
-        worker.is_closing |= self.closing_hosts.contains(&worker.fact.host);
-        worker.may_leave |= self.hosts_that_may_leave.contains(&worker.fact.host);
-        let (id, host) = (worker.fact.id.clone(), worker.fact.host.clone());
+        worker.is_closing |= self.closing_hosts.contains(&worker.info.host);
+        worker.may_leave |= self.hosts_that_may_leave.contains(&worker.info.host);
+        let (id, host) = (worker.info.id.clone(), worker.info.host.clone());
         if let Some(restarts) = self.restarts(&id) {
             worker.restarts = restarts;
             worker.is_unconfirmed = true;
@@ -47,14 +47,14 @@
         self.dropped_ids
             .retain(|_, (restarts, at_ms)| *restarts > 0 || now_ms < *at_ms + DROPPED_KEPT_MS);
         if worker.has_been_listed() {
-            let id = worker.fact.id.clone();
+            let id = worker.info.id.clone();
             let dropped = self.dropped_ids.entry(id).or_default();
             *dropped = (dropped.0.max(worker.restarts), now_ms);
         }
         self.recording.remove(&key);
         self.free_index.remove(key);
-        drop_instance(&mut self.workers_by_id, &worker.fact.id, key);
-        drop_instance(&mut self.workers_by_host, &worker.fact.host, key);
+        drop_instance(&mut self.workers_by_id, &worker.info.id, key);
+        drop_instance(&mut self.workers_by_host, &worker.info.host, key);
     }
 
     /// Updates the index of free capacity for a worker.
@@ -73,7 +73,7 @@
     /// Returns the instance of an id that started at that time. If one of the two times is unknown, the id alone
     /// decides.
     pub fn find_instance(&self, id: &str, born_wall_ms: Option<Millis>) -> Option<WorkerKey> {
-        let same = |w: &Worker| w.fact.born_wall_ms == born_wall_ms;
+        let same = |w: &Worker| w.info.born_wall_ms == born_wall_ms;
         let instances = || self.instances_of(id);
         let exact = instances().find(|(_, w)| same(w));
         let answering = instances().find(|(_, w)| w.is_answering && w.has_start_time(born_wall_ms));
@@ -87,8 +87,8 @@
         let Some(worker) = self.workers.get(key) else {
             return Vec::new();
         };
-        let on_host = self.instances_on(&worker.fact.host);
-        let of_id = self.instances_of(&worker.fact.id);
+        let on_host = self.instances_on(&worker.info.host);
+        let of_id = self.instances_of(&worker.info.id);
         let siblings = on_host.chain(of_id).map(|(other, _)| other);
         let mut others: Vec<WorkerKey> = siblings.filter(|other| *other != key).collect();
         others.sort_unstable();
--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -43,8 +43,8 @@
         times,
         ..PoolState::default()
     };
-    for fact in state.listed.values().filter(|f| f.pool == pool) {
-        add_listed(&mut pool_state, fact.clone(), began_ms, ctx.now);
+    for info in state.listed.values().filter(|f| f.pool == pool) {
+        add_listed(&mut pool_state, info.clone(), began_ms, ctx.now);
     }
     let mut cancels = Vec::new();
     let mut intake = loaded.intake;
@@ -91,20 +91,20 @@
 }
 
 /// Adds a worker instance to the in-memory state. Its lease is taken to end [`FOREIGN_LEASE_MS`] after `began_ms`.
-pub fn add_worker(pool_state: &mut PoolState, fact: WorkerInfo, began_ms: Millis) -> WorkerKey {
-    pool_state.add_worker(Worker::new(fact, began_ms + FOREIGN_LEASE_MS))
+pub fn add_worker(pool_state: &mut PoolState, info: WorkerInfo, began_ms: Millis) -> WorkerKey {
+    pool_state.add_worker(Worker::new(info, began_ms + FOREIGN_LEASE_MS))
 }
 
 /// Adds a worker instance whose start this owner did not observe. If the instance started recently, a former owner may
 /// have sent it a deadline that was meant for an earlier instance of the same id.
 pub(super) fn add_listed(
     pool_state: &mut PoolState,
-    fact: WorkerInfo,
+    info: WorkerInfo,
     began_ms: Millis,
     now: Now,
 ) -> WorkerKey {
-    let born_wall_ms = fact.born_wall_ms;
-    let key = add_worker(pool_state, fact, began_ms);
+    let born_wall_ms = info.born_wall_ms;
+    let key = add_worker(pool_state, info, began_ms);
     let is_young = born_wall_ms.is_some_and(|ms| now.wall_ms.abs_diff(ms) < YOUNG_INSTANCE_MS);
     if is_young {
         let w = &mut pool_state.workers[key];
@@ -306,7 +306,7 @@
     if let Some(key) = pool_state.find_instance(id, born_wall_ms) {
         return key;
     }
-    let fact = WorkerInfo {
+    let info = WorkerInfo {
         id: id.to_string(),
         born_wall_ms,
         host: host.to_string(),
@@ -317,7 +317,7 @@
         capacity: Default::default(),
         is_draining: true,
     };
-    let key = add_listed(pool_state, fact, began_ms, now);
+    let key = add_listed(pool_state, info, began_ms, now);
     pool_state.workers[key].is_listed = false;
     key
 }
--- a/src/core/sched/order.rs
+++ b/src/core/sched/order.rs
@@ -90,7 +90,7 @@
         let open = self.workers.values().filter(|w| w.is_open(now_ms));
         let (mut now_cpu_milli, mut free_cpu_milli) = (0, 0);
         for worker in open {
-            let room = worker.fact.capacity.cpu_milli;
+            let room = worker.info.capacity.cpu_milli;
             now_cpu_milli += room;
             free_cpu_milli += room.saturating_sub(worker.used.cpu_milli);
         }
--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -265,7 +265,7 @@
 ) -> bool {
     let worker = &pool_state.workers[worker];
     if let Some(label) = &spec.label {
-        if !worker.fact.labels.contains(label) {
+        if !worker.info.labels.contains(label) {
             return false;
         }
     }
@@ -283,7 +283,7 @@
     more: Capacity,
 ) -> u64 {
     let w = &pool_state.workers[worker];
-    let room = w.fact.capacity.cpu_milli;
+    let room = w.info.capacity.cpu_milli;
     let free = room.saturating_sub(w.used.cpu_milli + more.cpu_milli);
     let mut cost = free * 1_000 / room.max(1);
     if spec
@@ -323,9 +323,9 @@
             Code::TaskPlaced,
             Subject::Job,
             &pool_state.jobs[key.job].id,
-            &*w.fact.id,
+            &*w.info.id,
         )
-        .with_name("on", &*w.fact.host)
+        .with_name("on", &*w.info.host)
         .with("round", u64::from(key.round))
         .with("step", u64::from(key.step))
         .with("task", u64::from(key.index))
--- a/src/core/sched/progress.rs
+++ b/src/core/sched/progress.rs
@@ -60,7 +60,7 @@
             (_, Some(worker)) => match self.workers.get(worker) {
                 Some(w) => {
                     TaskProgress::Started(*worker_indices.entry(worker).or_insert_with(|| {
-                        row.add_instance(&w.fact.id, &w.fact.host, w.fact.born_wall_ms)
+                        row.add_instance(&w.info.id, &w.info.host, w.info.born_wall_ms)
                     }))
                 }
                 None => TaskProgress::Idle,
--- a/src/core/sched/renewal.rs
+++ b/src/core/sched/renewal.rs
@@ -42,7 +42,7 @@
         // A worker must not lose its lease because the store can't record its ends.
         RenewalPhase::Recording(since_ms) => ctx.now.ms >= since_ms + RECORDING_WAIT_MS,
     };
-    if !is_free || w.fact.address.port() == 0 {
+    if !is_free || w.info.address.port() == 0 {
         return;
     }
     if !ctx.may_send() {
@@ -150,7 +150,7 @@
             Decision::new(
                 Code::WorkerSilent,
                 Subject::Host,
-                &w.fact.id,
+                &w.info.id,
                 format!("a lease renewal got no answer: {reply:?}"),
             )
             .with("lease_left_ms", left_ms)
@@ -204,7 +204,7 @@
     ctx: &mut Ctx<'_>,
 ) {
     let w = &mut pool_state.workers[key];
-    w.fact.born_wall_ms = w.fact.born_wall_ms.or(report.born_wall_ms);
+    w.info.born_wall_ms = w.info.born_wall_ms.or(report.born_wall_ms);
     if !w.is_answering {
         w.is_answering = true;
         // If the host has been reopened, the worker was only cut off and did not leave.
@@ -284,7 +284,7 @@
         return;
     }
     let why = "the worker's report names tasks that can't be read";
-    let decision = Decision::new(Code::BadRow, Subject::Host, &worker.fact.id, why);
+    let decision = Decision::new(Code::BadRow, Subject::Host, &worker.info.id, why);
     ctx.log(decision.with("entries", unreadable as u64));
 }
 
@@ -318,7 +318,7 @@
     let later = &pool_state.workers[key];
     earlier.retain(|other| {
         let w = &pool_state.workers[*other];
-        match w.fact.id == later.fact.id {
+        match w.info.id == later.info.id {
             true => w.has_been_seen() && w.answered_ms < sent_ms,
             false => w.is_succeeded_by(later),
         }
@@ -334,7 +334,7 @@
         return;
     };
     let found = pool_state
-        .instances_on(&w.fact.host)
+        .instances_on(&w.info.host)
         .find(|(_, other)| w.is_succeeded_by(other))
         .map(|(other, instance)| {
             (
@@ -355,7 +355,7 @@
     asked_ms: Millis,
     ctx: &mut Ctx<'_>,
 ) {
-    let instance = pool_state.workers[later].fact.id.clone();
+    let instance = pool_state.workers[later].info.id.clone();
     pool_state.workers[key].is_listed = false;
     let evidence = Evidence::Report { instance, asked_ms };
     runs::end_worker(pool_state, key, &evidence, ctx);
--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -248,8 +248,8 @@
             .with("idle_core_ms", self.idle_core_us / 1_000);
         if let Some(worker) = pool_state.workers.get(self.worker) {
             decision = decision
-                .with_name("worker", &*worker.fact.id)
-                .with_name("on", &*worker.fact.host)
+                .with_name("worker", &*worker.info.id)
+                .with_name("on", &*worker.info.host)
                 .with("used_cpu_milli", worker.used.cpu_milli);
         }
         ctx.log(decision);
--- a/src/core/sched/restarts.rs
+++ b/src/core/sched/restarts.rs
@@ -27,8 +27,8 @@
     w.restarts += 1;
     // An order for an earlier instance may have given this one a longer lease, and a lease is never shortened.
     w.lease_end_ms = w.lease_end_ms.max(ctx.now.ms + STRAY_LEASE_MS);
-    let born_wall_ms = w.fact.born_wall_ms;
-    let id = w.fact.id.clone();
+    let born_wall_ms = w.info.born_wall_ms;
+    let id = w.info.id.clone();
     let others = pool_state
         .instances_of(&id)
         .filter(|(other, w)| *other != key && w.has_been_seen());
@@ -81,7 +81,7 @@
         return;
     };
     let instances = pool_state
-        .instances_of(&w.fact.id)
+        .instances_of(&w.info.id)
         .map(|(instance, _)| instance);
     let earlier: Vec<WorkerKey> = instances.filter(|instance| *instance != key).collect();
     if earlier.is_empty() {
--- a/src/core/sched/run_log.rs
+++ b/src/core/sched/run_log.rs
@@ -78,7 +78,7 @@
 
 /// Returns the id of a worker, or `-` if the worker is not known.
 fn worker_id(pool_state: &PoolState, worker: WorkerKey) -> &str {
-    pool_state.workers.get(worker).map_or("-", |w| &w.fact.id)
+    pool_state.workers.get(worker).map_or("-", |w| &w.info.id)
 }
 
 /// Describes a task's state for a log entry about its run `run` on `worker`: the phase, and the task's current run and
@@ -175,15 +175,15 @@
     fn log(&mut self, pool_state: &PoolState, ctx: &mut Ctx<'_>) {
         let w = &pool_state.workers[self.worker];
         let why = "the worker listed these ended runs in its report";
-        let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.fact.id, why)
-            .with_name("on", &*w.fact.host)
+        let mut decision = Decision::new(Code::EndsTaken, Subject::Host, &w.info.id, why)
+            .with_name("on", &*w.info.host)
             .with_name(RUNS_KEY, self.list.take());
         if self.repeated_list.count > 0 {
             decision = decision.with_name("again_runs", self.repeated_list.take());
         }
         ctx.log(
             decision
-                .with("born_wall_ms", born_or_zero(w.fact.born_wall_ms))
+                .with("born_wall_ms", born_or_zero(w.info.born_wall_ms))
                 .with("epoch", self.epoch)
                 .with("asked_ago_ms", ctx.now.ms.saturating_sub(self.asked_ms))
                 .with("taken_before", self.taken)
@@ -309,7 +309,7 @@
     let started: usize = carrying.clone().map(|w| w.tasks.len()).sum();
     let mut on = List::default();
     for w in carrying.take(LOADED_MAX) {
-        on.add(format_args!("{}:{}", w.fact.id, w.tasks.len()));
+        on.add(format_args!("{}:{}", w.info.id, w.tasks.len()));
     }
     let why = match ownership.readings {
         1 => "rows read",
@@ -341,10 +341,10 @@
     reported_wall_ms: Option<Millis>,
     why: &'static str,
 ) -> Decision {
-    Decision::new(Code::WorkerRestarted, Subject::Host, &w.fact.id, why)
-        .with_name("on", &*w.fact.host)
+    Decision::new(Code::WorkerRestarted, Subject::Host, &w.info.id, why)
+        .with_name("on", &*w.info.host)
         .with("born_wall_ms", born_or_zero(reported_wall_ms))
-        .with("known_born_wall_ms", born_or_zero(w.fact.born_wall_ms))
+        .with("known_born_wall_ms", born_or_zero(w.info.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
         .with("taken", w.applied_through)
 }
@@ -352,7 +352,7 @@
 /// Builds the event of a worker whose runs are over, with the evidence and the state of its ends and its lease.
 pub(super) fn worker_over(w: &Worker, evidence: &Evidence, now_ms: Millis) -> Decision {
     let why = evidence.end_cause().why();
-    let decision = Decision::new(Code::WorkerOver, Subject::Host, &w.fact.id, why);
+    let decision = Decision::new(Code::WorkerOver, Subject::Host, &w.info.id, why);
     let decision = match evidence {
         Evidence::Lapse => decision,
         Evidence::Answer(order) => decision.with_name("to", *order),
@@ -361,8 +361,8 @@
             .with("asked_ago_ms", now_ms.saturating_sub(*asked_ms)),
     };
     decision
-        .with_name("on", &*w.fact.host)
-        .with("born_wall_ms", born_or_zero(w.fact.born_wall_ms))
+        .with_name("on", &*w.info.host)
+        .with("born_wall_ms", born_or_zero(w.info.born_wall_ms))
         .with("tasks", w.tasks.len() as u64)
         .with("unheard_ms", now_ms.saturating_sub(w.answered_ms))
         .with("lease_left_ms", w.lease_end_ms.saturating_sub(now_ms))
@@ -394,8 +394,8 @@
         .with_name("phase", phase_name(task.phase));
     if let Some(w) = task.phase.worker().and_then(|w| pool_state.workers.get(w)) {
         decision = decision
-            .with_name("worker", &*w.fact.id)
-            .with_name("on", &*w.fact.host);
+            .with_name("worker", &*w.info.id)
+            .with_name("on", &*w.info.host);
     }
     if let Some(at) = asked_ms {
         decision = decision.with("asked_ago_ms", now_ms.saturating_sub(at));
--- a/src/core/sched/runs.rs
+++ b/src/core/sched/runs.rs
@@ -40,8 +40,8 @@
         pool: ctx.pool,
         pool_state: pool_state.id,
         to: OrderTarget {
-            worker: worker.fact.id.clone(),
-            address: worker.fact.address,
+            worker: worker.info.id.clone(),
+            address: worker.info.address,
             fence: fencing_token::encode(pool_state.id, epoch, worker.restarts),
         },
         until_ms: ctx.until_ms,
@@ -689,7 +689,7 @@
     w.suspensions += 1;
     // A single further failure after the pause suspends the worker again.
     w.fails_in_row = FAILS_IN_A_ROW - 1;
-    let id = w.fact.id.clone();
+    let id = w.info.id.clone();
     suspend_worker(pool_state, worker, pause_ms, ctx);
     ctx.log(
         Decision::new(
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -180,7 +180,7 @@
     let mut sum = Capacity::default();
     let mut count = 0;
     for worker in listed {
-        sum.add(worker.fact.capacity);
+        sum.add(worker.info.capacity);
         count += 1;
     }
     let count = count.max(1);
@@ -342,7 +342,7 @@
             return false;
         };
         let worker = &mut pool_state.workers[key];
-        let worker_id = &worker.fact.id;
+        let worker_id = &worker.info.id;
         if offers.is_taken(host, worker_id) {
             return false;
         }
@@ -360,7 +360,7 @@
     let mut left = count;
     let mut offered: Vec<&str> = Vec::new();
     for worker in pool_state.workers.values_mut().filter(|w| w.is_spare) {
-        let (host, worker_id) = (&worker.fact.host, &worker.fact.id);
+        let (host, worker_id) = (&worker.info.host, &worker.info.id);
         if offers.is_taken(host, worker_id) {
             continue;
         }
@@ -395,7 +395,7 @@
     }
     let mut offered = BTreeMap::new();
     for (key, worker) in pool_state.workers.iter().filter(|(_, w)| w.is_spare) {
-        let (host, worker_id) = (&worker.fact.host, &worker.fact.id);
+        let (host, worker_id) = (&worker.info.host, &worker.info.id);
         let is_idle = worker.is_listed && worker.is_answering && pool_state.is_drained(key);
         let is_idle = is_idle && !worker.is_closing;
         let has_left = pool_state
@@ -427,7 +427,7 @@
 /// Marks the workers whose hosts are on offer or were taken.
 pub fn mark_offered(pool_state: &mut PoolState, offers: &Offers) {
     for (_, worker) in &mut pool_state.workers {
-        let (host, worker_id) = (&worker.fact.host, &worker.fact.id);
+        let (host, worker_id) = (&worker.info.host, &worker.info.id);
         worker.is_offered = offers.is_given(host, worker_id);
     }
 }
@@ -458,7 +458,7 @@
         .values()
         .filter(|w| w.is_open(ctx.now.ms))
         .collect();
-    let room: u64 = open.iter().map(|w| w.fact.capacity.cpu_milli).sum();
+    let room: u64 = open.iter().map(|w| w.info.capacity.cpu_milli).sum();
     let used: u64 = open.iter().map(|w| w.used.cpu_milli).sum();
     let count = |class: Class| pool_state.ready.iter().filter(|r| r.class == class).count() as u64;
     let (in_time, deferred) = (count(Class::InTime), count(Class::Deferred));
--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -219,7 +219,7 @@
 
 fn mark_due(pool_state: &mut PoolState, due: &BTreeSet<&str>) {
     for (_, worker) in &mut pool_state.workers {
-        worker.awaits_wave = due.contains(worker.fact.host.as_str());
+        worker.awaits_wave = due.contains(worker.info.host.as_str());
     }
 }
 
@@ -623,7 +623,7 @@
         if let Some(key) = pool_state.worker_on(host) {
             let w = &pool_state.workers[key];
             if w.is_answering
-                && !w.fact.is_draining
+                && !w.info.is_draining
                 && !w.is_offered
                 && can_clear(pool_state, key, now_ms)
             {
--- a/src/core/sched/wave_waits.rs
+++ b/src/core/sched/wave_waits.rs
@@ -160,7 +160,7 @@
     let worker = &pool_state.workers[key];
     Some(if !worker.is_answering {
         "the host's worker does not answer"
-    } else if worker.fact.is_draining {
+    } else if worker.info.is_draining {
         "the host's worker is draining"
     } else if worker.is_offered {
         "the host is on offer to other pools"
--- a/src/core/sched/worker.rs
+++ b/src/core/sched/worker.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// What the worker states about itself.
-    pub fact: WorkerInfo,
+    pub info: WorkerInfo,
     /// Whether it is in the platform's list.
     pub is_listed: bool,
     /// Capacity that its tasks and the leftover runs on it take.
@@ -116,9 +116,9 @@
 
 impl Worker {
     /// Creates a worker that has not answered yet.
-    pub fn new(fact: WorkerInfo, lease_end_ms: Millis) -> Self {
+    pub fn new(info: WorkerInfo, lease_end_ms: Millis) -> Self {
         Self {
-            fact,
+            info,
             is_listed: true,
             used: Capacity::default(),
             tasks: BTreeSet::new(),
@@ -157,7 +157,7 @@
         self.is_listed
             && self.is_answering
             && self.clock.is_some()
-            && !self.fact.is_draining
+            && !self.info.is_draining
             && !self.is_closing
             && !self.is_spare
             && now_ms >= self.suspended_until_ms
@@ -166,7 +166,7 @@
     /// Returns whether it is the instance that started at `born_wall_ms`. If either time is unknown, the id alone
     /// decides.
     pub fn has_start_time(&self, born_wall_ms: Option<Millis>) -> bool {
-        let ours = self.fact.born_wall_ms;
+        let ours = self.info.born_wall_ms;
         ours.is_none() || born_wall_ms.is_none() || ours == born_wall_ms
     }
 
@@ -193,20 +193,20 @@
     /// while one of them drains, and an instance that was first asked before this one last answered may have run beside
     /// it.
     pub fn is_succeeded_by(&self, later: &Worker) -> bool {
-        let may_still_serve = self.fact.is_draining || self.is_withdrawn;
+        let may_still_serve = self.info.is_draining || self.is_withdrawn;
         let is_gone = self.is_refusing && !may_still_serve;
         let answered_later = later.first_asked_ms.is_some_and(|at| self.answered_ms < at);
         is_gone
             && self.has_been_seen()
             && later.is_answering
-            && !later.fact.is_draining
+            && !later.info.is_draining
             && answered_later
     }
 
     /// Returns whether it was ever in the platform's list. Other workers are known only from what a former owner
     /// recorded.
     pub fn has_been_listed(&self) -> bool {
-        self.fact.address.port() != 0
+        self.info.address.port() != 0
     }
 
     /// Returns whether it may be about to end by a plan that it did not announce: its own, or a move or maintenance of
@@ -217,7 +217,7 @@
 
     /// Returns its free capacity; zero for what it is overcommitted in.
     pub fn free(&self) -> Capacity {
-        let (room, used) = (self.fact.capacity, self.used);
+        let (room, used) = (self.info.capacity, self.used);
         Capacity {
             cpu_milli: room.cpu_milli.saturating_sub(used.cpu_milli),
             mem_mb: room.mem_mb.saturating_sub(used.mem_mb),
@@ -234,12 +234,12 @@
 
     /// Returns whether `demand` would fit if it had no tasks.
     pub fn is_large_enough(&self, demand: Capacity) -> bool {
-        self.fact.capacity.contains(demand)
+        self.info.capacity.contains(demand)
     }
 
     /// Returns its rack, which the platform lists as the label after its kind.
     pub fn rack(&self) -> &str {
-        self.fact.labels.get(1).map_or("", String::as_str)
+        self.info.labels.get(1).map_or("", String::as_str)
     }
 
     /// Extends `lease_end_ms` to cover a lease that was or may have been granted until `lease_until_ms` on the worker's
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -69,12 +69,12 @@
     out: &mut Vec<Effect>,
 ) {
     let id = match &change {
-        WorkerEvent::Present(fact) => &fact.id,
+        WorkerEvent::Present(info) => &info.id,
         WorkerEvent::Gone(id) | WorkerEvent::Unreadable(id, _) => id,
     };
     state.list_changes.note_worker(id, now.ms);
     match change {
-        WorkerEvent::Present(fact) => apply_listed_worker(state, fact, now, out),
+        WorkerEvent::Present(info) => apply_listed_worker(state, info, now, out),
         WorkerEvent::Gone(id) => {
             state.unreadable.remove(&id);
             apply_unlisted_worker(state, &id, now, out);
@@ -127,8 +127,8 @@
 ) {
     state.list_changes.drop_old(now.ms);
     let is_reported = |id: &str| state.list_changes.is_reported_since(id, asked_ms);
-    all.retain(|fact| !is_reported(&fact.id));
-    let kept = state.listed.values().filter(|fact| is_reported(&fact.id));
+    all.retain(|info| !is_reported(&info.id));
+    let kept = state.listed.values().filter(|info| is_reported(&info.id));
     all.extend(kept.cloned());
     apply_list(state, all, now, out);
 }
@@ -143,22 +143,22 @@
     for id in missing {
         apply_unlisted_worker(state, &id, now, out);
     }
-    for fact in all {
-        apply_listed_worker(state, fact, now, out);
+    for info in all {
+        apply_listed_worker(state, info, now, out);
     }
 }
 
 pub(super) fn apply_listed_worker(
     state: &mut State,
-    fact: WorkerInfo,
+    info: WorkerInfo,
     now: Now,
     out: &mut Vec<Effect>,
 ) {
-    state.unreadable.remove(&fact.id);
-    state.listed.insert(fact.id.clone(), fact.clone());
+    state.unreadable.remove(&info.id);
+    state.listed.insert(info.id.clone(), info.clone());
     for key in owned_pools(state) {
         with_pool(state, key, now, out, |pool, ctx, _| {
-            let is_its_pool = pool.name == fact.pool;
+            let is_its_pool = pool.name == info.pool;
             let offers = &pool.offers;
             let Some(ownership) = &mut pool.ownership else {
                 return;
@@ -168,9 +168,9 @@
                 return;
             };
             match is_its_pool {
-                true => apply_worker_entry(pool_state, &fact, offers, epoch, ctx),
+                true => apply_worker_entry(pool_state, &info, offers, epoch, ctx),
                 // An instance of the same id has appeared in another pool.
-                false => note_unlisted(pool_state, &fact.id, ctx),
+                false => note_unlisted(pool_state, &info.id, ctx),
             }
         });
     }
@@ -179,23 +179,23 @@
 /// Applies a worker's entry in the list.
 pub fn apply_worker_entry(
     pool_state: &mut PoolState,
-    fact: &WorkerInfo,
+    info: &WorkerInfo,
     offers: &Offers,
     epoch: u64,
     ctx: &mut Ctx<'_>,
 ) {
-    if let Some(key) = pool_state.find_instance(&fact.id, fact.born_wall_ms) {
+    if let Some(key) = pool_state.find_instance(&info.id, info.born_wall_ms) {
         let w = &mut pool_state.workers[key];
         if w.is_superseded {
             return;
         }
-        log_resized(w, fact, ctx);
-        if w.fact.address != fact.address {
+        log_resized(w, info, ctx);
+        if w.info.address != info.address {
             w.moved_ms = Some(ctx.now.ms);
         }
-        w.fact = WorkerInfo {
-            born_wall_ms: fact.born_wall_ms.or(w.fact.born_wall_ms),
-            ..fact.clone()
+        w.info = WorkerInfo {
+            born_wall_ms: info.born_wall_ms.or(w.info.born_wall_ms),
+            ..info.clone()
         };
         w.is_listed = true;
         w.is_withdrawn = false;
@@ -204,31 +204,31 @@
         renewal::send_next(pool_state, key, epoch, ctx);
         return;
     }
-    if let Some((_, earlier)) = pool_state.instances_of(&fact.id).last() {
+    if let Some((_, earlier)) = pool_state.instances_of(&info.id).last() {
         ctx.log(run_log::worker_restarted(
             earlier,
-            fact.born_wall_ms,
+            info.born_wall_ms,
             "a new instance with the worker's id was listed",
         ));
     }
-    let key = load::add_listed(pool_state, fact.clone(), ctx.now.ms, ctx.now);
-    let is_given = offers.is_given(&fact.host, &fact.id);
+    let key = load::add_listed(pool_state, info.clone(), ctx.now.ms, ctx.now);
+    let is_given = offers.is_given(&info.host, &info.id);
     pool_state.workers[key].is_spare = is_given;
     pool_state.workers[key].is_offered = is_given;
-    let found = Decision::new(Code::WorkerFound, Subject::Host, &fact.id, &*fact.host);
-    ctx.log(found.with("born_wall_ms", run_log::born_or_zero(fact.born_wall_ms)));
+    let found = Decision::new(Code::WorkerFound, Subject::Host, &info.id, &*info.host);
+    ctx.log(found.with("born_wall_ms", run_log::born_or_zero(info.born_wall_ms)));
     start_renewing(pool_state, key, epoch, ctx);
 }
 
 /// Logs a change of a worker's capacity. Runs that no longer fit continue until they end, and nothing new is started
 /// beside them.
-fn log_resized(worker: &Worker, fact: &WorkerInfo, ctx: &mut Ctx<'_>) {
-    let (before, current) = (worker.fact.capacity, fact.capacity);
+fn log_resized(worker: &Worker, info: &WorkerInfo, ctx: &mut Ctx<'_>) {
+    let (before, current) = (worker.info.capacity, info.capacity);
     if before == current {
         return;
     }
     ctx.log(
-        Decision::new(Code::WorkerResized, Subject::Host, &fact.id, &*fact.host)
+        Decision::new(Code::WorkerResized, Subject::Host, &info.id, &*info.host)
             .with("cpu_milli", current.cpu_milli)
             .with("before_cpu_milli", before.cpu_milli)
             .with("mem_mb", current.mem_mb)
--- a/tests/test_ends.rs
+++ b/tests/test_ends.rs
@@ -85,7 +85,7 @@
     let mut pool_state = PoolState::default();
     let hosts = (0..4).map(|n| listed_worker(&format!("worker-{n}"), &format!("host-{n}")));
     let workers: Vec<_> = hosts
-        .map(|fact| add_answering_worker(&mut pool_state, fact))
+        .map(|info| add_answering_worker(&mut pool_state, info))
         .collect();
     let row = StoredRow {
         part: POOL.to_string(),
--- a/tests/test_left.rs
+++ b/tests/test_left.rs
@@ -133,7 +133,7 @@
         .workers
         .values()
         .filter(|w| w.is_closing || w.is_offered);
-    found.extend(closed.map(|w| format!("{} of {} is closed", w.fact.id, w.fact.host)));
+    found.extend(closed.map(|w| format!("{} of {} is closed", w.info.id, w.info.host)));
     found.extend(
         pool_state
             .closing_hosts
@@ -144,9 +144,9 @@
     let gone = pool_state
         .workers
         .values()
-        .filter(|w| !up.contains(&w.fact.id));
+        .filter(|w| !up.contains(&w.info.id));
     let held = gone.filter(|w| !w.tasks.is_empty() || w.suspended_until_ms > world.now_ms);
-    found.extend(held.map(|w| format!("tasks are held for {}, which is gone", w.fact.id)));
+    found.extend(held.map(|w| format!("tasks are held for {}, which is gone", w.info.id)));
     found
 }
 
@@ -244,7 +244,7 @@
             .owner_pool_state()
             .expect("the owner has loaded the pool");
         let mut workers = pool_state.workers.values();
-        workers.find(|w| w.is_closing).map(|w| w.fact.host.clone())
+        workers.find(|w| w.is_closing).map(|w| w.info.host.clone())
     };
     let host = closing(&world).expect("a host is closing");
     world.reload(0);
--- a/tests/test_offers.rs
+++ b/tests/test_offers.rs
@@ -74,8 +74,8 @@
         let mut pool_state = PoolState::default();
         for n in 0..HOSTS {
             let host = format!("host-{n}");
-            let fact = listed_worker(&format!("life-{n}"), &host);
-            add_answering_worker(&mut pool_state, fact);
+            let info = listed_worker(&format!("life-{n}"), &host);
+            add_answering_worker(&mut pool_state, info);
         }
         let mut controller = HostController::default();
         decide(0, |ctx| {
--- a/tests/test_room.rs
+++ b/tests/test_room.rs
@@ -14,15 +14,15 @@
 
 /// Adds a worker of random size on one of three racks, with some capacity in use.
 fn add_worker(pool_state: &mut PoolState, n: usize, rng: &mut Rng) {
-    let mut fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
-    fact.labels = vec!["kind".to_string(), format!("r{}", rng.u32(0..3))];
-    fact.capacity.cpu_milli = rng.u64(1..5) * 4_000;
-    let key = add_answering_worker(pool_state, fact);
+    let mut info = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
+    info.labels = vec!["kind".to_string(), format!("r{}", rng.u32(0..3))];
+    info.capacity.cpu_milli = rng.u64(1..5) * 4_000;
+    let key = add_answering_worker(pool_state, info);
     let worker = &mut pool_state.workers[key];
     worker.is_answering = rng.u32(0..5) > 0;
     worker.fails_in_row = rng.u32(0..3);
     let taken = Capacity {
-        cpu_milli: rng.u64(0..=worker.fact.capacity.cpu_milli),
+        cpu_milli: rng.u64(0..=worker.info.capacity.cpu_milli),
         ..Capacity::default()
     };
     worker.add_task(TaskKey::default(), taken);
@@ -34,7 +34,7 @@
 fn least_cost(pool_state: &PoolState, cpu_milli: u64, rack: Option<&str>) -> Option<u64> {
     let fits = pool_state.workers.keys().filter(|key| {
         let w = &pool_state.workers[*key];
-        let free = w.fact.capacity.cpu_milli - w.used.cpu_milli;
+        let free = w.info.capacity.cpu_milli - w.used.cpu_milli;
         w.is_open(1_000) && free >= cpu_milli
     });
     fits.map(|key| cost(pool_state, key, rack)).min()
@@ -42,7 +42,7 @@
 
 fn cost(pool_state: &PoolState, key: WorkerKey, rack: Option<&str>) -> u64 {
     let w = &pool_state.workers[key];
-    let total = w.fact.capacity.cpu_milli;
+    let total = w.info.capacity.cpu_milli;
     let is_far = rack.is_some_and(|rack| rack != w.rack());
     let free = total.saturating_sub(w.used.cpu_milli);
     free * 1_000 / total + u64::from(is_far) * 1_000 + u64::from(w.fails_in_row) * 300
@@ -100,7 +100,7 @@
     let taken = worker.used;
     worker.remove_task(TaskKey::default(), taken);
     pool_state.update_free_index(key);
-    let whole = pool_state.workers[key].fact.capacity.cpu_milli;
+    let whole = pool_state.workers[key].info.capacity.cpu_milli;
     assert_eq!(pool_state.free_index.workers_with_free(whole).count(), 1);
     assert_eq!(
         pool_state.free_index.workers_with_free(2 * whole).count(),
--- a/tests/test_run_log.rs
+++ b/tests/test_run_log.rs
@@ -176,7 +176,7 @@
 #[test]
 fn run_log_restart() {
     let (mut pool_state, worker) = pool_with_sent_starts(1);
-    pool_state.workers[worker].fact.born_wall_ms = Some(5_000);
+    pool_state.workers[worker].info.born_wall_ms = Some(5_000);
     let report = RenewalReport {
         born_wall_ms: Some(9_000),
         clock_ms: 10,
--- a/tests/test_sched.rs
+++ b/tests/test_sched.rs
@@ -98,14 +98,14 @@
         .iter()
         .map(|id| world.worker_info(id))
         .collect();
-    for fact in &facts {
-        world.deliver_event(0, Event::Worker(WorkerEvent::Gone(fact.id.clone())));
+    for info in &facts {
+        world.deliver_event(0, Event::Worker(WorkerEvent::Gone(info.id.clone())));
     }
     world.submit("a", job(1, 1_000, 200));
     world.run(1_500);
     assert_eq!((world.starts, world.running("lasts")), (2, 2));
-    for fact in facts {
-        world.deliver_event(0, Event::Worker(WorkerEvent::Present(fact)));
+    for info in facts {
+        world.deliver_event(0, Event::Worker(WorkerEvent::Present(info)));
     }
     world.run(2_000);
     assert_eq!(world.recorded_state("a"), JobState::Completed);
--- a/tests/test_shrinks.rs
+++ b/tests/test_shrinks.rs
@@ -63,9 +63,9 @@
 fn shrinks_logged() {
     let mut world = World::new(1, 1, 1);
     world.run(SETTLE_MS);
-    let mut fact = world.worker_info(&world.worker_ids()[0].clone());
-    fact.capacity.cpu_milli = 4_000;
-    let logged = world.deliver_logged(0, Event::Worker(WorkerEvent::Present(fact)));
+    let mut info = world.worker_info(&world.worker_ids()[0].clone());
+    info.capacity.cpu_milli = 4_000;
+    let logged = world.deliver_logged(0, Event::Worker(WorkerEvent::Present(info)));
     let lines: Vec<_> = logged
         .iter()
         .filter(|d| d.code == Code::WorkerResized)
--- a/tests/test_sizing.rs
+++ b/tests/test_sizing.rs
@@ -25,8 +25,8 @@
     fn new(hosts: u16) -> Self {
         let mut pool_state = PoolState::default();
         for n in 0..hosts {
-            let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
-            load::add_worker(&mut pool_state, fact, 0);
+            let info = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
+            load::add_worker(&mut pool_state, info, 0);
         }
         let sizing = Sizing::default();
         Self {
@@ -160,8 +160,8 @@
     let mut sizing = Sizing::default();
     let mut offers = Offers::default();
     for n in 0..12 {
-        let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
-        add_answering_worker(&mut pool_state, fact);
+        let info = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
+        add_answering_worker(&mut pool_state, info);
     }
     let row = StoredRow {
         part: POOL.to_string(),
--- a/tests/test_wide.rs
+++ b/tests/test_wide.rs
@@ -223,8 +223,8 @@
 fn fragmented_pool(hosts: u16, cpu_milli: u64, task: &JobSpec) -> PoolState {
     let mut pool_state = PoolState::default();
     for n in 0..hosts {
-        let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
-        add_answering_worker(&mut pool_state, fact);
+        let info = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
+        add_answering_worker(&mut pool_state, info);
     }
     let mut apart = job(hosts, cpu_milli, 2_000);
     apart.steps[0].per_worker_max = 1;
@@ -279,7 +279,7 @@
 
 #[test]
 fn wide_host_shrinks() {
-    let logged = dropped_after(|worker| worker.fact.capacity.cpu_milli = 14_000);
+    let logged = dropped_after(|worker| worker.info.capacity.cpu_milli = 14_000);
     let why = "the reserved host will not have enough room".to_string();
     assert_eq!(logged, (why, true));
 }
@@ -335,8 +335,8 @@
 fn needed_beside_lasting(wide: &JobSpec) -> u64 {
     let mut pool_state = PoolState::default();
     for n in 0..6 {
-        let fact = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
-        add_answering_worker(&mut pool_state, fact);
+        let info = listed_worker(&format!("life-{n}"), &format!("host-{n}"));
+        add_answering_worker(&mut pool_state, info);
     }
     let mut lasts = lasting(3, 1);
     lasts.steps[0].cpu_milli = 8_100;
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -505,7 +505,7 @@
         let instances = pool_state
             .workers
             .values()
-            .map(|w| (&w.fact.id, w.is_listed, w.is_answering, w.used));
+            .map(|w| (&w.info.id, w.is_listed, w.is_answering, w.used));
         format!(
             "{job:?}\n{:?}\n{:?}",
             instances.collect::<Vec<_>>(),
