--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -164,7 +164,7 @@
         };
         let is_long = now_ms >= task.since_ms + WAIT_MS;
         let may_start =
-            !spec.gang && !task.is_crash_suspect() && !is_held(pool_state, rank.task, now_ms);
+            !spec.gang && !task.is_crash_suspect() && !must_delay_start(pool_state, rank.task, now_ms);
         is_long && may_start && !pool_state.reserved.is_for(rank.task)
     };
     let ready = pool_state.ready.iter();
@@ -216,7 +216,7 @@
             return Outcome::Dropped("the reserved host takes no work");
         };
         let is_barred =
-            is_held(pool_state, self.task, now_ms) || runs::is_exhausted(pool_state, self.task);
+            must_delay_start(pool_state, self.task, now_ms) || runs::is_exhausted(pool_state, self.task);
         if is_barred || !pool_state.is_within_quota(self.task, 1) {
             return Outcome::Dropped(
                 "the task may not start now: quota, attempts or a pause before its next start",
@@ -316,7 +316,7 @@
 }
 
 /// Whether a lasting task has to wait before its next start.
-fn is_held(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
+fn must_delay_start(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
     let lasts = pool_state.step_spec(key).is_some_and(|s| s.lasting);
     lasts && pool_state.must_delay_start(key, now_ms)
 }
