--- a/src/core/sched/wave.rs
+++ b/src/core/sched/wave.rs
@@ -355,13 +355,13 @@
             index: *index,
             ..key
         };
-        !is_at_work(pool_state, other, now_ms)
+        !is_task_past_startup(pool_state, other, now_ms)
     });
     away.count() < most
 }
 
 /// Whether a task is at work according to a recent report of its worker.
-fn is_at_work(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
+fn is_task_past_startup(pool_state: &PoolState, key: TaskKey, now_ms: Millis) -> bool {
     let Some(task) = pool_state.task(key).filter(|t| t.is_past_startup) else {
         return false;
     };
