--- a/src/core/sched/place.rs
+++ b/src/core/sched/place.rs
@@ -96,7 +96,7 @@
         spec,
         key,
         now_ms,
-        is_apart: pool_state
+        must_be_placed_apart: pool_state
             .task(key)
             .is_some_and(|t| t.must_be_placed_apart(now_ms)),
         has_room: Cell::new(false),
@@ -139,7 +139,7 @@
     key: TaskKey,
     now_ms: u64,
     /// The task must not go to a worker that runs a task suspected of crashes.
-    is_apart: bool,
+    must_be_placed_apart: bool,
     /// Set once an open worker with room was found that is not reserved for another task, whether or not it may take
     /// this one.
     has_room: Cell<bool>,
@@ -203,7 +203,7 @@
         self.has_room.set(true);
         meets_constraints(self.pool_state, self.key, self.spec, key)
             && !should_avoid(self.pool_state, self.key, self.spec, key, self.now_ms)
-            && !(self.is_apart && self.pool_state.is_watched(key))
+            && !(self.must_be_placed_apart && self.pool_state.is_watched(key))
     }
 }
 
