--- a/src/core/sched/load.rs
+++ b/src/core/sched/load.rs
@@ -192,9 +192,9 @@
         .entry(spec.queue.clone())
         .or_default() += 1;
     let account = spec.account.as_deref();
-    let named_by = spec.policy.map_or(0, |policy| policy.config);
+    let config_version = spec.policy.map_or(0, |policy| policy.config);
     let account =
-        account.map(|name| pool_state.account_key(name, config.accounts.get(name), named_by));
+        account.map(|name| pool_state.account_key(name, config.accounts.get(name), config_version));
     let key = pool_state.jobs.insert(Job {
         id: row.key.clone(),
         state: JobState::Queued,
