--- a/src/core/sched/overload.rs
+++ b/src/core/sched/overload.rs
@@ -19,7 +19,7 @@
 
 /// Missing hosts count as available this long after the pool began to lack them: a move takes 1.5 s, and ordering
 /// it 0.5 s. If they have not arrived by then, only the present hosts count.
-pub const COMING_MS: Millis = 2_000;
+pub const HOSTS_EXPECTED_MS: Millis = 2_000;
 
 /// Percentage of the capacity that work can use, since tasks don't fill hosts completely. In the replayed peak of
 /// `DEFERRAL_MS`, 75 gave the same result, and with 110 only 431 jobs were in time.
--- a/src/core/sched/sizing.rs
+++ b/src/core/sched/sizing.rs
@@ -9,7 +9,7 @@
 use super::keys::WorkerKey;
 use super::limits::PLACE_SCAN_MAX;
 use super::offers::Offers;
-use super::overload::COMING_MS;
+use super::overload::HOSTS_EXPECTED_MS;
 use super::pool_state::{ExpectedCapacity, PoolState};
 use super::state::{Ctx, Effect, Timer};
 use super::tasks::{Class, Job, Outlook, Rank, Task};
@@ -167,7 +167,7 @@
     let host_cpu = mean_capacity(pool_state).cpu_milli;
     let at_ms = pool_state
         .expected_capacity
-        .map_or(now_ms + COMING_MS, |c| c.at_ms);
+        .map_or(now_ms + HOSTS_EXPECTED_MS, |c| c.at_ms);
     pool_state.expected_capacity = Some(ExpectedCapacity {
         cpu_milli: host_cpu * sizing.needed,
         at_ms,
