--- a/src/core/sched/reduce.rs
+++ b/src/core/sched/reduce.rs
@@ -622,7 +622,7 @@
 
 /// Reconciles the size of a pool, and brings the next heartbeat forward if the pool's needs changed.
 fn reconcile_size(state: &mut State, key: PoolKey, now: Now, out: &mut Vec<Effect>) {
-    let pressed = another_pool_lacks_hosts(state, key, now.ms);
+    let another_pool_lacks_hosts = another_pool_lacks_hosts(state, key, now.ms);
     with_pool(state, key, now, out, |pool, ctx, facts| {
         let is_parked = |name: &str| facts.config.pools.get(name).is_some_and(|p| p.is_parked);
         let can_park = facts.config.pools.values().any(|p| p.is_parked);
@@ -640,7 +640,7 @@
             pool: &pool.name,
             epoch,
             can_park,
-            another_pool_lacks_hosts: pressed,
+            another_pool_lacks_hosts,
             answer_ms: pool.lease.answer_ms,
         };
         if sizing::reconcile(
