--- a/tests/test_blame.rs
+++ b/tests/test_blame.rs
@@ -141,7 +141,7 @@
 /// stopped before it goes, so the maintenance itself must end none.
 #[test]
 fn blame_listed_late() {
-    let mut upkept = 0;
+    let mut maintained_hosts = 0;
     for seed in 0..10 {
         let mut world = World::new(seed, 2, 4);
         world.run(SETTLE_MS);
@@ -152,7 +152,7 @@
         world.order_wave(1, 60_000, 1);
         world.worker_events_late_ms = 1_500;
         world.run(15_000);
-        upkept += world
+        maintained_hosts += world
             .maintained_hosts
             .values()
             .map(HashSet::len)
@@ -167,5 +167,5 @@
             "seed {seed}: ends by maintenance counted as crashes"
         );
     }
-    assert!(upkept > 0, "no host had its maintenance");
+    assert!(maintained_hosts > 0, "no host had its maintenance");
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -482,10 +482,10 @@
                 .iter()
                 .find(|w| w.wave == wave)
                 .expect("the wave was ordered");
-            let upkept = self.maintained_hosts.entry(wave).or_default();
+            let maintained_hosts = self.maintained_hosts.entry(wave).or_default();
             for host in &order.hosts {
                 assert!(
-                    upkept.contains(host),
+                    maintained_hosts.contains(host),
                     "wave {wave} was reported as done before {host} had its maintenance"
                 );
             }
--- a/tests/world/workers.rs
+++ b/tests/world/workers.rs
@@ -431,8 +431,8 @@
     }
 
     pub(super) fn start_upkeep(&mut self, wave: u64, host: &str) -> HostReply {
-        let upkept = self.maintained_hosts.entry(wave).or_default();
-        if upkept.contains(host) {
+        let maintained_hosts = self.maintained_hosts.entry(wave).or_default();
+        if maintained_hosts.contains(host) {
             return HostReply::Accepted;
         }
         let up = self
@@ -445,7 +445,7 @@
         w.is_up = false;
         let id = w.info.id.clone();
         let ended: Vec<TaskName> = w.running.keys().cloned().collect();
-        upkept.insert(host.to_string());
+        maintained_hosts.insert(host.to_string());
         self.runs_ended_by_upkeep += ended.len();
         for task in &ended {
             self.check_away_max(&id, task);
