--- a/src/core/sched/reservations.rs
+++ b/src/core/sched/reservations.rs
@@ -163,8 +163,9 @@
             return false;
         };
         let is_long = now_ms >= task.since_ms + WAIT_MS;
-        let may_start =
-            !spec.gang && !task.is_crash_suspect() && !must_delay_start(pool_state, rank.task, now_ms);
+        let may_start = !spec.gang
+            && !task.is_crash_suspect()
+            && !must_delay_start(pool_state, rank.task, now_ms);
         is_long && may_start && !pool_state.reserved.is_for(rank.task)
     };
     let ready = pool_state.ready.iter();
@@ -215,8 +216,8 @@
         let Some(worker) = worker.filter(|w| w.is_open(now_ms)) else {
             return Outcome::Dropped("the reserved host takes no work");
         };
-        let is_barred =
-            must_delay_start(pool_state, self.task, now_ms) || runs::is_exhausted(pool_state, self.task);
+        let is_barred = must_delay_start(pool_state, self.task, now_ms)
+            || runs::is_exhausted(pool_state, self.task);
         if is_barred || !pool_state.is_within_quota(self.task, 1) {
             return Outcome::Dropped(
                 "the task may not start now: quota, attempts or a pause before its next start",
