--- a/src/cmd/pool.rs
+++ b/src/cmd/pool.rs
@@ -10,7 +10,7 @@
 /// First paragraph of the command's help.
 pub const USAGE: &str = "Show pools, the hosts that they need and the hosts that they have.";
 
-/// The subcommand with its flags.
+/// The subcommand of `rockwick pool` with its arguments.
 #[derive(Clone, Debug)]
 pub enum Args {
     /// List all pools.
@@ -19,7 +19,7 @@
     Show(Target, String),
 }
 
-/// Returns the parser of the command's flags.
+/// Returns the parser of the command's arguments.
 pub fn args() -> impl Parser<Args> {
     let t = target();
     let list = construct!(Args::List(t))
--- a/src/core/events.rs
+++ b/src/core/events.rs
@@ -1,4 +1,4 @@
-//! The input and output of the reducer: events that happen to an entry, and effects to be performed for it.
+//! The input and output of an entry's reducer: events that it takes in, and effects that it requests.
 //!
 //! The entry's control thread creates the events and carries out the effects.
 
@@ -20,15 +20,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(pub u64);
 
-/// An event at an entry.
+/// An event that the reducer takes in.
 #[derive(Debug)]
 pub enum Event {
-    /// Time passed. Carries the leaving hosts on which this entry has requests in flight, as counted while the routes
-    /// in force included the table's changes up to `published_seq`.
+    /// Time has passed.
     Tick {
         /// The table's sequence number up to which the routes in force include all changes.
         published_seq: u64,
-        /// Ids of leaving hosts with requests in flight.
+        /// Ids of leaving hosts on which this entry had requests in flight while these routes were in force.
         busy: Vec<String>,
     },
     /// A read of the table ended.
@@ -49,15 +48,15 @@
         /// Whether it was committed.
         outcome: Outcome,
     },
-    /// A peer answered a poll of this entry.
+    /// A peer answered a poll that this entry sent.
     PeerAnswered {
         /// When the poll began.
         begun_ms: Millis,
         /// The peer's report about itself.
         digest: Digest,
-        /// Rows that this entry lacked when it polled.
+        /// Rows that this entry lacked when it polled, or the first part of them.
         changes: Changes,
-        /// Whether the peer has a complete view.
+        /// Whether the peer has a complete view of the table, read from the table or received from another entry.
         complete: bool,
         /// The peer's host list, if this entry had none.
         hosts: Vec<HostInfo>,
@@ -96,7 +95,8 @@
     RebootAnswered {
         /// Id of the host.
         host: String,
-        /// Whether the platform accepted the order; if not, it is sent again.
+        /// Whether the platform accepted the order; `false` also if the answer was lost. An order that was not accepted
+        /// is sent again.
         accepted: bool,
     },
     /// The entry must shut down.
@@ -153,9 +153,9 @@
         ticket: Ticket,
         /// This entry's report about itself.
         digest: Digest,
-        /// Rows that the peer lacks.
+        /// Rows that the peer lacks, or the first part of them.
         changes: Changes,
-        /// Whether this entry has a complete view.
+        /// Whether this entry has a complete view of the table, read from the table or received from another entry.
         complete: bool,
         /// The host list, if the peer has none.
         hosts: Vec<HostInfo>,
@@ -167,30 +167,31 @@
 /// Why a transaction was sent, and what to do with its outcome.
 #[derive(Debug)]
 pub enum Purpose {
-    /// To register this entry.
+    /// Registers this entry.
     Register,
-    /// To write this entry's releases of leaving hosts to the table.
+    /// Records that this entry has released leaving hosts, for peers that may not have received its report.
     Acknowledge,
-    /// To mark this entry as shut down.
+    /// Records that this entry has shut down.
     Leave,
-    /// A decision of this entry, logged with this line once it is committed.
+    /// Records a decision of this entry. The given line is logged once the transaction is committed.
     Decision(Decision),
-    /// A change that an operator or a caller requested.
+    /// Makes a change that an operator or a caller requested.
     Edit {
         /// The request to answer.
         ticket: Ticket,
-        /// The answer once it is committed.
+        /// The answer that is sent once the transaction is committed.
         reply: Reply,
-        /// The log line once it is committed.
+        /// The line that is logged once the transaction is committed.
         line: Decision,
     },
-    /// A new configuration. A conflict is answered with what the other change changed.
+    /// Applies a new configuration. After a conflict, the answer lists the differences between `base` and the
+    /// configuration that is in force by then.
     Apply {
         /// The request to answer.
         ticket: Ticket,
-        /// The version that it gets.
+        /// The version that the new configuration gets.
         version: u64,
-        /// The configuration in force when it was sent.
+        /// The configuration in force when the transaction was sent.
         base: Arc<Config>,
     },
 }
--- a/src/core/sched/state.rs
+++ b/src/core/sched/state.rs
@@ -1,7 +1,7 @@
-//! Data types of the scheduler: the state of an entry, the events that it takes in and the effects that it requests.
+//! Data types of the scheduler: the state of an entry, the events that the reducer takes in and the effects that it
+//! requests.
 //!
-//! The [reducer](super::reduce) owns and changes the state. The shell around it feeds in events and carries out
-//! effects.
+//! The [reducer](mod@super::reduce) changes the state. Its caller passes in the events and carries out the effects.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -29,10 +29,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PoolKey(pub u16);
 
-/// What an owner keeps about its pool.
+/// State that an entry keeps about a pool that it owns.
 #[derive(Clone, Debug)]
 pub struct Ownership {
-    /// Epoch of the ownership, which fences all its orders.
+    /// Epoch of the ownership. It fences all orders: a receiver refuses an order with a lower epoch than one that it
+    /// has seen.
     pub epoch: u64,
     /// In-memory state of the pool; `None` until its rows are read.
     pub pool_state: Option<PoolState>,
@@ -42,16 +43,17 @@
     pub owner_revisions: [Revision; SHARDS],
     /// Transactions in flight, by shard.
     pub batches: [Option<Batch>; SHARDS],
-    /// Shards of jobs whose first record was in flight when the in-memory state was dropped. That record may still take
-    /// effect, and a later record of the job can only meet it in the same shard.
+    /// Shards by id of jobs that had a shard but no confirmed record when the in-memory state was dropped. The first
+    /// record of such a job may be in flight and still take effect. A later record conflicts with it, and so detects
+    /// it, only if it is written to the same shard.
     pub first_shards: BTreeMap<String, usize>,
-    /// Old jobs whose intake rows are being removed, and the partition that they are removed from.
+    /// Removal of intake rows in flight: the partition, and the old jobs whose rows are removed from it.
     pub removing: Option<(String, Vec<JobKey>)>,
-    /// Old jobs whose intake rows are gone; their progress is removed next.
+    /// Old jobs whose intake rows are removed from all partitions. Their progress rows are removed next.
     pub removable: Vec<JobKey>,
     /// Intake rows that arrived while the pool's rows were being read.
     pub early_intake: Vec<StoredRow>,
-    /// When the pool was claimed; everything that a former owner sent was sent before.
+    /// When the pool was claimed. Former owners sent all their orders before that.
     pub began_ms: Millis,
     /// Controller of the pool's part in waves.
     pub waves: WaveController,
@@ -59,12 +61,13 @@
     pub quota: QuotaController,
     /// Controller of the pool's size.
     pub sizing: Sizing,
-    /// Controller of orders to hosts; used only if this pool is the one that carries the orders.
+    /// Controller of orders to hosts. Used only in the one pool whose owner sends these orders.
     pub hosts: HostController,
 }
 
 impl Ownership {
-    /// Drops the state of an earlier reading with its timers, and returns the id of the state to be built. The caller
+    /// Drops the in-memory state that was built from an earlier reading, and all timers of the pool except those for
+    /// the claim and the owner's lease. Returns the id of the state to be built from the rows just read. The caller
     /// sets the periodic timers again.
     pub(super) fn begin_reading(&mut self, ctx: &mut Ctx<'_>) -> PoolStateId {
         self.drop_pool_state(ctx);
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Assigns unrecorded jobs of a newly built state to the shards of their first records.
+    /// Assigns jobs without a shard in a newly built state to the shards in [`first_shards`](Self::first_shards).
     pub(super) fn restore_first_shards(&mut self, pool_state: &mut PoolState) {
         for (id, shard) in std::mem::take(&mut self.first_shards) {
             let job = pool_state
@@ -89,9 +92,9 @@
         }
     }
 
-    /// Returns the time until which earlier in-memory states of the pool may have sent orders. On the first reading
-    /// these belonged to a former owner and sent nothing after the claim; later they belonged to this owner and may
-    /// have sent orders until now.
+    /// Returns the time until which orders from earlier in-memory states of the pool may have been sent. At the first
+    /// reading, the earlier states belonged to former owners, which sent nothing after the claim. At later readings,
+    /// they belonged to this owner, which may have sent orders until now.
     pub(super) fn earlier_orders_until_ms(&self, now_ms: Millis) -> Millis {
         match self.readings {
             0 | 1 => self.began_ms,
@@ -99,14 +102,14 @@
         }
     }
 
-    /// Drops the pool's in-memory state and everything that holds its keys.
+    /// Drops the pool's in-memory state, and the batches, removals and timers that hold keys of it.
     pub(super) fn drop_pool_state(&mut self, ctx: &mut Ctx<'_>) {
         if let Some(pool_state) = self.pool_state.take() {
-            let open = pool_state
+            let unrecorded = pool_state
                 .jobs
                 .values()
                 .filter(|job| job.revision == ABSENT);
-            let shards = open.filter_map(|job| Some((job.id.clone(), job.shard?)));
+            let shards = unrecorded.filter_map(|job| Some((job.id.clone(), job.shard?)));
             self.first_shards.extend(shards);
         }
         self.batches = Default::default();
@@ -125,16 +128,18 @@
     pub seen_ms: Millis,
     /// Newest known row of the wave.
     pub row: WaveRow,
-    /// Revision of the row, or a newer one that an answer named.
+    /// Revision at which the row was read, or after a write by this entry the store's newest revision as of its answer.
     pub revision: Revision,
-    /// Newest revision at which the row is known to have existed: as read, or as the guard of a successful write.
+    /// Revision at which the row was read, or after a write by this entry the revision of the row that it replaced. A
+    /// row read at a later revision is at least as new as `row`.
     pub seen_revision: Revision,
     /// Whether every host of the wave is back.
     pub is_done: bool,
 }
 
 impl WaveKnown {
-    /// Applies a row as read. Answers travel on different connections, so a row older than the known one is ignored.
+    /// Applies a row that was read. Answers on different connections may arrive out of order, so a row that may be
+    /// older than the known one is ignored.
     pub fn apply_read(&mut self, row: WaveRow, revision: Revision) {
         if revision > self.seen_revision {
             self.row = row;
@@ -143,9 +148,9 @@
         }
     }
 
-    /// Applies a successful write by this entry, which replaced the row of revision `after`. The store's answer names
-    /// its newest revision, which may be later than the next write by another entry. Any row read at a revision later
-    /// than `after` is this write or a newer one.
+    /// Applies a successful write by this entry, which replaced the row of revision `after`. `newest` is the store's
+    /// newest revision as of its answer. Another entry may already have written the row again before that revision, so
+    /// rows read later are compared with `after`: one of a later revision is this write or a newer one.
     pub fn apply_write(&mut self, row: WaveRow, after: Revision, newest: Revision) {
         if self.seen_revision <= after {
             self.row = row;
@@ -158,26 +163,26 @@
 /// A transaction that records progress of jobs.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// The transaction as sent, repeated until it is settled.
+    /// The transaction as sent. It is sent again until its outcome is known.
     pub tx: RowTx,
-    /// The recorded jobs in the order of the writes, and the number of the change that each write records.
+    /// The recorded jobs in the order of the writes, each with the number of its last change that the write includes.
     pub jobs: Vec<(JobKey, u64)>,
-    /// Runs that are started once the batch is settled.
+    /// Runs to start once the batch is committed: task and number of the run.
     pub starts: Vec<(TaskKey, u32)>,
-    /// Finished jobs whose progress rows the batch removes.
+    /// Old jobs whose progress rows the batch removes.
     pub removed: Vec<JobKey>,
     /// When the batch was first sent.
     pub sent_ms: Millis,
     /// Whether the batch carries a heartbeat.
     pub has_heartbeat: bool,
-    /// Whether no further change of the shard waited to be recorded.
+    /// Whether the batch had room for every change of the shard that waited to be recorded; `false` for a full batch.
     pub is_complete: bool,
 }
 
 /// A pool as this entry sees it.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// Name of the pool, which is also the partition of its first shard.
+    /// Name of the pool, which is also the name of its first shard's partition in the store.
     pub name: String,
     /// Owner of the pool and the state of its lease.
     pub lease: OwnerLease,
@@ -210,8 +215,8 @@
     ResendStart(TaskKey, u32),
     /// Send a stop again.
     ResendStop(TaskKey, u32),
-    /// Reorder waiting tasks, begin rounds that are due, end exhausted jobs, renew the leases of workers whose ends
-    /// can't be recorded, and log the pool's load.
+    /// Periodic work: reorder and place waiting tasks, log the pool's load, begin rounds that are due, end jobs that
+    /// have no attempt left, and renew the leases of workers whose run ends are still to be recorded.
     Upkeep,
     /// Reconcile waves.
     Wave,
@@ -224,7 +229,7 @@
 }
 
 impl Timer {
-    /// Returns whether the timer carries keys of a pool's in-memory state, or refers to a batch with them.
+    /// Returns whether the timer holds a key of a pool's in-memory state, or refers to a batch that holds such keys.
     fn is_of_pool_state(self) -> bool {
         matches!(
             self,
@@ -257,15 +262,15 @@
     Claimed(PoolKey, usize, Millis, TxOutcome),
     /// A renewal in a shard was answered: pool, epoch, shard, send time, outcome.
     Renewed(PoolKey, u64, usize, Millis, TxOutcome),
-    /// The pool's rows were read; `None` if that failed.
+    /// The pool's rows were read: pool, epoch, rows; `None` if the read failed.
     Loaded(PoolKey, u64, Option<LoadedRows>),
     /// An intake row changed.
     Intake(StoredRow),
-    /// The batch of a shard was answered.
+    /// The batch of a shard was answered: pool, state id, shard, outcome.
     Recorded(PoolKey, PoolStateId, usize, TxOutcome),
-    /// A start was answered.
+    /// An order to start a run was answered: pool, state id, task, run, reply.
     Started(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
-    /// A stop was answered.
+    /// An order to stop a run was answered: pool, state id, task, run, reply.
     Stopped(PoolKey, PoolStateId, TaskKey, u32, OrderReply),
     /// A renewal of a worker's lease was answered: pool, state id, worker, send time, result.
     WorkerRenewed(
@@ -281,7 +286,7 @@
     WaveSettled(PoolKey, u64, TxOutcome),
     /// A change of the record of hosts that are out was answered: pool, epoch, outcome.
     HostsOutRecorded(PoolKey, u64, TxOutcome),
-    /// A removal of intake rows was answered.
+    /// A removal of intake rows was answered: pool, state id, outcome.
     IntakeRemoved(PoolKey, PoolStateId, TxOutcome),
     /// A change of the pool's offers was answered: pool, epoch, outcome.
     OffersSettled(PoolKey, u64, TxOutcome),
@@ -291,7 +296,7 @@
     QuotaSettled(PoolKey, u64, String, TxOutcome),
     /// An account's row was read: pool, epoch, account, row.
     QuotaRead(PoolKey, u64, String, Option<StoredRow>),
-    /// The record of imminent orders to hosts was answered: pool, epoch, outcome.
+    /// The transaction that records imminent orders to hosts was answered: pool, epoch, outcome.
     HostOrdersRecorded(PoolKey, u64, TxOutcome),
     /// An order to a host was answered: pool, epoch, host, reply.
     HostOrdered(PoolKey, u64, String, HostReply),
@@ -306,7 +311,7 @@
 /// Rows that a pool's owner reads to build the in-memory state.
 #[derive(Clone, Debug, Default)]
 pub struct LoadedRows {
-    /// Jobs as submitted, and cancels.
+    /// Submitted jobs and requests to cancel jobs.
     pub intake: Vec<StoredRow>,
     /// Progress rows of jobs.
     pub progress: Vec<StoredRow>,
@@ -318,7 +323,7 @@
     pub workers_asked_ms: Millis,
     /// Rows of waves.
     pub waves: Vec<StoredRow>,
-    /// Rows that list the hosts with recent or imminent orders, if this is the pool that carries orders to hosts.
+    /// Rows that list the hosts with recent or imminent orders, if this is the pool whose owner sends orders to hosts.
     pub host_orders: Vec<StoredRow>,
 }
 
@@ -338,7 +343,7 @@
 /// Action that the reducer requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Claim one shard of a pool.
+    /// Claim one shard of a pool: pool, shard, transaction.
     Claim(PoolKey, usize, RowTx),
     /// Renew an owner's lease in one shard: pool, epoch, shard, transaction.
     Renew(PoolKey, u64, usize, RowTx),
@@ -350,15 +355,15 @@
     SettleQuota(PoolKey, u64, String, RowTx),
     /// Read an account's row: pool, epoch, account.
     ReadQuota(PoolKey, u64, String),
-    /// Record progress in a shard.
+    /// Record progress of jobs in a shard: pool, state id, shard, transaction.
     Record(PoolKey, PoolStateId, usize, RowTx),
     /// Start a run.
     Start(Order, TaskKey, RunStart),
-    /// Stop a run of a known task.
+    /// Stop a run of a known task: order, key of the task, name of the task, run.
     Stop(Order, TaskKey, TaskName, u32),
-    /// Stop a run that the in-memory state does not contain; nothing waits for the answer.
+    /// Stop a run that the in-memory state does not contain: order, task, run. Nothing waits for the answer.
     StopStray(Order, TaskName, u32),
-    /// Set the pace of a run as a share of full speed: order, task, run, share.
+    /// Set the pace of a run as a percentage of full speed: order, task, run, percentage.
     Pace(Order, TaskName, u32, u32),
     /// Renew a worker's lease.
     RenewWorker(Order, WorkerKey, RenewalRequest),
@@ -382,7 +387,7 @@
     OrderHost(PoolKey, u64, String, HostTask, Millis),
     /// Log a decision.
     Log(Decision),
-    /// All pools are released.
+    /// The entry is stopping and owns no pool any more.
     Left,
 }
 
@@ -480,11 +485,11 @@
         self.timers.insert((self.now.ms + ms, self.pool, timer));
     }
 
-    /// Drops the timers of this pool that `is_over` selects.
-    pub fn drop_timers(&mut self, is_over: impl Fn(Timer) -> bool) {
+    /// Drops the timers of this pool for which `should_drop` returns true.
+    pub fn drop_timers(&mut self, should_drop: impl Fn(Timer) -> bool) {
         let pool = self.pool;
         self.timers
-            .retain(|(_, of, timer)| *of != pool || !is_over(*timer));
+            .retain(|(_, timer_pool, timer)| *timer_pool != pool || !should_drop(*timer));
     }
 
     /// Logs a decision.
--- a/src/core/sched/worker_list.rs
+++ b/src/core/sched/worker_list.rs
@@ -1,7 +1,7 @@
-//! Changes of the list of workers: instances that appear, and instances that the platform removed from its list.
+//! Changes of the platform's list of workers: instances that appear in the list or leave it.
 //!
-//! The list does not tell which instance of a host is alive. Entries of instances that are over remain for some
-//! heartbeats, and a delayed write may restore one.
+//! The list does not tell which worker instance of a host is alive. The entry of an instance that has ended remains
+//! listed for some heartbeat intervals, and a delayed write may restore it after that.
 
 use std::collections::BTreeMap;
 
@@ -18,10 +18,11 @@
 use crate::event::{Code, Decision, Subject};
 use crate::port::fleet::{WorkerEvent, WorkerInfo};
 
-/// Time for which changes reported by the feed are kept for comparison with readings requested earlier.
+/// Time for which the report times of workers are kept. They are compared with the request times of separate readings
+/// of the list.
 const CHANGES_KEPT_MS: Millis = 60_000;
 
-/// From this number of noted workers on, each addition first drops the old ones.
+/// Number of report times from which on each addition first drops those older than [`CHANGES_KEPT_MS`].
 const CHANGES_MAX: usize = 4_096;
 
 /// Records when the feed of the list last reported each worker. The feed reports each change once, in order. A separate
@@ -47,7 +48,8 @@
         self.whole_list_ms = now_ms;
     }
 
-    /// Returns whether the feed reported a worker since a reading was requested.
+    /// Returns whether the feed has reported a worker, alone or with the whole list, since a reading was requested at
+    /// `asked_ms`.
     fn is_reported_since(&self, id: &str, asked_ms: Millis) -> bool {
         let reported_ms = self.by_id.get(id).copied().unwrap_or(0);
         reported_ms.max(self.whole_list_ms) >= asked_ms
@@ -59,7 +61,8 @@
     }
 }
 
-/// Maximum number of undecodable entries that are logged. An entry that is removed or becomes valid no longer counts.
+/// Maximum number of undecodable entries that are remembered, and logged when they are added. Further ones are not
+/// logged. An entry that is removed or becomes valid no longer counts.
 const UNREADABLE_LOGGED_MAX: usize = 256;
 
 pub(super) fn apply_worker_event(
@@ -83,8 +86,8 @@
     }
 }
 
-/// Handles an undecodable entry. The worker that the entry named before counts as unlisted and gets no new tasks, but
-/// its runs continue.
+/// Handles an undecodable entry. The worker with the entry's id counts as unlisted and gets no new tasks, but its runs
+/// continue. Logs the entry if it is new or its reason has changed, up to [`UNREADABLE_LOGGED_MAX`] entries.
 fn apply_unreadable_entry(
     state: &mut State,
     id: String,
@@ -106,7 +109,7 @@
     state.unreadable.insert(id, why);
 }
 
-/// Applies the whole list, with which the feed begins.
+/// Applies the whole list, which the feed reports first.
 pub(super) fn apply_feed_list(
     state: &mut State,
     all: Vec<WorkerInfo>,
@@ -117,7 +120,8 @@
     state.list_changes.note_all(now.ms);
 }
 
-/// Applies a list that was read separately from the feed and requested at `asked_ms`.
+/// Applies a list that was read separately from the feed and requested at `asked_ms`. For each worker that the feed has
+/// reported since then, the state known from the feed is kept.
 pub(super) fn apply_separate_list(
     state: &mut State,
     mut all: Vec<WorkerInfo>,
@@ -137,7 +141,7 @@
     let missing: Vec<String> = state
         .listed
         .keys()
-        .filter(|id| !all.iter().any(|f| f.id == **id))
+        .filter(|id| !all.iter().any(|info| info.id == **id))
         .cloned()
         .collect();
     for id in missing {
@@ -169,14 +173,15 @@
             };
             match is_its_pool {
                 true => apply_worker_entry(pool_state, &info, offers, epoch, ctx),
-                // An instance of the same id has appeared in another pool.
+                // The entry names another pool, so this pool's instances of the same id are no longer listed.
                 false => note_unlisted(pool_state, &info.id, ctx),
             }
         });
     }
 }
 
-/// Applies a worker's entry in the list.
+/// Applies a worker's entry in the list to the worker's pool: updates a known instance unless a later one has
+/// superseded it, or adds a new instance.
 pub fn apply_worker_entry(
     pool_state: &mut PoolState,
     info: &WorkerInfo,
@@ -220,8 +225,8 @@
     start_renewing(pool_state, key, epoch, ctx);
 }
 
-/// Logs a change of a worker's capacity. Runs that no longer fit continue until they end, and nothing new is started
-/// beside them.
+/// Logs a change of a worker's capacity. After a reduction, runs that no longer fit continue until they end, and no
+/// further run is started beside them while they exceed the capacity.
 fn log_resized(worker: &Worker, info: &WorkerInfo, ctx: &mut Ctx<'_>) {
     let (before, current) = (worker.info.capacity, info.capacity);
     if before == current {
@@ -260,8 +265,8 @@
     }
 }
 
-/// Requests the first renewal of a worker's lease, and sets a timer for the end of leases that other owners may have
-/// granted there.
+/// Requests the first renewal of a worker's lease, and sets a timer for the latest end of any lease that other owners
+/// may have granted to the worker.
 pub(super) fn start_renewing(
     pool_state: &mut PoolState,
     worker: WorkerKey,
--- a/src/http/framing.rs
+++ b/src/http/framing.rs
@@ -1,9 +1,11 @@
 //! A stream that gives async-h1 the bytes of exactly one message.
 //!
-//! The codec reads into a buffer of its own and drops what it read beyond the message, takes the last of two
-//! `Content-Length` headers, and accepts a body that was cut short. So the head is checked here first, with
-//! httparse, and the stream ends where the message ends. The bytes after it stay buffered for the next message.
-//! `client` and `server` read and write through it.
+//! async-h1, the codec, reads into a buffer of its own and drops the bytes that it read beyond the message. It uses the
+//! last of two `Content-Length` headers and accepts a truncated body. So the stream first checks the head with httparse
+//! and reports its end where the message ends. Bytes beyond the message stay buffered for the next one.
+//!
+//! A chunked body is the exception: the stream does not know its end and passes on all bytes, so the connection can't
+//! be used again after it. `client` and `server` read and write all messages through this stream.
 
 use std::io;
 use std::net::TcpStream;
@@ -14,11 +16,13 @@
 use futures_lite::io::{AsyncRead, AsyncWrite};
 use smol::Async;
 
-/// Bounds on a message's head. They must not exceed the codec's own.
+/// Maximum size of a message's head. It must not exceed the codec's limit.
 const HEAD_MAX_BYTES: usize = 8_000;
+
+/// Maximum number of headers of a message. It must not exceed the codec's limit.
 const HEADERS_MAX: usize = 100;
 
-/// Most bytes that one read from the socket adds to the buffer.
+/// Maximum number of bytes that one read from the socket adds to the buffer.
 const READ_BYTES: usize = 8_192;
 
 /// What is wrong with a message's framing.
@@ -26,15 +30,15 @@
 pub enum FramingError {
     /// Not a well-formed HTTP/1.1 message.
     Malformed,
-    /// The head exceeds the bound on bytes or on the number of headers.
+    /// The head exceeds the maximum size or the maximum number of headers.
     HeadTooLarge,
-    /// A request without exactly one `Host`.
+    /// A request without a `Host` header or with more than one.
     Host,
-    /// More than one `Content-Length`, or one that is not a number.
+    /// More than one `Content-Length`, or one that is not a decimal number of at most 18 digits.
     Length,
     /// Both `Content-Length` and `Transfer-Encoding`.
     LengthAndCoding,
-    /// A transfer coding other than `chunked`.
+    /// More than one `Transfer-Encoding`, or one other than `chunked`.
     Coding,
     /// The head has bytes that are not ASCII.
     NotAscii,
@@ -42,9 +46,9 @@
     CutHead,
     /// The stream ended inside a body of known length.
     CutBody,
-    /// An answer that ends only when the connection closes.
+    /// A response with neither a length nor chunking, whose body ends only when the connection closes.
     CloseDelimited,
-    /// An answer with a 1xx status: interim, or switching protocols.
+    /// A response with a status below 200: an interim response, or a switch to another protocol.
     Interim,
 }
 
@@ -71,7 +75,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Side {
     Request,
-    Response { to_head: bool },
+    /// `to_head` is set if the request was a HEAD request, whose response has no body.
+    Response {
+        to_head: bool,
+    },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,7 +87,7 @@
     Head,
     /// Number of bytes, including the head, that the codec has still to read.
     Counted(u64),
-    /// The body is passed through; the codec finds its end.
+    /// The head and the chunked body are passed through, and the codec finds the end of the body.
     Chunked,
 }
 
@@ -93,7 +100,8 @@
     written_bytes: u64,
 }
 
-/// One connection. Clones share it and are cheap, as async-h1 requires.
+/// A connection that is read message by message. A clone is cheap, as async-h1 requires, and shares the connection and
+/// its state.
 #[derive(Clone)]
 pub struct Wire {
     stream: Arc<Async<TcpStream>>,
@@ -127,7 +135,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // A panic while the lock is held can't leave these plain fields inconsistent.
+        // A panic while the lock is held cannot leave the fields inconsistent, so a poisoned lock is still usable.
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -146,7 +154,7 @@
         s.written_bytes = 0;
     }
 
-    /// Returns the fault that was found in the framing, if any.
+    /// Returns the framing error that made a read fail, if any.
     pub fn framing_error(&self) -> Option<FramingError> {
         self.state().framing_error
     }
@@ -157,17 +165,19 @@
         self.state().written_bytes
     }
 
-    /// Whether bytes were read from the socket that the codec has not read yet.
+    /// Returns whether the buffer holds bytes that the codec has not read yet.
     pub fn has_buffered(&self) -> bool {
         !self.state().buffered.is_empty()
     }
 
-    /// Whether the codec has read the message to its last byte. False after a chunked body, whose end the codec finds.
+    /// Returns whether the codec has read the whole message. Always false for a chunked body, whose end only the codec
+    /// knows.
     pub fn at_end(&self) -> bool {
         self.state().phase == Phase::Counted(0)
     }
 
-    /// Whether an idle connection is still open and has no unread bytes, so that it can carry another exchange.
+    /// Returns whether an idle connection is still open and has no unread bytes, so that it can be used for another
+    /// request.
     pub fn is_quiet(&self) -> bool {
         if self.has_buffered() {
             return false;
@@ -179,7 +189,7 @@
         }
     }
 
-    /// Shuts down the sending side, so that the peer sees the end after the last answer.
+    /// Shuts down the sending side, so that the peer sees the end of the stream after the last response.
     pub fn shutdown_write(&self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,6 +1,6 @@
 //! Messages between entries, encoded with postcard and sent over nng REQ and REP sockets.
 //!
-//! Postcard writes fields and variants by position, so none may be moved without a new [`PROTOCOL`].
+//! Postcard encodes fields and variants by position, not by name, so none may be moved without a new [`PROTOCOL`].
 
 use serde::{Deserialize, Serialize};
 
@@ -18,18 +18,18 @@
 /// Request from one entry to another.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Introduces the sender and asks for the rows that changed after `since`.
+    /// Reports about the sender and asks for the rows that changed after `since`.
     Poll {
-        /// State of the sender.
+        /// The sender's report about itself.
         digest: Digest,
         /// Table sequence number up to which the sender knows all rows.
         since: u64,
     },
-    /// Asks for the logged decisions about one thing.
+    /// Asks for the logged decisions about one subject, such as a job or a host.
     Explain {
-        /// Kind of the thing.
+        /// Kind of the subject.
         subject: Subject,
-        /// Name or id of the thing.
+        /// Name or id of the subject.
         id: String,
     },
 }
@@ -39,11 +39,11 @@
 pub enum PeerReply {
     /// Answers a poll.
     View {
-        /// State of the entry that answers.
+        /// The answering entry's report about itself.
         digest: Digest,
-        /// Rows that changed after `since`.
+        /// Rows that changed after `since`, or the first part of them.
         changes: Changes,
-        /// Whether the entry that answers knows the whole table itself.
+        /// Whether the answering entry has a complete view of the table, read from the table or received from a peer.
         complete: bool,
         /// The host list if the sender of the poll has none; else empty.
         hosts: Vec<HostInfo>,
@@ -52,7 +52,7 @@
     Decisions {
         /// Name of the entry that logged the decisions.
         entry: String,
-        /// The decisions in memory about that thing, in the order of
+        /// The decisions about the subject that are still in memory, in the order of
         /// [`decisions_about`](crate::log::Log::decisions_about).
         list: Vec<Decision>,
     },
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -1,5 +1,5 @@
-//! Load generator: sends requests at a fixed rate in an open loop and measures latency from the time at which each
-//! request was due. Run by the `load` command.
+//! Load generator: sends requests in an open loop, at random intervals with a fixed mean rate, and measures the latency
+//! of each request from the time at which it was due. Run by the `load` command.
 
 use rockwick::util::lock;
 use std::collections::BTreeMap;
@@ -124,6 +124,7 @@
 }
 
 struct Tally {
+    /// Latencies of the requests that were answered with status 200.
     times_us: Histogram<u64>,
     statuses: BTreeMap<String, u64>,
     ok: u64,
@@ -231,12 +232,12 @@
         Timer::at(due).await;
         let client = Arc::clone(&clients[rng.usize(..clients.len())]);
         let tally = Arc::clone(&tally);
-        let call = args.clone();
+        let request_args = args.clone();
         tasks.push(runtime.spawn(async move {
-            let status = send_request(&call, &client, is_direct).await;
+            let status = send_request(&request_args, &client, is_direct).await;
             lock(&tally).record(status, due.elapsed());
         }));
-        // Exponential gaps, as between the arrivals of independent callers.
+        // Exponentially distributed intervals, as between the requests of independent callers (a Poisson process).
         due_s += -(1.0 - rng.f64()).ln() / args.rate;
     }
     for task in tasks {
--- a/tests/test_load.rs
+++ b/tests/test_load.rs
@@ -1,4 +1,5 @@
-//! Behaviour under load: overload, quotas, faulty backend servers, the loss of a data hall and a long outage.
+//! Behaviour under load: overload, quotas, faulty backend servers, the loss of a data hall and a long outage of the
+//! platform.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,8 +9,8 @@
 
 use crate::fleet::{body_text, failures, get, post, wait_for, Fleet, LoadCallers, Plan};
 
-/// Sends `requests_each` requests from each of `threads` threads. Returns the number of answers by status and the time
-/// of the slowest 200.
+/// Sends `requests_each` requests from each of `threads` threads. Returns the number of answers by status and the
+/// longest latency of an answer with status 200.
 fn send_load(
     fleet: &Fleet,
     threads: usize,
@@ -60,7 +61,8 @@
 
 #[test]
 fn load_overload_shed() {
-    // More requests than the slots can serve in time: those that would miss their deadline are refused at once.
+    // More requests than the backend server's slots can serve in time: those that would miss their deadline are refused
+    // at once.
     let fleet = Plan::new(1, 1)
         .without_config()
         .with_backend_args(&["--slots", "2", "--work-ms", "50"])
@@ -80,7 +82,7 @@
 
 #[test]
 fn load_urgent_first() {
-    // Batch requests fill every slot that they may use; urgent requests still start in time.
+    // Batch requests occupy all slots that their class may use. Urgent requests must still be answered in time.
     let fleet = Plan::new(2, 2)
         .without_config()
         .with_backend_args(&["--slots", "4", "--work-ms", "200"])
@@ -118,7 +120,8 @@
         }
         *counts.entry(answer.status).or_default() += 1;
     }
-    // Both entries together keep to the account's quota; each may round up by one request.
+    // The burst, the rate over the elapsed time rounded up, and one request for each of the two entries, whose share of
+    // the quota may be rounded up.
     let expected_max = 10 + 10 * (began.elapsed().as_secs() as u32 + 1) + 2;
     assert!(
         counts[&200] <= expected_max && counts[&200] >= 10,
@@ -147,8 +150,9 @@
 
 #[test]
 fn load_bad_backends() {
-    // One of four backend servers fails, closes or refuses every request. Its fast failures must not attract more work.
-    // A refusal is no fault, so only the first two kinds lead to an ejection.
+    // One of four backend servers answers every request with an error, closes the connection or refuses the request.
+    // Its fast failures must not attract more requests. A refusal is not a fault, so only the first two lead to an
+    // ejection.
     for fault in ["fail", "close", "refuse"] {
         let fleet = Plan::new(4, 1).without_config().start();
         fleet.backends[0].set_fault(fault, 0);
@@ -176,7 +180,7 @@
     }
 }
 
-/// One of four backend servers never answers: it must be ejected before it costs many requests their deadline.
+/// One of four backend servers never answers. It must be ejected before many requests to it miss their deadline.
 #[test]
 fn load_hanging_backend() {
     let fleet = Plan::new(4, 1).without_config().start();
@@ -194,7 +198,8 @@
 
 #[test]
 fn load_all_fail() {
-    // All backend servers fail: at most half of them are ejected, and each answer is passed on unchanged.
+    // All backend servers fail. Since at most half of them are ejected at once, every request still reaches one, and
+    // its answer is passed on with status 500. Once the fault ends, no request fails.
     let fleet = Plan::new(4, 1).without_config().start();
     fleet.backends.iter().for_each(|b| b.set_fault("fail", 0));
     for _ in 0..100 {
@@ -210,7 +215,8 @@
 
 #[test]
 fn load_retry_budget() {
-    // Under every fault the attempts exceed the requests by at most a tenth, the 10 saved retries, and 10 a second.
+    // The retry budget earns one retry for every 10 requests and 10 retries a second, and saves up to 10. Under each
+    // fault, the attempts may exceed the requests by no more than that.
     for fault in ["fail", "close", "refuse", "garbage"] {
         let fleet = Plan::new(4, 1).without_config().start();
         fleet.backends.iter().for_each(|b| b.set_fault(fault, 0));
@@ -226,7 +232,8 @@
             .map(|b| b.stats())
             .map(|s| s["runs"].as_u64().unwrap_or(0) + s["refused"].as_u64().unwrap_or(0))
             .sum();
-        // A retry after a refusal costs two fifths of a retry that repeats work.
+        // A retry after a refusal costs the budget 0.4 of a retry that may repeat work, so 2.5 times as many are
+        // allowed.
         let (num, den) = if fault == "refuse" { (10, 4) } else { (1, 1) };
         let earned_by_time = 10 * (began.elapsed().as_secs() + 1);
         assert!(
@@ -238,7 +245,7 @@
 
 #[test]
 fn load_hall_gone() {
-    // Half of the hosts are lost at once: after the entries have seen the loss, no repeatable request fails.
+    // Half of the hosts are lost at once. After the entries have noticed the loss, no repeatable request fails.
     let fleet = Plan::new(4, 2).start();
     for host in ["h3", "h4"] {
         fleet.set_host_status(host, "gone");
@@ -259,7 +266,8 @@
 
 #[test]
 fn load_outage() {
-    // The platform is down for long under load: no request fails, and the entries do not flood it when it returns.
+    // The platform is unreachable for several seconds under load: no request fails, and the entries do not send it a
+    // burst of calls when it answers again.
     let fleet = Plan::new(4, 3).start();
     let addrs: Vec<_> = fleet.entries.iter().map(|e| e.listen).collect();
     let load = LoadCallers::start(&addrs, 2, 5);
--- a/tests/test_reread.rs
+++ b/tests/test_reread.rs
@@ -1,8 +1,11 @@
-//! An owner reads its rows again within an ownership, after something else changed one of them. The new in-memory
-//! state has new keys of workers and tasks, but answers and timers of the old state were told apart from those of the
-//! new one by the epoch alone, which stays the same. One worker's report was applied to another worker, whose runs then
-//! counted as not running there. The timers of a lost pool stayed as well. Worker leases counted as expired one lease
-//! after the claim although this owner had renewed them since, so a reading requeued all running tasks at once.
+//! An owner whose rows were changed by another writer reads all of them again, within the same ownership and epoch, and
+//! builds a new in-memory state with new keys of workers and tasks. The tests guard against three faults:
+//!
+//! - Answers and timers carried only the epoch, so those of the old state were applied to the new one. One worker's
+//!   report was applied to another worker, whose runs then counted as not running there.
+//! - The timers of a lost pool stayed set.
+//! - Worker leases were counted from the claim, although this owner had renewed them since. A reading later than one
+//!   lease after the claim took them for expired and requeued all running tasks at once.
 
 use fastrand::Rng;
 use rockwick::core::sched::job::JobState;
@@ -10,13 +13,13 @@
 
 use crate::world::{job, lasting, World, POOL};
 
-/// Time within which an entry has claimed the pool, also after a lease expired.
+/// Time within which an entry claims the pool, including the wait for a former owner's lease to expire.
 const SETTLE_MS: u64 = 8_000;
 
-/// Number of seeds; each gives a world of its own.
+/// Number of seeds, each of which runs one simulation.
 const SEEDS: u64 = 120;
 
-/// Running tasks go on after a reading, also long after the claim.
+/// Running tasks continue after the rows are read again, even long after the claim.
 #[test]
 fn reread_keeps_runs() {
     let mut world = World::new(3, 1, 4);
@@ -30,8 +33,10 @@
     assert_eq!(world.starts, before, "running tasks are not started again");
 }
 
-/// Runs six hosts, some of which crash and come back as instances whose ids sort elsewhere. The rows are read again in
-/// ten of 30 rounds: directly for even seeds, and for odd ones when a commit finds a row that something else wrote.
+/// Simulates six hosts. Some workers crash and are replaced by instances with random ids, which changes the sort order
+/// of the workers. In every third of the 30 rounds the owner is made to read its rows again: directly for even seeds;
+/// for odd ones by rewriting the recorded progress of the round's job, if there is any yet, so that the owner's next
+/// commit for it conflicts.
 fn simulate(seed: u64) {
     let mut rng = Rng::with_seed(seed ^ 0x4e4d);
     let mut world = World::new(seed, 1, 6);
@@ -78,7 +83,7 @@
     );
 }
 
-/// A lost pool leaves only the timer that checks whether the pool needs an owner.
+/// After an entry has lost a pool, the only timer left is the one that checks whether the pool can be claimed.
 #[test]
 fn reread_lost_timers() {
     let mut world = World::new(5, 2, 4);
@@ -98,7 +103,8 @@
     assert!(timers_left.is_empty(), "{timers_left:?}");
 }
 
-/// Checks what the odd seeds above rely on: a row that something else rewrote makes its owner read all rows again.
+/// Checks the condition that odd seeds of [`simulate`] rely on: after another writer has rewritten a row, its owner
+/// reads all rows again.
 #[test]
 fn reread_touched() {
     let mut world = World::new(1, 1, 6);
--- a/tests/world/restart.rs
+++ b/tests/world/restart.rs
@@ -1,12 +1,12 @@
-//! Workers that restart under their id. The later instance knows nothing of the earlier one.
+//! Simulates workers that restart under the same id. The later instance keeps no state of the earlier one.
 
 use super::*;
 
-/// The longest time by which the wall clock of a host is set back or forward between two instances.
+/// Maximum step, back or forward, of a host's wall clock between two instances.
 const CLOCK_STEP_MS: u64 = 4_000;
 
 impl World {
-    /// Crashes a worker; a later instance starts under its id at its address.
+    /// Crashes a worker. A later instance starts `back_after_ms` later, with the same id and address.
     pub(crate) fn restart_worker(&mut self, id: &str, back_after_ms: u64) {
         let Some(w) = self.workers.get_mut(id).filter(|w| w.is_up) else {
             return;
@@ -25,7 +25,8 @@
         );
     }
 
-    /// Starts a worker on a host after a crash or maintenance.
+    /// Starts a worker on a host after a crash or maintenance: under the id of the host's last worker if ids are kept
+    /// and that worker is down, else under a new id.
     pub(super) fn start_on_host(&mut self, host: &str) {
         let last = self.workers.iter().filter(|(_, w)| w.info.host == host);
         let last = last.max_by_key(|(_, w)| w.serial).map(|(id, _)| id.clone());
@@ -37,9 +38,12 @@
         }
     }
 
-    /// Starts the later instance under a worker's id. Entries learn of it at once or from its first heartbeat.
+    /// Starts the later instance under a worker's id. Its list entry reaches the entries at once or within one
+    /// heartbeat interval.
     pub(super) fn start_later_instance(&mut self, id: &str) {
         let now_ms = self.now_ms;
+        // The random step of the wall clock is drawn from 0 to twice `CLOCK_STEP_MS`; `CLOCK_STEP_MS` is subtracted
+        // below.
         let born_wall_ms = WALL_MS + now_ms + self.restarts_rng.u64(0..CLOCK_STEP_MS * 2);
         let is_seen_at_once = self.restarts_rng.bool();
         let heartbeat_ms = if is_seen_at_once {
@@ -58,7 +62,7 @@
             ..w.info.clone()
         };
         let later = Worker {
-            // The clock of the instance counts from its start.
+            // The monotonic clock of the instance starts at zero, so it is behind the simulated time by `now_ms`.
             clock_ahead_ms: 0_u64.wrapping_sub(now_ms),
             ..Worker::new(info, serial)
         };
@@ -66,7 +70,8 @@
         self.schedule(heartbeat_ms, TimedEvent::Heartbeat(id.to_string()));
     }
 
-    /// Delivers the list entry of an earlier instance again, after that of the later instance under its id.
+    /// Delivers the list entry of a random earlier instance again, although a later instance has taken over its id. If
+    /// the current instance is up, its entry follows one heartbeat interval later.
     pub(crate) fn relist_former_instance(&mut self) {
         if self.former_instances.is_empty() {
             return;
